--- a/src/core/desk.ts
+++ b/src/core/desk.ts
@@ -59,19 +59,30 @@
     if (known && known.record.state !== 'accepted') return answer(this.describe(known.record));
     // A call that brought nothing here may still work for a node that the state service hasn't shut out. Passing the
     // whole request on also settles an unknown outcome: there it is found carried out, or carried out now.
+    const refusal = request.op === 'submit' ? this.refusalOf(request.spec, request.problem) : null;
+    const passOn = (): boolean => !relayed && this.passOn(request, refusal, answer);
     const failed = (): void => {
-      if (relayed || !this.help.relay(request, answer)) answer(BUSY);
+      if (!passOn()) answer(BUSY);
     };
     if (this.refusedLately()) {
-      if (!relayed && this.help.relay(request, answer)) return;
+      if (passOn()) return;
       // Nothing here can be confirmed, and nobody else is there to ask: said at once, with when to come back.
       if (this.shutOut()) return answer(BUSY);
     }
-    if (request.op === 'submit') this.submit(request.id, request.spec, request.problem, answer, failed);
+    if (request.op === 'submit') this.submit(request.id, request.spec, refusal, answer, failed);
     else if (request.op === 'poll') this.poll(request.id, answer, failed, this.notFound());
     else this.cancel(request.id, answer, failed, 0);
   }
 
+  /**
+   * A submission that must be refused is only looked up at the other node, as a repeat of an accepted one is answered with
+   * its state: an earlier version there may accept what can never run (upgrade-odd-requests.txt).
+   */
+  private passOn(request: UserRequest, refusal: UserAnswer | null, answer: Answer): boolean {
+    if (refusal === null) return this.help.relay(request, answer);
+    return this.help.relay({ op: 'poll', id: request.id }, (found) => answer(found.status === 404 ? refusal : found));
+  }
+
   /** A poll of a job that the mirror knows waits for the next confirmation, others are read. */
   private poll(id: JobId, answer: Answer, failed: () => void, missing: UserAnswer): void {
     if (!this.mirror.get(id)) return this.read(id, answer, failed, missing);
@@ -178,20 +189,27 @@
     );
   }
 
-  private submit(id: JobId, spec: JobSpec | null, problem: string, answer: Answer, failed: () => void): void {
-    if (!spec) return this.read(id, answer, failed, { status: 400, problem });
-    // A repeat of a submission that was taken.
-    if (this.mirror.get(id)) return this.poll(id, answer, failed, BUSY);
+  /** Why a submission can't be taken, whoever is asked; null: it can, as far as this node knows. */
+  private refusalOf(spec: JobSpec | null, problem: string): UserAnswer | null {
+    if (!spec) return { status: 400, problem };
     const types = this.help.types();
-    if (types.size === 0) {
-      return this.read(id, answer, failed, {
-        status: 503,
-        problem: 'the machine types are not known yet',
-        retryAfterS: 1,
-      });
-    }
+    if (types.size === 0) return { status: 503, problem: 'the machine types are not known yet', retryAfterS: 1 };
     const never = this.neverRuns(spec, types);
-    if (never) return this.read(id, answer, failed, { status: 422, problem: never });
+    return never === null ? null : { status: 422, problem: never };
+  }
+
+  private submit(
+    id: JobId,
+    spec: JobSpec | null,
+    refusal: UserAnswer | null,
+    answer: Answer,
+    failed: () => void,
+  ): void {
+    if (spec && this.mirror.get(id)) {
+      // A repeat of a submission that was taken.
+      return this.poll(id, answer, failed, BUSY);
+    }
+    if (!spec || refusal) return this.read(id, answer, failed, refusal ?? BUSY);
     const record: JobRecord = {
       spec,
       submittedAt: this.ctx.now.wall,
--- /dev/null
+++ b/test/sim/old_versions.ts
@@ -0,0 +1,60 @@
+import { existsSync, readFileSync } from 'node:fs';
+import { fileURLToPath } from 'node:url';
+import type { Tuning } from '../../src/core/settings.js';
+import type { Build } from './world.js';
+
+const repositoryFile = (path: string): URL => new URL(`../../../../${path}`, import.meta.url);
+const readText = (path: string): string => readFileSync(repositoryFile(path), 'utf8');
+
+interface OldVersion {
+  readonly name: string;
+  readonly commit: string;
+  readonly readsAnnouncedLimits: boolean;
+}
+
+function productionCommit(): string {
+  const commit = /^production = "([0-9a-f]{40})"$/m.exec(readText('deploy/service.toml'))?.[1];
+  if (!commit) throw new Error('deploy/service.toml names no production commit');
+  return commit;
+}
+
+/** The versions that test/old_versions.txt names, in its order. */
+function oldVersions(): OldVersion[] {
+  const lines = readText('test/old_versions.txt')
+    .split('\n')
+    .filter((line) => line !== '' && !line.startsWith('#'));
+  return lines.map((line) => {
+    const [name = '', commit = '', limits] = line.split(' ');
+    return {
+      name,
+      commit: name === 'production' ? productionCommit() : commit,
+      readsAnnouncedLimits: limits === 'announced-limits',
+    };
+  });
+}
+
+async function load(version: OldVersion): Promise<Build> {
+  const { name, commit, readsAnnouncedLimits } = version;
+  const directory = `target/old_versions/${commit}`;
+  if (!existsSync(fileURLToPath(repositoryFile(`${directory}/built`)))) {
+    throw new Error(
+      `version ${name} (${commit}) is not built: the history may be missing (tools/old_versions.sh builds it)`,
+    );
+  }
+  const part = async <T>(path: string): Promise<T> =>
+    (await import(repositoryFile(`${directory}/build/${path}.js`).href)) as T;
+  const { Node } = await part<Pick<Build, 'Node'>>('core/node');
+  const { encodeFrame, FrameSplitter } = await part<Pick<Build, 'encodeFrame' | 'FrameSplitter'>>('io/peer_codec');
+  const records = await part<Build['records']>('core/records');
+  const { loadTuning } = await part<{ loadTuning: (file: string) => Tuning }>('config/tuning');
+  const tuning = loadTuning(fileURLToPath(repositoryFile(`${directory}/checkout/deploy/tuning.toml`)));
+  return { name, Node, encodeFrame, FrameSplitter, records, tuning, readsAnnouncedLimits };
+}
+
+let loading: Promise<ReadonlyMap<string, Build>> | null = null;
+
+/** Every earlier version that the tests run beside this one, by its name; fails where one could not be built. */
+export function loadOldVersions(): Promise<ReadonlyMap<string, Build>> {
+  loading ??= Promise.all(oldVersions().map(load)).then((builds) => new Map(builds.map((b) => [b.name, b])));
+  return loading;
+}
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -6,5 +6,5 @@
 npx tsc -p tsconfig.test.json
 sh -c "$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/service.toml)"
 node target/main.js --version
-bash tools/production.sh
+bash tools/old_versions.sh
 node --test --test-reporter=spec target/check/test/*.test.js
