--- a/test/sim/scenario.ts
+++ b/test/sim/scenario.ts
@@ -356,12 +356,16 @@
     world.state.lateWrites(Number(share), lasts(world, s));
     world.rules.troublesUntil += 12_000;
   },
-  /** lower-limits valueBytes=N txnOps=N writeRps=N: the state service takes less from now on */
+  /** lower-limits valueBytes=N txnOps=N rps=N writeRps=N: the state service takes less from now on */
   'lower-limits'(world, words) {
     const o = readOptions(words);
     const { valueBytes, txnOps } = world.limits;
-    const writeRps = num(o, 'writeRps', Number.POSITIVE_INFINITY);
-    world.state.lower({ valueBytes: num(o, 'valueBytes', valueBytes), txnOps: num(o, 'txnOps', txnOps), writeRps });
+    world.state.lower({
+      valueBytes: num(o, 'valueBytes', valueBytes),
+      txnOps: num(o, 'txnOps', txnOps),
+      rps: num(o, 'rps', Number.POSITIVE_INFINITY),
+      writeRps: num(o, 'writeRps', Number.POSITIVE_INFINITY),
+    });
   },
   /** upgrade NODE|all BACK [EVERY]: it ends and comes back with the present build, one after the other with EVERY */
   upgrade(world, [which, back, every]) {
@@ -619,11 +623,14 @@
   'refused-sizes'(world, [, n]) {
     return world.state.rejected <= Number(n) ? null : `${world.state.rejected} transactions too large, more than ${n}`;
   },
-  /** expect throttled at-most N: transactions that the state service refused for coming too often */
+  /** expect terms at-most N: so often the lead was taken */
+  terms(world, [, n]) {
+    const term = (world.state.item('term')?.value as { n?: number } | undefined)?.n ?? 0;
+    return term <= Number(n) ? null : `the lead was taken ${term} times, more than ${n}`;
+  },
+  /** expect throttled at-most N: calls that the state service refused for coming too often */
   throttled(world, [, n]) {
-    return world.state.throttled <= Number(n)
-      ? null
-      : `${world.state.throttled} transactions throttled, more than ${n}`;
+    return world.state.throttled <= Number(n) ? null : `${world.state.throttled} calls throttled, more than ${n}`;
   },
   /** expect cancelled-of N JOB ...: at least so many of them were cancelled */
   'cancelled-of'(world, [n, ...ids]) {
--- a/test/sim/state_service.ts
+++ b/test/sim/state_service.ts
@@ -1,6 +1,7 @@
 import type { Result, StoredItem, StoreEvent, StoreOp, StoreValue } from '../../src/core/messages.js';
 import { type LeaseId, type Revision, revision } from '../../src/core/types.js';
 import type { Clock } from './clock.js';
+import { RateLimit } from './rate_limit.js';
 
 interface Lease {
   readonly ttlMs: number;
@@ -25,10 +26,9 @@
   private watchers = new Set<() => void>();
   private down = false;
   private lateShare = 0;
-  private writeRps = Number.POSITIVE_INFINITY;
-  private tokens = 0;
-  private tokensAt = 0;
-  /** Transactions refused for coming too often. */
+  private callRate: RateLimit;
+  private writeRate: RateLimit;
+  /** Calls refused for coming too often. */
   throttled = 0;
   private slowness = 1;
   /** Transactions that were carried out late. */
@@ -49,7 +49,10 @@
   constructor(
     private readonly clock: Clock,
     private limits: { txnOps: number; valueBytes: number },
-  ) {}
+  ) {
+    this.callRate = new RateLimit(clock, Number.POSITIVE_INFINITY);
+    this.writeRate = this.callRate;
+  }
 
   outage(ms: number): void {
     this.down = true;
@@ -83,25 +86,17 @@
     });
   }
 
-  /** Lowers what a value and a transaction may be, as the real one does without notice. */
-  lower(limits: { txnOps: number; valueBytes: number; writeRps?: number }): void {
+  /** Lowers what it takes, as the real one does without notice. */
+  lower(limits: { txnOps: number; valueBytes: number; rps: number; writeRps: number }): void {
     this.limits = limits;
-    this.writeRps = limits.writeRps ?? Number.POSITIVE_INFINITY;
-    this.tokens = this.writeRps;
-    this.tokensAt = this.clock.now;
+    this.callRate = new RateLimit(this.clock, limits.rps);
+    this.writeRate = new RateLimit(this.clock, limits.writeRps);
   }
 
-  /** Whether the changes are within the rate, with bursts of a second's worth. */
-  private mayWrite(n: number): boolean {
-    if (!Number.isFinite(this.writeRps)) return true;
-    this.tokens = Math.min(this.writeRps, this.tokens + ((this.clock.now - this.tokensAt) / 1000) * this.writeRps);
-    this.tokensAt = this.clock.now;
-    if (this.tokens < n) {
-      this.throttled += 1;
-      return false;
-    }
-    this.tokens -= n;
-    return true;
+  private withinRates(op: StoreOp): boolean {
+    const within = this.callRate.allows(1) && (op.op !== 'txn' || this.writeRate.allows(op.changes.length));
+    if (!within) this.throttled += 1;
+    return within;
   }
 
   private carryOutLate(op: StoreOp): void {
@@ -114,9 +109,7 @@
     const latency = this.clock.between(1, 6) * this.slowness;
     this.clock.in(latency, () => {
       if (this.down || this.refused.has(from)) return reply(no('refused'));
-      if (op.op === 'txn' && !this.mayWrite(op.changes.length)) {
-        return reply({ ok: false, why: 'refused', throttled: true });
-      }
+      if (!this.withinRates(op)) return reply({ ok: false, why: 'refused', throttled: true });
       if (this.blind.has(from) && tellsOfJobs(op)) return reply(no('refused'));
       if (this.lateShare > 0 && op.op === 'txn' && op.changes.length > 0) {
         if (this.clock.between(0, 1) < this.lateShare) {
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -44,6 +44,7 @@
   readonly rps: number;
   readonly writeRps: number;
   /** Announced for later; 0: no other. */
+  readonly nextRps: number;
   readonly nextWriteRps: number;
   readonly nextValueBytes: number;
   readonly nextTxnOps: number;
@@ -59,6 +60,7 @@
 export const LIMITS: Limits = {
   rps: 200,
   writeRps: 20,
+  nextRps: 0,
   nextWriteRps: 0,
   nextValueBytes: 0,
   nextTxnOps: 0,
@@ -515,7 +517,7 @@
 function makeSettings(name: NodeName, names: readonly NodeName[], options: WorldOptions, build: Build): Settings {
   const zone = options.zones[0] as ZoneName;
   const limits = options.limits ?? LIMITS;
-  const { rps, writeRps, nextWriteRps, nextValueBytes, nextTxnOps, valueBytes, txnOps, cloudRps } = limits;
+  const { rps, writeRps, nextRps, nextWriteRps, nextValueBytes, nextTxnOps, valueBytes, txnOps, cloudRps } = limits;
   const { reportMs, leaseMs, cancelMs, cpuShare } = limits;
   return {
     node: name,
@@ -530,7 +532,7 @@
     store: {
       rps,
       writeRps,
-      nextRps: rps,
+      nextRps: nextRps || rps,
       nextWriteRps: nextWriteRps || writeRps,
       // Builds before it know nothing of limits announced for later.
       valueBytes: build.readsAnnouncedLimits ? Math.min(valueBytes, nextValueBytes || valueBytes) : valueBytes,
