--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -339,6 +339,8 @@
   private readonly onRecord = new Set<string>();
   /** Until then every report is delivered once more, late. */
   copiesUntil = 0;
+  /** Transactions of the present build that were refused for their size: earlier builds don't know of announced limits. */
+  refusedSizes = 0;
   /** Leases that ran out on workers with tasks. */
   leasesLost = 0;
   /** Peers' messages go through the codecs of both ends. */
@@ -369,6 +371,9 @@
     this.state.onChanged = (keys) => {
       if (keys.some((k) => k.startsWith(records.MACHINE_PREFIX))) this.checkRegistry();
     };
+    this.state.onTooLarge = (from) => {
+      if (this.nodes.some((n) => n.name === from && n.build === PRESENT)) this.refusedSizes += 1;
+    };
     new IdleRoom(this);
     this.uptime.begin();
     const names = Array.from({ length: options.nodes }, (_, i) => `perch-${i}` as NodeName);
