--- a/src/core/autoscaler.ts
+++ b/src/core/autoscaler.ts
@@ -1,5 +1,5 @@
 import type { Cluster } from './cluster.js';
-import { Machine, QUIET_REPORTS, startKey } from './fleet.js';
+import { Machine, MISSED_REPORTS_UNTIL_SILENT, startKey } from './fleet.js';
 import type { PlanJob } from './scheduler/planner.js';
 import type { RoundResult } from './scheduler/round.js';
 import {
@@ -52,8 +52,8 @@
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly adopt: (m: Machine) => void,
-    private readonly dropRecord: (m: Machine) => void,
+    private readonly registerMachine: (m: Machine) => void,
+    private readonly unregisterMachine: (m: Machine) => void,
   ) {
     this.lastWorkAt = steadyPlus(cluster.ctx.now.steady, -GUARANTEE_KEEP_MS);
     this.spotsSeenAt = cluster.ctx.now.steady;
@@ -65,13 +65,13 @@
 
   // ---- the cloud's list
 
-  list(): void {
+  listMachines(): void {
     if (this.listing) return;
     this.listing = true;
-    this.page(null, []);
+    this.listPage(null, []);
   }
 
-  private page(after: MachineId | null, before: ListedMachine[]): void {
+  private listPage(after: MachineId | null, before: ListedMachine[]): void {
     this.cluster.ctx.cloud({ op: 'list', after }, 2, (r) => {
       if (!r.ok) {
         this.listing = false;
@@ -79,19 +79,19 @@
       }
       const all = [...before, ...(r.value.machines ?? [])];
       const last = all[all.length - 1];
-      if (r.value.more && last && all.length < 20_000) return this.page(last.id, all);
+      if (r.value.more && last && all.length < 20_000) return this.listPage(last.id, all);
       this.listing = false;
       this.listedOnce = true;
       this.lastListAt = this.now;
-      this.takeList(all);
+      this.applyList(all);
     });
   }
 
-  private takeList(listed: readonly ListedMachine[]): void {
+  private applyList(listed: readonly ListedMachine[]): void {
     for (const l of listed) {
       let m = this.cluster.machines.get(l.id);
       if (!m) {
-        if (this.cluster.gone.has(l.id)) continue;
+        if (this.cluster.removedMachines.has(l.id)) continue;
         const type = this.cluster.types.get(l.type);
         if (!type) continue;
         // Rented by an earlier leader, or by a request carried out late: taken into use like any other.
@@ -102,13 +102,13 @@
       if (l.addr && !m.addr) m.addr = l.addr;
       const rented = (this.now - l.ageS * 1000) as Steady;
       if (rented < m.rentedAt) m.rentedAt = rented;
-      if (l.phase === 'failed' && !m.deleting) {
+      if (l.phase === 'failed' && !m.deletionInFlight) {
         this.cluster.ctx.log('info', 'machine failed', { machine: m.id, tasks: m.placements.size });
         // A failed machine has stopped by itself: nothing is on it any more.
         this.cluster.releaseAll(m);
-        m.accounted = true;
-        this.cluster.countUnaccounted();
-        this.remove(m, 'failed');
+        m.reconciled = true;
+        this.cluster.updateUnreconciled();
+        this.requestDeletion(m, 'failed');
       }
     }
     this.sendDeletes();
@@ -116,11 +116,11 @@
 
   // ---- returning
 
-  remove(m: Machine, why: string): void {
-    if (m.deleting) return;
-    m.deleting = true;
-    m.returning = true;
-    if (why === 'silent' || why === 'failed') this.countLost(m);
+  requestDeletion(m: Machine, why: string): void {
+    if (m.deletionInFlight) return;
+    m.deletionInFlight = true;
+    m.deletionRequested = true;
+    if (why === 'silent' || why === 'failed') this.countInterruption(m);
     m.draining ??= why;
     this.cluster.ctx.log('info', 'returning machine', { machine: m.id, type: m.typeName, why });
     this.toDelete.push(m);
@@ -136,11 +136,11 @@
         for (const m of batch) {
           if (this.cluster.machines.get(m.id) !== m) continue;
           if (!r.ok) {
-            m.deleting = false;
+            m.deletionInFlight = false;
             continue;
           }
-          this.cluster.forgetMachine(m);
-          this.dropRecord(m);
+          this.cluster.removeMachine(m);
+          this.unregisterMachine(m);
         }
         if (r.ok) this.cluster.ctx.timers.set('round', steadyPlus(this.now, 20));
         this.sendDeletes();
@@ -149,17 +149,17 @@
   }
 
   /** Machines that should go: idle, stuck, silent, or out of use and empty. */
-  tend(leaderSince: Steady): void {
+  returnMachines(leaderSince: Steady): void {
     const { tuning, settings } = this.cluster.ctx;
     const now = this.now;
-    if (!this.listing && now - this.lastListAt > LIST_MS) this.list();
-    this.watchSpot();
+    if (!this.listing && now - this.lastListAt > LIST_MS) this.listMachines();
+    this.observeSpotMachines();
     let heard = 0;
     let up = 0;
     for (const m of this.cluster.machines.values()) {
       if (m.phase !== 'up') continue;
       up += 1;
-      if (now - m.heardAt < 2.5 * settings.workers.reportMs) heard += 1;
+      if (now - m.lastSeenAt < 2.5 * settings.workers.reportMs) heard += 1;
     }
     // Where few are silent it is the machines; more, and the cut may be a wider one that ends before their leases do.
     const fewSilent = up - heard <= Math.max(FEW_SILENT, FEW_SILENT_SHARE * up);
@@ -167,66 +167,71 @@
     const spare = this.guaranteeShort();
     const hearing = heard * 2 >= up && now - leaderSince > 3 * settings.workers.reportMs;
     for (const m of [...this.cluster.machines.values()]) {
-      if (m.deleting) continue;
+      if (m.deletionInFlight) continue;
       if (m.draining !== null) {
-        if (m.placements.size === 0 || m.returning) this.remove(m, m.draining);
+        if (m.placements.size === 0 || m.deletionRequested) this.requestDeletion(m, m.draining);
         continue;
       }
-      if (m.noticeUntil !== null && m.placements.size === 0) {
-        this.remove(m, 'taken by the cloud');
+      if (m.interruptionAt !== null && m.placements.size === 0) {
+        this.requestDeletion(m, 'taken by the cloud');
         continue;
       }
-      const silent = now - m.heardAt;
+      const silent = now - m.lastSeenAt;
       if (m.phase === 'booting') {
         const age = (now - m.rentedAt) / 1000;
-        if (age > Math.max(30, m.type.bootS * tuning.machines.boot_give_up)) this.remove(m, 'never came up');
-      } else if (hearing && m.spot && m.noticeUntil !== null && silent > 2.5 * settings.workers.reportMs) {
-        this.remove(m, 'taken by the cloud');
+        if (age > Math.max(30, m.type.bootS * tuning.machines.boot_give_up)) this.requestDeletion(m, 'never came up');
+      } else if (hearing && m.spot && m.interruptionAt !== null && silent > 2.5 * settings.workers.reportMs) {
+        this.requestDeletion(m, 'taken by the cloud');
       } else if (hearing && m.spot && silent > 4 * settings.workers.reportMs) {
         // Deleting it proves it empty sooner than its lease would.
-        this.remove(m, 'silent');
-      } else if (hearing && fewSilent && silent > QUIET_REPORTS * settings.workers.reportMs && hostsReplica(m)) {
+        this.requestDeletion(m, 'silent');
+      } else if (
+        hearing &&
+        fewSilent &&
+        silent > MISSED_REPORTS_UNTIL_SILENT * settings.workers.reportMs &&
+        hostsReplica(m)
+      ) {
         // Users of a service wait until it is proven that the replica is gone: deleting its machine proves it sooner.
-        this.remove(m, 'silent');
+        this.requestDeletion(m, 'silent');
       } else if (holdsOnlyLateStarts(m) && silent < settings.workers.leaseMs)
-        this.remove(m, 'a start may still arrive there');
-      else if (hearing && silent > settings.workers.leaseMs + 15_000) this.remove(m, 'silent');
-      else if (hearing && m.deafSince !== null && now - m.deafSince > settings.workers.leaseMs + 15_000)
-        this.remove(m, 'does not heed commands');
+        this.requestDeletion(m, 'a start may still arrive there');
+      else if (hearing && silent > settings.workers.leaseMs + 15_000) this.requestDeletion(m, 'silent');
+      else if (hearing && m.unresponsiveSince !== null && now - m.unresponsiveSince > settings.workers.leaseMs + 15_000)
+        this.requestDeletion(m, 'does not heed commands');
       else if (m.placements.size === 0 && nothingKept(m) && this.idle(m)) {
         // What the guarantees don't need.
         if (spare.gpus >= -m.type.gpus + 0.5 || spare.cpus >= -m.type.cpus + 0.5) continue;
         spare.gpus += m.type.gpus;
         spare.cpus += m.type.cpus;
-        this.remove(m, 'idle');
+        this.requestDeletion(m, 'idle');
       }
     }
     this.sendDeletes();
   }
 
-  private countLost(m: Machine): void {
-    if (!m.spot || m.countedLost) return;
-    m.countedLost = true;
-    this.cluster.hazard.lost();
+  private countInterruption(m: Machine): void {
+    if (!m.spot || m.interruptionCounted) return;
+    m.interruptionCounted = true;
+    this.cluster.spotInterruptions.lost();
   }
 
-  private watchSpot(): void {
+  private observeSpotMachines(): void {
     let spots = 0;
     for (const m of this.cluster.machines.values()) {
       if (!m.spot || m.phase !== 'up') continue;
       spots += 1;
-      if (m.noticeUntil !== null) this.countLost(m);
+      if (m.interruptionAt !== null) this.countInterruption(m);
     }
     const seconds = Math.min(5, (this.now - this.spotsSeenAt) / 1000);
     this.spotsSeenAt = this.now;
-    this.cluster.hazard.pass(spots, seconds);
+    this.cluster.spotInterruptions.pass(spots, seconds);
   }
 
   private idle(m: Machine): boolean {
     const { tuning } = this.cluster.ctx;
     // Made empty on purpose, for a job that is on its way here.
     if (m.reserved !== null && m.reserved.until > this.now) return false;
-    const idleS = (this.now - Math.max(m.idleSince, m.firstHeardAt ?? m.idleSince)) / 1000;
+    const idleS = (this.now - Math.max(m.idleSince, m.firstReportAt ?? m.idleSince)) / 1000;
     // It has been charged for a minute whatever happens.
     if ((this.now - m.rentedAt) / 1000 < 55) return false;
     return idleS >= tuning.machines.idle_return_s;
@@ -237,7 +242,7 @@
     let cpus = 0;
     let gpus = 0;
     if (this.cluster.ctx.tuning.machines.keep_guarantees && this.now - this.lastWorkAt < GUARANTEE_KEEP_MS) {
-      for (const t of this.cluster.quotas.all()) {
+      for (const t of this.cluster.quotas.teamsInOrder()) {
         cpus += t.cpus;
         gpus += t.gpus;
       }
@@ -247,7 +252,7 @@
       cpus -= t.cpus * n;
       gpus -= t.gpus * n;
     };
-    for (const m of this.cluster.machines.values()) if (m.draining === null && !m.deleting) add(m.type, 1);
+    for (const m of this.cluster.machines.values()) if (m.draining === null && !m.deletionInFlight) add(m.type, 1);
     for (const r of this.rentals.values()) add(r.kind.type, r.count);
     const NONE = Number.NEGATIVE_INFINITY;
     return { cpus: any.cpus ? cpus : NONE, gpus: any.gpus ? gpus : NONE };
@@ -256,8 +261,8 @@
   // ---- renting
 
   /** Rents what would start waiting work sooner than the plan can. */
-  consider(round: RoundResult): void {
-    if (this.cluster.active.size > 0) this.lastWorkAt = this.now;
+  rentForNeed(round: RoundResult): void {
+    if (this.cluster.activeJobs.size > 0) this.lastWorkAt = this.now;
     if (!this.listedOnce) return;
     this.counted = null;
     const need = new Map<string, { kind: Kind; machines: number; least: number }>();
@@ -290,7 +295,7 @@
       if (n > 0) this.rent(kind, Math.min(n, RENT_AT_ONCE));
     }
     this.fillGuarantees();
-    this.moveToSpot();
+    this.replaceWithSpot();
   }
 
   /** Booting machines, by type, on which the plan starts nothing. */
@@ -407,7 +412,7 @@
    * Work that may run on spot machines but sits on ordinary ones is paid several times over: while there is a machine's
    * worth of it, a spot machine is asked for. New work then prefers it, and ordinary machines fall idle and go.
    */
-  private moveToSpot(): void {
+  private replaceWithSpot(): void {
     const dear = new Map<TypeName, number>();
     for (const m of this.cluster.machines.values()) {
       if (m.spot || m.phase !== 'up') continue;
@@ -467,10 +472,10 @@
         got: ids.length,
       });
       for (const id of ids) {
-        if (this.cluster.machines.has(id) || this.cluster.gone.has(id)) continue;
+        if (this.cluster.machines.has(id) || this.cluster.removedMachines.has(id)) continue;
         const m = new Machine(id, kind.type, kind.zone, kind.spot, '', true, 'booting', rental.since);
         this.cluster.machines.set(id, m);
-        this.adopt(m);
+        this.registerMachine(m);
       }
     });
   }
@@ -489,13 +494,13 @@
 };
 
 /** No result is there that isn't on record; ends kept only against a late start go with the machine. */
-const nothingKept = (m: Machine): boolean => m.exited.every((e) => m.lateStarts.has(startKey(e)));
+const nothingKept = (m: Machine): boolean => m.exitedTasks.every((e) => m.unconfirmedStarts.has(startKey(e)));
 
 /** Nothing is there but starts of replicas no longer wanted, whose direct calls were never answered. */
 function holdsOnlyLateStarts(m: Machine): boolean {
-  if (m.lateStarts.size === 0 || m.directInFlight) return false;
+  if (m.unconfirmedStarts.size === 0 || m.commandInFlight) return false;
   for (const p of m.placements.values()) {
-    if (p.phase !== 'sent' || p.stop === null || !m.lateStarts.has(startKey(p))) return false;
+    if (p.phase !== 'sent' || p.stop === null || !m.unconfirmedStarts.has(startKey(p))) return false;
   }
   return m.placements.size > 0;
 }
--- a/src/core/beats.ts
+++ b/src/core/beats.ts
@@ -1,7 +1,7 @@
 import type { Cluster } from './cluster.js';
 import type { Context } from './context.js';
 import type { Leadership } from './election.js';
-import { DEAF_AFTER, Machine, startKey } from './fleet.js';
+import { Machine, startKey, UNRESPONSIVE_AFTER_IGNORED } from './fleet.js';
 import type { Job, Placement } from './jobs.js';
 import type { WorkerAnswer } from './messages.js';
 import { applyReport, compileCommands, isNewer } from './reports.js';
@@ -23,10 +23,10 @@
 const DIRECTS_AT_ONCE = 64;
 const SILENT_PAUSE_MS = 5000;
 
-export type BeatReply = (answer: WorkerAnswer) => void;
+export type ReportReply = (answer: WorkerAnswer) => void;
 
-interface HeldBeat {
-  readonly reply: BeatReply;
+interface HeldReport {
+  readonly reply: ReportReply;
   readonly machine: Machine;
   readonly seq: Seq;
   readonly until: Steady;
@@ -34,32 +34,32 @@
   readonly idle: boolean;
 }
 
-export interface BeatsHelp {
-  valid(): boolean;
+export interface ReportHandlerDependencies {
+  isLeaseValid(): boolean;
   /** Whether what is known of jobs is fresh enough to renew workers' leases on. */
-  informed(): boolean;
-  loaded(): boolean;
+  hasRecentJobView(): boolean;
+  isLoaded(): boolean;
   /** Whether records are being written that a start may wait for. */
-  writing(): boolean;
+  writesInFlight(): boolean;
   /** When what the store holds of jobs was last known to be current. */
-  jobsFreshAt(): Steady;
-  register(m: Machine): void;
-  soonRound(): void;
+  jobsCurrentAsOf(): Steady;
+  registerMachine(m: Machine): void;
+  scheduleRoundSoon(): void;
 }
 
 /** Reports taken in and answered, whichever node they reached; commands sent directly; fencing. */
-export class Beats {
+export class ReportHandler {
   private readonly ctx: Context;
-  private held: HeldBeat[] = [];
+  private held: HeldReport[] = [];
   private stopped = false;
   private fencing = 0;
   private toFence: Machine[] = [];
-  private copies = 0;
+  private duplicateCount = 0;
 
   constructor(
     private readonly cluster: Cluster,
     private readonly leadership: Leadership,
-    private readonly help: BeatsHelp,
+    private readonly dependencies: ReportHandlerDependencies,
   ) {
     this.ctx = cluster.ctx;
   }
@@ -79,7 +79,7 @@
 
   /** Raises every registered worker's token, so that nothing an earlier leader sent can still be carried out. */
   fence(): void {
-    for (const m of this.cluster.machines.values()) if (!m.accounted && m.addr) this.toFence.push(m);
+    for (const m of this.cluster.machines.values()) if (!m.reconciled && m.addr) this.toFence.push(m);
     this.fenceNext();
   }
 
@@ -88,9 +88,9 @@
     while (this.fencing < FENCES_AT_ONCE) {
       const m = this.toFence.shift();
       if (!m) return;
-      if (m.accounted || this.cluster.machines.get(m.id) !== m) continue;
+      if (m.reconciled || this.cluster.machines.get(m.id) !== m) continue;
       this.fencing += 1;
-      this.call(m, 1n as Session, 0, () => {
+      this.reconcile(m, 1n as Session, 0, () => {
         this.fencing -= 1;
         if (!this.stopped) this.fenceNext();
       });
@@ -98,117 +98,118 @@
   }
 
   /** An empty direct command: it raises the token, and its answer is a list and a proof that the machine is reached. */
-  private call(m: Machine, session: Session, tries: number, done: () => void): void {
+  private reconcile(m: Machine, session: Session, tries: number, done: () => void): void {
     const { token } = this.leadership;
-    m.directInFlight = true;
+    m.commandInFlight = true;
     this.ctx.worker({ addr: m.addr, token, session, commands: [] }, (r) => {
-      m.directInFlight = false;
+      m.commandInFlight = false;
       if (this.stopped || this.cluster.machines.get(m.id) !== m) return done();
       if (!r.ok || r.value.report.machine !== m.id) return done();
       this.takeReport(m, r.value.report, false);
       // The session was another: its number is in the answer.
-      if (!r.value.executed && tries < 2) return this.call(m, r.value.report.session, tries + 1, done);
-      if (r.value.executed) this.noteReached(m);
+      if (!r.value.executed && tries < 2) return this.reconcile(m, r.value.report.session, tries + 1, done);
+      if (r.value.executed) this.onReachable(m);
       done();
     });
   }
 
-  private noteReached(m: Machine): void {
-    if (!m.reached()) return;
+  private onReachable(m: Machine): void {
+    if (!m.confirmReachable()) return;
     this.ctx.log('info', 'machine heeds commands again', { machine: m.id });
-    this.help.soonRound();
+    this.dependencies.scheduleRoundSoon();
   }
 
   /** What we say doesn't reach it, whatever we hear of it: no new work, until an answer to a direct call proves otherwise. */
-  private setAside(m: Machine): void {
-    m.deafSince = this.ctx.now.steady;
-    m.probeAt = this.at(PROBE_MS);
+  private markUnresponsive(m: Machine): void {
+    m.unresponsiveSince = this.ctx.now.steady;
+    m.nextProbeAt = this.at(PROBE_MS);
     this.ctx.log('info', 'machine reports but does not heed answers: set aside', { machine: m.id });
     for (const p of [...m.placements.values()]) if (p.phase === 'planned') this.cluster.release(p);
-    this.help.soonRound();
+    this.dependencies.scheduleRoundSoon();
   }
 
   /** Asks machines that were set aside, and such as have yet to show that they are there, for an answer. */
   probe(): void {
     const now = this.ctx.now.steady;
     for (const m of this.cluster.machines.values()) {
-      const asks = m.deafSince !== null || !m.proven || this.missed(m);
-      if (!asks || m.phase !== 'up' || m.probeAt > now) continue;
-      if (m.directInFlight || !m.addr || m.deleting) continue;
+      const asks = m.unresponsiveSince !== null || !m.confirmed || this.hasMissedReport(m);
+      if (!asks || m.phase !== 'up' || m.nextProbeAt > now) continue;
+      if (m.commandInFlight || !m.addr || m.deletionInFlight) continue;
       if (this.ctx.workerCallsOpen >= DIRECTS_AT_ONCE) return;
-      m.probeAt = this.at(PROBE_MS);
-      this.call(m, m.session ?? (1n as Session), 0, () => {});
+      m.nextProbeAt = this.at(PROBE_MS);
+      this.reconcile(m, m.session ?? (1n as Session), 0, () => {});
     }
   }
 
   /** A replica's machine that is overdue is asked at once: whether it is gone decides when the replica runs elsewhere. */
-  private missed(m: Machine): boolean {
-    if (this.ctx.now.steady - m.heardAt < MISSED_REPORTS * this.ctx.settings.workers.reportMs) return false;
+  private hasMissedReport(m: Machine): boolean {
+    if (this.ctx.now.steady - m.lastSeenAt < MISSED_REPORTS * this.ctx.settings.workers.reportMs) return false;
     for (const { job } of m.placements.values()) if (job.spec.shape === 'service') return true;
     return false;
   }
 
   // ---- reports
 
-  take(report: WorkerReport, reply: BeatReply): void {
-    if (!this.help.valid() || !this.help.informed()) return reply({ status: 503 });
+  take(report: WorkerReport, reply: ReportReply): void {
+    if (!this.dependencies.isLeaseValid() || !this.dependencies.hasRecentJobView()) return reply({ status: 503 });
     if (report.token > this.leadership.token) return reply({ status: 503 });
     const answer = (): void => reply({ status: 200, token: this.leadership.token, commands: [] });
-    if (!this.help.loaded()) return answer();
-    if (this.cluster.gone.has(report.machine)) return reply({ status: 503 });
-    const m = this.cluster.machines.get(report.machine) ?? this.adopt(report);
+    if (!this.dependencies.isLoaded()) return answer();
+    if (this.cluster.removedMachines.has(report.machine)) return reply({ status: 503 });
+    const m = this.cluster.machines.get(report.machine) ?? this.addUnlistedMachine(report);
     if (!m) return answer();
-    if (this.isCopy(m, report)) return this.dropCopy(m, report, reply);
+    if (this.isDuplicate(m, report)) return this.dropDuplicate(m, report, reply);
     const old = report.token < this.leadership.token;
-    if (old && !m.proven && ++m.oldTokenAnswers > OLD_TOKEN_ANSWERS) return reply({ status: 503 });
-    this.noteUnheeded(m, report, old);
-    this.heard(m, report);
-    const first = m.firstHeardAt === null;
+    if (old && !m.confirmed && ++m.staleTokenReports > OLD_TOKEN_ANSWERS) return reply({ status: 503 });
+    this.noteIgnoredAnswer(m, report, old);
+    this.recordSignOfLife(m, report);
+    const first = m.firstReportAt === null;
     if (first) {
-      m.firstHeardAt = this.ctx.now.steady;
+      m.firstReportAt = this.ctx.now.steady;
       m.idleSince = this.ctx.now.steady;
     }
-    if (!m.registered) this.help.register(m);
+    if (!m.registered) this.dependencies.registerMachine(m);
     const newer = isNewer(m, report);
     const freed = this.takeReport(m, report, true);
-    m.beatSeq = report.seq;
+    m.lastReportSeq = report.seq;
     if (!newer || m.seq !== report.seq || m.session !== report.session) return answer();
-    const beat: HeldBeat = { reply, machine: m, seq: report.seq, until: this.at(HOLD_MS), idle: false };
+    const beat: HeldReport = { reply, machine: m, seq: report.seq, until: this.at(HOLD_MS), idle: false };
     if (freed || first) {
       // Room came free: plan at once, so that the answer already carries what starts in it.
-      this.help.soonRound();
+      this.dependencies.scheduleRoundSoon();
       this.hold(beat);
     } else if (this.waitsForStore(m)) this.hold(beat);
-    else if (this.mayIdle(m, report)) this.hold({ ...beat, until: this.at(this.idleHoldMs()), idle: true });
+    else if (this.mayHoldIdle(m, report)) this.hold({ ...beat, until: this.at(this.idleHoldMs()), idle: true });
     else this.answer(beat);
   }
 
   /** One report is in flight at a time, and numbers rise: whatever isn't newer than the last is a copy or came too late. */
-  private isCopy(m: Machine, r: WorkerReport): boolean {
+  private isDuplicate(m: Machine, r: WorkerReport): boolean {
     if (m.session === null) return false;
-    return r.session < m.session || (r.session === m.session && m.beatSeq !== null && r.seq <= m.beatSeq);
+    return r.session < m.session || (r.session === m.session && m.lastReportSeq !== null && r.seq <= m.lastReportSeq);
   }
 
   /** Nobody waits for its answer; it is no sign of life and moves no lease. */
-  private dropCopy(m: Machine, report: WorkerReport, reply: BeatReply): void {
-    this.copies += 1;
-    this.ctx.log('debug', 'late copy of a report', { machine: m.id, seq: report.seq, copies: this.copies });
+  private dropDuplicate(m: Machine, report: WorkerReport, reply: ReportReply): void {
+    this.duplicateCount += 1;
+    this.ctx.log('debug', 'late copy of a report', { machine: m.id, seq: report.seq, copies: this.duplicateCount });
     reply({ status: 503 });
   }
 
   /** Signs that our last answers have not arrived: an old token after one, or a lease that ran out all the same. */
-  private noteUnheeded(m: Machine, report: WorkerReport, old: boolean): void {
-    if (m.firstHeardAt === null) return;
-    const answeredLately = this.ctx.now.steady - m.answeredAt < this.ctx.settings.workers.leaseMs / 2;
-    if (m.session !== null && report.session > m.session && answeredLately) m.unheeded = DEAF_AFTER;
-    else if (old) m.unheeded += 1;
+  private noteIgnoredAnswer(m: Machine, report: WorkerReport, old: boolean): void {
+    if (m.firstReportAt === null) return;
+    const answeredLately = this.ctx.now.steady - m.leaseRenewedAt < this.ctx.settings.workers.leaseMs / 2;
+    if (m.session !== null && report.session > m.session && answeredLately)
+      m.ignoredAnswers = UNRESPONSIVE_AFTER_IGNORED;
+    else if (old) m.ignoredAnswers += 1;
   }
 
-  private heard(m: Machine, report: WorkerReport): void {
+  private recordSignOfLife(m: Machine, report: WorkerReport): void {
     const { steady } = this.ctx.now;
-    m.heardAt = steady;
-    m.answeredAt = steady;
-    m.reportedAt = steady;
+    m.lastSeenAt = steady;
+    m.leaseRenewedAt = steady;
+    m.lastReportAt = steady;
     if (report.addr) m.addr = report.addr;
     if (m.phase !== 'booting') return;
     m.phase = 'up';
@@ -225,7 +226,7 @@
    * Not in the registry, so nobody has ever sent it a command: its list can hold nothing of ours. But the report may be a
    * late copy from a machine that is long gone: it gets no work before it has shown that it hears us.
    */
-  private adopt(report: WorkerReport): Machine | null {
+  private addUnlistedMachine(report: WorkerReport): Machine | null {
     const type = this.cluster.types.get(report.type);
     if (!type) return null;
     const now = this.ctx.now.steady;
@@ -238,11 +239,11 @@
   private takeReport(m: Machine, report: WorkerReport, beat: boolean): boolean {
     const { token } = this.leadership;
     const before = m.tokenSeen;
-    if (report.token === token && before < token) this.noteReached(m);
+    if (report.token === token && before < token) this.onReachable(m);
     const freed = applyReport(this.cluster, m, report, token, beat);
-    if (!beat) m.heardAt = this.ctx.now.steady;
-    if (freed) this.help.soonRound();
-    if (m.unheeded >= DEAF_AFTER && m.deafSince === null) this.setAside(m);
+    if (!beat) m.lastSeenAt = this.ctx.now.steady;
+    if (freed) this.dependencies.scheduleRoundSoon();
+    if (m.ignoredAnswers >= UNRESPONSIVE_AFTER_IGNORED && m.unresponsiveSince === null) this.markUnresponsive(m);
     return freed;
   }
 
@@ -252,9 +253,12 @@
    * An empty machine's report is answered late on purpose: work that comes up meanwhile starts at once instead of with
    * its next report. Nothing can change on an empty machine that the delay would hide, except a notice.
    */
-  private mayIdle(m: Machine, report: WorkerReport): boolean {
+  private mayHoldIdle(m: Machine, report: WorkerReport): boolean {
     return (
-      m.placements.size === 0 && m.exited.length === 0 && report.token === this.leadership.token && m.draining === null
+      m.placements.size === 0 &&
+      m.exitedTasks.length === 0 &&
+      report.token === this.leadership.token &&
+      m.draining === null
     );
   }
 
@@ -262,10 +266,10 @@
     return Math.min(IDLE_HOLD_MOST_MS, this.ctx.settings.workers.reportMs * IDLE_HOLD_SHARE);
   }
 
-  private hold(beat: HeldBeat): void {
+  private hold(beat: HeldReport): void {
     this.held.push(beat);
-    const due = this.ctx.timers.at('held');
-    if (due === null || beat.until < due) this.ctx.timers.set('held', beat.until);
+    const due = this.ctx.timers.at('heldReports');
+    if (due === null || beat.until < due) this.ctx.timers.set('heldReports', beat.until);
   }
 
   private waitsForStore(m: Machine): boolean {
@@ -279,26 +283,27 @@
     if (this.held.length === 0) return;
     const now = this.ctx.now.steady;
     const pendingRound = this.ctx.timers.has('round', this.at(this.ctx.tuning.scheduler.spacing_ms + 20));
-    const kept: HeldBeat[] = [];
+    const kept: HeldReport[] = [];
     let next = Number.POSITIVE_INFINITY;
     for (const h of this.held) {
       const idle = h.idle && h.machine.placements.size === 0;
       const wait =
-        h.until > now && (idle || (pendingRound && !h.idle) || (this.help.writing() && this.waitsForStore(h.machine)));
+        h.until > now &&
+        (idle || (pendingRound && !h.idle) || (this.dependencies.writesInFlight() && this.waitsForStore(h.machine)));
       if (wait) {
         kept.push(h);
         if (h.until < next) next = h.until;
       } else this.answer(h);
     }
     this.held = kept;
-    if (kept.length > 0) this.ctx.timers.set('held', next as Steady);
+    if (kept.length > 0) this.ctx.timers.set('heldReports', next as Steady);
   }
 
-  private answer(h: HeldBeat): void {
-    if (!this.help.valid() || !this.help.informed()) return h.reply({ status: 503 });
+  private answer(h: HeldReport): void {
+    if (!this.dependencies.isLeaseValid() || !this.dependencies.hasRecentJobView()) return h.reply({ status: 503 });
     const m = h.machine;
-    const fresh = this.fresh();
-    const all = m.accounted ? compileCommands(this.cluster, m, true) : [];
+    const hasFreshJobView = this.fresh();
+    const all = m.reconciled ? compileCommands(this.cluster, m, true) : [];
     const commands: typeof all = [];
     for (const c of all) {
       if (c.op !== 'start') {
@@ -306,9 +311,9 @@
         continue;
       }
       const p = this.cluster.findPlacement(m, c.job, c.index);
-      if (!p || !fresh || m.seq !== h.seq || !this.mayStart(p.job, m)) continue;
+      if (!p || !hasFreshJobView || m.seq !== h.seq || !this.mayStart(p.job, m)) continue;
       p.phase = 'sent';
-      p.sentSeq = h.seq;
+      p.sentInReplyTo = h.seq;
       commands.push(c);
     }
     h.reply({ status: 200, token: this.leadership.token, commands });
@@ -320,14 +325,14 @@
       job.state === 'accepted' &&
       job.durableState === 'accepted' &&
       job.durableStartTerm > 0 &&
-      !job.broken &&
+      !job.gangBroken &&
       m.registered &&
-      m.deafSince === null
+      m.unresponsiveSince === null
     );
   }
 
   private fresh(): boolean {
-    return this.ctx.now.steady - this.help.jobsFreshAt() < WATCH_FRESH_MS;
+    return this.ctx.now.steady - this.dependencies.jobsCurrentAsOf() < WATCH_FRESH_MS;
   }
 
   /**
@@ -336,40 +341,40 @@
    * or the machine is gone.
    */
   sendDirect(): void {
-    if (!this.help.valid()) return;
+    if (!this.dependencies.isLeaseValid()) return;
     let again = false;
-    for (const m of new Set([...this.cluster.stopping, ...this.cluster.starting])) {
+    for (const m of new Set([...this.cluster.machinesWithStops, ...this.cluster.machinesWithStarts])) {
       const stops = this.directStops(m);
       const starts = this.directStarts(m);
-      if (stops === 'none') this.cluster.stopping.delete(m);
-      if (starts === 'none') this.cluster.starting.delete(m);
+      if (stops === 'none') this.cluster.machinesWithStops.delete(m);
+      if (starts === 'none') this.cluster.machinesWithStarts.delete(m);
       if (stops === 'none' && starts === 'none') continue;
       again = true;
-      if (!m.accounted || !m.addr || m.session === null || m.deleting) continue;
-      if (m.directInFlight || m.directNotBefore > this.ctx.now.steady) continue;
+      if (!m.reconciled || !m.addr || m.session === null || m.deletionInFlight) continue;
+      if (m.commandInFlight || m.nextCommandAt > this.ctx.now.steady) continue;
       if (this.ctx.workerCallsOpen >= DIRECTS_AT_ONCE) break;
       const begun = starts === 'none' ? [] : starts;
       const commands = [...(stops === 'none' ? [] : stops), ...begun.map((p) => this.startOf(p, m))];
       if (commands.length > 0) this.command(m, m.session, commands, begun.map(startKey));
     }
-    if (again) this.ctx.timers.set('direct', this.at(1000));
+    if (again) this.ctx.timers.set('workerCommands', this.at(1000));
   }
 
   private command(m: Machine, session: Session, commands: readonly Command[], starts: readonly string[]): void {
-    m.directInFlight = true;
+    m.commandInFlight = true;
     this.ctx.worker({ addr: m.addr, token: this.leadership.token, session, commands }, (r) => {
-      m.directInFlight = false;
-      if (!r.ok) m.directNotBefore = this.at(SILENT_PAUSE_MS);
-      else for (const key of starts) m.lateStarts.delete(key);
+      m.commandInFlight = false;
+      if (!r.ok) m.nextCommandAt = this.at(SILENT_PAUSE_MS);
+      else for (const key of starts) m.unconfirmedStarts.delete(key);
       if (this.stopped || !r.ok || r.value.report.machine !== m.id) return;
       if (this.cluster.machines.get(m.id) !== m) return;
       this.takeReport(m, r.value.report, false);
-      if (r.value.executed) this.noteReached(m);
+      if (r.value.executed) this.onReachable(m);
     });
   }
 
   private directStops(m: Machine): Command[] | 'none' {
-    if (!this.cluster.stopping.has(m) || this.cluster.machines.get(m.id) !== m || m.placements.size === 0)
+    if (!this.cluster.machinesWithStops.has(m) || this.cluster.machines.get(m.id) !== m || m.placements.size === 0)
       return 'none';
     const commands = compileCommands(this.cluster, m, false).filter((c) => {
       const p = c.op === 'stop' ? this.cluster.findPlacement(m, c.job, c.index) : undefined;
@@ -380,16 +385,16 @@
 
   /** Replicas that may be started there now; 'none' once none waits to be. */
   private directStarts(m: Machine): Placement[] | 'none' {
-    if (!this.cluster.starting.has(m) || this.cluster.machines.get(m.id) !== m) return 'none';
+    if (!this.cluster.machinesWithStarts.has(m) || this.cluster.machines.get(m.id) !== m) return 'none';
     const waiting = [...m.placements.values()].filter((p) => p.job.spec.shape === 'service' && p.phase === 'planned');
     if (waiting.length === 0) return 'none';
-    return this.fresh() && this.help.informed() ? waiting.filter((p) => this.mayStart(p.job, m)) : [];
+    return this.fresh() && this.dependencies.hasRecentJobView() ? waiting.filter((p) => this.mayStart(p.job, m)) : [];
   }
 
   private startOf(p: Placement, m: Machine): Command {
     p.phase = 'sent';
-    p.sentSeq = null;
-    m.lateStarts.add(startKey(p));
+    p.sentInReplyTo = null;
+    m.unconfirmedStarts.add(startKey(p));
     return { op: 'start', job: p.job.id, index: p.index, attempt: p.attempt };
   }
 }
--- a/src/core/bounds.ts
+++ b/src/core/bounds.ts
@@ -1,24 +1,24 @@
 import type { Settings, Tuning } from './settings.js';
 
 /** Clocks of different machines drift apart by up to 0.05 %; both ends may be off. */
-export const DRIFT = 0.001;
+export const CLOCK_DRIFT = 0.001;
 /** What workers and answers take on top of their times: a tick, a late timer, a message on its way. */
 const SLACK_MS = 1000;
-const LEAST_MS = 1000;
+const MIN_VIEW_AGE_MS = 1000;
 
 /** How long after its last answered report was sent a worker that is not answered again may still have tasks. */
-export const workerOutlivesMs = (s: Settings): number => s.workers.leaseMs * (1 + DRIFT) + SLACK_MS;
+export const workerLeaseExpiryMs = (s: Settings): number => s.workers.leaseMs * (1 + CLOCK_DRIFT) + SLACK_MS;
 
 /**
  * How old a leader's knowledge of jobs may be while its answers still renew workers' leases. A task of a job that was
  * cancelled right after the leader last heard of jobs ends with a lease renewed at most so long after: together they stay
  * within `cancel_s`, whatever happens to the state service, the links and the leader meanwhile.
  */
-export function knowledgeMs(s: Settings): number {
-  return Math.max(LEAST_MS, s.workers.cancelMs - workerOutlivesMs(s));
+export function maxJobViewAgeMs(s: Settings): number {
+  return Math.max(MIN_VIEW_AGE_MS, s.workers.cancelMs - workerLeaseExpiryMs(s));
 }
 
 /** The leader's own lease: the share that the operators chose, shortened where `cancel_s` leaves less room. */
 export function leaderLeaseMs(s: Settings, t: Tuning): number {
-  return Math.round(Math.min(s.workers.leaseMs * t.leadership.lease_share, knowledgeMs(s)));
+  return Math.round(Math.min(s.workers.leaseMs * t.leadership.lease_share, maxJobViewAgeMs(s)));
 }
--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -1,7 +1,7 @@
 import type { Context } from './context.js';
 import { Estimates } from './estimates.js';
 import { type Machine, taskKey } from './fleet.js';
-import { SpotHazard } from './hazard.js';
+import { SpotInterruptionRate } from './hazard.js';
 import { Job, type Placement, type PlacementPhase } from './jobs.js';
 import { Quotas } from './quotas.js';
 import type { JobRecord } from './records.js';
@@ -17,7 +17,7 @@
   TypeName,
 } from './types.js';
 
-const WORDS_MOST = 10_000;
+const MAX_EARLY_CANCELLATIONS = 10_000;
 /** Least spacing of looks at waiting replicas, and what one gathers. */
 const SERVICES_SPACING_MS = 100;
 const SERVICES_GATHER_MS = 10;
@@ -26,26 +26,26 @@
 export class Cluster {
   readonly jobs = new Map<JobId, Job>();
   /** Jobs that still need attention: not over, or over with tasks left on machines. */
-  readonly active = new Set<Job>();
+  readonly activeJobs = new Set<Job>();
   readonly machines = new Map<MachineId, Machine>();
   /** Machines proven gone in this term: a late report of theirs brings nothing back. */
-  readonly gone = new Set<MachineId>();
+  readonly removedMachines = new Set<MachineId>();
   readonly quotas: Quotas;
   readonly estimates = new Estimates();
-  readonly hazard = new SpotHazard();
+  readonly spotInterruptions = new SpotInterruptionRate();
   /** The largest tasks seen that use an image. */
-  readonly imageUsers = new Map<ImageName, Resources>();
+  readonly largestImageUsers = new Map<ImageName, Resources>();
   readonly imageGb = new Map<ImageName, number>();
   /** Accepted services: their replicas are placed outside the search. */
   readonly services = new Set<Job>();
   /** Machines with tasks that were told to stop, or with replicas to start: only these need direct commands. */
-  readonly stopping = new Set<Machine>();
-  readonly starting = new Set<Machine>();
+  readonly machinesWithStops = new Set<Machine>();
+  readonly machinesWithStarts = new Set<Machine>();
   types: ReadonlyMap<TypeName, MachineType> = new Map();
   /** Jobs that a peer said are cancelled before their records were known here. */
-  private readonly cancelledByWord = new Set<JobId>();
+  private readonly cancelledBeforeKnown = new Set<JobId>();
   /** When replicas were last placed. */
-  servicesAt = 0 as Steady;
+  lastServicePlacementAt = 0 as Steady;
   private attempts = 0n;
 
   constructor(
@@ -66,63 +66,64 @@
     if (known) {
       const before = known.state;
       known.merge(record, version);
-      if (known.state !== before) this.onJobOver(known);
+      if (known.state !== before) this.onJobFinished(known);
       return known;
     }
     const job = new Job(record, version);
-    if (this.cancelledByWord.delete(job.id) && job.state === 'accepted') job.state = 'cancelled';
-    job.quietSince = this.ctx.now.steady;
+    if (this.cancelledBeforeKnown.delete(job.id) && job.state === 'accepted') job.state = 'cancelled';
+    job.inactiveSince = this.ctx.now.steady;
     this.jobs.set(job.id, job);
     this.imageGb.set(job.spec.image, job.spec.imageGb);
-    const user = this.imageUsers.get(job.spec.image);
-    if (!user || user.gpus < job.spec.gpus || user.cpus < job.spec.cpus) this.imageUsers.set(job.spec.image, job.spec);
+    const user = this.largestImageUsers.get(job.spec.image);
+    if (!user || user.gpus < job.spec.gpus || user.cpus < job.spec.cpus)
+      this.largestImageUsers.set(job.spec.image, job.spec);
     if (job.state !== 'accepted') return job;
-    this.active.add(job);
+    this.activeJobs.add(job);
     if (job.spec.shape === 'service') {
       this.services.add(job);
-      this.wakeServices();
+      this.scheduleServicePlacement();
     }
     return job;
   }
 
   /** A peer's word that the job's cancellation is on record: it never turns back, so nothing more is started at once. */
-  cancelByWord(id: JobId): void {
+  cancelOnNotice(id: JobId): void {
     const job = this.jobs.get(id);
     if (!job) {
-      if (this.cancelledByWord.size < WORDS_MOST) this.cancelledByWord.add(id);
+      if (this.cancelledBeforeKnown.size < MAX_EARLY_CANCELLATIONS) this.cancelledBeforeKnown.add(id);
       return;
     }
     if (job.state !== 'accepted') return;
     job.state = 'cancelled';
-    this.onJobOver(job);
+    this.onJobFinished(job);
   }
 
   /** A job is done or cancelled: what is only planned goes, what may be there is stopped. */
-  onJobOver(job: Job): void {
+  onJobFinished(job: Job): void {
     this.services.delete(job);
     for (const p of [...job.placements.values()]) {
       if (p.phase === 'planned') this.release(p);
       else if (job.state === 'cancelled') this.stop(p, 0);
     }
-    this.settle(job);
+    this.deactivateIfSettled(job);
   }
 
   /** Replicas wait for a place, or room was made for one: looked at soon, not with the next round. */
-  wakeServices(at: Steady = this.ctx.now.steady): void {
+  scheduleServicePlacement(at: Steady = this.ctx.now.steady): void {
     let waits = false;
-    for (const job of this.services) if (job.waiting > 0) waits = true;
+    for (const job of this.services) if (job.pendingCount > 0) waits = true;
     if (!waits) return;
-    const due = this.ctx.timers.at('services');
+    const due = this.ctx.timers.at('servicePlacement');
     const soon = Math.max(
       at,
-      this.servicesAt + SERVICES_SPACING_MS,
+      this.lastServicePlacementAt + SERVICES_SPACING_MS,
       this.ctx.now.steady + SERVICES_GATHER_MS,
     ) as Steady;
-    if (due === null || due > soon) this.ctx.timers.set('services', soon);
+    if (due === null || due > soon) this.ctx.timers.set('servicePlacement', soon);
   }
 
-  private settle(job: Job): void {
-    if (job.state !== 'accepted' && job.placements.size === 0 && job.needsWrite === 'no') this.active.delete(job);
+  private deactivateIfSettled(job: Job): void {
+    if (job.state !== 'accepted' && job.placements.size === 0 && job.needsWrite === 'no') this.activeJobs.delete(job);
   }
 
   place(job: Job, index: number, machine: Machine, attempt: Attempt, phase: PlacementPhase): Placement {
@@ -133,15 +134,15 @@
       machine,
       attempt,
       phase,
-      sentSeq: null,
+      sentInReplyTo: null,
       since: now,
       runningSince: phase === 'running' ? now : null,
       stop: null,
     };
     job.placements.set(index, p);
-    machine.add(p);
+    machine.addPlacement(p);
     this.quotas.add(job.spec, 1);
-    this.active.add(job);
+    this.activeJobs.add(job);
     return p;
   }
 
@@ -150,39 +151,39 @@
     const { job, machine } = p;
     if (job.placements.get(p.index) !== p) return;
     job.placements.delete(p.index);
-    if (job.placements.size === 0) job.quietSince = this.ctx.now.steady;
-    machine.remove(p, this.ctx.now.steady);
+    if (job.placements.size === 0) job.inactiveSince = this.ctx.now.steady;
+    machine.removePlacement(p, this.ctx.now.steady);
     this.quotas.add(job.spec, -1);
-    job.freed(p.index);
-    if (this.services.has(job) || machine.reserved !== null) this.wakeServices();
+    job.noteReleased(p.index);
+    if (this.services.has(job) || machine.reserved !== null) this.scheduleServicePlacement();
     if (job.spec.shape === 'gang' && job.state === 'accepted') {
       if (job.placements.size > 0) this.breakGang(job);
-      else job.broken = false;
+      else job.gangBroken = false;
     }
-    this.settle(job);
+    this.deactivateIfSettled(job);
   }
 
   releaseAll(machine: Machine): void {
     for (const p of [...machine.placements.values()]) this.release(p);
-    machine.exited = [];
+    machine.exitedTasks = [];
   }
 
   /** One task of a gang is lost: the others of its attempt have nothing to wait for. */
   breakGang(job: Job): void {
-    if (job.broken) return;
-    job.broken = true;
+    if (job.gangBroken) return;
+    job.gangBroken = true;
     for (const p of [...job.placements.values()]) {
       if (p.phase === 'planned') this.release(p);
       else this.stop(p, 0);
     }
-    if (job.placements.size === 0) job.broken = false;
+    if (job.placements.size === 0) job.gangBroken = false;
   }
 
   stop(p: Placement, graceS: number): void {
     if (p.stop && p.stop.graceS <= graceS) return;
     p.stop = { graceS, since: this.ctx.now.steady };
-    this.stopping.add(p.machine);
-    this.ctx.timers.set('direct', this.ctx.now.steady);
+    this.machinesWithStops.add(p.machine);
+    this.ctx.timers.set('workerCommands', this.ctx.now.steady);
   }
 
   /** Stops a task so that its work is saved where it can be; a gang is stopped as a whole. */
@@ -190,7 +191,7 @@
     const { job } = p;
     const grace = job.spec.checkpointS > 0 ? job.spec.saveS * 1.5 + 1 : 0;
     const group = job.spec.shape === 'gang' ? [...job.placements.values()] : [p];
-    if (job.spec.shape === 'gang') job.broken = true;
+    if (job.spec.shape === 'gang') job.gangBroken = true;
     for (const member of group) {
       if (member.phase === 'planned') this.release(member);
       else this.stop(member, grace);
@@ -201,25 +202,25 @@
     return machine.placements.get(taskKey(job, index));
   }
 
-  forgetMachine(machine: Machine): void {
+  removeMachine(machine: Machine): void {
     this.releaseAll(machine);
     this.machines.delete(machine.id);
-    this.gone.add(machine.id);
-    this.countUnaccounted();
+    this.removedMachines.add(machine.id);
+    this.updateUnreconciled();
   }
 
   /** Machines that may hold anybody's tasks count in full against every limited team. */
-  countUnaccounted(): number {
+  updateUnreconciled(): number {
     let n = 0;
     let cpus = 0;
     let gpus = 0;
     for (const m of this.machines.values()) {
-      if (m.accounted) continue;
+      if (m.reconciled) continue;
       n += 1;
       cpus += m.type.cpus;
       gpus += m.type.gpus;
     }
-    this.quotas.unaccounted = { cpus, gpus };
+    this.quotas.unreconciled = { cpus, gpus };
     return n;
   }
 
@@ -227,7 +228,7 @@
    * Whether tasks of the job may be on a machine that has not shown us its list: then nothing of it may be started,
    * here or in another zone.
    */
-  blocked(job: Job, unaccounted: number): boolean {
+  isBlocked(job: Job, unaccounted: number): boolean {
     return unaccounted > 0 && job.startTerm > 0 && job.startTerm < this.term;
   }
 }
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -22,20 +22,20 @@
 export type TimerName =
   | 'election'
   | 'renew'
-  | 'status'
-  | 'mirror'
-  | 'polls'
+  | 'peerStatus'
+  | 'jobCache'
+  | 'pollConfirmation'
   | 'round'
-  | 'flush'
-  | 'held'
-  | 'fleet'
+  | 'recordFlush'
+  | 'heldReports'
+  | 'healthChecks'
   | 'catalog'
-  | 'direct'
-  | 'load'
-  | 'words'
-  | 'services'
-  | 'store'
-  | 'cloud';
+  | 'workerCommands'
+  | 'loadState'
+  | 'cancellationNotices'
+  | 'servicePlacement'
+  | 'storeQueue'
+  | 'cloudQueue';
 
 type Reply<T> = (result: Result<T>) => void;
 
@@ -211,10 +211,10 @@
   /** Lets queued calls out as far as the buckets allow. */
   pump(): void {
     const store = this.storeQueue.pump(this.now.steady);
-    if (store === null) this.timers.clear('store');
-    else this.timers.set('store', store);
+    if (store === null) this.timers.clear('storeQueue');
+    else this.timers.set('storeQueue', store);
     const cloud = this.cloudQueue.pump(this.now.steady);
-    if (cloud === null) this.timers.clear('cloud');
-    else this.timers.set('cloud', cloud);
+    if (cloud === null) this.timers.clear('cloudQueue');
+    else this.timers.set('cloudQueue', cloud);
   }
 }
--- a/src/core/desk.ts
+++ b/src/core/desk.ts
@@ -1,6 +1,6 @@
 import type { Context } from './context.js';
-import type { UserAnswer, UserMood, UserRequest } from './messages.js';
-import type { JobMirror, MirroredJob } from './mirror.js';
+import type { JobStatus, UserAnswer, UserRequest } from './messages.js';
+import type { CachedJob, JobCache } from './mirror.js';
 import { withinLimit } from './quotas.js';
 import { RangeSet } from './ranges.js';
 import { encodeJob, JOB_PREFIX, type JobRecord, jobKey } from './records.js';
@@ -17,13 +17,13 @@
 
 type Answer = (answer: UserAnswer) => void;
 
-export interface DeskHelp {
-  types(): ReadonlyMap<TypeName, MachineType>;
-  counts(id: JobId): { done: number; running: number } | null;
+export interface RequestDependencies {
+  machineTypes(): ReadonlyMap<TypeName, MachineType>;
+  taskCounts(id: JobId): { done: number; running: number } | null;
   /** Passes a request to a node that the state service answers; false if there is none. */
   relay(request: UserRequest, answer: Answer): boolean;
   /** Tells whoever leads of a cancellation that is on record; `then` follows soon, heard or not. */
-  tellCancelled(id: JobId, then: () => void): void;
+  notifyCancelled(id: JobId, then: () => void): void;
 }
 
 const BUSY: UserAnswer = { status: 503, problem: 'the state service does not answer', retryAfterS: 1 };
@@ -43,19 +43,19 @@
  * the versions of many mirrored records, begun after their polls arrived, says as much as a read of each. Only final
  * states, which never change, are told from the mirror itself.
  */
-export class Desk {
+export class RequestHandler {
   private polls: Poll[] = [];
   private confirming = 0;
 
   constructor(
     private readonly ctx: Context,
-    private readonly mirror: JobMirror,
-    private readonly help: DeskHelp,
+    private readonly jobCache: JobCache,
+    private readonly dependencies: RequestDependencies,
   ) {}
 
   /** `relayed`: it came from another node and isn't passed on again. */
   handle(request: UserRequest, answer: Answer, relayed = false): void {
-    const known = this.mirror.get(request.id);
+    const known = this.jobCache.get(request.id);
     if (known && known.record.state !== 'accepted') return answer(this.describe(known.record));
     // A call that brought nothing here may still work for a node that the state service hasn't shut out. Passing the
     // whole request on also settles an unknown outcome: there it is found carried out, or carried out now.
@@ -79,15 +79,17 @@
    * its state: an earlier version there may accept what can never run (upgrade-odd-requests.txt).
    */
   private passOn(request: UserRequest, refusal: UserAnswer | null, answer: Answer): boolean {
-    if (refusal === null) return this.help.relay(request, answer);
-    return this.help.relay({ op: 'poll', id: request.id }, (found) => answer(found.status === 404 ? refusal : found));
+    if (refusal === null) return this.dependencies.relay(request, answer);
+    return this.dependencies.relay({ op: 'poll', id: request.id }, (found) =>
+      answer(found.status === 404 ? refusal : found),
+    );
   }
 
   /** A poll of a job that the mirror knows waits for the next confirmation, others are read. */
   private poll(id: JobId, answer: Answer, failed: () => void, missing: UserAnswer): void {
-    if (!this.mirror.get(id)) return this.read(id, answer, failed, missing);
+    if (!this.jobCache.get(id)) return this.read(id, answer, failed, missing);
     this.polls.push({ id, answer, failed });
-    if (this.ctx.timers.at('polls') === null) this.ctx.timers.set('polls', this.at(GATHER_MS));
+    if (this.ctx.timers.at('pollConfirmation') === null) this.ctx.timers.set('pollConfirmation', this.at(GATHER_MS));
   }
 
   private at(ms: number): Steady {
@@ -98,10 +100,10 @@
   confirm(): void {
     if (this.polls.length === 0 || this.confirming > 1) return;
     const most = 4 * this.ctx.settings.store.txnOps;
-    const asked = new Map<JobId, { seen: MirroredJob; polls: Poll[] }>();
+    const asked = new Map<JobId, { seen: CachedJob; polls: Poll[] }>();
     const later: Poll[] = [];
     for (const p of this.polls) {
-      const seen = this.mirror.get(p.id);
+      const seen = this.jobCache.get(p.id);
       const entry = asked.get(p.id);
       if (entry) entry.polls.push(p);
       else if (!seen) this.read(p.id, p.answer, p.failed, this.notFound());
@@ -110,7 +112,7 @@
       else later.push(p);
     }
     this.polls = later;
-    if (later.length > 0) this.ctx.timers.set('polls', this.at(1));
+    if (later.length > 0) this.ctx.timers.set('pollConfirmation', this.at(1));
     if (asked.size === 0) return;
     this.confirming += 1;
     const conditions = [...asked].map(([id, { seen }]) => ({ key: jobKey(id), version: seen.version }));
@@ -119,7 +121,8 @@
       2,
       (r) => {
         this.confirming -= 1;
-        if (this.polls.length > 0 && this.ctx.timers.at('polls') === null) this.ctx.timers.set('polls', this.at(1));
+        if (this.polls.length > 0 && this.ctx.timers.at('pollConfirmation') === null)
+          this.ctx.timers.set('pollConfirmation', this.at(1));
         const changed = new Set(r.ok ? [] : r.why === 'conflict' ? (r.keys ?? []) : []);
         // A conflict that names nothing we asked for confirms nothing.
         const named = [...changed].some((k) => asked.has(k.slice(JOB_PREFIX.length) as JobId));
@@ -156,22 +159,22 @@
   private describe(record: JobRecord): UserAnswer {
     const { id } = record.spec;
     if (record.state !== 'accepted') {
-      return { status: 200, id, mood: record.state, done: record.done.count, running: 0 };
+      return { status: 200, id, jobStatus: record.state, done: record.done.count, running: 0 };
     }
-    const counts = this.help.counts(id);
+    const counts = this.dependencies.taskCounts(id);
     const started = counts ? counts.running > 0 : record.startTerm > 0;
-    const mood: UserMood = started ? 'running' : 'queued';
-    return { status: 200, id, mood, done: counts?.done ?? record.done.count, running: counts?.running ?? 0 };
+    const jobStatus: JobStatus = started ? 'running' : 'queued';
+    return { status: 200, id, jobStatus, done: counts?.done ?? record.done.count, running: counts?.running ?? 0 };
   }
 
-  private fetch(id: JobId, then: (seen: MirroredJob) => void, missing: () => void, failed: () => void): void {
+  private fetch(id: JobId, then: (seen: CachedJob) => void, missing: () => void, failed: () => void): void {
     this.ctx.store(
       { op: 'get', key: jobKey(id) },
       2,
       (r) => {
         if (!r.ok) return failed();
         if (!r.value.item) return missing();
-        const seen = this.mirror.take(r.value.item);
+        const seen = this.jobCache.update(r.value.item);
         if (!seen) return failed();
         then(seen);
       },
@@ -192,7 +195,7 @@
   /** Why a submission can't be taken, whoever is asked; null: it can, as far as this node knows. */
   private refusalOf(spec: JobSpec | null, problem: string): UserAnswer | null {
     if (!spec) return { status: 400, problem };
-    const types = this.help.types();
+    const types = this.dependencies.machineTypes();
     if (types.size === 0) return { status: 503, problem: 'the machine types are not known yet', retryAfterS: 1 };
     const never = this.neverRuns(spec, types);
     return never === null ? null : { status: 422, problem: never };
@@ -205,7 +208,7 @@
     answer: Answer,
     failed: () => void,
   ): void {
-    if (spec && this.mirror.get(id)) {
+    if (spec && this.jobCache.get(id)) {
       // A repeat of a submission that was taken.
       return this.poll(id, answer, failed, BUSY);
     }
@@ -231,8 +234,9 @@
       2,
       (r) => {
         if (r.ok) {
-          if (r.value.revision !== undefined) this.mirror.take({ key: jobKey(id), value, version: r.value.revision });
-          return answer({ status: 201, id, mood: 'queued', done: 0, running: 0 });
+          if (r.value.revision !== undefined)
+            this.jobCache.update({ key: jobKey(id), value, version: r.value.revision });
+          return answer({ status: 201, id, jobStatus: 'queued', done: 0, running: 0 });
         }
         if (r.why === 'conflict') return this.read(id, answer, failed, BUSY);
         // Unknown: it may have been written. The read tells; if it shows nothing the user asks again.
@@ -264,9 +268,10 @@
 
   /** Tried first on the mirrored record: the condition on its version shows whether that is the present one. */
   private cancel(id: JobId, answer: Answer, failed: () => void, tries: number): void {
-    const write = ({ record, version }: MirroredJob): void => {
+    const write = ({ record, version }: CachedJob): void => {
       // One that an earlier try put on record, without an answer, is news to the leader all the same.
-      if (record.state === 'cancelled') return this.help.tellCancelled(id, () => answer(this.describe(record)));
+      if (record.state === 'cancelled')
+        return this.dependencies.notifyCancelled(id, () => answer(this.describe(record)));
       if (record.state !== 'accepted') return answer(this.describe(record));
       const cancelled: JobRecord = { ...record, state: 'cancelled' };
       const value = encodeJob(cancelled, this.ctx.settings.store.valueBytes);
@@ -275,8 +280,9 @@
         2,
         (r) => {
           if (r.ok) {
-            if (r.value.revision !== undefined) this.mirror.take({ key: jobKey(id), value, version: r.value.revision });
-            return this.help.tellCancelled(id, () => answer(this.describe(cancelled)));
+            if (r.value.revision !== undefined)
+              this.jobCache.update({ key: jobKey(id), value, version: r.value.revision });
+            return this.dependencies.notifyCancelled(id, () => answer(this.describe(cancelled)));
           }
           // Somebody wrote in between, or the outcome is unknown: look again.
           if (r.why === 'refused' || tries + 1 >= TRIES) return failed();
@@ -286,7 +292,7 @@
         1000,
       );
     };
-    const known = this.mirror.get(id);
+    const known = this.jobCache.get(id);
     if (known && tries === 0) return write(known);
     this.fetch(id, write, () => answer(this.notFound()), failed);
   }
--- a/src/core/election.ts
+++ b/src/core/election.ts
@@ -1,4 +1,4 @@
-import { DRIFT, leaderLeaseMs } from './bounds.js';
+import { CLOCK_DRIFT, leaderLeaseMs } from './bounds.js';
 import type { Context } from './context.js';
 import { decodeLeader, LEADER_KEY, type LeaderRecord, TERM_KEY } from './records.js';
 import {
@@ -21,7 +21,7 @@
   readonly lease: LeaseId;
 }
 
-export interface ElectionEvents {
+export interface ElectionCallbacks {
   onElected(leadership: Leadership): void;
   onLost(): void;
 }
@@ -36,7 +36,7 @@
   holder: LeaderRecord | null = null;
   private validUntil = 0 as Steady;
   private readonly ttlMs: number;
-  private lookedAt = Number.NEGATIVE_INFINITY as Steady;
+  private holderReadAt = Number.NEGATIVE_INFINITY as Steady;
   private seenRevision: Revision = ABSENT;
   private busy = false;
   private renewing = false;
@@ -45,19 +45,19 @@
   constructor(
     private readonly ctx: Context,
     private readonly incarnation: string,
-    private readonly events: ElectionEvents,
+    private readonly events: ElectionCallbacks,
   ) {
     this.ttlMs = leaderLeaseMs(ctx.settings, ctx.tuning);
   }
 
   /** True while no other node can hold the lead. */
-  valid(): boolean {
+  isValid(): boolean {
     return this.current !== null && this.ctx.now.steady < this.validUntil;
   }
 
   /** Whether what is known of the holder is fresh: the store answered the last time it was asked, not long ago. */
   knowsHolder(): boolean {
-    return this.holder !== null && this.ctx.now.steady - this.lookedAt < HOLDER_FRESH_MS;
+    return this.holder !== null && this.ctx.now.steady - this.holderReadAt < HOLDER_FRESH_MS;
   }
 
   holderName(): NodeName | null {
@@ -65,11 +65,11 @@
   }
 
   start(): void {
-    this.look();
+    this.readLeaderKey();
   }
 
   onTimer(): void {
-    if (!this.busy && !this.current) this.look();
+    if (!this.busy && !this.current) this.readLeaderKey();
   }
 
   /** Gives the lead away at once, and stays away from it for a while. */
@@ -77,13 +77,13 @@
     const held = this.current;
     if (!held) return;
     this.ctx.log('info', 'resigning the lead', { why, token: held.token });
-    this.drop();
+    this.loseLeadership();
     this.notBefore = steadyPlus(this.ctx.now.steady, this.ctx.tuning.leadership.backoff_ms);
     this.revoke(held.lease);
     this.retry(500);
   }
 
-  private drop(): void {
+  private loseLeadership(): void {
     this.current = null;
     this.validUntil = 0 as Steady;
     this.ctx.timers.clear('renew');
@@ -99,16 +99,16 @@
     this.ctx.store({ op: 'revoke', lease }, 0, () => {});
   }
 
-  private look(): void {
+  private readLeaderKey(): void {
     this.busy = true;
     this.ctx.store({ op: 'get', key: LEADER_KEY }, 0, (r) => {
       if (!r.ok) return this.retry(300);
-      this.lookedAt = this.ctx.now.steady;
+      this.holderReadAt = this.ctx.now.steady;
       const item = r.value.item ?? null;
       if (r.value.revision !== undefined && r.value.revision > this.seenRevision) this.seenRevision = r.value.revision;
       if (item === null) {
         this.holder = null;
-        return this.mayStand();
+        return this.prepareCandidacy();
       }
       if (item.version > this.seenRevision) this.seenRevision = item.version;
       this.holder = decodeLeader(item.value);
@@ -141,18 +141,18 @@
     );
   }
 
-  private mayStand(): void {
+  private prepareCandidacy(): void {
     if (this.ctx.now.steady < this.notBefore) return this.retry(this.notBefore - this.ctx.now.steady);
     this.ctx.store({ op: 'get', key: TERM_KEY }, 0, (r) => {
       if (!r.ok) return this.retry(300);
       const item = r.value.item ?? null;
       const value = item?.value as { n?: unknown } | undefined;
       const term = Number(value?.n ?? 0) + 1;
-      this.stand(term, item ? item.version : ABSENT);
+      this.campaign(term, item ? item.version : ABSENT);
     });
   }
 
-  private stand(term: number, termVersion: Revision): void {
+  private campaign(term: number, termVersion: Revision): void {
     let sentAt = this.ctx.now.steady;
     this.ctx.store(
       { op: 'grant', ttlMs: this.ttlMs },
@@ -180,7 +180,7 @@
           },
           0,
           (r) => {
-            if (r.ok && r.value.revision !== undefined) return this.won(r.value.revision, term, lease, sentAt);
+            if (r.ok && r.value.revision !== undefined) return this.becomeLeader(r.value.revision, term, lease, sentAt);
             if (!r.ok && r.why === 'unknown') return this.readBack(term, lease, sentAt);
             this.revoke(lease);
             this.retry(50);
@@ -201,27 +201,27 @@
       const item = r.ok ? (r.value.item ?? null) : null;
       const holder = item ? decodeLeader(item.value) : null;
       if (item && holder && holder.lease === String(lease) && holder.incarnation === this.incarnation) {
-        return this.won(item.version, term, lease, sentAt);
+        return this.becomeLeader(item.version, term, lease, sentAt);
       }
       this.revoke(lease);
       this.retry(100);
     });
   }
 
-  private won(at: Revision, term: number, lease: LeaseId, sentAt: Steady): void {
+  private becomeLeader(at: Revision, term: number, lease: LeaseId, sentAt: Steady): void {
     this.busy = false;
     this.renewing = false;
     this.seenRevision = at;
     this.current = { token: at as bigint as Token, term, lease };
     this.holder = { node: this.ctx.settings.node, incarnation: this.incarnation, lease: String(lease), term };
-    this.extend(sentAt);
+    this.extendValidity(sentAt);
     this.ctx.log('info', 'took the lead', { token: at, term });
     this.scheduleRenewal(this.ttlMs / 4);
     this.events.onElected(this.current);
   }
 
-  private extend(sentAt: Steady): void {
-    const until = steadyPlus(sentAt, this.ttlMs * (1 - DRIFT) - this.ctx.tuning.leadership.margin_ms);
+  private extendValidity(sentAt: Steady): void {
+    const until = steadyPlus(sentAt, this.ttlMs * (1 - CLOCK_DRIFT) - this.ctx.tuning.leadership.margin_ms);
     if (until > this.validUntil) this.validUntil = until;
   }
 
@@ -241,14 +241,14 @@
         this.renewing = false;
         if (this.current !== held) return;
         if (r.ok) {
-          const lapsed = !this.valid();
-          this.extend(sentAt);
+          const lapsed = !this.isValid();
+          this.extendValidity(sentAt);
           if (lapsed) this.ctx.log('info', 'the lease outlived the gap: leading on', { token: held.token });
           return this.scheduleRenewal(this.ttlMs / 4);
         }
         if (r.why === 'gone' || r.why === 'rejected') {
           this.ctx.log('info', 'the lease ended: no longer leading', { token: held.token });
-          this.drop();
+          this.loseLeadership();
           return this.retry(10);
         }
         this.scheduleRenewal(200);
--- a/src/core/fleet.ts
+++ b/src/core/fleet.ts
@@ -30,17 +30,17 @@
 
 interface CachedImage {
   readonly gb: number;
-  lastUse: Steady;
+  lastUsedAt: Steady;
   /** While it is being fetched: since when. */
   fetchingSince: Steady | null;
   /** Whether the fetch was seen from its beginning. */
-  whole: boolean;
+  fetchObserved: boolean;
 }
 
 /** After so many report periods without a word a machine gets no new work. */
-export const QUIET_REPORTS = 2.5;
+export const MISSED_REPORTS_UNTIL_SILENT = 2.5;
 /** What we say wasn't heeded so often in a row: hearing a machine doesn't mean reaching it. */
-export const DEAF_AFTER = 2;
+export const UNRESPONSIVE_AFTER_IGNORED = 2;
 
 export class Machine {
   addr: string;
@@ -48,49 +48,49 @@
   /** Known to the store: before that, no command goes to it. */
   registered = false;
   /** False while it may hold tasks we don't know of: it was registered by an earlier leader and hasn't shown us its list. */
-  accounted: boolean;
+  reconciled: boolean;
   session: Session | null = null;
   seq: Seq | null = null;
   /** Highest token the worker has shown. */
   tokenSeen = 0n;
   /** The last sign of life: a report newer than any before, or an answer to a direct command. */
-  heardAt: Steady;
+  lastSeenAt: Steady;
   /** When its lease may last have begun anew: by a report that was answered, or a new session; it bounds its tasks' time. */
-  answeredAt: Steady;
+  leaseRenewedAt: Steady;
   /** Its last report, not counting answers to direct calls. */
-  reportedAt: Steady;
+  lastReportAt: Steady;
   /** The newest report of the present session; answers to direct commands are numbered in the same row. */
-  beatSeq: Seq | null = null;
+  lastReportSeq: Seq | null = null;
   /** Known only from a list or a report that may be a late copy, until it shows that what we say reaches it. */
-  proven: boolean;
+  confirmed: boolean;
   /** Reports answered in this term that still carried an earlier leader's token. */
-  oldTokenAnswers = 0;
+  staleTokenReports = 0;
   /** How often in a row what we told it was not heeded; from DEAF_AFTER on it is set aside. */
-  unheeded = 0;
-  deafSince: Steady | null = null;
-  probeAt = 0 as Steady;
-  firstHeardAt: Steady | null = null;
+  ignoredAnswers = 0;
+  unresponsiveSince: Steady | null = null;
+  nextProbeAt = 0 as Steady;
+  firstReportAt: Steady | null = null;
   rentedAt: Steady;
-  noticeUntil: Steady | null = null;
+  interruptionAt: Steady | null = null;
   /** Out of use for a reason: no new work, and returned once empty. */
   draining: string | null = null;
-  errorStreak = 0;
+  consecutiveErrors = 0;
   readonly slowness = new Slowness();
   suspectUntil = 0 as Steady;
   idleSince: Steady;
   /** A deletion is under way; and: one was asked for, whose outcome may be unknown. */
-  deleting = false;
-  returning = false;
-  countedLost = false;
-  directInFlight = false;
+  deletionInFlight = false;
+  deletionRequested = false;
+  interruptionCounted = false;
+  commandInFlight = false;
   /** Starts sent by direct calls that were not answered: they may come as long as the session lasts. */
-  readonly lateStarts = new Set<string>();
+  readonly unconfirmedStarts = new Set<string>();
   /** It left a direct command without an answer: no other before this time. */
-  directNotBefore = 0 as Steady;
+  nextCommandAt = 0 as Steady;
   /** Kept for a moment for a job that is on its way here. */
   reserved: { readonly job: JobId; readonly until: Steady } | null = null;
   readonly placements = new Map<TaskKey, Placement>();
-  exited: ExitedTask[] = [];
+  exitedTasks: ExitedTask[] = [];
   readonly images = new Map<ImageName, CachedImage>();
   /** How fast it fetches, against its type's nominal rate, as seen so far. */
   fetchSpeed = 1;
@@ -98,7 +98,7 @@
   imagesChanged = false;
   usedCpus = 0;
   usedGpus = 0;
-  usedMem = 0;
+  usedMemGb = 0;
 
   constructor(
     readonly id: MachineId,
@@ -111,22 +111,22 @@
     now: Steady,
   ) {
     this.addr = addr;
-    this.accounted = accounted;
+    this.reconciled = accounted;
     this.phase = phase;
-    this.heardAt = now;
-    this.answeredAt = now;
-    this.reportedAt = now;
-    this.proven = accounted && phase === 'booting';
+    this.lastSeenAt = now;
+    this.leaseRenewedAt = now;
+    this.lastReportAt = now;
+    this.confirmed = accounted && phase === 'booting';
     this.rentedAt = now;
     this.idleSince = now;
   }
 
   /** Something we said has reached it. Returns whether it had been set aside as deaf. */
-  reached(): boolean {
-    this.unheeded = 0;
-    this.proven = true;
-    const was = this.deafSince !== null;
-    this.deafSince = null;
+  confirmReachable(): boolean {
+    this.ignoredAnswers = 0;
+    this.confirmed = true;
+    const was = this.unresponsiveSince !== null;
+    this.unresponsiveSince = null;
     return was;
   }
 
@@ -138,47 +138,47 @@
    * Whether new work may be given to it. One whose reports don't come may never take what it is given, and its lease ends
    * whatever it answers to direct calls (mute-machine.txt, property): those don't count here.
    */
-  usable(now: Steady, reportMs: number): boolean {
+  isSchedulable(now: Steady, reportMs: number): boolean {
     return (
       this.phase === 'up' &&
-      now - this.reportedAt < QUIET_REPORTS * reportMs &&
-      this.accounted &&
-      this.proven &&
-      this.deafSince === null &&
+      now - this.lastReportAt < MISSED_REPORTS_UNTIL_SILENT * reportMs &&
+      this.reconciled &&
+      this.confirmed &&
+      this.unresponsiveSince === null &&
       this.draining === null &&
-      this.noticeUntil === null &&
-      !this.deleting &&
+      this.interruptionAt === null &&
+      !this.deletionInFlight &&
       this.suspectUntil <= now
     );
   }
 
-  fits(r: Resources): boolean {
+  hasRoomFor(r: Resources): boolean {
     const eps = 1e-6;
     return (
       this.usedCpus + r.cpus <= this.type.cpus + eps &&
       this.usedGpus + r.gpus <= this.type.gpus + eps &&
-      this.usedMem + r.memGb <= this.type.memGb + eps
+      this.usedMemGb + r.memGb <= this.type.memGb + eps
     );
   }
 
-  add(p: Placement): void {
+  addPlacement(p: Placement): void {
     this.placements.set(taskKey(p.job.id, p.index), p);
     this.usedCpus += p.job.spec.cpus;
     this.usedGpus += p.job.spec.gpus;
-    this.usedMem += p.job.spec.memGb;
+    this.usedMemGb += p.job.spec.memGb;
   }
 
-  remove(p: Placement, now: Steady): void {
+  removePlacement(p: Placement, now: Steady): void {
     const key = taskKey(p.job.id, p.index);
     if (this.placements.get(key) !== p) return;
     this.placements.delete(key);
     this.usedCpus -= p.job.spec.cpus;
     this.usedGpus -= p.job.spec.gpus;
-    this.usedMem -= p.job.spec.memGb;
+    this.usedMemGb -= p.job.spec.memGb;
     if (this.placements.size === 0) {
       this.usedCpus = 0;
       this.usedGpus = 0;
-      this.usedMem = 0;
+      this.usedMemGb = 0;
       this.idleSince = now;
     }
   }
@@ -192,28 +192,30 @@
     return Math.max(1, full - (now - cached.fetchingSince) / 1000);
   }
 
-  noteImage(job: Job, fetching: boolean, now: Steady, fromStart = false): void {
+  recordImage(job: Job, fetching: boolean, now: Steady, fromStart = false): void {
     const { image, imageGb } = job.spec;
     const cached = this.images.get(image);
     if (fetching) {
-      if (!cached) this.images.set(image, { gb: imageGb, lastUse: now, fetchingSince: now, whole: fromStart });
+      if (!cached)
+        this.images.set(image, { gb: imageGb, lastUsedAt: now, fetchingSince: now, fetchObserved: fromStart });
       return;
     }
     if (cached) {
-      if (cached.fetchingSince !== null && cached.whole) this.learnFetch(imageGb, (now - cached.fetchingSince) / 1000);
+      if (cached.fetchingSince !== null && cached.fetchObserved)
+        this.updateFetchSpeed(imageGb, (now - cached.fetchingSince) / 1000);
       if (cached.fetchingSince !== null) this.imagesChanged = true;
       cached.fetchingSince = null;
-      cached.lastUse = now;
+      cached.lastUsedAt = now;
       if (!this.imagesChanged) return;
     } else {
-      this.images.set(image, { gb: imageGb, lastUse: now, fetchingSince: null, whole: false });
+      this.images.set(image, { gb: imageGb, lastUsedAt: now, fetchingSince: null, fetchObserved: false });
       this.imagesChanged = true;
     }
     this.evict();
   }
 
   /** A fetch seen from beginning to end tells how fast this machine is; one among several tells nothing. */
-  private learnFetch(gb: number, tookS: number): void {
+  private updateFetchSpeed(gb: number, tookS: number): void {
     let fetching = 0;
     for (const c of this.images.values()) if (c.fetchingSince !== null) fetching += 1;
     if (fetching > 1 || tookS < 2) return;
@@ -224,15 +226,16 @@
   /** The images it holds, those used last at the end. */
   cachedImages(): ImageName[] {
     const held = [...this.images].filter(([, c]) => c.fetchingSince === null);
-    return held.sort((a, b) => a[1].lastUse - b[1].lastUse).map(([name]) => name);
+    return held.sort((a, b) => a[1].lastUsedAt - b[1].lastUsedAt).map(([name]) => name);
   }
 
   restoreImage(name: ImageName, gb: number, now: Steady): void {
-    if (!this.images.has(name)) this.images.set(name, { gb, lastUse: now, fetchingSince: null, whole: false });
+    if (!this.images.has(name))
+      this.images.set(name, { gb, lastUsedAt: now, fetchingSince: null, fetchObserved: false });
   }
 
   /** A fetch is given up once no task waits for it. */
-  dropUnwantedFetches(): void {
+  dropAbandonedFetches(): void {
     for (const [image, cached] of this.images) {
       if (cached.fetchingSince === null) continue;
       let wanted = false;
@@ -248,8 +251,8 @@
       let oldest: ImageName | null = null;
       let at = Number.POSITIVE_INFINITY;
       for (const [image, c] of this.images) {
-        if (c.fetchingSince === null && c.lastUse < at) {
-          at = c.lastUse;
+        if (c.fetchingSince === null && c.lastUsedAt < at) {
+          at = c.lastUsedAt;
           oldest = image;
         }
       }
--- a/src/core/hazard.ts
+++ b/src/core/hazard.ts
@@ -1,5 +1,5 @@
 /** How often spot machines are lost, as seen over the last minutes, starting from a cautious guess. */
-export class SpotHazard {
+export class SpotInterruptionRate {
   private losses = 0;
   private machineS = 0;
   private static readonly MEMORY_S = 150;
@@ -8,7 +8,7 @@
 
   /** `machines` spot machines were there for `seconds` more. */
   pass(machines: number, seconds: number): void {
-    const keep = Math.exp(-seconds / SpotHazard.MEMORY_S);
+    const keep = Math.exp(-seconds / SpotInterruptionRate.MEMORY_S);
     this.losses *= keep;
     this.machineS = this.machineS * keep + machines * seconds;
   }
@@ -19,8 +19,8 @@
 
   /** Losses per machine and second. */
   get perS(): number {
-    const prior = SpotHazard.PRIOR_LOSSES;
-    return (this.losses + prior) / (this.machineS + prior / SpotHazard.PRIOR_PER_S);
+    const prior = SpotInterruptionRate.PRIOR_LOSSES;
+    return (this.losses + prior) / (this.machineS + prior / SpotInterruptionRate.PRIOR_PER_S);
   }
 }
 
--- a/src/core/jobs.ts
+++ b/src/core/jobs.ts
@@ -20,7 +20,7 @@
   readonly attempt: Attempt;
   phase: PlacementPhase;
   /** The report in whose answer the `start` last went out. */
-  sentSeq: Seq | null;
+  sentInReplyTo: Seq | null;
   readonly since: Steady;
   runningSince: Steady | null;
   stop: { graceS: number; readonly since: Steady } | null;
@@ -45,27 +45,27 @@
   readonly done: RangeSet;
   readonly placements = new Map<number, Placement>();
   /** A gang's present attempt can't complete any more: all of it has to leave. */
-  broken = false;
-  writing = false;
+  gangBroken = false;
+  writeInFlight = false;
   lastWriteAt = 0 as Steady;
   /** After failures: not before this time. */
   notBefore = 0 as Steady;
   failures = 0;
   readonly failedOn = new Set<string>();
   /** Machines on which a task of it took far longer than expected. */
-  readonly longOn = new Set<string>();
+  readonly slowOn = new Set<string>();
   /** How often it was moved to machines that hold its image. */
-  moves = 0;
+  migrations = 0;
   /** How often lower work was stopped for it. */
-  preempted = 0;
+  preemptions = 0;
   /** Of a service: replicas that ended soon after their start, one after the other. */
-  quickEnds = 0;
-  quickEndAt = 0 as Steady;
+  shortRuns = 0;
+  lastShortRunAt = 0 as Steady;
   /** Of a service: since when a replica has waited for a place. */
-  replicaWaits: Steady | null = null;
+  replicaPendingSince: Steady | null = null;
   /** Since when nothing of it has been on any machine, or it is known here. */
-  quietSince = 0 as Steady;
-  private scan = 0;
+  inactiveSince = 0 as Steady;
+  private firstPossiblyPending = 0;
 
   constructor(record: JobRecord, version: Revision) {
     this.spec = record.spec;
@@ -99,7 +99,7 @@
     this.done.addAll(record.done);
   }
 
-  get waiting(): number {
+  get pendingCount(): number {
     if (this.state !== 'accepted') return 0;
     if (this.spec.shape === 'gang') return this.placements.size === 0 && this.done.count === 0 ? this.spec.tasks : 0;
     return this.spec.tasks - this.done.count - this.placements.size;
@@ -117,7 +117,7 @@
   }
 
   /** Whether the result of a task may be dropped from its worker. */
-  exitIsDurable(index: number): boolean {
+  isResultDurable(index: number): boolean {
     return this.durableState !== 'accepted' || this.durableDone.has(index);
   }
 
@@ -134,20 +134,20 @@
     if (this.done.count >= this.spec.tasks && this.state === 'accepted') this.state = 'done';
   }
 
-  freed(index: number): void {
-    if (index < this.scan) this.scan = index;
+  noteReleased(index: number): void {
+    if (index < this.firstPossiblyPending) this.firstPossiblyPending = index;
   }
 
   /** Up to `most` task numbers that wait for a place, lowest first. */
-  waitingTasks(most: number): number[] {
+  pendingTasks(most: number): number[] {
     const found: number[] = [];
     let contiguous = true;
-    for (let i = this.scan; i < this.spec.tasks && found.length < most; i++) {
+    for (let i = this.firstPossiblyPending; i < this.spec.tasks && found.length < most; i++) {
       const waits = !this.placements.has(i) && !this.done.has(i);
       if (waits) {
         found.push(i);
         contiguous = false;
-      } else if (contiguous) this.scan = i + 1;
+      } else if (contiguous) this.firstPossiblyPending = i + 1;
     }
     return found;
   }
--- a/src/core/ledger.ts
+++ b/src/core/ledger.ts
@@ -38,10 +38,10 @@
   urgent: boolean;
 }
 
-export interface LedgerHelp {
-  valid(): boolean;
+export interface RecordWriterCallbacks {
+  mayWrite(): boolean;
   /** A record as the store was found to hold it. */
-  learn(item: StoredItem): void;
+  onRecordRead(item: StoredItem): void;
   /** Something that others may wait for is now on record. */
   onWritten(): void;
 }
@@ -50,7 +50,7 @@
  * What the leader writes: many changes to a transaction, what others wait for first. Every transaction depends on the
  * leader key and on each changed key's version, so one that is carried out late changes nothing.
  */
-export class Ledger {
+export class RecordWriter {
   private readonly ctx: Context;
   private inFlight = 0;
   private stopped = false;
@@ -62,7 +62,7 @@
     private readonly cluster: Cluster,
     private readonly leadership: Leadership,
     private readonly registry: Registry,
-    private readonly help: LedgerHelp,
+    private readonly callbacks: RecordWriterCallbacks,
   ) {
     this.ctx = cluster.ctx;
     this.mostChanges = this.ctx.settings.store.txnOps;
@@ -77,31 +77,31 @@
     this.stopped = true;
   }
 
-  register(m: Machine): void {
+  registerMachine(m: Machine): void {
     this.registry.add(m);
-    this.soon();
+    this.scheduleFlush();
   }
 
-  drop(m: Machine): void {
-    this.registry.drop(m.id);
-    this.soon();
+  unregisterMachine(m: Machine): void {
+    this.registry.remove(m.id);
+    this.scheduleFlush();
   }
 
   /** Completions come in crowds: a moment's gathering puts them into one transaction. */
-  soon(): void {
-    const at = this.ctx.timers.at('flush');
+  scheduleFlush(): void {
+    const at = this.ctx.timers.at('recordFlush');
     const mine = steadyPlus(this.ctx.now.steady, GATHER_MS);
-    if (at === null || at > mine) this.ctx.timers.set('flush', mine);
+    if (at === null || at > mine) this.ctx.timers.set('recordFlush', mine);
   }
 
   flush(): void {
-    if (this.stopped || !this.help.valid()) return;
+    if (this.stopped || !this.callbacks.mayWrite()) return;
     const now = this.ctx.now.steady;
-    if (now < this.pausedUntil) return this.ctx.timers.set('flush', this.pausedUntil);
+    if (now < this.pausedUntil) return this.ctx.timers.set('recordFlush', this.pausedUntil);
     const spare = this.ctx.writesToSpare();
     const jobs = this.dueJobs(now, spare);
-    for (const page of this.registry.lostPages()) this.findPage(page);
-    const pages = this.registry.due(now, spare);
+    for (const page of this.registry.lostPages()) this.rereadPage(page);
+    const pages = this.registry.duePages(now, spare);
     while (jobs.length > 0 || pages.length > 0) {
       const batch: Batch = {
         conditions: [leaderCondition(this.leadership)],
@@ -122,13 +122,13 @@
   private dueJobs(now: Steady, spare: boolean): Job[] {
     const due: Job[] = [];
     const lazy = spare ? LAZY_WRITE_MS : 4 * LAZY_WRITE_MS;
-    for (const job of this.cluster.active) {
+    for (const job of this.cluster.activeJobs) {
       const need = job.needsWrite;
       if (need === 'no') {
-        if (job.state !== 'accepted' && job.placements.size === 0) this.cluster.active.delete(job);
+        if (job.state !== 'accepted' && job.placements.size === 0) this.cluster.activeJobs.delete(job);
         continue;
       }
-      if (job.writing || (need === 'soon' && now - job.lastWriteAt < lazy)) continue;
+      if (job.writeInFlight || (need === 'soon' && now - job.lastWriteAt < lazy)) continue;
       due.push(job);
     }
     return due.sort((a, b) => Number(b.needsWrite === 'now') - Number(a.needsWrite === 'now'));
@@ -139,13 +139,13 @@
   }
 
   private addPage(batch: Batch, page: Page): void {
-    const { change, bytes, machines } = this.registry.change(page);
-    page.writing = true;
+    const { change, bytes, machines } = this.registry.changeFor(page);
+    page.writeInFlight = true;
     page.writtenAt = this.ctx.now.steady;
     if (page.urgent) batch.urgent = true;
     page.urgent = false;
-    page.shrunk = false;
-    page.hints = false;
+    page.needsRewrite = false;
+    page.hintsChanged = false;
     for (const m of machines) m.imagesChanged = false;
     batch.bytes += bytes;
     batch.pages.push({ page, machines });
@@ -155,7 +155,7 @@
 
   private addJob(batch: Batch, job: Job, now: Steady): void {
     if (job.needsWrite === 'now') batch.urgent = true;
-    job.writing = true;
+    job.writeInFlight = true;
     job.lastWriteAt = now;
     const { spec, submittedAt, state, startTerm, startZone } = job;
     const record = { spec, submittedAt, state, startTerm, startZone, done: job.done };
@@ -171,32 +171,32 @@
     this.inFlight += 1;
     this.ctx.store({ op: 'txn', conditions, changes }, batch.urgent ? 1 : 3, (r) => {
       this.inFlight -= 1;
-      for (const s of jobs) s.job.writing = false;
-      for (const s of pages) s.page.writing = false;
+      for (const s of jobs) s.job.writeInFlight = false;
+      for (const s of pages) s.page.writeInFlight = false;
       if (this.stopped) return;
       if (r.ok && r.value.revision !== undefined) {
-        for (const s of jobs) this.written(s, r.value.revision);
-        for (const s of pages) this.pageWritten(s, r.value.revision);
+        for (const s of jobs) this.onJobWritten(s, r.value.revision);
+        for (const s of pages) this.onPageWritten(s, r.value.revision);
       } else {
         const unclear = r.ok || r.why !== 'refused';
         for (const { page } of pages) {
           page.urgent = true;
-          page.lost = unclear;
+          page.versionUnknown = unclear;
         }
-        if (unclear) for (const s of jobs) this.refresh(s.job);
-        if (!r.ok && r.why === 'rejected') this.tooLarge(batch);
-        this.ctx.timers.set('flush', steadyPlus(this.ctx.now.steady, 150));
+        if (unclear) for (const s of jobs) this.rereadJob(s.job);
+        if (!r.ok && r.why === 'rejected') this.shrinkWrites(batch);
+        this.ctx.timers.set('recordFlush', steadyPlus(this.ctx.now.steady, 150));
       }
-      this.help.onWritten();
+      this.callbacks.onWritten();
     });
   }
 
   /** The service calls a transaction malformed: it may take less than we were told. The same one is never sent again. */
-  private tooLarge(batch: Batch): void {
+  private shrinkWrites(batch: Batch): void {
     const n = batch.changes.length;
     if (n > 1) this.mostChanges = Math.max(1, Math.floor(n / 2));
     else this.valueBytes = Math.max(LEAST_VALUE_BYTES, Math.floor(this.valueBytes * 0.75));
-    this.registry.keepTo(this.valueBytes);
+    this.registry.limitPages(this.valueBytes);
     this.pausedUntil = steadyPlus(this.ctx.now.steady, REJECTED_PAUSE_MS);
     this.ctx.log('info', 'the state service refuses a write for its size: writing less at a time', {
       changes: this.mostChanges,
@@ -204,7 +204,7 @@
     });
   }
 
-  private written(s: JobSnapshot, version: Revision): void {
+  private onJobWritten(s: JobSnapshot, version: Revision): void {
     const { job } = s;
     if (version > job.version) {
       job.version = version;
@@ -213,39 +213,39 @@
       job.durableDone = RangeSet.from(s.done);
     }
     if (job.needsWrite === 'no' && job.state !== 'accepted' && job.placements.size === 0)
-      this.cluster.active.delete(job);
-    if (job.needsWrite === 'now') this.soon();
+      this.cluster.activeJobs.delete(job);
+    if (job.needsWrite === 'now') this.scheduleFlush();
   }
 
-  private pageWritten(s: PageSnapshot, version: Revision): void {
+  private onPageWritten(s: PageSnapshot, version: Revision): void {
     if (version > s.page.version) s.page.version = version;
     for (const m of s.machines) if (s.page.machines.has(m)) m.registered = true;
-    this.registry.arrived(s.page, s.machines);
-    this.soon();
+    this.registry.onPageStored(s.page, s.machines);
+    this.scheduleFlush();
   }
 
   /** A write failed or has an unknown outcome: the store tells what holds now. */
-  private refresh(job: Job): void {
-    job.writing = true;
+  private rereadJob(job: Job): void {
+    job.writeInFlight = true;
     this.ctx.store({ op: 'get', key: jobKey(job.id) }, 1, (r) => {
-      job.writing = false;
+      job.writeInFlight = false;
       if (this.stopped || !r.ok || !r.value.item) return;
-      this.help.learn(r.value.item);
-      this.soon();
+      this.callbacks.onRecordRead(r.value.item);
+      this.scheduleFlush();
     });
   }
 
   /** Only the version matters: the page is written anew, on the condition that nothing has come in between. */
-  private findPage(page: Page): void {
-    page.writing = true;
+  private rereadPage(page: Page): void {
+    page.writeInFlight = true;
     this.ctx.store({ op: 'get', key: pageKey(page.no) }, 1, (r) => {
-      page.writing = false;
+      page.writeInFlight = false;
       if (this.stopped) return;
       if (r.ok) {
         page.version = r.value.item ? r.value.item.version : ABSENT;
-        page.lost = false;
+        page.versionUnknown = false;
       }
-      this.ctx.timers.set('flush', steadyPlus(this.ctx.now.steady, r.ok ? 1 : 200));
+      this.ctx.timers.set('recordFlush', steadyPlus(this.ctx.now.steady, r.ok ? 1 : 200));
     });
   }
 }
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -111,13 +111,13 @@
   | { readonly op: 'poll'; readonly id: JobId }
   | { readonly op: 'cancel'; readonly id: JobId };
 
-export type UserMood = 'queued' | 'running' | 'done' | 'cancelled';
+export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
 export type UserAnswer =
   | {
       readonly status: 200 | 201;
       readonly id: JobId;
-      readonly mood: UserMood;
+      readonly jobStatus: JobStatus;
       readonly done: number;
       readonly running: number;
     }
@@ -136,23 +136,23 @@
   /** Milliseconds since a worker last reached the sender; negative: never. */
   readonly workersHeardMs: number;
   /** Workers' reports a second that reach the sender itself. */
-  readonly beatsPerS: number;
+  readonly reportsPerS: number;
   /** The sender leads and would rather have workers' reports from the workers themselves. */
   readonly takesReports: boolean;
   /** The sender understands `cancelled` and `heeded`: builds before them would drop the connection over one. */
-  readonly heedsWord: boolean;
+  readonly acknowledgesCancellations: boolean;
 }
 
 export type PeerMessage =
   | { readonly kind: 'status'; readonly status: PeerStatus }
-  | { readonly kind: 'relay'; readonly id: number; readonly request: UserRequest }
-  | { readonly kind: 'relayed'; readonly id: number; readonly answer: UserAnswer }
+  | { readonly kind: 'request'; readonly id: number; readonly request: UserRequest }
+  | { readonly kind: 'requestAnswer'; readonly id: number; readonly answer: UserAnswer }
   /** A worker's report that reached a node that doesn't lead, passed on as it came; and the leader's answer to it. */
-  | { readonly kind: 'beat'; readonly id: number; readonly report: WorkerReport }
-  | { readonly kind: 'beaten'; readonly id: number; readonly machine: MachineId; readonly answer: WorkerAnswer }
+  | { readonly kind: 'report'; readonly id: number; readonly report: WorkerReport }
+  | { readonly kind: 'reportAnswer'; readonly id: number; readonly machine: MachineId; readonly answer: WorkerAnswer }
   /** The sender has put a cancellation on record: that never turns back, so the word alone may be acted on. */
-  | { readonly kind: 'cancelled'; readonly id: number; readonly job: JobId }
-  | { readonly kind: 'heeded'; readonly id: number };
+  | { readonly kind: 'cancellation'; readonly id: number; readonly job: JobId }
+  | { readonly kind: 'cancellationAck'; readonly id: number };
 
 export type RequestId = number;
 export type CallId = number;
@@ -161,7 +161,7 @@
   | { readonly kind: 'start' }
   | { readonly kind: 'timer' }
   | { readonly kind: 'user'; readonly req: RequestId; readonly request: UserRequest }
-  | { readonly kind: 'beat'; readonly req: RequestId; readonly report: WorkerReport }
+  | { readonly kind: 'report'; readonly req: RequestId; readonly report: WorkerReport }
   | { readonly kind: 'storeReply'; readonly call: CallId; readonly result: Result<StoreValue> }
   | { readonly kind: 'cloudReply'; readonly call: CallId; readonly result: Result<CloudValue> }
   | { readonly kind: 'workerReply'; readonly call: CallId; readonly result: Result<WorkerValue> }
--- a/src/core/mirror.ts
+++ b/src/core/mirror.ts
@@ -1,4 +1,4 @@
-import { DRIFT, knowledgeMs } from './bounds.js';
+import { CLOCK_DRIFT, maxJobViewAgeMs } from './bounds.js';
 import type { Context } from './context.js';
 import type { StoredItem, StoreEvent } from './messages.js';
 import { decodeJob, JOB_PREFIX, type JobRecord } from './records.js';
@@ -12,7 +12,7 @@
 const PACE_LEADING_MS = 120;
 const PACE_MS = 800;
 
-export interface MirroredJob {
+export interface CachedJob {
   readonly record: JobRecord;
   readonly version: Revision;
 }
@@ -21,31 +21,31 @@
  * A node's copy of the job records, kept up by a watch. It may lag, so nothing that isn't final is told from it alone: it
  * spares the reads, as one compare-only transaction then confirms many records at once (desk.ts).
  */
-export class JobMirror {
-  private readonly jobs = new Map<JobId, MirroredJob>();
+export class JobCache {
+  private readonly jobs = new Map<JobId, CachedJob>();
   private watchFrom: Revision | null = null;
   private reading = false;
-  private again = false;
-  private waitingForAll: ((ok: boolean) => void)[] = [];
+  private readAgain = false;
+  private readCallbacks: ((ok: boolean) => void)[] = [];
   private watching = false;
   private leading = false;
   private readonly watchLeadingMs: number;
   /** What happened before this is known: when the last answered watch was sent, or when one that brought nothing ended. */
-  freshAt: Steady;
+  currentAsOf: Steady;
   /** Told of each record that is newer than what was known. */
-  onRecord: (item: MirroredJob) => void = () => {};
+  onRecord: (item: CachedJob) => void = () => {};
 
   constructor(private readonly ctx: Context) {
     // Where `cancel_s` leaves little, the view has to be the fresher (tight-cancel.txt).
-    this.watchLeadingMs = Math.min(WATCH_LEADING_MS, knowledgeMs(ctx.settings) / 4);
-    this.freshAt = ctx.now.steady;
+    this.watchLeadingMs = Math.min(WATCH_LEADING_MS, maxJobViewAgeMs(ctx.settings) / 4);
+    this.currentAsOf = ctx.now.steady;
   }
 
-  get(id: JobId): MirroredJob | undefined {
+  get(id: JobId): CachedJob | undefined {
     return this.jobs.get(id);
   }
 
-  all(): Iterable<MirroredJob> {
+  all(): Iterable<CachedJob> {
     return this.jobs.values();
   }
 
@@ -59,9 +59,9 @@
 
   /** Reads everything anew, beginning after this moment; `then` hears once that is done or has failed. */
   read(then: (ok: boolean) => void = () => {}): void {
-    this.waitingForAll.push(then);
+    this.readCallbacks.push(then);
     // A reading under way may have begun too early for this caller.
-    if (this.reading) this.again = true;
+    if (this.reading) this.readAgain = true;
     else this.readAll();
   }
 
@@ -73,7 +73,7 @@
 
   private readAll(): void {
     this.reading = true;
-    this.again = false;
+    this.readAgain = false;
     const sentAt = this.ctx.now.steady;
     let first: Revision | null = null;
     const items: StoredItem[] = [];
@@ -85,9 +85,9 @@
         first ??= r.value.revision ?? null;
         const last = items[items.length - 1];
         if (r.value.more && last) return page(last.key);
-        for (const item of items) this.take(item);
+        for (const item of items) this.update(item);
         if (first !== null && (this.watchFrom === null || first > this.watchFrom)) this.watchFrom = first;
-        if (sentAt > this.freshAt) this.freshAt = sentAt;
+        if (sentAt > this.currentAsOf) this.currentAsOf = sentAt;
         this.readDone(true);
       });
     };
@@ -96,16 +96,16 @@
 
   private readDone(ok: boolean): void {
     this.reading = false;
-    if (this.again) return this.readAll();
-    const waiting = this.waitingForAll;
-    this.waitingForAll = [];
+    if (this.readAgain) return this.readAll();
+    const waiting = this.readCallbacks;
+    this.readCallbacks = [];
     for (const w of waiting) w(ok);
-    this.next(ok ? 1 : 300);
+    this.scheduleNext(ok ? 1 : 300);
   }
 
-  private next(ms: number): void {
+  private scheduleNext(ms: number): void {
     if (this.watching && this.watchFrom !== null) return;
-    this.ctx.timers.set('mirror', (this.ctx.now.steady + ms) as Steady);
+    this.ctx.timers.set('jobCache', (this.ctx.now.steady + ms) as Steady);
   }
 
   private watch(): void {
@@ -125,17 +125,17 @@
             if (!this.reading) this.readAll();
             return;
           }
-          return this.next(250);
+          return this.scheduleNext(250);
         }
         const events = r.value.events ?? [];
         // One that brings nothing has waited for its whole time first.
-        const knownAt = events.length > 0 ? sentAt : steadyPlus(sentAt, waitMs * (1 - DRIFT));
+        const knownAt = events.length > 0 ? sentAt : steadyPlus(sentAt, waitMs * (1 - CLOCK_DRIFT));
         const freshAt = Math.min(knownAt, this.ctx.now.steady) as Steady;
-        if (freshAt > this.freshAt) this.freshAt = freshAt;
-        for (const e of events) this.takeEvent(e);
+        if (freshAt > this.currentAsOf) this.currentAsOf = freshAt;
+        for (const e of events) this.applyEvent(e);
         const { revision } = r.value;
         if (revision !== undefined && this.watchFrom !== null && revision > this.watchFrom) this.watchFrom = revision;
-        this.next(this.leading ? PACE_LEADING_MS : PACE_MS);
+        this.scheduleNext(this.leading ? PACE_LEADING_MS : PACE_MS);
       },
       waitMs + 2000,
       5000,
@@ -145,13 +145,13 @@
     );
   }
 
-  private takeEvent(e: StoreEvent): void {
+  private applyEvent(e: StoreEvent): void {
     if ('drop' in e) return;
-    this.take({ key: e.put, value: e.value, version: e.version });
+    this.update({ key: e.put, value: e.value, version: e.version });
   }
 
   /** A record as the store holds or held it; older ones than known are passed over. */
-  take(item: StoredItem): MirroredJob | null {
+  update(item: StoredItem): CachedJob | null {
     const id = item.key.slice(JOB_PREFIX.length) as JobId;
     const known = this.jobs.get(id);
     if (known && known.version >= item.version) return known;
--- a/src/core/node.ts
+++ b/src/core/node.ts
@@ -1,5 +1,5 @@
 import { Context } from './context.js';
-import { Desk } from './desk.js';
+import { RequestHandler } from './desk.js';
 import { Election } from './election.js';
 import { Leader } from './leader.js';
 import type {
@@ -12,7 +12,7 @@
   UserRequest,
   WorkerAnswer,
 } from './messages.js';
-import { JobMirror } from './mirror.js';
+import { JobCache } from './mirror.js';
 import type { Settings, Tuning } from './settings.js';
 import {
   type JobId,
@@ -30,19 +30,19 @@
 const PEER_FRESH_MS = 3500;
 const RELAY_MS = 1200;
 /** So long a user's answer waits for the leader's word that it has heard of a cancellation; users wait 5 s. */
-const HEED_MS = 300;
+const ACKNOWLEDGEMENT_WAIT_MS = 300;
 /** A report passed on to the leader is given up after this; workers wait 4 s, and the leader holds idle ones for 2.5 s. */
 const FORWARD_MS = 3200;
 /** Only a leader that was heard of this lately is passed reports, or named to workers without the store's word. */
 const LINK_FRESH_MS = 2500;
 /** The leader leaves workers' connections to the others, down to this part of their mean load. */
-const LEADER_BEATS = 0.4;
+const LEADER_REPORT_SHARE = 0.4;
 /** Workers are sent to a leader that takes reports only while some reach it: after taking the lead, and as long as ... */
 const DIRECT_GRACE_MS = 4000;
 const DIRECT_FRESH_MS = 1500;
 /** One that came back from there within this time couldn't reach it, and is served through this node. */
-const SENT_AGAIN_MS = 30_000;
-const SENT_MOST = 5000;
+const REDIRECT_AGAIN_MS = 30_000;
+const MAX_REDIRECTS_KEPT = 5000;
 /** The part of its sockets that a leader gives to workers. */
 const DIRECT_SOCKETS = 0.5;
 const CATALOG_RETRY_MS = 700;
@@ -57,7 +57,7 @@
   silentUntil: Steady;
 }
 
-interface PendingBeat {
+interface ForwardedReport {
   readonly to: NodeName;
   readonly machine: MachineId;
   readonly answer: (a: WorkerAnswer) => void;
@@ -70,7 +70,7 @@
 }
 
 /** A cancellation of which leaders were told, and who has yet to say that it heeds it. */
-interface PendingWord {
+interface PendingNotice {
   readonly then: () => void;
   readonly left: Set<NodeName>;
   readonly until: Steady;
@@ -80,24 +80,24 @@
 export class Node {
   readonly ctx: Context;
   private readonly election: Election;
-  private readonly desk: Desk;
-  private readonly mirror: JobMirror;
+  private readonly requestHandler: RequestHandler;
+  private readonly jobCache: JobCache;
   private leader: Leader | null = null;
   private types: ReadonlyMap<TypeName, MachineType> = new Map();
   private readonly peers = new Map<NodeName, Peer>();
   private readonly relays = new Map<number, PendingRelay>();
-  private readonly beats = new Map<number, PendingBeat>();
-  private readonly words = new Map<number, PendingWord>();
+  private readonly forwardedReports = new Map<number, ForwardedReport>();
+  private readonly pendingNotices = new Map<number, PendingNotice>();
   private lastRelay = 0;
-  private beatsCounted = 0;
-  private beatsSince: Steady;
-  private beatsPerS = 0;
-  private sheds = 0;
+  private reportsCounted = 0;
+  private reportsCountedSince: Steady;
+  private reportsPerS = 0;
+  private redirectsConsidered = 0;
   private workersHeardAt: Steady | null = null;
   /** The last report that came from the worker itself. */
-  private directAt = 0 as Steady;
+  private lastDirectReportAt = 0 as Steady;
   /** Workers that were sent to a leader, and when. */
-  private readonly sent = new Map<MachineId, Steady>();
+  private readonly redirectedAt = new Map<MachineId, Steady>();
   private ledSince: Steady;
 
   constructor(
@@ -109,32 +109,32 @@
   ) {
     this.ctx = new Context(settings, tuning, start);
     this.ledSince = start.steady;
-    this.beatsSince = start.steady;
+    this.reportsCountedSince = start.steady;
     // Peers may still answer what an earlier process of this node asked: its numbers must not come again.
     this.lastRelay = (seed >>> 0) * 2 ** 20;
-    this.mirror = new JobMirror(this.ctx);
-    this.mirror.onRecord = (seen) => this.leader?.onRecord(seen);
+    this.jobCache = new JobCache(this.ctx);
+    this.jobCache.onRecord = (seen) => this.leader?.onRecord(seen);
     this.election = new Election(this.ctx, incarnation, {
       onElected: (leadership) => {
         this.ledSince = this.ctx.now.steady;
         this.ctx.leading(true);
-        this.mirror.setLeading(true);
-        this.leader = new Leader(this.ctx, this.election, this.mirror, leadership, this.types, this.seed);
+        this.jobCache.setLeading(true);
+        this.leader = new Leader(this.ctx, this.election, this.jobCache, leadership, this.types, this.seed);
         this.sendStatus();
       },
       onLost: () => {
         this.leader?.stop();
         this.leader = null;
         this.ctx.leading(false);
-        this.mirror.setLeading(false);
+        this.jobCache.setLeading(false);
         this.sendStatus();
       },
     });
-    this.desk = new Desk(this.ctx, this.mirror, {
-      types: () => this.types,
-      counts: (id) => this.leader?.counts(id) ?? null,
+    this.requestHandler = new RequestHandler(this.ctx, this.jobCache, {
+      machineTypes: () => this.types,
+      taskCounts: (id) => this.leader?.taskCounts(id) ?? null,
       relay: (request, answer) => this.relay(request, answer),
-      tellCancelled: (id, then) => this.tellCancelled(id, then),
+      notifyCancelled: (id, then) => this.notifyCancelled(id, then),
     });
   }
 
@@ -164,16 +164,16 @@
       case 'start':
         this.election.start();
         this.readCatalog();
-        this.mirror.read();
-        this.ctx.timers.set('status', this.at(100));
+        this.jobCache.read();
+        this.ctx.timers.set('peerStatus', this.at(100));
         break;
       case 'timer':
         break;
       case 'user':
-        this.desk.handle(input.request, (answer) => this.ctx.answerUser(input.req, answer));
+        this.requestHandler.handle(input.request, (answer) => this.ctx.answerUser(input.req, answer));
         break;
-      case 'beat':
-        this.onBeat(input.req, input.report);
+      case 'report':
+        this.onReport(input.req, input.report);
         break;
       case 'storeReply':
         this.ctx.onStoreReply(input.call, input.result);
@@ -203,7 +203,7 @@
         case 'renew':
           this.election.renew();
           break;
-        case 'status':
+        case 'peerStatus':
           this.onStatusTimer();
           break;
         case 'catalog':
@@ -212,35 +212,35 @@
         case 'round':
           this.leader?.round();
           break;
-        case 'flush':
+        case 'recordFlush':
           this.leader?.flush();
           break;
-        case 'held':
-          this.leader?.releaseHeld();
+        case 'heldReports':
+          this.leader?.releaseHeldReports();
           break;
-        case 'fleet':
-          this.leader?.tend();
+        case 'healthChecks':
+          this.leader?.runHealthChecks();
           break;
-        case 'direct':
+        case 'workerCommands':
           this.leader?.sendDirect();
           break;
-        case 'mirror':
-          this.mirror.onTimer();
+        case 'jobCache':
+          this.jobCache.onTimer();
           break;
-        case 'polls':
-          this.desk.confirm();
+        case 'pollConfirmation':
+          this.requestHandler.confirm();
           break;
-        case 'load':
+        case 'loadState':
           this.leader?.load();
           break;
-        case 'services':
+        case 'servicePlacement':
           this.leader?.placeServices();
           break;
-        case 'words':
-          this.giveUpWords();
+        case 'cancellationNotices':
+          this.expireNotices();
           break;
-        case 'store':
-        case 'cloud':
+        case 'storeQueue':
+        case 'cloudQueue':
           break;
       }
     }
@@ -265,27 +265,27 @@
    * Any node takes reports: a leader's own sockets are too dear for all of them. One that doesn't lead passes them on as
    * they are and hands back the leader's answer, which the leader gave while it was entitled to.
    */
-  private onBeat(req: RequestId, report: WorkerReport): void {
+  private onReport(req: RequestId, report: WorkerReport): void {
     const { steady } = this.ctx.now;
     const answer = (a: WorkerAnswer): void => this.ctx.answerWorker(req, a);
     this.workersHeardAt = steady;
-    this.directAt = steady;
-    this.beatsCounted += 1;
+    this.lastDirectReportAt = steady;
+    this.reportsCounted += 1;
     if (this.leader) {
-      const other = this.shedTo();
+      const other = this.redirectTarget();
       if (other !== null) return answer({ status: 421, reportTo: other });
-      return this.leader.onBeat(report, answer);
+      return this.leader.onReport(report, answer);
     }
     const holder = this.election.holderName();
     if (holder === null || holder === this.ctx.settings.node) return answer({ status: 503 });
     const peer = this.peers.get(holder);
     if (peer?.status.leading && steady - peer.heardAt < LINK_FRESH_MS && peer.silentUntil <= steady) {
-      if (peer.status.takesReports && this.maySend(report.machine)) {
+      if (peer.status.takesReports && this.mayRedirect(report.machine)) {
         return answer({ status: 421, reportTo: holder });
       }
       const id = ++this.lastRelay;
-      this.beats.set(id, { to: holder, machine: report.machine, answer, until: this.at(FORWARD_MS) });
-      this.ctx.peer(holder, { kind: 'beat', id, report });
+      this.forwardedReports.set(id, { to: holder, machine: report.machine, answer, until: this.at(FORWARD_MS) });
+      this.ctx.peer(holder, { kind: 'report', id, report });
       return;
     }
     // The way to the leader may be open to the worker: but only one known to lead now is named, so that no worker is
@@ -299,24 +299,24 @@
    */
   private takesReports(): boolean {
     const { limits } = this.ctx.settings;
-    if (!this.leader || !this.election.valid()) return false;
+    if (!this.leader || !this.election.isValid()) return false;
     if (limits.cpuShare < this.ctx.tuning.leadership.reports_cpu_share) return false;
     if (this.leader.cluster.machines.size > limits.connections * DIRECT_SOCKETS) return false;
     const { steady } = this.ctx.now;
-    return steady - this.ledSince < DIRECT_GRACE_MS || steady - this.directAt < DIRECT_FRESH_MS;
+    return steady - this.ledSince < DIRECT_GRACE_MS || steady - this.lastDirectReportAt < DIRECT_FRESH_MS;
   }
 
-  private maySend(machine: MachineId): boolean {
+  private mayRedirect(machine: MachineId): boolean {
     const { steady } = this.ctx.now;
-    const before = this.sent.get(machine);
-    if (before !== undefined && steady - before < SENT_AGAIN_MS) return false;
-    if (this.sent.size >= SENT_MOST) this.sent.clear();
-    this.sent.set(machine, steady);
+    const before = this.redirectedAt.get(machine);
+    if (before !== undefined && steady - before < REDIRECT_AGAIN_MS) return false;
+    if (this.redirectedAt.size >= MAX_REDIRECTS_KEPT) this.redirectedAt.clear();
+    this.redirectedAt.set(machine, steady);
     return true;
   }
 
   /** A node to which the leader sends a worker, to have its own share of the core for what only it can do. */
-  private shedTo(): NodeName | null {
+  private redirectTarget(): NodeName | null {
     const { steady } = this.ctx.now;
     if (this.takesReports()) return null;
     let best: { name: NodeName; peer: Peer } | null = null;
@@ -325,21 +325,21 @@
     for (const [name, peer] of this.peers) {
       if (steady - peer.heardAt > LINK_FRESH_MS || peer.status.workersHeardMs < 0 || !peer.status.storeOk) continue;
       n += 1;
-      sum += peer.status.beatsPerS;
-      if (best === null || peer.status.beatsPerS < best.peer.status.beatsPerS) best = { name, peer };
+      sum += peer.status.reportsPerS;
+      if (best === null || peer.status.reportsPerS < best.peer.status.reportsPerS) best = { name, peer };
     }
-    if (best === null || this.beatsPerS < 4 || this.beatsPerS < LEADER_BEATS * (sum / n) + 1) return null;
+    if (best === null || this.reportsPerS < 4 || this.reportsPerS < LEADER_REPORT_SHARE * (sum / n) + 1) return null;
     // Some at a time: the rates are a second old.
-    this.sheds += 1;
-    return this.sheds % 4 === 0 ? best.name : null;
+    this.redirectsConsidered += 1;
+    return this.redirectsConsidered % 4 === 0 ? best.name : null;
   }
 
-  private giveUpBeats(): void {
+  private expireForwardedReports(): void {
     const { steady } = this.ctx.now;
     const holder = this.election.holderName();
-    for (const [id, b] of this.beats) {
+    for (const [id, b] of this.forwardedReports) {
       if (b.until > steady && b.to === holder) continue;
-      this.beats.delete(id);
+      this.forwardedReports.delete(id);
       const peer = this.peers.get(b.to);
       if (peer && b.until <= steady) peer.silentUntil = this.at(FORWARD_MS);
       b.answer({ status: 503 });
@@ -349,38 +349,38 @@
   // ---- peers
 
   private onStatusTimer(): void {
-    this.ctx.timers.set('status', this.at(STATUS_MS));
+    this.ctx.timers.set('peerStatus', this.at(STATUS_MS));
     this.sendStatus();
     for (const [id, pending] of this.relays) {
       if (pending.until > this.ctx.now.steady) continue;
       this.relays.delete(id);
       pending.answer({ status: 503, problem: 'no node could take the request', retryAfterS: 1 });
     }
-    this.giveUpBeats();
-    this.yieldIfCutOff();
+    this.expireForwardedReports();
+    this.resignIfCutOff();
   }
 
   private sendStatus(): void {
     const heard = this.workersHeardAt;
-    const seconds = (this.ctx.now.steady - this.beatsSince) / 1000;
+    const seconds = (this.ctx.now.steady - this.reportsCountedSince) / 1000;
     if (seconds >= 0.9) {
-      this.beatsPerS = 0.5 * this.beatsPerS + 0.5 * (this.beatsCounted / seconds);
-      this.beatsCounted = 0;
-      this.beatsSince = this.ctx.now.steady;
+      this.reportsPerS = 0.5 * this.reportsPerS + 0.5 * (this.reportsCounted / seconds);
+      this.reportsCounted = 0;
+      this.reportsCountedSince = this.ctx.now.steady;
     }
     const status: PeerStatus = {
-      leading: this.election.valid(),
+      leading: this.election.isValid(),
       storeOk: this.ctx.storeFailingSince === null,
       workersHeardMs: heard === null ? -1 : Math.round(this.ctx.now.steady - heard),
-      beatsPerS: this.beatsPerS,
+      reportsPerS: this.reportsPerS,
       takesReports: this.takesReports(),
-      heedsWord: true,
+      acknowledgesCancellations: true,
     };
     for (const p of this.ctx.settings.peers) this.ctx.peer(p.name, { kind: 'status', status });
   }
 
   /** A leader that no worker reaches, while they reach a peer, keeps the lead from being of use: it lets go. */
-  private yieldIfCutOff(): void {
+  private resignIfCutOff(): void {
     if (!this.election.current) return;
     const now = this.ctx.now.steady;
     const after = this.ctx.tuning.leadership.resign_after_ms;
@@ -406,44 +406,44 @@
         this.peers.set(from, { status: message.status, heardAt: steady, heardSince, silentUntil });
         break;
       }
-      case 'relay':
-        this.desk.handle(
+      case 'request':
+        this.requestHandler.handle(
           message.request,
-          (answer) => this.ctx.peer(from, { kind: 'relayed', id: message.id, answer }),
+          (answer) => this.ctx.peer(from, { kind: 'requestAnswer', id: message.id, answer }),
           true,
         );
         break;
-      case 'relayed': {
+      case 'requestAnswer': {
         const pending = this.relays.get(message.id);
         this.relays.delete(message.id);
         pending?.answer(message.answer);
         break;
       }
-      case 'beat': {
+      case 'report': {
         const { id, report } = message;
         const answer = (a: WorkerAnswer): void =>
-          this.ctx.peer(from, { kind: 'beaten', id, machine: report.machine, answer: a });
+          this.ctx.peer(from, { kind: 'reportAnswer', id, machine: report.machine, answer: a });
         if (!this.leader) return answer({ status: 503 });
         this.workersHeardAt = this.ctx.now.steady;
-        this.leader.onBeat(report, answer);
+        this.leader.onReport(report, answer);
         break;
       }
-      case 'beaten': {
-        const pending = this.beats.get(message.id);
+      case 'reportAnswer': {
+        const pending = this.forwardedReports.get(message.id);
         // An answer meant for another machine must never reach this one: its starts would run twice.
         if (pending?.to !== from || pending.machine !== message.machine) return;
-        this.beats.delete(message.id);
+        this.forwardedReports.delete(message.id);
         pending.answer(message.answer);
         break;
       }
-      case 'cancelled':
-        this.leader?.heedCancelled(message.job);
-        this.ctx.peer(from, { kind: 'heeded', id: message.id });
+      case 'cancellation':
+        this.leader?.onCancellationNotice(message.job);
+        this.ctx.peer(from, { kind: 'cancellationAck', id: message.id });
         break;
-      case 'heeded': {
-        const pending = this.words.get(message.id);
+      case 'cancellationAck': {
+        const pending = this.pendingNotices.get(message.id);
         if (!pending?.left.delete(from) || pending.left.size > 0) return;
-        this.words.delete(message.id);
+        this.pendingNotices.delete(message.id);
         pending.then();
         break;
       }
@@ -455,32 +455,33 @@
    * state service refuses is entitled to start work until its validity ends (gap.txt). `then` follows when it has heeded
    * it, or soon after in any case.
    */
-  private tellCancelled(id: JobId, then: () => void): void {
-    this.leader?.heedCancelled(id);
+  private notifyCancelled(id: JobId, then: () => void): void {
+    this.leader?.onCancellationNotice(id);
     const word = ++this.lastRelay;
     const left = new Set<NodeName>();
     for (const [name, { status, heardAt }] of this.peers) {
-      if (!status.heedsWord || this.ctx.now.steady - heardAt > PEER_FRESH_MS) continue;
+      if (!status.acknowledgesCancellations || this.ctx.now.steady - heardAt > PEER_FRESH_MS) continue;
       // One whose validity has lapsed may find its lease alive and lead on: it is told, but not waited for.
       if (status.leading) left.add(name);
-      this.ctx.peer(name, { kind: 'cancelled', id: word, job: id });
+      this.ctx.peer(name, { kind: 'cancellation', id: word, job: id });
     }
     if (left.size === 0) return then();
-    this.words.set(word, { then, left, until: this.at(HEED_MS) });
-    if (this.ctx.timers.at('words') === null) this.ctx.timers.set('words', this.at(HEED_MS));
+    this.pendingNotices.set(word, { then, left, until: this.at(ACKNOWLEDGEMENT_WAIT_MS) });
+    if (this.ctx.timers.at('cancellationNotices') === null)
+      this.ctx.timers.set('cancellationNotices', this.at(ACKNOWLEDGEMENT_WAIT_MS));
   }
 
-  private giveUpWords(): void {
+  private expireNotices(): void {
     let next = Number.POSITIVE_INFINITY;
-    for (const [id, w] of this.words) {
+    for (const [id, w] of this.pendingNotices) {
       if (w.until > this.ctx.now.steady) {
         next = Math.min(next, w.until);
         continue;
       }
-      this.words.delete(id);
+      this.pendingNotices.delete(id);
       w.then();
     }
-    if (Number.isFinite(next)) this.ctx.timers.set('words', next as Steady);
+    if (Number.isFinite(next)) this.ctx.timers.set('cancellationNotices', next as Steady);
   }
 
   private relay(request: UserRequest, answer: (a: UserAnswer) => void): boolean {
@@ -489,7 +490,7 @@
       if (!p.status.storeOk || now - p.heardAt > PEER_FRESH_MS) continue;
       const id = ++this.lastRelay;
       this.relays.set(id, { answer, until: this.at(RELAY_MS) });
-      this.ctx.peer(name, { kind: 'relay', id, request });
+      this.ctx.peer(name, { kind: 'request', id, request });
       return true;
     }
     return false;
--- a/src/core/quotas.ts
+++ b/src/core/quotas.ts
@@ -10,7 +10,7 @@
   private readonly teams = new Map<TeamName, Team>();
   private readonly use = new Map<TeamName, Use>();
   /** Capacity of machines that may hold anybody's tasks: it counts against every limited team. */
-  unaccounted: Use = { cpus: 0, gpus: 0 };
+  unreconciled: Use = { cpus: 0, gpus: 0 };
 
   constructor(teams: readonly Team[]) {
     for (const t of teams) {
@@ -23,7 +23,7 @@
     return this.teams.get(name);
   }
 
-  all(): Iterable<Team> {
+  teamsInOrder(): Iterable<Team> {
     return this.teams.values();
   }
 
@@ -44,8 +44,8 @@
     const use = this.use.get(spec.team);
     if (!team || !use) return 0;
     return Math.min(
-      roomFor(team.cpusMax, use.cpus + this.unaccounted.cpus, spec.cpus),
-      roomFor(team.gpusMax, use.gpus + this.unaccounted.gpus, spec.gpus),
+      roomFor(team.cpusMax, use.cpus + this.unreconciled.cpus, spec.cpus),
+      roomFor(team.gpusMax, use.gpus + this.unreconciled.gpus, spec.gpus),
     );
   }
 }
--- a/src/core/registry.ts
+++ b/src/core/registry.ts
@@ -13,17 +13,17 @@
   readonly no: number;
   readonly machines: Set<Machine>;
   /** What else is on it, kept as it is. */
-  readonly kept: MachineRecord[];
+  readonly keptRecords: MachineRecord[];
   /** Machines on their way to another page: they stay on this one until that is on record. */
   readonly leaving: Map<Machine, Page>;
   version: Revision;
   /** A machine in it must be on record before it may be used; or one is gone; or only its images have changed. */
   urgent: boolean;
-  shrunk: boolean;
-  hints: boolean;
-  writing: boolean;
+  needsRewrite: boolean;
+  hintsChanged: boolean;
+  writeInFlight: boolean;
   /** The outcome of a write is unknown: its version has to be read before the next. */
-  lost: boolean;
+  versionUnknown: boolean;
   writtenAt: Steady;
 }
 
@@ -33,17 +33,17 @@
  */
 export class Registry {
   private readonly pages = new Map<number, Page>();
-  private readonly of = new Map<MachineId, Page>();
+  private readonly pageOf = new Map<MachineId, Page>();
   private perPage = 1;
   /** Pages that aren't understood. */
-  private readonly foreign = new Set<number>();
+  private readonly unreadablePages = new Set<number>();
 
   constructor(private valueBytes: number) {
-    this.keepTo(valueBytes);
+    this.limitPages(valueBytes);
   }
 
   /** Pages are kept to so much text from now on; larger ones are spread over others, machine by machine. */
-  keepTo(valueBytes: number): void {
+  limitPages(valueBytes: number): void {
     this.valueBytes = valueBytes;
     this.perPage = Math.max(1, Math.floor((valueBytes * PAGE_SHARE) / MACHINE_BYTES));
     for (const page of [...this.pages.values()]) this.spread(page);
@@ -56,11 +56,11 @@
     while (machines.length > 1 && (machines.length > this.perPage || !this.fits(machines))) {
       const m = machines.pop() as Machine;
       if (m.registered) {
-        const to = this.put(m, page);
+        const to = this.assignPage(m, page);
         page.leaving.set(m, to);
       } else {
         page.machines.delete(m);
-        this.put(m, page).urgent = true;
+        this.assignPage(m, page).urgent = true;
       }
     }
   }
@@ -70,20 +70,20 @@
   }
 
   /** Its machines are on another page too: that one holds, and this is written without them. */
-  noteDouble(key: string): void {
+  rewriteWithoutDuplicates(key: string): void {
     const page = this.pages.get(Number(key.slice(MACHINE_PREFIX.length)));
-    if (page) page.shrunk = true;
+    if (page) page.needsRewrite = true;
   }
 
   /** A page is on record as it was with these machines: those that came from other pages may leave them. */
-  arrived(page: Page, machines: readonly Machine[]): void {
+  onPageStored(page: Page, machines: readonly Machine[]): void {
     for (const from of this.pages.values()) {
       if (from.leaving.size === 0) continue;
       for (const m of machines) {
         if (from.leaving.get(m) !== page) continue;
         from.leaving.delete(m);
         from.machines.delete(m);
-        from.shrunk = true;
+        from.needsRewrite = true;
       }
     }
   }
@@ -93,20 +93,20 @@
   }
 
   /** Puts a machine on a page with room, other than `not`; the page is written before long. */
-  private put(m: Machine, not: Page | null): Page {
+  private assignPage(m: Machine, not: Page | null): Page {
     let page: Page | undefined;
     for (const p of this.pages.values()) {
       if (p === not || p.leaving.size > 0 || p.machines.size >= this.perPage) continue;
       if ((page === undefined || p.machines.size > page.machines.size) && this.fits([...p.machines, m])) page = p;
     }
     if (!page) {
-      page = this.fresh(this.pages.size, ABSENT);
-      while (this.pages.has(page.no) || this.foreign.has(page.no)) page = this.fresh(page.no + 1, ABSENT);
+      page = this.emptyPage(this.pages.size, ABSENT);
+      while (this.pages.has(page.no) || this.unreadablePages.has(page.no)) page = this.emptyPage(page.no + 1, ABSENT);
       this.pages.set(page.no, page);
     }
     page.machines.add(m);
-    page.shrunk = true;
-    this.of.set(m.id, page);
+    page.needsRewrite = true;
+    this.pageOf.set(m.id, page);
     return page;
   }
 
@@ -116,32 +116,32 @@
     const records = decodePage(item.value);
     if (!records || !Number.isSafeInteger(no)) {
       // Not ours to write over: a later build may have put it there.
-      if (Number.isSafeInteger(no)) this.foreign.add(no);
+      if (Number.isSafeInteger(no)) this.unreadablePages.add(no);
       return [];
     }
-    this.pages.set(no, this.fresh(no, item.version));
+    this.pages.set(no, this.emptyPage(no, item.version));
     return records;
   }
 
-  private fresh(no: number, version: Revision): Page {
+  private emptyPage(no: number, version: Revision): Page {
     return {
       no,
       machines: new Set(),
-      kept: [],
+      keptRecords: [],
       leaving: new Map(),
       version,
       urgent: false,
-      shrunk: false,
-      hints: false,
-      writing: false,
-      lost: false,
+      needsRewrite: false,
+      hintsChanged: false,
+      writeInFlight: false,
+      versionUnknown: false,
       writtenAt: 0 as Steady,
     };
   }
 
   /** A machine of a type that is not known now: its record stays as it is. */
-  keep(key: string, record: MachineRecord): void {
-    this.pages.get(Number(key.slice(MACHINE_PREFIX.length)))?.kept.push(record);
+  keepUnknown(key: string, record: MachineRecord): void {
+    this.pages.get(Number(key.slice(MACHINE_PREFIX.length)))?.keptRecords.push(record);
   }
 
   /** Puts a machine that was read from a page back on it. */
@@ -149,61 +149,61 @@
     const page = this.pages.get(Number(key.slice(MACHINE_PREFIX.length)));
     if (!page) return;
     page.machines.add(m);
-    this.of.set(m.id, page);
+    this.pageOf.set(m.id, page);
     m.registered = true;
   }
 
   add(m: Machine): void {
-    if (this.of.has(m.id)) return;
-    this.put(m, null).urgent = true;
+    if (this.pageOf.has(m.id)) return;
+    this.assignPage(m, null).urgent = true;
   }
 
-  drop(id: MachineId): void {
-    const page = this.of.get(id);
+  remove(id: MachineId): void {
+    const page = this.pageOf.get(id);
     if (!page) return;
-    this.of.delete(id);
+    this.pageOf.delete(id);
     for (const m of page.machines) if (m.id === id) page.machines.delete(m);
-    page.shrunk = true;
+    page.needsRewrite = true;
     for (const from of this.pages.values()) {
       for (const m of from.leaving.keys()) {
         if (m.id !== id) continue;
         from.leaving.delete(m);
         from.machines.delete(m);
-        from.shrunk = true;
+        from.needsRewrite = true;
       }
     }
   }
 
-  noteHints(): void {
+  collectHints(): void {
     for (const page of this.pages.values()) {
-      if (page.hints) continue;
+      if (page.hintsChanged) continue;
       for (const m of page.machines) {
         if (!m.imagesChanged) continue;
-        page.hints = true;
+        page.hintsChanged = true;
         break;
       }
     }
   }
 
   /** Pages to write, the most pressing first; without tokens to spare only what can't wait. */
-  due(now: Steady, spare: boolean): Page[] {
+  duePages(now: Steady, spare: boolean): Page[] {
     const found: Page[] = [];
     for (const p of this.pages.values()) {
       // One that is being spread is too large to be written until the others have left.
-      if (p.writing || p.lost || p.leaving.size > 0) continue;
-      if (p.urgent || p.shrunk || (p.hints && spare && now - p.writtenAt > HINTS_MS)) found.push(p);
+      if (p.writeInFlight || p.versionUnknown || p.leaving.size > 0) continue;
+      if (p.urgent || p.needsRewrite || (p.hintsChanged && spare && now - p.writtenAt > HINTS_MS)) found.push(p);
     }
-    return found.sort((a, b) => Number(b.urgent) - Number(a.urgent) || Number(b.shrunk) - Number(a.shrunk));
+    return found.sort((a, b) => Number(b.urgent) - Number(a.urgent) || Number(b.needsRewrite) - Number(a.needsRewrite));
   }
 
   lostPages(): Page[] {
-    return [...this.pages.values()].filter((p) => p.lost && !p.writing);
+    return [...this.pages.values()].filter((p) => p.versionUnknown && !p.writeInFlight);
   }
 
   /** The change that brings the store up to date with a page; `bytes` is about its size. */
-  change(page: Page): { change: Change; bytes: number; machines: Machine[] } {
+  changeFor(page: Page): { change: Change; bytes: number; machines: Machine[] } {
     const machines = [...page.machines];
-    const records = [...page.kept, ...machines.map(machineRecord)];
+    const records = [...page.keptRecords, ...machines.map(machineRecord)];
     for (let images = IMAGES_MOST; ; images = Math.floor(images / 2)) {
       const value = encodePage(records, images);
       const bytes = JSON.stringify(value).length;
--- a/src/core/reports.ts
+++ b/src/core/reports.ts
@@ -22,7 +22,7 @@
   if (!isNewer(m, r)) return false;
   // Without our token the list may be older than a command of an earlier leader that is still on its way.
   // And what nobody has listed may be long gone: a late copy of its list must not bring back tasks that ended.
-  if (r.token !== token && (m.registered || !m.accounted || !m.proven)) return false;
+  if (r.token !== token && (m.registered || !m.reconciled || !m.confirmed)) return false;
   let freed = false;
   if (m.session !== null && r.session > m.session) {
     cluster.ctx.log('info', 'worker began a new session: its tasks are gone', {
@@ -31,41 +31,41 @@
       tasks: m.placements.size,
     });
     cluster.releaseAll(m);
-    m.lateStarts.clear();
+    m.unconfirmedStarts.clear();
     m.images.forEach((image, name) => {
       if (image.fetchingSince !== null) m.images.delete(name);
     });
     freed = true;
   }
   if (m.session !== r.session) {
-    m.beatSeq = null;
+    m.lastReportSeq = null;
     // A direct call may be the first to tell of a session: its lease began some time before now.
-    m.answeredAt = now;
+    m.leaseRenewedAt = now;
   }
   m.session = r.session;
   m.seq = r.seq;
-  if (!m.accounted) {
-    m.accounted = true;
-    cluster.countUnaccounted();
+  if (!m.reconciled) {
+    m.reconciled = true;
+    cluster.updateUnreconciled();
     freed = true;
   }
   if (r.noticeS !== null) {
-    if (m.noticeUntil === null) {
+    if (m.interruptionAt === null) {
       cluster.ctx.log('info', 'the cloud will take the machine', { machine: m.id, inS: r.noticeS });
       freed = true;
     }
-    m.noticeUntil = steadyPlus(now, r.noticeS * 1000);
+    m.interruptionAt = steadyPlus(now, r.noticeS * 1000);
   }
   let dropped = false;
   const seen = new Set<string>();
-  m.exited = [];
+  m.exitedTasks = [];
   for (const t of r.tasks) {
     const key = taskKey(t.job, t.index);
     if (t.phase === 'exited') {
-      if (takeExit(cluster, m, t)) freed = true;
+      if (processExit(cluster, m, t)) freed = true;
     } else {
       seen.add(key);
-      takeLive(cluster, m, t, now);
+      processLiveTask(cluster, m, t, now);
     }
   }
   for (const [key, p] of [...m.placements]) {
@@ -74,11 +74,12 @@
       // Only a newer report of the same kind shows that the answer with the start was dropped: replies to direct
       // commands overtake it. Reports are sent one after the other.
       // One that went out by a direct call without an answer may still arrive, whatever the reports say (late-starts.txt).
-      if (!beat || p.sentSeq === null || r.seq <= p.sentSeq || m.lateStarts.has(startKey(p))) continue;
+      if (!beat || p.sentInReplyTo === null || r.seq <= p.sentInReplyTo || m.unconfirmedStarts.has(startKey(p)))
+        continue;
       p.phase = 'planned';
-      p.sentSeq = null;
+      p.sentInReplyTo = null;
       dropped = true;
-      if (p.stop !== null || p.job.broken || p.job.state !== 'accepted') {
+      if (p.stop !== null || p.job.gangBroken || p.job.state !== 'accepted') {
         cluster.release(p);
         freed = true;
       }
@@ -88,48 +89,48 @@
     cluster.release(p);
     freed = true;
   }
-  if (dropped) m.unheeded += 1;
-  m.dropUnwantedFetches();
+  if (dropped) m.ignoredAnswers += 1;
+  m.dropAbandonedFetches();
   return freed;
 }
 
 /** A task that ended. Returns whether room came free. */
-function takeExit(cluster: Cluster, m: Machine, t: TaskReport): boolean {
+function processExit(cluster: Cluster, m: Machine, t: TaskReport): boolean {
   const { ctx } = cluster;
   const job = cluster.jobs.get(t.job);
   const done = t.reason === 'done';
-  m.exited.push({ job: t.job, index: t.index, attempt: t.attempt, done });
+  m.exitedTasks.push({ job: t.job, index: t.index, attempt: t.attempt, done });
   if (!job) return false;
   const p = cluster.findPlacement(m, t.job, t.index);
   const mine = p !== undefined && p.attempt === t.attempt;
   if (job.spec.shape === 'service') {
-    m.exited[m.exited.length - 1] = { job: t.job, index: t.index, attempt: t.attempt, done: false };
+    m.exitedTasks[m.exitedTasks.length - 1] = { job: t.job, index: t.index, attempt: t.attempt, done: false };
     if (!mine) return false;
-    noteReplicaEnd(cluster, m, p, t);
+    recordReplicaEnd(cluster, m, p, t);
     cluster.release(p);
     return true;
   }
   if (done && job.state === 'accepted' && !job.isDone(t.index)) {
     job.markDone(t.index);
-    m.errorStreak = 0;
+    m.consecutiveErrors = 0;
     if (mine && p.runningSince !== null && job.failures === 0) {
       const spread = cluster.estimates.spread(job.spec);
       const surprise = cluster.estimates.observe(job.spec, (ctx.now.steady - p.runningSince) / 1000);
       // A gang is as slow as its slowest machine: only a gang of one says which that is.
-      if (job.spec.shape !== 'gang' || job.spec.tasks === 1) noteSpeed(m, job, { surprise, spread });
+      if (job.spec.shape !== 'gang' || job.spec.tasks === 1) recordSpeed(m, job, { surprise, spread });
     }
-    if (ctx.timers.at('flush') === null) ctx.timers.set('flush', steadyPlus(ctx.now.steady, 30));
+    if (ctx.timers.at('recordFlush') === null) ctx.timers.set('recordFlush', steadyPlus(ctx.now.steady, 30));
   }
   if (!mine) return false;
-  if (!done) noteFailure(cluster, m, job, t, p.runningSince !== null);
+  if (!done) recordFailure(cluster, m, job, t, p.runningSince !== null);
   cluster.release(p);
   return true;
 }
 
 /** A job that runs long on several machines was estimated wrongly, and is no evidence against any of them. */
-function noteSpeed(m: Machine, job: Job, e: Evidence): void {
-  if (e.surprise > SLOW_FACTOR) job.longOn.add(m.id);
-  if (job.longOn.size < 2) m.slowness.note(job.id, e);
+function recordSpeed(m: Machine, job: Job, e: Evidence): void {
+  if (e.surprise > SLOW_FACTOR) job.slowOn.add(m.id);
+  if (job.slowOn.size < 2) m.slowness.note(job.id, e);
 }
 
 /** One that ran for so long has shown that its service and its machine are well. */
@@ -141,30 +142,30 @@
  * A replica that ends runs again elsewhere, whatever it ended with. One that ends soon after its start does so after a pause
  * that doubles: a service that can't stay up must not take the cluster's time.
  */
-function noteReplicaEnd(cluster: Cluster, m: Machine, p: Placement, t: TaskReport): void {
+function recordReplicaEnd(cluster: Cluster, m: Machine, p: Placement, t: TaskReport): void {
   const { job } = p;
   const now = cluster.ctx.now.steady;
   if (t.reason === 'stopped') return;
   if (p.runningSince !== null && now - p.runningSince >= STEADY_MS) {
     job.failedOn.clear();
-    job.quickEnds = 0;
+    job.shortRuns = 0;
   } else if (t.reason === 'done' || t.reason === 'error') {
     job.failedOn.add(m.id);
     // Replicas that began together and end together have failed once.
-    if (p.since >= job.quickEndAt) {
-      job.quickEnds += 1;
-      job.quickEndAt = now;
+    if (p.since >= job.lastShortRunAt) {
+      job.shortRuns += 1;
+      job.lastShortRunAt = now;
     }
-    const pause = job.quickEnds <= QUICK_ENDS_FREE ? 0 : 500 * 2 ** Math.min(6, job.quickEnds - QUICK_ENDS_FREE);
+    const pause = job.shortRuns <= QUICK_ENDS_FREE ? 0 : 500 * 2 ** Math.min(6, job.shortRuns - QUICK_ENDS_FREE);
     job.notBefore = steadyPlus(now, Math.min(RESTART_MOST_MS, pause));
   }
   const pausedUntil = job.notBefore;
-  if (t.reason !== 'done') noteFailure(cluster, m, job, t, p.runningSince !== null);
+  if (t.reason !== 'done') recordFailure(cluster, m, job, t, p.runningSince !== null);
   job.notBefore = Math.max(pausedUntil, job.notBefore) as Steady;
-  cluster.wakeServices(job.notBefore);
+  cluster.scheduleServicePlacement(job.notBefore);
 }
 
-function noteFailure(cluster: Cluster, m: Machine, job: Job, t: TaskReport, ran: boolean): void {
+function recordFailure(cluster: Cluster, m: Machine, job: Job, t: TaskReport, ran: boolean): void {
   const { ctx } = cluster;
   const now = ctx.now.steady;
   if (t.reason === 'stopped' || t.reason === 'peers_gone') {
@@ -184,21 +185,24 @@
     job.notBefore = steadyPlus(now, Math.min(60_000, 2000 * 2 ** Math.min(5, job.failedOn.size - FAULTY_AFTER)));
     return;
   }
-  m.errorStreak += 1;
+  m.consecutiveErrors += 1;
   m.suspectUntil = steadyPlus(now, 3000);
-  if (m.errorStreak >= ctx.tuning.machines.error_limit && m.draining === null) {
+  if (m.consecutiveErrors >= ctx.tuning.machines.error_limit && m.draining === null) {
     m.draining = 'fails its tasks';
-    ctx.log('info', 'machine fails what it starts: taking it out of use', { machine: m.id, errors: m.errorStreak });
+    ctx.log('info', 'machine fails what it starts: taking it out of use', {
+      machine: m.id,
+      errors: m.consecutiveErrors,
+    });
   }
 }
 
-function takeLive(cluster: Cluster, m: Machine, t: TaskReport, now: Steady): void {
+function processLiveTask(cluster: Cluster, m: Machine, t: TaskReport, now: Steady): void {
   const job = cluster.jobs.get(t.job);
   if (!job) return;
   let p = cluster.findPlacement(m, t.job, t.index);
   if (p && p.attempt !== t.attempt) {
     // Ours may still come by a direct call; it is refused for as long as the older one is there, and the worker says so.
-    if (m.lateStarts.has(startKey(p))) return;
+    if (m.unconfirmedStarts.has(startKey(p))) return;
     // An older attempt is still there: ours can't have been started.
     cluster.release(p);
     p = undefined;
@@ -218,10 +222,10 @@
     if (job.spec.shape !== 'gang' && job.isDone(t.index)) cluster.stop(p, 0);
   }
   const fromStart = p.phase === 'sent';
-  if (fromStart) m.unheeded = 0;
+  if (fromStart) m.ignoredAnswers = 0;
   p.phase = t.phase as 'running';
-  if (t.phase === 'fetching') m.noteImage(job, true, now, fromStart);
-  else m.noteImage(job, false, now);
+  if (t.phase === 'fetching') m.recordImage(job, true, now, fromStart);
+  else m.recordImage(job, false, now);
   if (t.phase === 'running' && p.runningSince === null) {
     p.runningSince = now;
     cluster.ctx.log('debug', 'task runs', {
@@ -241,11 +245,11 @@
 export function compileCommands(cluster: Cluster, m: Machine, starts: boolean): Command[] {
   const commands: Command[] = [];
   if (starts) {
-    for (const e of m.exited) {
+    for (const e of m.exitedTasks) {
       const job = cluster.jobs.get(e.job);
       // Once forgotten, a start of the same attempt that is still on its way would run it again.
-      if (m.lateStarts.has(startKey(e))) continue;
-      if (!e.done || !job || job.exitIsDurable(e.index)) {
+      if (m.unconfirmedStarts.has(startKey(e))) continue;
+      if (!e.done || !job || job.isResultDurable(e.index)) {
         commands.push({ op: 'forget', job: e.job, index: e.index, attempt: e.attempt });
       }
     }
--- a/src/core/scheduler/hosting.ts
+++ b/src/core/scheduler/hosting.ts
@@ -20,8 +20,8 @@
 export function mayHost(cluster: Cluster, job: Job, m: Machine, instead = false): boolean {
   const { spec } = job;
   if (
-    !m.usable(cluster.ctx.now.steady, cluster.ctx.settings.workers.reportMs) ||
-    !m.fits(spec) ||
+    !m.isSchedulable(cluster.ctx.now.steady, cluster.ctx.settings.workers.reportMs) ||
+    !m.hasRoomFor(spec) ||
     (!instead && cluster.quotas.room(spec) < 1)
   )
     return false;
@@ -33,7 +33,7 @@
 }
 
 /** Gives the task its place: it is sent once the job's first start is on record. */
-export function begin(
+export function placeTask(
   cluster: Cluster,
   job: Job,
   index: number,
@@ -60,7 +60,7 @@
 /** Once for each type and shape of task, not for each machine: hundreds of machines meet hundreds of shapes. */
 export function gpuWorkOf(cluster: Cluster): GpuWork {
   const shapes = new Map<string, Resources>();
-  for (const { spec, state } of cluster.active) {
+  for (const { spec, state } of cluster.activeJobs) {
     if (spec.gpus <= 0 || state !== 'accepted') continue;
     const key = `${spec.gpus}|${spec.cpus}|${spec.memGb}`;
     if (!shapes.has(key)) shapes.set(key, spec);
@@ -83,7 +83,7 @@
  * On machines with GPUs, the cores and memory that GPU work has no use for even when it has all the GPUs. Work without
  * GPUs that took more would keep GPUs idle: a gang that needs whole machines would wait for the last small task on each.
  */
-export function looseRoom(m: Machine, gpuWork: GpuWork): { cpus: number; memGb: number } {
+export function spareRoom(m: Machine, gpuWork: GpuWork): { cpus: number; memGb: number } {
   const { type } = m;
   if (type.gpus === 0) return { cpus: Number.POSITIVE_INFINITY, memGb: Number.POSITIVE_INFINITY };
   const taken = gpuWork.get(type.name) ?? { cpus: 0, memGb: 0 };
--- a/src/core/scheduler/moves.ts
+++ b/src/core/scheduler/moves.ts
@@ -4,8 +4,8 @@
 import { steadyPlus } from '../types.js';
 import { mayHost } from './hosting.js';
 
-const WORTH_S = 6;
-const MOVES_MOST = 3;
+const MIN_GAIN_S = 6;
+const MAX_MIGRATIONS = 3;
 const RESERVED_MS = 2500;
 
 /**
@@ -13,14 +13,15 @@
  * stopping a fetch. So a gang need not bet on when a machine will be free: it begins to fetch at once, and moves if that
  * turns out better. Starts follow only once the stop is reported, as for any restart.
  */
-export function moveToCached(cluster: Cluster): number {
+export function migrateToCachedImages(cluster: Cluster): number {
   let moved = 0;
-  for (const job of cluster.active) {
-    if (job.spec.shape !== 'gang' || job.state !== 'accepted' || job.broken || job.moves >= MOVES_MOST) continue;
-    if (job.placements.size !== job.spec.tasks || fetchLeftS(cluster, job) < WORTH_S) continue;
+  for (const job of cluster.activeJobs) {
+    if (job.spec.shape !== 'gang' || job.state !== 'accepted' || job.gangBroken || job.migrations >= MAX_MIGRATIONS)
+      continue;
+    if (job.placements.size !== job.spec.tasks || fetchLeftS(cluster, job) < MIN_GAIN_S) continue;
     const targets = cachedRoom(cluster, job);
     if (!targets) continue;
-    job.moves += 1;
+    job.migrations += 1;
     moved += 1;
     for (const m of targets) m.reserved = { job: job.id, until: steadyPlus(cluster.ctx.now.steady, RESERVED_MS) };
     cluster.ctx.log('debug', 'moving to where the image is', { job: job.id, to: targets.map((m) => m.id).join() });
--- a/src/core/scheduler/planner.ts
+++ b/src/core/scheduler/planner.ts
@@ -10,15 +10,15 @@
   times: number[];
   cpus: number[];
   gpus: number[];
-  mem: number[];
+  memGb: number[];
   /** What jobs without GPUs may still take of a machine with GPUs: only what GPU work could not use anyway. */
-  looseCpus: number;
-  looseMem: number;
+  spareCpus: number;
+  spareMemGb: number;
   fetchS(image: ImageName, gb: number): number;
   /** An ordinary machine of a kind that gangs wait for which need whole ones and may not use spot machines. */
-  readonly wanted: boolean;
+  readonly reservedForGangs: boolean;
   /** Largest share of a machine that a job needs whose image it holds. */
-  readonly warmShare: number;
+  readonly largestCachedShare: number;
 }
 
 export interface PlanJob extends Resources {
@@ -42,7 +42,7 @@
   readonly weight: number;
   readonly waitedS: number;
   /** How much of its reluctance is left, 1 to 0: a job of which nothing has run for long takes what there is. */
-  readonly choosy: number;
+  readonly penaltyFactor: number;
   /** Machines it had better not use. */
   readonly avoid: ReadonlySet<number> | null;
 }
@@ -68,17 +68,17 @@
 }
 
 /** Seconds of start time that a job would rather wait than take a machine that others need more. */
-export interface Reluctance {
+export interface PlacementPenalties {
   /** For a machine with GPUs, by a job that asks for none. */
   readonly gpuS: number;
   /** For an ordinary machine, by a job that may use a spot one: cheaper, and the others can't. */
-  readonly ordinaryS: number;
+  readonly onDemandS: number;
   /** For a machine that waiting gangs have no choice but to use, by an array that may use spot ones. */
-  readonly wantedS: number;
+  readonly reservedS: number;
   /** For a machine that holds images of larger jobs: those would have to fetch elsewhere. */
-  readonly warmS: number;
+  readonly cachedImageS: number;
   /** Room in the future counts this much more than its time: what is expected to end often doesn't. */
-  readonly doubt: number;
+  readonly futureDiscount: number;
 }
 
 export interface Weights {
@@ -100,12 +100,12 @@
     times: m.times.slice(),
     cpus: m.cpus.slice(),
     gpus: m.gpus.slice(),
-    mem: m.mem.slice(),
-    looseCpus: m.looseCpus,
-    looseMem: m.looseMem,
+    memGb: m.memGb.slice(),
+    spareCpus: m.spareCpus,
+    spareMemGb: m.spareMemGb,
     fetchS: m.fetchS,
-    wanted: m.wanted,
-    warmShare: m.warmShare,
+    reservedForGangs: m.reservedForGangs,
+    largestCachedShare: m.largestCachedShare,
   };
 }
 
@@ -135,7 +135,7 @@
   for (let i = k; i < m.times.length && (i === k || at(m.times, i) < until - EPS); i++) {
     if (at(m.cpus, i) < cpus) cpus = at(m.cpus, i);
     if (at(m.gpus, i) < gpus) gpus = at(m.gpus, i);
-    if (at(m.mem, i) < mem) mem = at(m.mem, i);
+    if (at(m.memGb, i) < mem) mem = at(m.memGb, i);
     if (cpus + EPS < r.cpus || gpus + EPS < r.gpus || mem + EPS < r.memGb) return 0;
   }
   let n = Number.POSITIVE_INFINITY;
@@ -147,10 +147,10 @@
 
 /** As `fitCount`, and without taking from GPU work what it needs beside its GPUs. */
 function fits(m: PlanMachine, k: number, needS: number, r: PlanJob): number {
-  if (r.gpus > 0 || m.type.gpus === 0 || r.choosy === 0) return fitCount(m, k, needS, r);
+  if (r.gpus > 0 || m.type.gpus === 0 || r.penaltyFactor === 0) return fitCount(m, k, needS, r);
   const loose = Math.min(
-    r.cpus > 0 ? m.looseCpus / r.cpus : Number.POSITIVE_INFINITY,
-    r.memGb > 0 ? m.looseMem / r.memGb : Number.POSITIVE_INFINITY,
+    r.cpus > 0 ? m.spareCpus / r.cpus : Number.POSITIVE_INFINITY,
+    r.memGb > 0 ? m.spareMemGb / r.memGb : Number.POSITIVE_INFINITY,
   );
   return loose + EPS < 1 ? 0 : Math.min(Math.floor(loose + EPS), fitCount(m, k, needS, r));
 }
@@ -169,8 +169,8 @@
 
 /** Whether so much is free at the first step, not asking for how long. */
 function fitsNow(m: PlanMachine, r: Resources): boolean {
-  if (r.gpus === 0 && m.type.gpus > 0 && (m.looseCpus + EPS < r.cpus || m.looseMem + EPS < r.memGb)) return false;
-  return at(m.cpus, 0) + EPS >= r.cpus && at(m.gpus, 0) + EPS >= r.gpus && at(m.mem, 0) + EPS >= r.memGb;
+  if (r.gpus === 0 && m.type.gpus > 0 && (m.spareCpus + EPS < r.cpus || m.spareMemGb + EPS < r.memGb)) return false;
+  return at(m.cpus, 0) + EPS >= r.cpus && at(m.gpus, 0) + EPS >= r.gpus && at(m.memGb, 0) + EPS >= r.memGb;
 }
 
 /** Whether `a` can begin only where `b` could: it asks for no less, for no shorter, and may go to no more places. */
@@ -194,7 +194,7 @@
   let least = 1;
   if (m.type.gpus > 0) least = Math.min(least, (at(m.gpus, k) - n * r.gpus) / m.type.gpus);
   if (m.type.cpus > 0) least = Math.min(least, (at(m.cpus, k) - n * r.cpus) / m.type.cpus);
-  if (m.type.memGb > 0) least = Math.min(least, (at(m.mem, k) - n * r.memGb) / m.type.memGb);
+  if (m.type.memGb > 0) least = Math.min(least, (at(m.memGb, k) - n * r.memGb) / m.type.memGb);
   return least;
 }
 
@@ -205,7 +205,7 @@
   m.times.splice(k + 1, 0, t);
   m.cpus.splice(k + 1, 0, at(m.cpus, k));
   m.gpus.splice(k + 1, 0, at(m.gpus, k));
-  m.mem.splice(k + 1, 0, at(m.mem, k));
+  m.memGb.splice(k + 1, 0, at(m.memGb, k));
   return k + 1;
 }
 
@@ -215,7 +215,7 @@
   for (let i = a; i < b; i++) {
     m.cpus[i] = at(m.cpus, i) - n * r.cpus;
     m.gpus[i] = at(m.gpus, i) - n * r.gpus;
-    m.mem[i] = at(m.mem, i) - n * r.memGb;
+    m.memGb[i] = at(m.memGb, i) - n * r.memGb;
   }
 }
 
@@ -223,7 +223,7 @@
   readonly slot: number;
   machine: PlanMachine;
   readonly fetchS: number;
-  readonly reluctanceS: number;
+  readonly penaltyS: number;
   step: number;
   count: number;
   startS: number;
@@ -286,7 +286,13 @@
 
   constructor(
     private readonly weights: Weights,
-    private readonly reluctance: Reluctance = { gpuS: 0, ordinaryS: 0, wantedS: 0, warmS: 0, doubt: 0 },
+    private readonly penalties: PlacementPenalties = {
+      gpuS: 0,
+      onDemandS: 0,
+      reservedS: 0,
+      cachedImageS: 0,
+      futureDiscount: 0,
+    },
   ) {}
 
   /** `genes`: a zone for each job; null plans arrays over all of their zones at once. */
@@ -420,13 +426,13 @@
     return best;
   }
 
-  private reluctanceS(job: PlanJob, m: PlanMachine, share: number): number {
-    const { gpuS, ordinaryS, wantedS, warmS } = this.reluctance;
+  private penaltyS(job: PlanJob, m: PlanMachine, share: number): number {
+    const { gpuS, onDemandS, reservedS, cachedImageS } = this.penalties;
     let s = 0;
     if (job.gpus === 0 && m.type.gpus > 0) s += gpuS;
-    if (job.spotOk && !m.spot) s += m.wanted && !job.gang ? wantedS : ordinaryS;
-    if (m.warmShare > share + 0.01) s += warmS;
-    return s * job.choosy + (m.spot ? job.spotDelayS : 0);
+    if (job.spotOk && !m.spot) s += m.reservedForGangs && !job.gang ? reservedS : onDemandS;
+    if (m.largestCachedShare > share + 0.01) s += cachedImageS;
+    return s * job.penaltyFactor + (m.spot ? job.spotDelayS : 0);
   }
 
   private candidates(job: PlanJob, slots: readonly number[]): Candidate[] {
@@ -444,16 +450,16 @@
       // Most machines with GPUs have nothing loose: looking no further there is a third of the cost of small work.
       if (
         job.gpus === 0 &&
-        job.choosy > 0 &&
+        job.penaltyFactor > 0 &&
         m.type.gpus > 0 &&
-        (m.looseCpus + EPS < job.cpus || m.looseMem + EPS < job.memGb)
+        (m.spareCpus + EPS < job.cpus || m.spareMemGb + EPS < job.memGb)
       )
         continue;
       found.push({
         slot,
         machine: m,
         fetchS: m.fetchS(job.image, job.imageGb),
-        reluctanceS: this.reluctanceS(job, m, share),
+        penaltyS: this.penaltyS(job, m, share),
         step: 0,
         count: 0,
         startS: 0,
@@ -469,7 +475,7 @@
     const roomAt = at(c.machine.times, step);
     c.step = step;
     c.startS = roomAt + c.fetchS;
-    c.rank = Math.round(2 * (c.startS + this.reluctance.doubt * roomAt + c.reluctanceS));
+    c.rank = Math.round(2 * (c.startS + this.penalties.futureDiscount * roomAt + c.penaltyS));
     c.slack = slack(c.machine, step, 1, job);
     return c;
   }
@@ -495,8 +501,8 @@
     c.machine = this.machines[c.slot] as PlanMachine;
     reserve(c.machine, from, needS, n, r);
     if (r.gpus > 0 || c.machine.type.gpus === 0) return;
-    c.machine.looseCpus -= n * r.cpus;
-    c.machine.looseMem -= n * r.memGb;
+    c.machine.spareCpus -= n * r.cpus;
+    c.machine.spareMemGb -= n * r.memGb;
   }
 
   private planArray(
@@ -548,7 +554,7 @@
     }
     free.sort((a, b) => a.at - b.at);
     let best: { roomAt: number; startS: number; chosen: Chosen[] } | null = null;
-    const doubted = (roomAt: number, startS: number): number => startS + this.reluctance.doubt * roomAt;
+    const doubted = (roomAt: number, startS: number): number => startS + this.penalties.futureDiscount * roomAt;
     let room = 0;
     let tried = 0;
     for (let i = 0; i < free.length && tried < GANG_TRIES; i++) {
@@ -591,7 +597,7 @@
       while (k > 0 && at(m.times, k) > t + EPS) k -= 1;
       const n = fits(m, k, t - at(m.times, k) + c.fetchS + job.durationS, job);
       if (n === 0) continue;
-      const rank = Math.round(2 * (c.fetchS + c.reluctanceS));
+      const rank = Math.round(2 * (c.fetchS + c.penaltyS));
       options.push({ c, n, near: m.zone === zone ? 0 : 1, rank, slack: slack(m, k, 1, job) });
     }
     this.steps += options.length;
--- a/src/core/scheduler/preempt.ts
+++ b/src/core/scheduler/preempt.ts
@@ -37,7 +37,7 @@
     const chosen = cheapest(cluster, job);
     if (!chosen) continue;
     gangs += 1;
-    job.preempted += 1;
+    job.preemptions += 1;
     for (const { machine, victims } of chosen) {
       machine.reserved = { job: job.id, until: steadyPlus(cluster.ctx.now.steady, RESERVED_MS) };
       for (const p of victims) {
@@ -58,8 +58,8 @@
     spec.rank > 0 &&
     !spec.spread &&
     job.placements.size === 0 &&
-    !job.broken &&
-    job.preempted < TIMES_MOST &&
+    !job.gangBroken &&
+    job.preemptions < TIMES_MOST &&
     (cluster.ctx.now.wall - job.submittedAt) / 1000 >= WAITED_S &&
     cluster.quotas.room(spec) >= spec.tasks
   );
@@ -90,7 +90,7 @@
 export function optionOn(cluster: Cluster, job: Job, m: Machine): Option | null {
   const { spec } = job;
   const now = cluster.ctx.now.steady;
-  if (!m.usable(now, cluster.ctx.settings.workers.reportMs)) return null;
+  if (!m.isSchedulable(now, cluster.ctx.settings.workers.reportMs)) return null;
   if (!couldHost(job, m.type, m.zone) || (m.spot && !spec.spotOk)) return null;
   if (m.reserved && m.reserved.until > now && m.reserved.job !== job.id) return null;
   const lower: { p: Placement; lost: number }[] = [];
@@ -104,7 +104,7 @@
   lower.sort((a, b) => a.lost - b.lost);
   let cpus = m.type.cpus - m.usedCpus;
   let gpus = m.type.gpus - m.usedGpus;
-  let mem = m.type.memGb - m.usedMem;
+  let mem = m.type.memGb - m.usedMemGb;
   let cost = m.fetchSeconds(spec.image, spec.imageGb, now) * Math.max(spec.gpus, 0.1);
   const victims: Placement[] = [];
   const room = (): boolean => cpus + 1e-6 >= spec.cpus && gpus + 1e-6 >= spec.gpus && mem + 1e-6 >= spec.memGb;
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -5,7 +5,7 @@
 import type { Job, Placement } from '../jobs.js';
 import type { JobId, Steady, TypeName, ZoneName } from '../types.js';
 import { Evolution } from './evolution.js';
-import { begin, couldHost, type GpuWork, gpuWorkOf, looseRoom, mayHost, overdueS } from './hosting.js';
+import { couldHost, type GpuWork, gpuWorkOf, mayHost, overdueS, placeTask, spareRoom } from './hosting.js';
 import { machineShare, type Plan, type PlanJob, type PlanMachine, type PlannedStart, Planner } from './planner.js';
 import { rankValue, urgency, userWeight } from './priority.js';
 import { waitingServices } from './services.js';
@@ -29,7 +29,7 @@
 
 const NOW_S = 0.05;
 /** A job of which nothing runs is as choosy as its preferences say for so long, and not at all after twice that. */
-const CHOOSY_S = 35;
+const FULL_PENALTY_S = 35;
 /** So many tasks of it do to go on where others would rather have the room. */
 const BEGIN_TASKS = 4;
 const OVERDUE_TASKS = 20;
@@ -73,7 +73,7 @@
   const times = [ready];
   const cpus = [m.type.cpus - m.usedCpus];
   const gpus = [m.type.gpus - m.usedGpus];
-  const mem = [m.type.memGb - m.usedMem];
+  const memGb = [m.type.memGb - m.usedMemGb];
   const ends = [...m.placements.values()]
     .map((p) => ({ at: remainingS(cluster, p, now), spec: p.job.spec }))
     .sort((a, b) => a.at - b.at);
@@ -84,35 +84,35 @@
       times.push(Math.ceil(at));
       cpus.push(cpus[k] as number);
       gpus.push(gpus[k] as number);
-      mem.push(mem[k] as number);
+      memGb.push(memGb[k] as number);
       k += 1;
     }
     cpus[k] = (cpus[k] as number) + spec.cpus;
     gpus[k] = (gpus[k] as number) + spec.gpus;
-    mem[k] = (mem[k] as number) + spec.memGb;
+    memGb[k] = (memGb[k] as number) + spec.memGb;
   }
-  const loose = looseRoom(m, gpuWork);
+  const loose = spareRoom(m, gpuWork);
   return {
     slot,
     zone: m.zone,
-    looseCpus: loose.cpus,
-    looseMem: loose.memGb,
+    spareCpus: loose.cpus,
+    spareMemGb: loose.memGb,
     type: m.type,
     spot: m.spot,
     times,
     cpus,
     gpus,
-    mem,
-    wanted: !m.spot && wanted.has(m.typeName),
+    memGb,
+    reservedForGangs: !m.spot && wanted.has(m.typeName),
     fetchS: (image, gb) => m.fetchSeconds(image, gb, now),
-    warmShare: warmShare(cluster, m),
+    largestCachedShare: largestCachedShare(cluster, m),
   };
 }
 
-function warmShare(cluster: Cluster, m: Machine): number {
+function largestCachedShare(cluster: Cluster, m: Machine): number {
   let most = 0;
   for (const [name, cached] of m.images) {
-    const user = cluster.imageUsers.get(name);
+    const user = cluster.largestImageUsers.get(name);
     if (user && cached.fetchingSince === null) most = Math.max(most, machineShare(user, m.type));
   }
   return most;
@@ -134,7 +134,7 @@
 /** Whether a team's unfinished work fits its guarantee: then it need not wait for others. */
 function guaranteedTeams(cluster: Cluster): Set<string> {
   const wanted = new Map<string, { cpus: number; gpus: number }>();
-  for (const job of cluster.active) {
+  for (const job of cluster.activeJobs) {
     if (job.state !== 'accepted') continue;
     const w = wanted.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
     const n = job.spec.tasks - job.done.count;
@@ -143,7 +143,7 @@
     wanted.set(job.spec.team, w);
   }
   const found = new Set<string>();
-  for (const t of cluster.quotas.all()) {
+  for (const t of cluster.quotas.teamsInOrder()) {
     const w = wanted.get(t.name);
     if (!w || (t.cpus <= 0 && t.gpus <= 0)) continue;
     if ((t.cpus <= 0 || w.cpus <= t.cpus) && (t.gpus <= 0 || w.gpus <= t.gpus)) found.add(t.name);
@@ -165,21 +165,24 @@
   const { ctx } = cluster;
   const now = ctx.now.steady;
   const tuning = ctx.tuning.scheduler;
-  const unaccounted = cluster.countUnaccounted();
+  const unaccounted = cluster.updateUnreconciled();
   const machines: Machine[] = [];
   for (const m of cluster.machines.values()) {
-    if (m.usable(now, ctx.settings.workers.reportMs) || (m.phase === 'booting' && !m.deleting && m.draining === null))
+    if (
+      m.isSchedulable(now, ctx.settings.workers.reportMs) ||
+      (m.phase === 'booting' && !m.deletionInFlight && m.draining === null)
+    )
       machines.push(m);
   }
   const gpuWork = gpuWorkOf(cluster);
   const guaranteed = guaranteedTeams(cluster);
   const gathering = new Set<string>();
   let ranked: { job: Job; tasks: number; waitedS: number; first: number; value: number }[] = [];
-  for (const job of cluster.active) {
+  for (const job of cluster.activeJobs) {
     // Services have been placed before, by best fit outside the search (services.ts).
     if (job.spec.shape === 'service') continue;
-    const waiting = Math.min(job.waiting, TASKS_PLANNED);
-    if (waiting <= 0 || job.notBefore > now || cluster.blocked(job, unaccounted)) continue;
+    const waiting = Math.min(job.pendingCount, TASKS_PLANNED);
+    if (waiting <= 0 || job.notBefore > now || cluster.isBlocked(job, unaccounted)) continue;
     // Jobs of a team at its limit sit this round out.
     const room = cluster.quotas.room(job.spec);
     const isOverdue = overdueS(cluster, job) > 0;
@@ -193,7 +196,7 @@
     // Smallest first alone would let the largest wait for as long as smaller work keeps coming. A job that has waited too
     // long goes before all others until it has begun; of an array a part is enough for that, so that others go on too.
     let tasks = isOverdue && job.spec.shape !== 'gang' ? Math.min(all, OVERDUE_TASKS) : all;
-    if (job.spec.shape !== 'gang' && job.spec.gpus === 0 && choosy(cluster, job) === 0) {
+    if (job.spec.shape !== 'gang' && job.spec.gpus === 0 && penaltyFactor(cluster, job) === 0) {
       tasks = Math.min(tasks, BEGIN_TASKS);
     }
     const runS = cluster.estimates.expectS(job.spec);
@@ -212,7 +215,7 @@
   ranked.sort((a, b) => b.first - a.first || a.value - b.value || (a.job.id < b.job.id ? -1 : 1));
   const jobs: Job[] = [];
   const planJobs: PlanJob[] = [];
-  const wanted = wantedTypes(cluster, ranked);
+  const wanted = reservedTypes(cluster, ranked);
   const planMachines = machines.map((m, slot) => planMachine(cluster, m, slot, now, gpuWork, wanted));
   const zonesHere = zonesOf(planMachines);
   const reserved: Reserved[] = [];
@@ -230,11 +233,11 @@
   const planner = new Planner(
     { average: tuning.weight_average, maximum: tuning.weight_maximum, idle: tuning.weight_idle },
     {
-      gpuS: tuning.gpu_reluctance_s,
-      ordinaryS: tuning.ordinary_reluctance_s,
-      wantedS: tuning.wanted_reluctance_s,
-      warmS: tuning.warm_reluctance_s,
-      doubt: tuning.future_doubt,
+      gpuS: tuning.gpu_penalty_s,
+      onDemandS: tuning.on_demand_penalty_s,
+      reservedS: tuning.reserved_type_penalty_s,
+      cachedImageS: tuning.cached_image_penalty_s,
+      futureDiscount: tuning.future_discount,
     },
   );
   const search = new Evolution(planner, xoroshiro128plus(seed), {
@@ -274,11 +277,11 @@
   const waiting = waitingServices(cluster, unaccounted);
   if (waiting.length === 0) return plan;
   const coming = [...cluster.machines.values()]
-    .filter((m) => m.phase === 'booting' && !m.deleting && m.draining === null)
+    .filter((m) => m.phase === 'booting' && !m.deletionInFlight && m.draining === null)
     .map((m) => ({ m, cpus: m.type.cpus, gpus: m.type.gpus, memGb: m.type.memGb }));
   for (const job of waiting) {
     const { spec } = job;
-    let tasks = Math.min(job.waiting, cluster.quotas.room(spec));
+    let tasks = Math.min(job.pendingCount, cluster.quotas.room(spec));
     for (const c of coming) {
       if ((c.m.spot && !spec.spotOk) || !couldHost(job, c.m.type, c.m.zone)) continue;
       while (tasks > 0 && c.cpus >= spec.cpus && c.gpus >= spec.gpus && c.memGb >= spec.memGb) {
@@ -299,7 +302,7 @@
 }
 
 /** Types of which gangs wait for whole machines that may not be spot ones. */
-function wantedTypes(cluster: Cluster, waiting: readonly { readonly job: Job }[]): Set<TypeName> {
+function reservedTypes(cluster: Cluster, waiting: readonly { readonly job: Job }[]): Set<TypeName> {
   const found = new Set<TypeName>();
   for (const { job } of waiting) {
     if (job.spec.shape !== 'gang' || job.spec.spotOk) continue;
@@ -344,11 +347,11 @@
 }
 
 /** How much is left of what a job would rather not use: nothing may keep it waiting beside room for ever. */
-function choosy(cluster: Cluster, job: Job): number {
+function penaltyFactor(cluster: Cluster, job: Job): number {
   if (job.placements.size > 0) return 1;
   const { steady, wall } = cluster.ctx.now;
-  const quietS = (job.startTerm === 0 ? wall - job.submittedAt : steady - job.quietSince) / 1000;
-  return Math.min(1, Math.max(0, 1 - (quietS - CHOOSY_S) / CHOOSY_S));
+  const quietS = (job.startTerm === 0 ? wall - job.submittedAt : steady - job.inactiveSince) / 1000;
+  return Math.min(1, Math.max(0, 1 - (quietS - FULL_PENALTY_S) / FULL_PENALTY_S));
 }
 
 function planJob(
@@ -388,14 +391,14 @@
     imageGb: spec.imageGb,
     types: spec.types,
     spotOk: spec.spotOk,
-    spotDelayS: spotDelayS(cluster.hazard.perS, runS, spec.checkpointS),
+    spotDelayS: spotDelayS(cluster.spotInterruptions.perS, runS, spec.checkpointS),
     sameZone: spec.sameZone,
     zoneRoom,
     zones,
     boundTo: spec.zone ?? (spec.sameZone && job.placements.size > 0 ? (zones[0] as ZoneName) : null),
     weight: userWeight(spec.rank, cluster.ctx.tuning.scheduler.priority_base),
     waitedS,
-    choosy: choosy(cluster, job),
+    penaltyFactor: penaltyFactor(cluster, job),
     avoid: avoid.size > 0 ? avoid : null,
   };
 }
@@ -423,9 +426,9 @@
     for (const s of parts) {
       if (s.roomAtS > NOW_S) continue;
       const machine = machines[s.machine] as Machine;
-      for (const index of job.waitingTasks(s.tasks)) {
+      for (const index of job.pendingTasks(s.tasks)) {
         if (!mayHost(cluster, job, machine)) break;
-        begin(cluster, job, index, machine, cluster.nextAttempt());
+        placeTask(cluster, job, index, machine, cluster.nextAttempt());
         started += 1;
       }
     }
@@ -445,7 +448,7 @@
         cluster.breakGang(job);
         return 0;
       }
-      begin(cluster, job, index, machine, attempt);
+      placeTask(cluster, job, index, machine, attempt);
       index += 1;
     }
   }
--- a/src/core/scheduler/services.ts
+++ b/src/core/scheduler/services.ts
@@ -2,7 +2,7 @@
 import type { Machine } from '../fleet.js';
 import type { Job, Placement } from '../jobs.js';
 import { steadyPlus, type ZoneName } from '../types.js';
-import { begin, couldHost, type GpuWork, gpuWorkOf, looseRoom, mayHost } from './hosting.js';
+import { couldHost, type GpuWork, gpuWorkOf, mayHost, placeTask, spareRoom } from './hosting.js';
 import { optionOn } from './preempt.js';
 
 /** Seconds of start time that a replica would rather lose than share its machine with another of its service ... */
@@ -12,7 +12,7 @@
 /** ... and than take a spot machine for each hundredth of a chance to be lost with it within a minute. */
 const SPOT_S = 4;
 /** A replica is choosy for so long; then it also takes cores that are kept for GPU work. */
-const CHOOSY_MS = 20_000;
+const AVOID_GPU_MS = 20_000;
 /** Room that is made or found for a replica is kept for it so long. */
 const RESERVED_MS = 6000;
 /** So many replicas of one service are on their way to other machines at once. */
@@ -25,7 +25,7 @@
   const now = cluster.ctx.now.steady;
   const found: Job[] = [];
   for (const job of cluster.services) {
-    if (job.waiting > 0 && job.notBefore <= now && !cluster.blocked(job, unaccounted)) found.push(job);
+    if (job.pendingCount > 0 && job.notBefore <= now && !cluster.isBlocked(job, unaccounted)) found.push(job);
   }
   return found.sort((a, b) => b.spec.rank - a.spec.rank || a.submittedAt - b.submittedAt || (a.id < b.id ? -1 : 1));
 }
@@ -36,24 +36,24 @@
  * arrays are stopped for it, as the page on preemption allows. Cheap enough to follow each event that calls for it.
  */
 export function placeServices(cluster: Cluster): number {
-  if (![...cluster.services].some((job) => job.waiting > 0)) return 0;
-  const unaccounted = cluster.countUnaccounted();
+  if (![...cluster.services].some((job) => job.pendingCount > 0)) return 0;
+  const unaccounted = cluster.updateUnreconciled();
   let placed = 0;
   let stoppedFor = 0;
   for (const job of waitingServices(cluster, unaccounted)) {
     const room = zoneRoom(job);
-    job.replicaWaits ??= cluster.ctx.now.steady;
-    for (const index of job.waitingTasks(job.spec.tasks)) {
-      const m = cluster.quotas.room(job.spec) >= 1 ? bestFor(cluster, job, room) : null;
+    job.replicaPendingSince ??= cluster.ctx.now.steady;
+    for (const index of job.pendingTasks(job.spec.tasks)) {
+      const m = cluster.quotas.room(job.spec) >= 1 ? bestMachine(cluster, job, room) : null;
       if (!m) break;
-      begin(cluster, job, index, m, cluster.nextAttempt());
-      cluster.starting.add(m);
+      placeTask(cluster, job, index, m, cluster.nextAttempt());
+      cluster.machinesWithStarts.add(m);
       if (m.reserved?.job === job.id) m.reserved = null;
-      take(room, m.zone, job);
+      takeZoneRoom(room, m.zone, job);
       placed += 1;
     }
-    if (job.waiting === 0) job.replicaWaits = null;
-    while (job.waiting > 0 && stoppedFor < STOPPED_FOR_MOST && makeRoom(cluster, job, room)) stoppedFor += 1;
+    if (job.pendingCount === 0) job.replicaPendingSince = null;
+    while (job.pendingCount > 0 && stoppedFor < STOPPED_FOR_MOST && makeRoom(cluster, job, room)) stoppedFor += 1;
   }
   return placed;
 }
@@ -66,7 +66,7 @@
   return left;
 }
 
-function take(room: Map<ZoneName, number> | null, zone: ZoneName, job: Job): void {
+function takeZoneRoom(room: Map<ZoneName, number> | null, zone: ZoneName, job: Job): void {
   room?.set(zone, (room.get(zone) ?? job.zoneLimit) - 1);
 }
 
@@ -76,16 +76,16 @@
   return n;
 }
 
-function bestFor(cluster: Cluster, job: Job, room: Map<ZoneName, number> | null, not?: Machine): Machine | null {
+function bestMachine(cluster: Cluster, job: Job, room: Map<ZoneName, number> | null, not?: Machine): Machine | null {
   const { spec } = job;
   const now = cluster.ctx.now.steady;
-  const lost = 1 - Math.exp(-60 * cluster.hazard.perS);
+  const lost = 1 - Math.exp(-60 * cluster.spotInterruptions.perS);
   // One that has waited for long takes what there is (service-takes-gpu-cores.txt).
-  const choosy = job.replicaWaits === null || now - job.replicaWaits < CHOOSY_MS;
+  const choosy = job.replicaPendingSince === null || now - job.replicaPendingSince < AVOID_GPU_MS;
   let gpuWork: GpuWork | null = null;
   const isLoose = (m: Machine): boolean => {
     gpuWork ??= gpuWorkOf(cluster);
-    const left = looseRoom(m, gpuWork);
+    const left = spareRoom(m, gpuWork);
     return left.cpus >= spec.cpus && left.memGb >= spec.memGb;
   };
   let best: Machine | null = null;
@@ -114,7 +114,7 @@
 function slacks(m: Machine): number[] {
   const { type } = m;
   const of = (used: number, all: number): number => (all > 0 ? (all - used) / all : 1);
-  return [of(m.usedCpus, type.cpus), of(m.usedGpus, type.gpus), of(m.usedMem, type.memGb)];
+  return [of(m.usedCpus, type.cpus), of(m.usedGpus, type.gpus), of(m.usedMemGb, type.memGb)];
 }
 
 /** Stops lower arrays on the machine where least is lost; the replica follows when they are gone. */
@@ -127,7 +127,7 @@
   for (const m of cluster.machines.values()) {
     if (m.reserved && m.reserved.job === job.id && m.reserved.until > now) coming += 1;
   }
-  if (coming >= job.waiting) return false;
+  if (coming >= job.pendingCount) return false;
   const plain = [...cluster.types.values()].some((t) => t.gpus === 0 && t.zones.some((z) => couldHost(job, t, z)));
   let best: { m: Machine; victims: readonly Placement[]; cost: number } | null = null;
   for (const m of cluster.machines.values()) {
@@ -147,7 +147,7 @@
     if (p.phase === 'planned') cluster.release(p);
     else cluster.stop(p, 0);
   }
-  take(room, best.m.zone, job);
+  takeZoneRoom(room, best.m.zone, job);
   cluster.ctx.log('debug', 'lower work makes room for a service', { job: job.id, machine: best.m.id });
   return true;
 }
@@ -160,11 +160,11 @@
   const { job } = p;
   let moving = 0;
   for (const other of job.placements.values()) if (other.stop !== null) moving += 1;
-  if (moving + job.waiting >= Math.max(1, Math.ceil(job.spec.tasks * MOVING_MOST_SHARE))) return false;
+  if (moving + job.pendingCount >= Math.max(1, Math.ceil(job.spec.tasks * MOVING_MOST_SHARE))) return false;
   const room = zoneRoom(job);
   // Its own place comes free with the move.
   room?.set(p.machine.zone, (room.get(p.machine.zone) ?? job.zoneLimit) + 1);
-  const to = bestFor(cluster, job, room, p.machine);
+  const to = bestMachine(cluster, job, room, p.machine);
   if (!to || (job.spec.sameZone && to.zone !== p.machine.zone)) return false;
   to.reserved = { job: job.id, until: steadyPlus(cluster.ctx.now.steady, RESERVED_MS) };
   cluster.ctx.log('info', 'moving a replica', { job: job.id, from: p.machine.id, to: to.id });
--- a/src/core/settings.ts
+++ b/src/core/settings.ts
@@ -60,11 +60,11 @@
     readonly weight_average: number;
     readonly weight_maximum: number;
     readonly weight_idle: number;
-    readonly gpu_reluctance_s: number;
-    readonly ordinary_reluctance_s: number;
-    readonly wanted_reluctance_s: number;
-    readonly warm_reluctance_s: number;
-    readonly future_doubt: number;
+    readonly gpu_penalty_s: number;
+    readonly on_demand_penalty_s: number;
+    readonly reserved_type_penalty_s: number;
+    readonly cached_image_penalty_s: number;
+    readonly future_discount: number;
     readonly overdue_share: number;
     readonly overdue_after_s: number;
     readonly priority_base: number;
--- a/src/io/front.ts
+++ b/src/io/front.ts
@@ -7,9 +7,9 @@
 import { type Fields, fields, WireError } from './fields.js';
 import { decodeJob, decodeReport, encodeUserAnswer, encodeWorkerAnswer, jobId } from './wire.js';
 
-export interface FrontHandlers {
+export interface HttpHandlers {
   user(request: UserRequest): Promise<UserAnswer>;
-  beat(report: WorkerReport): Promise<WorkerAnswer>;
+  report(report: WorkerReport): Promise<WorkerAnswer>;
   healthy(): boolean;
   malformed(what: string): void;
 }
@@ -79,7 +79,7 @@
 }
 
 /** Users, workers and load balancers, all on one address. */
-export function makeFront(handlers: FrontHandlers, maxConnections: number): Server {
+export function makeHttpServer(handlers: HttpHandlers, maxConnections: number): Server {
   const app = new Hono<Env>();
 
   const onJob = async (c: C, make: (id: JobId) => UserRequest): Promise<Response> => {
@@ -99,7 +99,7 @@
       handlers.malformed(`report: ${e.message}`);
       return reply(400, { error: e.message });
     }
-    const answer = await handlers.beat(report);
+    const answer = await handlers.report(report);
     return reply(answer.status, encodeWorkerAnswer(answer));
   });
   app.post('/v2/runs', async (c) => {
--- a/src/io/peer_codec.ts
+++ b/src/io/peer_codec.ts
@@ -1,4 +1,4 @@
-import type { PeerMessage, UserAnswer, UserMood, UserRequest, WorkerAnswer } from '../core/messages.js';
+import type { JobStatus, PeerMessage, UserAnswer, UserRequest, WorkerAnswer } from '../core/messages.js';
 import type {
   Attempt,
   Command,
@@ -29,7 +29,16 @@
 
 export type PeerFrame = { readonly kind: 'hello'; readonly node: NodeName } | PeerMessage;
 
-const KINDS = ['hello', 'status', 'relay', 'relayed', 'beat', 'beaten', 'cancelled', 'heeded'] as const;
+const KINDS = [
+  'hello',
+  'status',
+  'request',
+  'requestAnswer',
+  'report',
+  'reportAnswer',
+  'cancellation',
+  'cancellationAck',
+] as const;
 const PHASES: readonly TaskPhase[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
 const REASONS: readonly (ExitReason | null)[] = [
   null,
@@ -47,7 +56,7 @@
 const TASKS_MAX = 8192;
 const SHAPES = ['array', 'gang', 'service'] as const;
 const OPS = ['submit', 'poll', 'cancel'] as const;
-const MOODS: readonly UserMood[] = ['queued', 'running', 'done', 'cancelled'];
+const JOB_STATUSES: readonly JobStatus[] = ['queued', 'running', 'done', 'cancelled'];
 
 /** Frames are made one at a time, in this one, and copied out at their size: a fresh buffer for each costs as much again. */
 let scratch = Buffer.alloc(4096);
@@ -237,9 +246,9 @@
 
 function writeAnswer(w: Writer, a: UserAnswer): void {
   w.u32(a.status);
-  if ('mood' in a) {
+  if ('jobStatus' in a) {
     w.text(a.id);
-    w.u8(MOODS.indexOf(a.mood));
+    w.u8(JOB_STATUSES.indexOf(a.jobStatus));
     w.u32(a.done);
     w.u32(a.running);
   } else {
@@ -253,7 +262,7 @@
   if (status === 200 || status === 201) {
     const id = jobId(r.text());
     if (!id) throw new FrameError('not a job id');
-    return { status, id, mood: r.pick(MOODS), done: r.u32(), running: r.u32() };
+    return { status, id, jobStatus: r.pick(JOB_STATUSES), done: r.u32(), running: r.u32() };
   }
   if (status !== 400 && status !== 404 && status !== 422 && status !== 503) throw new FrameError('unknown status');
   const problem = r.text();
@@ -306,7 +315,7 @@
   return { machine, addr, type, zone, spot: (bits & 1) !== 0, session, seq, token, noticeS, tasks };
 }
 
-function writeBeaten(w: Writer, a: WorkerAnswer): void {
+function writeWorkerAnswer(w: Writer, a: WorkerAnswer): void {
   w.u32(a.status);
   if (a.status === 421) w.optional(a.reportTo);
   if (a.status !== 200) return;
@@ -321,7 +330,7 @@
   }
 }
 
-function readBeaten(r: Reader): WorkerAnswer {
+function readWorkerAnswer(r: Reader): WorkerAnswer {
   const status = r.u32();
   if (status === 503) return { status };
   if (status === 421) return { status, reportTo: r.optional() as NodeName | null };
@@ -343,19 +352,19 @@
   const w = new Writer();
   if (f.kind === 'hello') w.text(f.node);
   else if (f.kind === 'status') {
-    const { leading, storeOk, takesReports, heedsWord } = f.status;
-    w.u8((leading ? 1 : 0) | (storeOk ? 2 : 0) | (takesReports ? 4 : 0) | (heedsWord ? 8 : 0));
+    const { leading, storeOk, takesReports, acknowledgesCancellations } = f.status;
+    w.u8((leading ? 1 : 0) | (storeOk ? 2 : 0) | (takesReports ? 4 : 0) | (acknowledgesCancellations ? 8 : 0));
     w.f64(f.status.workersHeardMs);
-    w.f64(f.status.beatsPerS);
+    w.f64(f.status.reportsPerS);
   } else {
     w.f64(f.id);
-    if (f.kind === 'relay') writeRequest(w, f.request);
-    else if (f.kind === 'relayed') writeAnswer(w, f.answer);
-    else if (f.kind === 'beat') writeReport(w, f.report);
-    else if (f.kind === 'cancelled') w.text(f.job);
-    else if (f.kind === 'beaten') {
+    if (f.kind === 'request') writeRequest(w, f.request);
+    else if (f.kind === 'requestAnswer') writeAnswer(w, f.answer);
+    else if (f.kind === 'report') writeReport(w, f.report);
+    else if (f.kind === 'cancellation') w.text(f.job);
+    else if (f.kind === 'reportAnswer') {
       w.text(f.machine);
-      writeBeaten(w, f.answer);
+      writeWorkerAnswer(w, f.answer);
     }
   }
   return w.finish(KINDS.indexOf(f.kind));
@@ -370,27 +379,30 @@
     case 'status': {
       const bits = r.u8();
       const workersHeardMs = r.f64();
-      const beatsPerS = r.f64();
+      const reportsPerS = r.f64();
       const [leading, storeOk, takesReports] = [(bits & 1) !== 0, (bits & 2) !== 0, (bits & 4) !== 0];
-      const heedsWord = (bits & 8) !== 0;
-      return { kind: 'status', status: { leading, storeOk, workersHeardMs, beatsPerS, takesReports, heedsWord } };
+      const acknowledgesCancellations = (bits & 8) !== 0;
+      return {
+        kind: 'status',
+        status: { leading, storeOk, workersHeardMs, reportsPerS, takesReports, acknowledgesCancellations },
+      };
     }
-    case 'relay':
-      return { kind: 'relay', id: r.f64(), request: readRequest(r) };
-    case 'relayed':
-      return { kind: 'relayed', id: r.f64(), answer: readAnswer(r) };
-    case 'beat':
-      return { kind: 'beat', id: r.f64(), report: readReport(r) };
-    case 'beaten':
-      return { kind: 'beaten', id: r.f64(), machine: r.text() as MachineId, answer: readBeaten(r) };
-    case 'cancelled': {
+    case 'request':
+      return { kind: 'request', id: r.f64(), request: readRequest(r) };
+    case 'requestAnswer':
+      return { kind: 'requestAnswer', id: r.f64(), answer: readAnswer(r) };
+    case 'report':
+      return { kind: 'report', id: r.f64(), report: readReport(r) };
+    case 'reportAnswer':
+      return { kind: 'reportAnswer', id: r.f64(), machine: r.text() as MachineId, answer: readWorkerAnswer(r) };
+    case 'cancellation': {
       const id = r.f64();
       const job = jobId(r.text());
       if (!job) throw new FrameError('not a job id');
-      return { kind: 'cancelled', id, job };
+      return { kind: 'cancellation', id, job };
     }
-    case 'heeded':
-      return { kind: 'heeded', id: r.f64() };
+    case 'cancellationAck':
+      return { kind: 'cancellationAck', id: r.f64() };
     default:
       return null;
   }
--- a/src/io/runtime.ts
+++ b/src/io/runtime.ts
@@ -6,7 +6,7 @@
 import type { Tuning } from '../core/settings.js';
 import type { Now, Steady, Wall } from '../core/types.js';
 import { hostPort } from './address.js';
-import { makeFront } from './front.js';
+import { makeHttpServer } from './front.js';
 import { HttpClient, type Reply } from './http_client.js';
 import type { Log } from './log.js';
 import { PeerLink } from './peer_link.js';
@@ -32,7 +32,7 @@
   private readonly cloud: HttpClient;
   private readonly workers = new Map<string, HttpClient>();
   private readonly peers: PeerLink;
-  private readonly front: Server;
+  private readonly httpServer: Server;
   private readonly userWaits = new Map<number, (a: UserAnswer) => void>();
   private readonly workerWaits = new Map<number, (a: WorkerAnswer) => void>();
   private lastRequest = 0;
@@ -57,7 +57,7 @@
       (from, message) => this.step({ kind: 'peer', from, message }),
       log,
     );
-    this.front = makeFront(
+    this.httpServer = makeHttpServer(
       {
         user: (request) =>
           new Promise((resolve) => {
@@ -65,11 +65,11 @@
             this.userWaits.set(req, resolve);
             this.step({ kind: 'user', req, request });
           }),
-        beat: (report) =>
+        report: (report) =>
           new Promise((resolve) => {
             const req = ++this.lastRequest;
             this.workerWaits.set(req, resolve);
-            this.step({ kind: 'beat', req, report });
+            this.step({ kind: 'report', req, report });
           }),
         healthy: () => this.node.healthy(this.now().steady),
         malformed: (what) => this.malformed(what),
@@ -81,11 +81,11 @@
   start(): void {
     const { listen } = this.platform;
     const { host, port } = hostPort(listen);
-    this.front.on('error', (e) => {
+    this.httpServer.on('error', (e) => {
       this.log('error', 'cannot listen', { listen, error: e.message });
       process.exit(1);
     });
-    this.front.listen(port, host, () => {
+    this.httpServer.listen(port, host, () => {
       this.log('info', 'started', { listen, peers: this.platform.peers.length });
     });
     this.peers.listen(this.platform.peerListen);
--- a/src/io/wire.ts
+++ b/src/io/wire.ts
@@ -69,7 +69,7 @@
   in_use: 'busy',
   no_such: 'unknown',
 };
-const MOODS = { queued: 'queued', running: 'running', done: 'done', cancelled: 'withdrawn' } as const;
+const JOB_STATUSES = { queued: 'queued', running: 'running', done: 'done', cancelled: 'withdrawn' } as const;
 const MACHINE_PHASES: Readonly<Record<string, ListedMachine['phase']>> = {
   booting: 'booting',
   running: 'running',
@@ -118,8 +118,8 @@
 }
 
 export function encodeUserAnswer(a: UserAnswer): Fields {
-  if ('mood' in a) {
-    return { ref: a.id, mood: MOODS[a.mood], done: a.done, running: a.running };
+  if ('jobStatus' in a) {
+    return { ref: a.id, mood: JOB_STATUSES[a.jobStatus], done: a.done, running: a.running };
   }
   return { error: a.problem };
 }
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -70,7 +70,7 @@
 
 test('answers carry the wire names', () => {
   const id = 'job-000412' as JobId;
-  assert.deepEqual(encodeUserAnswer({ status: 200, id, mood: 'cancelled', done: 3, running: 0 }), {
+  assert.deepEqual(encodeUserAnswer({ status: 200, id, jobStatus: 'cancelled', done: 3, running: 0 }), {
     ref: id,
     mood: 'withdrawn',
     done: 3,
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -4,7 +4,7 @@
 import { CallQueue, TokenBucket } from '../src/core/buckets.js';
 import { Estimates } from '../src/core/estimates.js';
 import { Machine } from '../src/core/fleet.js';
-import { SpotHazard, spotDelayS } from '../src/core/hazard.js';
+import { SpotInterruptionRate, spotDelayS } from '../src/core/hazard.js';
 import { RangeSet } from '../src/core/ranges.js';
 import { Evolution } from '../src/core/scheduler/evolution.js';
 import { type PlanJob, type PlanMachine, Planner } from '../src/core/scheduler/planner.js';
@@ -94,7 +94,7 @@
 });
 
 test('spot losses: long work without checkpoints is the dearer to start there the more machines are lost', () => {
-  const hazard = new SpotHazard();
+  const hazard = new SpotInterruptionRate();
   hazard.pass(4, 60);
   const calm = hazard.perS;
   for (let i = 0; i < 3; i++) hazard.lost();
@@ -134,12 +134,12 @@
     times: freeCpus < t.cpus ? [0, 20] : [0],
     cpus: freeCpus < t.cpus ? [freeCpus, t.cpus] : [t.cpus],
     gpus: freeCpus < t.cpus ? [t.gpus, t.gpus] : [t.gpus],
-    mem: freeCpus < t.cpus ? [64, 64] : [64],
-    looseCpus: t.cpus,
-    looseMem: t.memGb,
-    wanted: false,
+    memGb: freeCpus < t.cpus ? [64, 64] : [64],
+    spareCpus: t.cpus,
+    spareMemGb: t.memGb,
+    reservedForGangs: false,
     fetchS: () => fetchS,
-    warmShare: 0,
+    largestCachedShare: 0,
   };
 }
 
@@ -163,7 +163,7 @@
     boundTo: null,
     weight: 1,
     waitedS: 0,
-    choosy: 1,
+    penaltyFactor: 1,
     avoid: null,
     ...over,
   };
@@ -176,13 +176,13 @@
 test('fleet: a machine known only from a report or a list gets no work before it has shown that it hears us', () => {
   const now = 1000 as Steady;
   const reported = new Machine('i-1' as MachineId, type('g4', 24, 4), a, false, 'i-1', true, 'up', now);
-  assert.equal(reported.usable(now, 2000), false);
-  reported.reached();
-  assert.equal(reported.usable(now, 2000), true);
+  assert.equal(reported.isSchedulable(now, 2000), false);
+  reported.confirmReachable();
+  assert.equal(reported.isSchedulable(now, 2000), true);
   // What we rented ourselves can't be a late copy of something gone.
   const rented = new Machine('i-2' as MachineId, type('g4', 24, 4), a, false, '', true, 'booting', now);
   rented.phase = 'up';
-  assert.equal(rented.usable(now, 2000), true);
+  assert.equal(rented.isSchedulable(now, 2000), true);
 });
 
 test('planner: filling free room looks only where something could begin, and ends with its steps', () => {
@@ -213,7 +213,7 @@
 
 test('planner: work without GPUs takes of a GPU machine only what GPU work cannot use', () => {
   const g4 = type('g4', 24, 4);
-  const tight = { ...machine(0, 'a', g4, 24), looseCpus: 3 };
+  const tight = { ...machine(0, 'a', g4, 24), spareCpus: 3 };
   const plan = planner().plan([tight], [planJob(0, { tasks: 8 })], [a]);
   assert.equal(
     plan.starts.reduce((n, s) => n + s.tasks, 0),
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -10,7 +10,7 @@
 import type { UserAnswer, UserRequest, WorkerAnswer } from '../src/core/messages.js';
 import type { Token, WorkerReport } from '../src/core/types.js';
 import { decode, encode } from '../src/io/cbor.js';
-import { makeFront } from '../src/io/front.js';
+import { makeHttpServer } from '../src/io/front.js';
 
 const root = fileURLToPath(new URL('../../../', import.meta.url));
 const main = join(root, 'target/check/src/main.js');
@@ -20,15 +20,15 @@
 let port = 0;
 
 before(async () => {
-  server = makeFront(
+  server = makeHttpServer(
     {
       user: async (r): Promise<UserAnswer> => {
         seen.push(r);
         if (r.op === 'submit' && r.spec === null) return { status: 400, problem: r.problem };
         if (r.op === 'poll') return { status: 503, problem: 'busy', retryAfterS: 1 };
-        return { status: 201, id: r.id, mood: 'queued', done: 0, running: 0 };
+        return { status: 201, id: r.id, jobStatus: 'queued', done: 0, running: 0 };
       },
-      beat: async (r): Promise<WorkerAnswer> => {
+      report: async (r): Promise<WorkerAnswer> => {
         reports.push(r);
         return { status: 200, token: 5n as Token, commands: [] };
       },
--- a/test/sim/old_versions.ts
+++ b/test/sim/old_versions.ts
@@ -1,5 +1,6 @@
 import { existsSync, readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
+import type { Input, JobStatus, Output, UserAnswer } from '../../src/core/messages.js';
 import type { Tuning } from '../../src/core/settings.js';
 import type { PeerFrame } from '../../src/io/peer_codec.js';
 import type { Build } from './world.js';
@@ -49,7 +50,8 @@
   const records = await part<Build['records']>('core/records');
   const { loadTuning } = await part<{ loadTuning: (file: string) => Tuning }>('config/tuning');
   const tuning = loadTuning(fileURLToPath(repositoryFile(`${directory}/checkout/deploy/tuning.toml`)));
-  return { name, Node, encodeFrame, FrameSplitter, records, tuning, readsAnnouncedLimits };
+  const translate = { input: oldInput, output: presentOutput };
+  return { name, Node, encodeFrame, FrameSplitter, records, tuning, readsAnnouncedLimits, translate };
 }
 
 let loading: Promise<ReadonlyMap<string, Build>> | null = null;
@@ -60,9 +62,37 @@
   return loading;
 }
 
+/** How the builds of test/old_versions.txt name what has been renamed since; on the wire nothing was. */
+const OLD_FRAME_KINDS: Readonly<Record<string, string>> = {
+  request: 'relay',
+  requestAnswer: 'relayed',
+  report: 'beat',
+  reportAnswer: 'beaten',
+  cancellation: 'cancelled',
+  cancellationAck: 'heeded',
+};
+
 /** A frame as an old version names its parts: the bytes are the same. */
 export function oldFrame(build: Build, frame: PeerFrame): unknown {
-  if (frame.kind !== 'status' || build.name !== 'production') return frame;
-  const { heedsWord: _, ...status } = frame.status;
-  return { kind: 'status', status };
+  if (frame.kind === 'status') {
+    const { reportsPerS, acknowledgesCancellations, ...status } = frame.status;
+    const later = build.name === 'production' ? {} : { heedsWord: acknowledgesCancellations };
+    return { kind: 'status', status: { ...status, beatsPerS: reportsPerS, ...later } };
+  }
+  const kind = OLD_FRAME_KINDS[frame.kind] ?? frame.kind;
+  if (frame.kind !== 'requestAnswer' || !('jobStatus' in frame.answer)) return { ...frame, kind };
+  const { jobStatus, ...answer } = frame.answer;
+  return { ...frame, kind, answer: { ...answer, mood: jobStatus } };
+}
+
+/** An input as the core of an old version names it. */
+const oldInput = (input: Input): Input =>
+  input.kind === 'report' ? ({ ...input, kind: 'beat' } as unknown as Input) : input;
+
+/** An output of an old version's core as the present one names it. */
+function presentOutput(output: Output): Output {
+  if (output.kind !== 'answerUser') return output;
+  const { mood, ...answer } = output.answer as UserAnswer & { mood?: JobStatus };
+  if (mood === undefined) return output;
+  return { ...output, answer: { ...answer, jobStatus: mood } as UserAnswer };
 }
--- a/test/sim/rules.ts
+++ b/test/sim/rules.ts
@@ -213,7 +213,7 @@
 
   /** An answer that reached a user. */
   told(job: JobId, answer: UserAnswer): void {
-    if (!('mood' in answer)) {
+    if (!('jobStatus' in answer)) {
       if (answer.status === 422) this.refused.add(job);
       const known = this.accepted.has(job);
       if (known && answer.status === 404) this.breaks('forgotten', `${job} answered 404`);
@@ -225,14 +225,14 @@
     this.accepted.add(job);
     this.answeredAt.set(job, this.clock.now);
     const before = this.finals.get(job);
-    if (before !== undefined && answer.mood !== before)
-      this.breaks('went_back', `${job}: ${before}, then ${answer.mood}`);
-    if (answer.mood === 'done') {
+    if (before !== undefined && answer.jobStatus !== before)
+      this.breaks('went_back', `${job}: ${before}, then ${answer.jobStatus}`);
+    if (answer.jobStatus === 'done') {
       if (!this.isDone(job)) this.breaks('not_done', job);
       this.finals.set(job, 'done');
       if (!this.toldDoneAt.has(job)) this.toldDoneAt.set(job, this.clock.now);
     }
-    if (answer.mood === 'cancelled') {
+    if (answer.jobStatus === 'cancelled') {
       if (!this.cancelAsked.has(job)) this.breaks('went_back', `${job} cancelled by nobody`);
       this.finals.set(job, 'cancelled');
       if (!this.cancelledAt.has(job)) this.watchCancelled(job);
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -103,6 +103,8 @@
   readonly tuning: Tuning;
   /** Whether it keeps to the limits that the settings announce for later. */
   readonly readsAnnouncedLimits: boolean;
+  /** Between the names that the present core uses and its own. */
+  readonly translate: { input(input: Input): Input; output(output: Output): Output };
 }
 export const PRESENT: Build = {
   name: 'present',
@@ -112,6 +114,7 @@
   records,
   tuning: loadTuning(fileURLToPath(new URL('../../../../deploy/tuning.toml', import.meta.url))),
   readsAnnouncedLimits: true,
+  translate: { input: (input) => input, output: (output) => output },
 };
 
 /** A controller process as the world runs it: killed without a word, started again with nothing. */
@@ -201,8 +204,9 @@
       if (input.kind !== 'timer') this.waiting.push(input);
       return;
     }
-    const outputs = node.step(this.now(), input);
-    for (const o of outputs) this.carryOut(o);
+    const { translate } = this.build;
+    const outputs = node.step(this.now(), translate.input(input));
+    for (const o of outputs) this.carryOut(translate.output(o));
     const next = node.nextTimer();
     if (next === null) return;
     const mine = ++this.timerSeq;
@@ -306,7 +310,7 @@
     if (!this.node) return;
     const req = ++this.requests;
     this.waits.set(req, reply as (a: never) => void);
-    this.step({ kind: 'beat', req, report });
+    this.step({ kind: 'report', req, report });
   }
 
   user(request: UserRequest, reply: (a: UserAnswer) => void): void {
@@ -472,7 +476,7 @@
   private submitAgain(spec: JobSpec, until: number): void {
     this.ask({ op: 'submit', id: spec.id, spec, problem: '' }, (a) => {
       if (a) this.rules.told(spec.id, a);
-      if (a && 'mood' in a) return this.poll(spec.id);
+      if (a && 'jobStatus' in a) return this.poll(spec.id);
       if ((a === null || a.status === 503) && this.clock.now < until) {
         this.clock.in(1000, () => this.submitAgain(spec, until));
       }
@@ -483,7 +487,7 @@
     this.clock.in(this.clock.between(4000, 6000), () => {
       this.ask({ op: 'poll', id }, (a) => {
         if (a) this.rules.told(id, a);
-        if (!a || !('mood' in a)) this.rules.unanswered(id);
+        if (!a || !('jobStatus' in a)) this.rules.unanswered(id);
         const job = this.jobs.get(id);
         if (job && this.rules.finalOf(id)) job.settled = true;
         // Users may ask again at any later time: every final state is asked for twice more.
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -57,7 +57,7 @@
 
 /** Kinds of frame that a version knows: those after them go only to peers that announced them. */
 const knownFrames = (build: Build): PeerFrame[] =>
-  frames.filter(({ kind }) => build.name !== 'production' || (kind !== 'cancelled' && kind !== 'heeded'));
+  frames.filter(({ kind }) => build.name !== 'production' || (kind !== 'cancellation' && kind !== 'cancellationAck'));
 
 for (const [name, old] of oldVersions) {
   test(`${name}: keys and job records are written alike and read by both`, () => {
@@ -97,7 +97,7 @@
       const announces = frame.kind === 'status' && old.name === 'production';
       if (!announces) assert.deepEqual(newBytes, oldBytes, frame.kind);
       assert.deepEqual(new old.FrameSplitter().push(newBytes), [oldFrame(old, frame)]);
-      const expected = announces ? { ...frame, status: { ...frame.status, heedsWord: false } } : frame;
+      const expected = announces ? { ...frame, status: { ...frame.status, acknowledgesCancellations: false } } : frame;
       assert.deepEqual(new FrameSplitter().push(oldBytes), [expected]);
     }
   });
