--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -28,8 +28,8 @@
   }
 }
 
-const withFiles = (c: Command): Command =>
-  c
+const withFiles = (command: Command): Command =>
+  command
     .option('--config <file>', "the platform's settings (TOML)")
     .option('--tuning <file>', "the operators' own tuning (TOML)", DEFAULT_TUNING);
 
--- a/src/core/autoscaler.ts
+++ b/src/core/autoscaler.ts
@@ -72,14 +72,14 @@
   }
 
   private listPage(after: MachineId | null, before: ListedMachine[]): void {
-    this.cluster.ctx.cloud({ op: 'list', after }, 2, (r) => {
-      if (!r.ok) {
+    this.cluster.ctx.cloud({ op: 'list', after }, 2, (result) => {
+      if (!result.ok) {
         this.listing = false;
         return;
       }
-      const all = [...before, ...(r.value.machines ?? [])];
+      const all = [...before, ...(result.value.machines ?? [])];
       const last = all[all.length - 1];
-      if (r.value.more && last && all.length < 20_000) return this.listPage(last.id, all);
+      if (result.value.more && last && all.length < 20_000) return this.listPage(last.id, all);
       this.listing = false;
       this.listedOnce = true;
       this.lastListAt = this.now;
@@ -89,26 +89,26 @@
 
   private applyList(listed: readonly ListedMachine[]): void {
     for (const l of listed) {
-      let m = this.cluster.machines.get(l.id);
-      if (!m) {
+      let machine = this.cluster.machines.get(l.id);
+      if (!machine) {
         if (this.cluster.removedMachines.has(l.id)) continue;
         const type = this.cluster.types.get(l.type);
         if (!type) continue;
         // Rented by an earlier leader, or by a request carried out late: taken into use like any other.
-        m = new Machine(l.id, type, l.zone, l.spot, l.addr, true, 'booting', this.now);
-        this.cluster.machines.set(l.id, m);
+        machine = new Machine(l.id, type, l.zone, l.spot, l.addr, true, 'booting', this.now);
+        this.cluster.machines.set(l.id, machine);
         this.cluster.ctx.log('info', 'machine found in the list', { machine: l.id, phase: l.phase });
       }
-      if (l.addr && !m.addr) m.addr = l.addr;
+      if (l.addr && !machine.addr) machine.addr = l.addr;
       const rented = (this.now - l.ageS * 1000) as Steady;
-      if (rented < m.rentedAt) m.rentedAt = rented;
-      if (l.phase === 'failed' && !m.deletionInFlight) {
-        this.cluster.ctx.log('info', 'machine failed', { machine: m.id, tasks: m.placements.size });
+      if (rented < machine.rentedAt) machine.rentedAt = rented;
+      if (l.phase === 'failed' && !machine.deletionInFlight) {
+        this.cluster.ctx.log('info', 'machine failed', { machine: machine.id, tasks: machine.placements.size });
         // A failed machine has stopped by itself: nothing is on it any more.
-        this.cluster.releaseAll(m);
-        m.reconciled = true;
+        this.cluster.releaseAll(machine);
+        machine.reconciled = true;
         this.cluster.updateUnreconciled();
-        this.requestDeletion(m, 'failed');
+        this.requestDeletion(machine, 'failed');
       }
     }
     this.sendDeletes();
@@ -116,14 +116,14 @@
 
   // ---- returning
 
-  requestDeletion(m: Machine, why: string): void {
-    if (m.deletionInFlight) return;
-    m.deletionInFlight = true;
-    m.deletionRequested = true;
-    if (why === 'silent' || why === 'failed') this.countInterruption(m);
-    m.draining ??= why;
-    this.cluster.ctx.log('info', 'returning machine', { machine: m.id, type: m.typeName, why });
-    this.toDelete.push(m);
+  requestDeletion(machine: Machine, why: string): void {
+    if (machine.deletionInFlight) return;
+    machine.deletionInFlight = true;
+    machine.deletionRequested = true;
+    if (why === 'silent' || why === 'failed') this.countInterruption(machine);
+    machine.draining ??= why;
+    this.cluster.ctx.log('info', 'returning machine', { machine: machine.id, type: machine.typeName, why });
+    this.toDelete.push(machine);
   }
 
   /** Returns what was marked, as many to a request as the cloud takes. */
@@ -131,18 +131,18 @@
     while (this.toDelete.length > 0 && this.deletes < 2) {
       const batch = this.toDelete.splice(0, DELETE_AT_ONCE);
       this.deletes += 1;
-      this.cluster.ctx.cloud({ op: 'delete', machines: batch.map((m) => m.id) }, 1, (r) => {
+      this.cluster.ctx.cloud({ op: 'delete', machines: batch.map((m) => m.id) }, 1, (result) => {
         this.deletes -= 1;
-        for (const m of batch) {
-          if (this.cluster.machines.get(m.id) !== m) continue;
-          if (!r.ok) {
-            m.deletionInFlight = false;
+        for (const machine of batch) {
+          if (this.cluster.machines.get(machine.id) !== machine) continue;
+          if (!result.ok) {
+            machine.deletionInFlight = false;
             continue;
           }
-          this.cluster.removeMachine(m);
-          this.unregisterMachine(m);
+          this.cluster.removeMachine(machine);
+          this.unregisterMachine(machine);
         }
-        if (r.ok) this.cluster.ctx.timers.set('round', steadyPlus(this.now, 20));
+        if (result.ok) this.cluster.ctx.timers.set('round', steadyPlus(this.now, 20));
         this.sendDeletes();
       });
     }
@@ -156,10 +156,10 @@
     this.observeSpotMachines();
     let heard = 0;
     let up = 0;
-    for (const m of this.cluster.machines.values()) {
-      if (m.phase !== 'up') continue;
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.phase !== 'up') continue;
       up += 1;
-      if (now - m.lastSeenAt < 2.5 * settings.workers.reportMs) heard += 1;
+      if (now - machine.lastSeenAt < 2.5 * settings.workers.reportMs) heard += 1;
     }
     // Where few are silent it is the machines; more, and the cut may be a wider one that ends before their leases do.
     const fewSilent = up - heard <= Math.max(FEW_SILENT, FEW_SILENT_SHARE * up);
@@ -209,31 +209,31 @@
     this.sendDeletes();
   }
 
-  private countInterruption(m: Machine): void {
-    if (!m.spot || m.interruptionCounted) return;
-    m.interruptionCounted = true;
+  private countInterruption(machine: Machine): void {
+    if (!machine.spot || machine.interruptionCounted) return;
+    machine.interruptionCounted = true;
     this.cluster.spotInterruptions.lost();
   }
 
   private observeSpotMachines(): void {
     let spots = 0;
-    for (const m of this.cluster.machines.values()) {
-      if (!m.spot || m.phase !== 'up') continue;
+    for (const machine of this.cluster.machines.values()) {
+      if (!machine.spot || machine.phase !== 'up') continue;
       spots += 1;
-      if (m.interruptionAt !== null) this.countInterruption(m);
+      if (machine.interruptionAt !== null) this.countInterruption(machine);
     }
     const seconds = Math.min(5, (this.now - this.spotsSeenAt) / 1000);
     this.spotsSeenAt = this.now;
     this.cluster.spotInterruptions.pass(spots, seconds);
   }
 
-  private idle(m: Machine): boolean {
+  private idle(machine: Machine): boolean {
     const { tuning } = this.cluster.ctx;
     // Made empty on purpose, for a job that is on its way here.
-    if (m.reserved !== null && m.reserved.until > this.now) return false;
-    const idleS = (this.now - Math.max(m.idleSince, m.firstReportAt ?? m.idleSince)) / 1000;
+    if (machine.reserved !== null && machine.reserved.until > this.now) return false;
+    const idleS = (this.now - Math.max(machine.idleSince, machine.firstReportAt ?? machine.idleSince)) / 1000;
     // It has been charged for a minute whatever happens.
-    if ((this.now - m.rentedAt) / 1000 < 55) return false;
+    if ((this.now - machine.rentedAt) / 1000 < 55) return false;
     return idleS >= tuning.machines.idle_return_s;
   }
 
@@ -242,15 +242,15 @@
     let cpus = 0;
     let gpus = 0;
     if (this.cluster.ctx.tuning.machines.keep_guarantees && this.now - this.lastWorkAt < GUARANTEE_KEEP_MS) {
-      for (const t of this.cluster.quotas.teamsInOrder()) {
-        cpus += t.cpus;
-        gpus += t.gpus;
+      for (const team of this.cluster.quotas.teamsInOrder()) {
+        cpus += team.cpus;
+        gpus += team.gpus;
       }
     }
     const any = { cpus: cpus > 0, gpus: gpus > 0 };
-    const add = (t: MachineType, n: number): void => {
-      cpus -= t.cpus * n;
-      gpus -= t.gpus * n;
+    const add = (type: MachineType, n: number): void => {
+      cpus -= type.cpus * n;
+      gpus -= type.gpus * n;
     };
     for (const m of this.cluster.machines.values()) if (m.draining === null && !m.deletionInFlight) add(m.type, 1);
     for (const r of this.rentals.values()) add(r.kind.type, r.count);
@@ -303,8 +303,9 @@
     const used = new Set<number>();
     for (const s of round.capacity.starts) used.add(s.machine);
     const unused = new Map<TypeName, number>();
-    round.machines.forEach((m, slot) => {
-      if (m.phase === 'booting' && !used.has(slot)) unused.set(m.typeName, (unused.get(m.typeName) ?? 0) + 1);
+    round.machines.forEach((machine, slot) => {
+      if (machine.phase === 'booting' && !used.has(slot))
+        unused.set(machine.typeName, (unused.get(machine.typeName) ?? 0) + 1);
     });
     return unused;
   }
@@ -321,14 +322,14 @@
     const add = (slot: number, n: number): void => {
       late.set(slot, (late.get(slot) ?? 0) + n);
     };
-    for (const s of round.capacity.starts) {
-      const job = round.planJobs[s.job] as PlanJob;
+    for (const start of round.capacity.starts) {
+      const job = round.planJobs[start.job] as PlanJob;
       let soonest = Number.POSITIVE_INFINITY;
-      for (const t of this.cluster.types.values()) {
-        if (!canRun(job, t)) continue;
-        soonest = Math.min(soonest, t.bootS + job.imageGb / Math.max(0.01, t.fetchGbPerS));
+      for (const type of this.cluster.types.values()) {
+        if (!canRun(job, type)) continue;
+        soonest = Math.min(soonest, type.bootS + job.imageGb / Math.max(0.01, type.fetchGbPerS));
       }
-      if (s.startAtS > soonest + margin) add(s.job, s.tasks);
+      if (start.startAtS > soonest + margin) add(start.job, start.tasks);
     }
     for (const [slot, n] of round.capacity.unplaced) add(slot, n);
     return [...late].map(([slot, tasks]) => ({
@@ -375,8 +376,8 @@
   private countIn(zone: ZoneName, type: MachineType): number {
     if (this.counted === null) {
       this.counted = new Map();
-      const add = (z: ZoneName, t: TypeName, n: number): void => {
-        const key = `${t}|${z}`;
+      const add = (zone: ZoneName, t: TypeName, n: number): void => {
+        const key = `${t}|${zone}`;
         this.counted?.set(key, (this.counted.get(key) ?? 0) + n);
       };
       for (const m of this.cluster.machines.values()) add(m.zone, m.typeName, 1);
@@ -414,14 +415,14 @@
    */
   private replaceWithSpot(): void {
     const dear = new Map<TypeName, number>();
-    for (const m of this.cluster.machines.values()) {
-      if (m.spot || m.phase !== 'up') continue;
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.spot || machine.phase !== 'up') continue;
       let share = 0;
-      for (const p of m.placements.values()) {
-        const { spec } = p.job;
-        if (spec.spotOk) share += Math.max(spec.gpus / Math.max(1, m.type.gpus), spec.cpus / m.type.cpus);
+      for (const placement of machine.placements.values()) {
+        const { spec } = placement.job;
+        if (spec.spotOk) share += Math.max(spec.gpus / Math.max(1, machine.type.gpus), spec.cpus / machine.type.cpus);
       }
-      dear.set(m.typeName, (dear.get(m.typeName) ?? 0) + share);
+      dear.set(machine.typeName, (dear.get(machine.typeName) ?? 0) + share);
     }
     for (const [name, share] of dear) {
       const type = this.cluster.types.get(name);
@@ -452,16 +453,16 @@
     const { kind, request, count } = rental;
     const { ctx } = this.cluster;
     const op = { op: 'rent', request, type: kind.type.name, zone: kind.zone, spot: kind.spot, count } as const;
-    ctx.cloud(op, 1, (r) => {
+    ctx.cloud(op, 1, (result) => {
       const key = kindKey(kind.type.name, kind.zone, kind.spot);
-      if (!r.ok) {
-        if (r.why === 'unknown' && this.now - rental.since < 20_000) return this.sendRental(rental);
+      if (!result.ok) {
+        if (result.why === 'unknown' && this.now - rental.since < 20_000) return this.sendRental(rental);
         this.rentals.delete(request);
-        if (r.why === 'no_capacity') this.noteRefusal(key);
+        if (result.why === 'no_capacity') this.noteRefusal(key);
         return;
       }
       this.rentals.delete(request);
-      const ids = r.value.rented ?? [];
+      const ids = result.value.rented ?? [];
       if (ids.length < count) this.noteRefusal(key);
       else this.refusedUntil.delete(key);
       ctx.log('info', 'rented', {
@@ -473,9 +474,9 @@
       });
       for (const id of ids) {
         if (this.cluster.machines.has(id) || this.cluster.removedMachines.has(id)) continue;
-        const m = new Machine(id, kind.type, kind.zone, kind.spot, '', true, 'booting', rental.since);
-        this.cluster.machines.set(id, m);
-        this.registerMachine(m);
+        const machine = new Machine(id, kind.type, kind.zone, kind.spot, '', true, 'booting', rental.since);
+        this.cluster.machines.set(id, machine);
+        this.registerMachine(machine);
       }
     });
   }
@@ -488,8 +489,8 @@
   }
 }
 
-const hostsReplica = (m: Machine): boolean => {
-  for (const { job } of m.placements.values()) if (job.spec.shape === 'service') return true;
+const hostsReplica = (machine: Machine): boolean => {
+  for (const { job } of machine.placements.values()) if (job.spec.shape === 'service') return true;
   return false;
 };
 
@@ -497,23 +498,24 @@
 const nothingKept = (m: Machine): boolean => m.exitedTasks.every((e) => m.unconfirmedStarts.has(startKey(e)));
 
 /** Nothing is there but starts of replicas no longer wanted, whose direct calls were never answered. */
-function holdsOnlyLateStarts(m: Machine): boolean {
-  if (m.unconfirmedStarts.size === 0 || m.commandInFlight) return false;
-  for (const p of m.placements.values()) {
-    if (p.phase !== 'sent' || p.stop === null || !m.unconfirmedStarts.has(startKey(p))) return false;
+function holdsOnlyLateStarts(machine: Machine): boolean {
+  if (machine.unconfirmedStarts.size === 0 || machine.commandInFlight) return false;
+  for (const placement of machine.placements.values()) {
+    if (placement.phase !== 'sent' || placement.stop === null || !machine.unconfirmedStarts.has(startKey(placement)))
+      return false;
   }
-  return m.placements.size > 0;
+  return machine.placements.size > 0;
 }
 
-function canRun(job: PlanJob, t: MachineType): boolean {
-  return slots(job, t) >= 1 && (job.types === null || job.types.includes(t.name));
+function canRun(job: PlanJob, type: MachineType): boolean {
+  return slots(job, type) >= 1 && (job.types === null || job.types.includes(type.name));
 }
 
 /** How many of the job's tasks one machine of the type takes at once. */
-function slots(job: PlanJob, t: MachineType): number {
+function slots(job: PlanJob, type: MachineType): number {
   let n = Number.POSITIVE_INFINITY;
-  if (job.cpus > 0) n = Math.min(n, Math.floor(t.cpus / job.cpus + 1e-6));
-  if (job.gpus > 0) n = Math.min(n, Math.floor(t.gpus / job.gpus + 1e-6));
-  if (job.memGb > 0) n = Math.min(n, Math.floor(t.memGb / job.memGb + 1e-6));
+  if (job.cpus > 0) n = Math.min(n, Math.floor(type.cpus / job.cpus + 1e-6));
+  if (job.gpus > 0) n = Math.min(n, Math.floor(type.gpus / job.gpus + 1e-6));
+  if (job.memGb > 0) n = Math.min(n, Math.floor(type.memGb / job.memGb + 1e-6));
   return Number.isFinite(n) ? n : 1000;
 }
--- a/src/core/beats.ts
+++ b/src/core/beats.ts
@@ -86,11 +86,11 @@
   /** A few at a time: their own reports raise most tokens meanwhile, and cost nothing more. */
   private fenceNext(): void {
     while (this.fencing < FENCES_AT_ONCE) {
-      const m = this.toFence.shift();
-      if (!m) return;
-      if (m.reconciled || this.cluster.machines.get(m.id) !== m) continue;
+      const machine = this.toFence.shift();
+      if (!machine) return;
+      if (machine.reconciled || this.cluster.machines.get(machine.id) !== machine) continue;
       this.fencing += 1;
-      this.reconcile(m, 1n as Session, 0, () => {
+      this.reconcile(machine, 1n as Session, 0, () => {
         this.fencing -= 1;
         if (!this.stopped) this.fenceNext();
       });
@@ -98,53 +98,54 @@
   }
 
   /** An empty direct command: it raises the token, and its answer is a list and a proof that the machine is reached. */
-  private reconcile(m: Machine, session: Session, tries: number, done: () => void): void {
+  private reconcile(machine: Machine, session: Session, tries: number, done: () => void): void {
     const { token } = this.leadership;
-    m.commandInFlight = true;
-    this.ctx.worker({ addr: m.addr, token, session, commands: [] }, (r) => {
-      m.commandInFlight = false;
-      if (this.stopped || this.cluster.machines.get(m.id) !== m) return done();
-      if (!r.ok || r.value.report.machine !== m.id) return done();
-      this.takeReport(m, r.value.report, false);
+    machine.commandInFlight = true;
+    this.ctx.worker({ addr: machine.addr, token, session, commands: [] }, (result) => {
+      machine.commandInFlight = false;
+      if (this.stopped || this.cluster.machines.get(machine.id) !== machine) return done();
+      if (!result.ok || result.value.report.machine !== machine.id) return done();
+      this.takeReport(machine, result.value.report, false);
       // The session was another: its number is in the answer.
-      if (!r.value.executed && tries < 2) return this.reconcile(m, r.value.report.session, tries + 1, done);
-      if (r.value.executed) this.onReachable(m);
+      if (!result.value.executed && tries < 2)
+        return this.reconcile(machine, result.value.report.session, tries + 1, done);
+      if (result.value.executed) this.onReachable(machine);
       done();
     });
   }
 
-  private onReachable(m: Machine): void {
-    if (!m.confirmReachable()) return;
-    this.ctx.log('info', 'machine heeds commands again', { machine: m.id });
+  private onReachable(machine: Machine): void {
+    if (!machine.confirmReachable()) return;
+    this.ctx.log('info', 'machine heeds commands again', { machine: machine.id });
     this.dependencies.scheduleRoundSoon();
   }
 
   /** What we say doesn't reach it, whatever we hear of it: no new work, until an answer to a direct call proves otherwise. */
-  private markUnresponsive(m: Machine): void {
-    m.unresponsiveSince = this.ctx.now.steady;
-    m.nextProbeAt = this.at(PROBE_MS);
-    this.ctx.log('info', 'machine reports but does not heed answers: set aside', { machine: m.id });
-    for (const p of [...m.placements.values()]) if (p.phase === 'planned') this.cluster.release(p);
+  private markUnresponsive(machine: Machine): void {
+    machine.unresponsiveSince = this.ctx.now.steady;
+    machine.nextProbeAt = this.at(PROBE_MS);
+    this.ctx.log('info', 'machine reports but does not heed answers: set aside', { machine: machine.id });
+    for (const p of [...machine.placements.values()]) if (p.phase === 'planned') this.cluster.release(p);
     this.dependencies.scheduleRoundSoon();
   }
 
   /** Asks machines that were set aside, and such as have yet to show that they are there, for an answer. */
   probe(): void {
     const now = this.ctx.now.steady;
-    for (const m of this.cluster.machines.values()) {
-      const asks = m.unresponsiveSince !== null || !m.confirmed || this.hasMissedReport(m);
-      if (!asks || m.phase !== 'up' || m.nextProbeAt > now) continue;
-      if (m.commandInFlight || !m.addr || m.deletionInFlight) continue;
+    for (const machine of this.cluster.machines.values()) {
+      const asks = machine.unresponsiveSince !== null || !machine.confirmed || this.hasMissedReport(machine);
+      if (!asks || machine.phase !== 'up' || machine.nextProbeAt > now) continue;
+      if (machine.commandInFlight || !machine.addr || machine.deletionInFlight) continue;
       if (this.ctx.workerCallsOpen >= DIRECTS_AT_ONCE) return;
-      m.nextProbeAt = this.at(PROBE_MS);
-      this.reconcile(m, m.session ?? (1n as Session), 0, () => {});
+      machine.nextProbeAt = this.at(PROBE_MS);
+      this.reconcile(machine, machine.session ?? (1n as Session), 0, () => {});
     }
   }
 
   /** A replica's machine that is overdue is asked at once: whether it is gone decides when the replica runs elsewhere. */
-  private hasMissedReport(m: Machine): boolean {
-    if (this.ctx.now.steady - m.lastSeenAt < MISSED_REPORTS * this.ctx.settings.workers.reportMs) return false;
-    for (const { job } of m.placements.values()) if (job.spec.shape === 'service') return true;
+  private hasMissedReport(machine: Machine): boolean {
+    if (this.ctx.now.steady - machine.lastSeenAt < MISSED_REPORTS * this.ctx.settings.workers.reportMs) return false;
+    for (const { job } of machine.placements.values()) if (job.spec.shape === 'service') return true;
     return false;
   }
 
@@ -156,69 +157,76 @@
     const answer = (): void => reply({ status: 200, token: this.leadership.token, commands: [] });
     if (!this.dependencies.isLoaded()) return answer();
     if (this.cluster.removedMachines.has(report.machine)) return reply({ status: 503 });
-    const m = this.cluster.machines.get(report.machine) ?? this.addUnlistedMachine(report);
-    if (!m) return answer();
-    if (this.isDuplicate(m, report)) return this.dropDuplicate(m, report, reply);
+    const machine = this.cluster.machines.get(report.machine) ?? this.addUnlistedMachine(report);
+    if (!machine) return answer();
+    if (this.isDuplicate(machine, report)) return this.dropDuplicate(machine, report, reply);
     const old = report.token < this.leadership.token;
-    if (old && !m.confirmed && ++m.staleTokenReports > OLD_TOKEN_ANSWERS) return reply({ status: 503 });
-    this.noteIgnoredAnswer(m, report, old);
-    this.recordSignOfLife(m, report);
-    const first = m.firstReportAt === null;
+    if (old && !machine.confirmed && ++machine.staleTokenReports > OLD_TOKEN_ANSWERS) return reply({ status: 503 });
+    this.noteIgnoredAnswer(machine, report, old);
+    this.recordSignOfLife(machine, report);
+    const first = machine.firstReportAt === null;
     if (first) {
-      m.firstReportAt = this.ctx.now.steady;
-      m.idleSince = this.ctx.now.steady;
+      machine.firstReportAt = this.ctx.now.steady;
+      machine.idleSince = this.ctx.now.steady;
     }
-    if (!m.registered) this.dependencies.registerMachine(m);
-    const newer = isNewer(m, report);
-    const freed = this.takeReport(m, report, true);
-    m.lastReportSeq = report.seq;
-    if (!newer || m.seq !== report.seq || m.session !== report.session) return answer();
-    const beat: HeldReport = { reply, machine: m, seq: report.seq, until: this.at(HOLD_MS), idle: false };
+    if (!machine.registered) this.dependencies.registerMachine(machine);
+    const newer = isNewer(machine, report);
+    const freed = this.takeReport(machine, report, true);
+    machine.lastReportSeq = report.seq;
+    if (!newer || machine.seq !== report.seq || machine.session !== report.session) return answer();
+    const beat: HeldReport = { reply, machine: machine, seq: report.seq, until: this.at(HOLD_MS), idle: false };
     if (freed || first) {
       // Room came free: plan at once, so that the answer already carries what starts in it.
       this.dependencies.scheduleRoundSoon();
       this.hold(beat);
-    } else if (this.waitsForStore(m)) this.hold(beat);
-    else if (this.mayHoldIdle(m, report)) this.hold({ ...beat, until: this.at(this.idleHoldMs()), idle: true });
+    } else if (this.waitsForStore(machine)) this.hold(beat);
+    else if (this.mayHoldIdle(machine, report)) this.hold({ ...beat, until: this.at(this.idleHoldMs()), idle: true });
     else this.answer(beat);
   }
 
   /** One report is in flight at a time, and numbers rise: whatever isn't newer than the last is a copy or came too late. */
-  private isDuplicate(m: Machine, r: WorkerReport): boolean {
-    if (m.session === null) return false;
-    return r.session < m.session || (r.session === m.session && m.lastReportSeq !== null && r.seq <= m.lastReportSeq);
+  private isDuplicate(machine: Machine, report: WorkerReport): boolean {
+    if (machine.session === null) return false;
+    return (
+      report.session < machine.session ||
+      (report.session === machine.session && machine.lastReportSeq !== null && report.seq <= machine.lastReportSeq)
+    );
   }
 
   /** Nobody waits for its answer; it is no sign of life and moves no lease. */
-  private dropDuplicate(m: Machine, report: WorkerReport, reply: ReportReply): void {
+  private dropDuplicate(machine: Machine, report: WorkerReport, reply: ReportReply): void {
     this.duplicateCount += 1;
-    this.ctx.log('debug', 'late copy of a report', { machine: m.id, seq: report.seq, copies: this.duplicateCount });
+    this.ctx.log('debug', 'late copy of a report', {
+      machine: machine.id,
+      seq: report.seq,
+      copies: this.duplicateCount,
+    });
     reply({ status: 503 });
   }
 
   /** Signs that our last answers have not arrived: an old token after one, or a lease that ran out all the same. */
-  private noteIgnoredAnswer(m: Machine, report: WorkerReport, old: boolean): void {
-    if (m.firstReportAt === null) return;
-    const answeredLately = this.ctx.now.steady - m.leaseRenewedAt < this.ctx.settings.workers.leaseMs / 2;
-    if (m.session !== null && report.session > m.session && answeredLately)
-      m.ignoredAnswers = UNRESPONSIVE_AFTER_IGNORED;
-    else if (old) m.ignoredAnswers += 1;
+  private noteIgnoredAnswer(machine: Machine, report: WorkerReport, old: boolean): void {
+    if (machine.firstReportAt === null) return;
+    const answeredLately = this.ctx.now.steady - machine.leaseRenewedAt < this.ctx.settings.workers.leaseMs / 2;
+    if (machine.session !== null && report.session > machine.session && answeredLately)
+      machine.ignoredAnswers = UNRESPONSIVE_AFTER_IGNORED;
+    else if (old) machine.ignoredAnswers += 1;
   }
 
-  private recordSignOfLife(m: Machine, report: WorkerReport): void {
+  private recordSignOfLife(machine: Machine, report: WorkerReport): void {
     const { steady } = this.ctx.now;
-    m.lastSeenAt = steady;
-    m.leaseRenewedAt = steady;
-    m.lastReportAt = steady;
-    if (report.addr) m.addr = report.addr;
-    if (m.phase !== 'booting') return;
-    m.phase = 'up';
+    machine.lastSeenAt = steady;
+    machine.leaseRenewedAt = steady;
+    machine.lastReportAt = steady;
+    if (report.addr) machine.addr = report.addr;
+    if (machine.phase !== 'booting') return;
+    machine.phase = 'up';
     this.ctx.log('info', 'machine is up', {
-      machine: m.id,
-      type: m.typeName,
-      zone: m.zone,
-      spot: m.spot,
-      afterS: Math.round((steady - m.rentedAt) / 1000),
+      machine: machine.id,
+      type: machine.typeName,
+      zone: machine.zone,
+      spot: machine.spot,
+      afterS: Math.round((steady - machine.rentedAt) / 1000),
     });
   }
 
@@ -230,20 +238,21 @@
     const type = this.cluster.types.get(report.type);
     if (!type) return null;
     const now = this.ctx.now.steady;
-    const m = new Machine(report.machine, type, report.zone, report.spot, report.addr, true, 'up', now);
-    this.cluster.machines.set(m.id, m);
-    this.ctx.log('info', 'machine reported that nobody had listed', { machine: m.id });
-    return m;
+    const machine = new Machine(report.machine, type, report.zone, report.spot, report.addr, true, 'up', now);
+    this.cluster.machines.set(machine.id, machine);
+    this.ctx.log('info', 'machine reported that nobody had listed', { machine: machine.id });
+    return machine;
   }
 
-  private takeReport(m: Machine, report: WorkerReport, beat: boolean): boolean {
+  private takeReport(machine: Machine, report: WorkerReport, beat: boolean): boolean {
     const { token } = this.leadership;
-    const before = m.tokenSeen;
-    if (report.token === token && before < token) this.onReachable(m);
-    const freed = applyReport(this.cluster, m, report, token, beat);
-    if (!beat) m.lastSeenAt = this.ctx.now.steady;
+    const before = machine.tokenSeen;
+    if (report.token === token && before < token) this.onReachable(machine);
+    const freed = applyReport(this.cluster, machine, report, token, beat);
+    if (!beat) machine.lastSeenAt = this.ctx.now.steady;
     if (freed) this.dependencies.scheduleRoundSoon();
-    if (m.ignoredAnswers >= UNRESPONSIVE_AFTER_IGNORED && m.unresponsiveSince === null) this.markUnresponsive(m);
+    if (machine.ignoredAnswers >= UNRESPONSIVE_AFTER_IGNORED && machine.unresponsiveSince === null)
+      this.markUnresponsive(machine);
     return freed;
   }
 
@@ -253,12 +262,12 @@
    * An empty machine's report is answered late on purpose: work that comes up meanwhile starts at once instead of with
    * its next report. Nothing can change on an empty machine that the delay would hide, except a notice.
    */
-  private mayHoldIdle(m: Machine, report: WorkerReport): boolean {
+  private mayHoldIdle(machine: Machine, report: WorkerReport): boolean {
     return (
-      m.placements.size === 0 &&
-      m.exitedTasks.length === 0 &&
+      machine.placements.size === 0 &&
+      machine.exitedTasks.length === 0 &&
       report.token === this.leadership.token &&
-      m.draining === null
+      machine.draining === null
     );
   }
 
@@ -272,9 +281,9 @@
     if (due === null || beat.until < due) this.ctx.timers.set('heldReports', beat.until);
   }
 
-  private waitsForStore(m: Machine): boolean {
-    if (!m.registered) return true;
-    for (const p of m.placements.values()) if (p.phase === 'planned' && p.job.durableStartTerm === 0) return true;
+  private waitsForStore(machine: Machine): boolean {
+    if (!machine.registered) return true;
+    for (const p of machine.placements.values()) if (p.phase === 'planned' && p.job.durableStartTerm === 0) return true;
     return false;
   }
 
@@ -285,49 +294,52 @@
     const pendingRound = this.ctx.timers.has('round', this.at(this.ctx.tuning.scheduler.spacing_ms + 20));
     const kept: HeldReport[] = [];
     let next = Number.POSITIVE_INFINITY;
-    for (const h of this.held) {
-      const idle = h.idle && h.machine.placements.size === 0;
+    for (const held of this.held) {
+      const idle = held.idle && held.machine.placements.size === 0;
       const wait =
-        h.until > now &&
-        (idle || (pendingRound && !h.idle) || (this.dependencies.writesInFlight() && this.waitsForStore(h.machine)));
+        held.until > now &&
+        (idle ||
+          (pendingRound && !held.idle) ||
+          (this.dependencies.writesInFlight() && this.waitsForStore(held.machine)));
       if (wait) {
-        kept.push(h);
-        if (h.until < next) next = h.until;
-      } else this.answer(h);
+        kept.push(held);
+        if (held.until < next) next = held.until;
+      } else this.answer(held);
     }
     this.held = kept;
     if (kept.length > 0) this.ctx.timers.set('heldReports', next as Steady);
   }
 
-  private answer(h: HeldReport): void {
-    if (!this.dependencies.isLeaseValid() || !this.dependencies.hasRecentJobView()) return h.reply({ status: 503 });
-    const m = h.machine;
+  private answer(held: HeldReport): void {
+    if (!this.dependencies.isLeaseValid() || !this.dependencies.hasRecentJobView()) return held.reply({ status: 503 });
+    const machine = held.machine;
     const hasFreshJobView = this.fresh();
-    const all = m.reconciled ? compileCommands(this.cluster, m, true) : [];
+    const all = machine.reconciled ? compileCommands(this.cluster, machine, true) : [];
     const commands: typeof all = [];
-    for (const c of all) {
-      if (c.op !== 'start') {
-        commands.push(c);
+    for (const command of all) {
+      if (command.op !== 'start') {
+        commands.push(command);
         continue;
       }
-      const p = this.cluster.findPlacement(m, c.job, c.index);
-      if (!p || !hasFreshJobView || m.seq !== h.seq || !this.mayStart(p.job, m)) continue;
-      p.phase = 'sent';
-      p.sentInReplyTo = h.seq;
-      commands.push(c);
+      const placement = this.cluster.findPlacement(machine, command.job, command.index);
+      if (!placement || !hasFreshJobView || machine.seq !== held.seq || !this.mayStart(placement.job, machine))
+        continue;
+      placement.phase = 'sent';
+      placement.sentInReplyTo = held.seq;
+      commands.push(command);
     }
-    h.reply({ status: 200, token: this.leadership.token, commands });
+    held.reply({ status: 200, token: this.leadership.token, commands });
   }
 
   /** The last look before a start goes out. */
-  private mayStart(job: Job, m: Machine): boolean {
+  private mayStart(job: Job, machine: Machine): boolean {
     return (
       job.state === 'accepted' &&
       job.durableState === 'accepted' &&
       job.durableStartTerm > 0 &&
       !job.gangBroken &&
-      m.registered &&
-      m.unresponsiveSince === null
+      machine.registered &&
+      machine.unresponsiveSince === null
     );
   }
 
@@ -343,58 +355,72 @@
   sendDirect(): void {
     if (!this.dependencies.isLeaseValid()) return;
     let again = false;
-    for (const m of new Set([...this.cluster.machinesWithStops, ...this.cluster.machinesWithStarts])) {
-      const stops = this.directStops(m);
-      const starts = this.directStarts(m);
-      if (stops === 'none') this.cluster.machinesWithStops.delete(m);
-      if (starts === 'none') this.cluster.machinesWithStarts.delete(m);
+    for (const machine of new Set([...this.cluster.machinesWithStops, ...this.cluster.machinesWithStarts])) {
+      const stops = this.directStops(machine);
+      const starts = this.directStarts(machine);
+      if (stops === 'none') this.cluster.machinesWithStops.delete(machine);
+      if (starts === 'none') this.cluster.machinesWithStarts.delete(machine);
       if (stops === 'none' && starts === 'none') continue;
       again = true;
-      if (!m.reconciled || !m.addr || m.session === null || m.deletionInFlight) continue;
-      if (m.commandInFlight || m.nextCommandAt > this.ctx.now.steady) continue;
+      if (!machine.reconciled || !machine.addr || machine.session === null || machine.deletionInFlight) continue;
+      if (machine.commandInFlight || machine.nextCommandAt > this.ctx.now.steady) continue;
       if (this.ctx.workerCallsOpen >= DIRECTS_AT_ONCE) break;
       const begun = starts === 'none' ? [] : starts;
-      const commands = [...(stops === 'none' ? [] : stops), ...begun.map((p) => this.startOf(p, m))];
-      if (commands.length > 0) this.command(m, m.session, commands, begun.map(startKey));
+      const commands = [...(stops === 'none' ? [] : stops), ...begun.map((p) => this.startOf(p, machine))];
+      if (commands.length > 0) this.command(machine, machine.session, commands, begun.map(startKey));
     }
     if (again) this.ctx.timers.set('workerCommands', this.at(1000));
   }
 
-  private command(m: Machine, session: Session, commands: readonly Command[], starts: readonly string[]): void {
-    m.commandInFlight = true;
-    this.ctx.worker({ addr: m.addr, token: this.leadership.token, session, commands }, (r) => {
-      m.commandInFlight = false;
-      if (!r.ok) m.nextCommandAt = this.at(SILENT_PAUSE_MS);
-      else for (const key of starts) m.unconfirmedStarts.delete(key);
-      if (this.stopped || !r.ok || r.value.report.machine !== m.id) return;
-      if (this.cluster.machines.get(m.id) !== m) return;
-      this.takeReport(m, r.value.report, false);
-      if (r.value.executed) this.onReachable(m);
+  private command(machine: Machine, session: Session, commands: readonly Command[], starts: readonly string[]): void {
+    machine.commandInFlight = true;
+    this.ctx.worker({ addr: machine.addr, token: this.leadership.token, session, commands }, (result) => {
+      machine.commandInFlight = false;
+      if (!result.ok) machine.nextCommandAt = this.at(SILENT_PAUSE_MS);
+      else for (const key of starts) machine.unconfirmedStarts.delete(key);
+      if (this.stopped || !result.ok || result.value.report.machine !== machine.id) return;
+      if (this.cluster.machines.get(machine.id) !== machine) return;
+      this.takeReport(machine, result.value.report, false);
+      if (result.value.executed) this.onReachable(machine);
     });
   }
 
-  private directStops(m: Machine): Command[] | 'none' {
-    if (!this.cluster.machinesWithStops.has(m) || this.cluster.machines.get(m.id) !== m || m.placements.size === 0)
+  private directStops(machine: Machine): Command[] | 'none' {
+    if (
+      !this.cluster.machinesWithStops.has(machine) ||
+      this.cluster.machines.get(machine.id) !== machine ||
+      machine.placements.size === 0
+    )
       return 'none';
-    const commands = compileCommands(this.cluster, m, false).filter((c) => {
-      const p = c.op === 'stop' ? this.cluster.findPlacement(m, c.job, c.index) : undefined;
-      return p?.stop !== null && p !== undefined && (p.phase !== 'saving' || p.stop?.graceS === 0);
+    const commands = compileCommands(this.cluster, machine, false).filter((command) => {
+      const placement =
+        command.op === 'stop' ? this.cluster.findPlacement(machine, command.job, command.index) : undefined;
+      return (
+        placement?.stop !== null &&
+        placement !== undefined &&
+        (placement.phase !== 'saving' || placement.stop?.graceS === 0)
+      );
     });
     return commands.length > 0 ? commands : 'none';
   }
 
   /** Replicas that may be started there now; 'none' once none waits to be. */
-  private directStarts(m: Machine): Placement[] | 'none' {
-    if (!this.cluster.machinesWithStarts.has(m) || this.cluster.machines.get(m.id) !== m) return 'none';
-    const waiting = [...m.placements.values()].filter((p) => p.job.spec.shape === 'service' && p.phase === 'planned');
+  private directStarts(machine: Machine): Placement[] | 'none' {
+    if (!this.cluster.machinesWithStarts.has(machine) || this.cluster.machines.get(machine.id) !== machine)
+      return 'none';
+    const waiting = [...machine.placements.values()].filter(
+      (p) => p.job.spec.shape === 'service' && p.phase === 'planned',
+    );
     if (waiting.length === 0) return 'none';
-    return this.fresh() && this.dependencies.hasRecentJobView() ? waiting.filter((p) => this.mayStart(p.job, m)) : [];
+    return this.fresh() && this.dependencies.hasRecentJobView()
+      ? waiting.filter((p) => this.mayStart(p.job, machine))
+      : [];
   }
 
-  private startOf(p: Placement, m: Machine): Command {
-    p.phase = 'sent';
-    p.sentInReplyTo = null;
-    m.unconfirmedStarts.add(startKey(p));
-    return { op: 'start', job: p.job.id, index: p.index, attempt: p.attempt };
+  private startOf(placement: Placement, machine: Machine): Command {
+    placement.phase = 'sent';
+    placement.sentInReplyTo = null;
+    machine.unconfirmedStarts.add(startKey(placement));
+    return { op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt };
   }
 }
--- a/src/core/bounds.ts
+++ b/src/core/bounds.ts
@@ -14,11 +14,11 @@
  * cancelled right after the leader last heard of jobs ends with a lease renewed at most so long after: together they stay
  * within `cancel_s`, whatever happens to the state service, the links and the leader meanwhile.
  */
-export function maxJobViewAgeMs(s: Settings): number {
-  return Math.max(MIN_VIEW_AGE_MS, s.workers.cancelMs - workerLeaseExpiryMs(s));
+export function maxJobViewAgeMs(settings: Settings): number {
+  return Math.max(MIN_VIEW_AGE_MS, settings.workers.cancelMs - workerLeaseExpiryMs(settings));
 }
 
 /** The leader's own lease: the share that the operators chose, shortened where `cancel_s` leaves less room. */
-export function leaderLeaseMs(s: Settings, t: Tuning): number {
-  return Math.round(Math.min(s.workers.leaseMs * t.leadership.lease_share, maxJobViewAgeMs(s)));
+export function leaderLeaseMs(settings: Settings, tuning: Tuning): number {
+  return Math.round(Math.min(settings.workers.leaseMs * tuning.leadership.lease_share, maxJobViewAgeMs(settings)));
 }
--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -101,9 +101,9 @@
   /** A job is done or cancelled: what is only planned goes, what may be there is stopped. */
   onJobFinished(job: Job): void {
     this.services.delete(job);
-    for (const p of [...job.placements.values()]) {
-      if (p.phase === 'planned') this.release(p);
-      else if (job.state === 'cancelled') this.stop(p, 0);
+    for (const placement of [...job.placements.values()]) {
+      if (placement.phase === 'planned') this.release(placement);
+      else if (job.state === 'cancelled') this.stop(placement, 0);
     }
     this.deactivateIfSettled(job);
   }
@@ -128,7 +128,7 @@
 
   place(job: Job, index: number, machine: Machine, attempt: Attempt, phase: PlacementPhase): Placement {
     const now = this.ctx.now.steady;
-    const p: Placement = {
+    const placement: Placement = {
       job,
       index,
       machine,
@@ -139,22 +139,22 @@
       runningSince: phase === 'running' ? now : null,
       stop: null,
     };
-    job.placements.set(index, p);
-    machine.addPlacement(p);
+    job.placements.set(index, placement);
+    machine.addPlacement(placement);
     this.quotas.add(job.spec, 1);
     this.activeJobs.add(job);
-    return p;
+    return placement;
   }
 
   /** The task is proven not to be on the machine (any more). */
-  release(p: Placement): void {
-    const { job, machine } = p;
-    if (job.placements.get(p.index) !== p) return;
-    job.placements.delete(p.index);
+  release(placement: Placement): void {
+    const { job, machine } = placement;
+    if (job.placements.get(placement.index) !== placement) return;
+    job.placements.delete(placement.index);
     if (job.placements.size === 0) job.inactiveSince = this.ctx.now.steady;
-    machine.removePlacement(p, this.ctx.now.steady);
+    machine.removePlacement(placement, this.ctx.now.steady);
     this.quotas.add(job.spec, -1);
-    job.noteReleased(p.index);
+    job.noteReleased(placement.index);
     if (this.services.has(job) || machine.reserved !== null) this.scheduleServicePlacement();
     if (job.spec.shape === 'gang' && job.state === 'accepted') {
       if (job.placements.size > 0) this.breakGang(job);
@@ -172,25 +172,25 @@
   breakGang(job: Job): void {
     if (job.gangBroken) return;
     job.gangBroken = true;
-    for (const p of [...job.placements.values()]) {
-      if (p.phase === 'planned') this.release(p);
-      else this.stop(p, 0);
+    for (const placement of [...job.placements.values()]) {
+      if (placement.phase === 'planned') this.release(placement);
+      else this.stop(placement, 0);
     }
     if (job.placements.size === 0) job.gangBroken = false;
   }
 
-  stop(p: Placement, graceS: number): void {
-    if (p.stop && p.stop.graceS <= graceS) return;
-    p.stop = { graceS, since: this.ctx.now.steady };
-    this.machinesWithStops.add(p.machine);
+  stop(placement: Placement, graceS: number): void {
+    if (placement.stop && placement.stop.graceS <= graceS) return;
+    placement.stop = { graceS, since: this.ctx.now.steady };
+    this.machinesWithStops.add(placement.machine);
     this.ctx.timers.set('workerCommands', this.ctx.now.steady);
   }
 
   /** Stops a task so that its work is saved where it can be; a gang is stopped as a whole. */
-  stopSaving(p: Placement): void {
-    const { job } = p;
+  stopSaving(placement: Placement): void {
+    const { job } = placement;
     const grace = job.spec.checkpointS > 0 ? job.spec.saveS * 1.5 + 1 : 0;
-    const group = job.spec.shape === 'gang' ? [...job.placements.values()] : [p];
+    const group = job.spec.shape === 'gang' ? [...job.placements.values()] : [placement];
     if (job.spec.shape === 'gang') job.gangBroken = true;
     for (const member of group) {
       if (member.phase === 'planned') this.release(member);
@@ -214,11 +214,11 @@
     let n = 0;
     let cpus = 0;
     let gpus = 0;
-    for (const m of this.machines.values()) {
-      if (m.reconciled) continue;
+    for (const machine of this.machines.values()) {
+      if (machine.reconciled) continue;
       n += 1;
-      cpus += m.type.cpus;
-      gpus += m.type.gpus;
+      cpus += machine.type.cpus;
+      gpus += machine.type.gpus;
     }
     this.quotas.unreconciled = { cpus, gpus };
     return n;
--- a/src/core/desk.ts
+++ b/src/core/desk.ts
@@ -102,14 +102,14 @@
     const most = 4 * this.ctx.settings.store.txnOps;
     const asked = new Map<JobId, { seen: CachedJob; polls: Poll[] }>();
     const later: Poll[] = [];
-    for (const p of this.polls) {
-      const seen = this.jobCache.get(p.id);
-      const entry = asked.get(p.id);
-      if (entry) entry.polls.push(p);
-      else if (!seen) this.read(p.id, p.answer, p.failed, this.notFound());
-      else if (seen.record.state !== 'accepted') p.answer(this.describe(seen.record));
-      else if (asked.size < most) asked.set(p.id, { seen, polls: [p] });
-      else later.push(p);
+    for (const poll of this.polls) {
+      const seen = this.jobCache.get(poll.id);
+      const entry = asked.get(poll.id);
+      if (entry) entry.polls.push(poll);
+      else if (!seen) this.read(poll.id, poll.answer, poll.failed, this.notFound());
+      else if (seen.record.state !== 'accepted') poll.answer(this.describe(seen.record));
+      else if (asked.size < most) asked.set(poll.id, { seen, polls: [poll] });
+      else later.push(poll);
     }
     this.polls = later;
     if (later.length > 0) this.ctx.timers.set('pollConfirmation', this.at(1));
@@ -119,17 +119,17 @@
     this.ctx.store(
       { op: 'txn', conditions, changes: [] },
       2,
-      (r) => {
+      (result) => {
         this.confirming -= 1;
         if (this.polls.length > 0 && this.ctx.timers.at('pollConfirmation') === null)
           this.ctx.timers.set('pollConfirmation', this.at(1));
-        const changed = new Set(r.ok ? [] : r.why === 'conflict' ? (r.keys ?? []) : []);
+        const changed = new Set(result.ok ? [] : result.why === 'conflict' ? (result.keys ?? []) : []);
         // A conflict that names nothing we asked for confirms nothing.
         const named = [...changed].some((k) => asked.has(k.slice(JOB_PREFIX.length) as JobId));
         for (const [id, { seen, polls }] of asked) {
           for (const p of polls) {
-            if (r.ok) p.answer(this.describe(seen.record));
-            else if (r.why !== 'conflict') p.failed();
+            if (result.ok) p.answer(this.describe(seen.record));
+            else if (result.why !== 'conflict') p.failed();
             else if (!named || changed.has(jobKey(id))) this.read(id, p.answer, p.failed, this.notFound());
             // The rest of a transaction that failed proves nothing by itself: they go with the next.
             else this.poll(id, p.answer, p.failed, this.notFound());
@@ -171,10 +171,10 @@
     this.ctx.store(
       { op: 'get', key: jobKey(id) },
       2,
-      (r) => {
-        if (!r.ok) return failed();
-        if (!r.value.item) return missing();
-        const seen = this.jobCache.update(r.value.item);
+      (result) => {
+        if (!result.ok) return failed();
+        if (!result.value.item) return missing();
+        const seen = this.jobCache.update(result.value.item);
         if (!seen) return failed();
         then(seen);
       },
@@ -232,15 +232,15 @@
         changes: [{ put: jobKey(id), value }],
       },
       2,
-      (r) => {
-        if (r.ok) {
-          if (r.value.revision !== undefined)
-            this.jobCache.update({ key: jobKey(id), value, version: r.value.revision });
+      (result) => {
+        if (result.ok) {
+          if (result.value.revision !== undefined)
+            this.jobCache.update({ key: jobKey(id), value, version: result.value.revision });
           return answer({ status: 201, id, jobStatus: 'queued', done: 0, running: 0 });
         }
-        if (r.why === 'conflict') return this.read(id, answer, failed, BUSY);
+        if (result.why === 'conflict') return this.read(id, answer, failed, BUSY);
         // Unknown: it may have been written. The read tells; if it shows nothing the user asks again.
-        if (r.why === 'unknown') return this.read(id, answer, failed, BUSY);
+        if (result.why === 'unknown') return this.read(id, answer, failed, BUSY);
         failed();
       },
       1200,
@@ -252,10 +252,10 @@
     const team = this.ctx.settings.teams.find((t) => t.name === spec.team);
     if (!team) return 'unknown team';
     const zones = new Set<ZoneName>();
-    for (const t of types.values()) {
-      if (spec.types !== null && !spec.types.includes(t.name)) continue;
-      if (spec.cpus > t.cpus || spec.gpus > t.gpus || spec.memGb > t.memGb) continue;
-      for (const z of t.zones) if (spec.zone === null || spec.zone === z) zones.add(z);
+    for (const type of types.values()) {
+      if (spec.types !== null && !spec.types.includes(type.name)) continue;
+      if (spec.cpus > type.cpus || spec.gpus > type.gpus || spec.memGb > type.memGb) continue;
+      for (const z of type.zones) if (spec.zone === null || spec.zone === z) zones.add(z);
     }
     if (zones.size === 0) return 'a task fits no allowed machine type';
     if (!withinLimit(team, spec)) return 'more than the limit of its team';
@@ -278,14 +278,14 @@
       this.ctx.store(
         { op: 'txn', conditions: [{ key: jobKey(id), version }], changes: [{ put: jobKey(id), value }] },
         2,
-        (r) => {
-          if (r.ok) {
-            if (r.value.revision !== undefined)
-              this.jobCache.update({ key: jobKey(id), value, version: r.value.revision });
+        (result) => {
+          if (result.ok) {
+            if (result.value.revision !== undefined)
+              this.jobCache.update({ key: jobKey(id), value, version: result.value.revision });
             return this.dependencies.notifyCancelled(id, () => answer(this.describe(cancelled)));
           }
           // Somebody wrote in between, or the outcome is unknown: look again.
-          if (r.why === 'refused' || tries + 1 >= TRIES) return failed();
+          if (result.why === 'refused' || tries + 1 >= TRIES) return failed();
           this.cancel(id, answer, failed, tries + 1);
         },
         1000,
--- a/src/core/election.ts
+++ b/src/core/election.ts
@@ -101,11 +101,12 @@
 
   private readLeaderKey(): void {
     this.busy = true;
-    this.ctx.store({ op: 'get', key: LEADER_KEY }, 0, (r) => {
-      if (!r.ok) return this.retry(300);
+    this.ctx.store({ op: 'get', key: LEADER_KEY }, 0, (result) => {
+      if (!result.ok) return this.retry(300);
       this.holderReadAt = this.ctx.now.steady;
-      const item = r.value.item ?? null;
-      if (r.value.revision !== undefined && r.value.revision > this.seenRevision) this.seenRevision = r.value.revision;
+      const item = result.value.item ?? null;
+      if (result.value.revision !== undefined && result.value.revision > this.seenRevision)
+        this.seenRevision = result.value.revision;
       if (item === null) {
         this.holder = null;
         return this.prepareCandidacy();
@@ -132,10 +133,10 @@
     this.ctx.store(
       { op: 'watch', prefix: LEADER_KEY, after: this.seenRevision, waitMs },
       0,
-      (r) => {
-        if (!r.ok) return this.retry(r.why === 'gone' ? 10 : 300);
-        if (r.value.revision !== undefined) this.seenRevision = r.value.revision;
-        this.retry(r.value.events?.length ? 1 : 50);
+      (result) => {
+        if (!result.ok) return this.retry(result.why === 'gone' ? 10 : 300);
+        if (result.value.revision !== undefined) this.seenRevision = result.value.revision;
+        this.retry(result.value.events?.length ? 1 : 50);
       },
       waitMs + 2000,
     );
@@ -143,9 +144,9 @@
 
   private prepareCandidacy(): void {
     if (this.ctx.now.steady < this.notBefore) return this.retry(this.notBefore - this.ctx.now.steady);
-    this.ctx.store({ op: 'get', key: TERM_KEY }, 0, (r) => {
-      if (!r.ok) return this.retry(300);
-      const item = r.value.item ?? null;
+    this.ctx.store({ op: 'get', key: TERM_KEY }, 0, (result) => {
+      if (!result.ok) return this.retry(300);
+      const item = result.value.item ?? null;
       const value = item?.value as { n?: unknown } | undefined;
       const term = Number(value?.n ?? 0) + 1;
       this.campaign(term, item ? item.version : ABSENT);
@@ -157,8 +158,8 @@
     this.ctx.store(
       { op: 'grant', ttlMs: this.ttlMs },
       0,
-      (g) => {
-        const lease = g.ok ? g.value.lease : undefined;
+      (result) => {
+        const lease = result.ok ? result.value.lease : undefined;
         if (lease === undefined) return this.retry(300);
         const record: LeaderRecord = {
           node: this.ctx.settings.node,
@@ -197,8 +198,8 @@
 
   /** The transaction may have been carried out: the key itself tells. */
   private readBack(term: number, lease: LeaseId, sentAt: Steady): void {
-    this.ctx.store({ op: 'get', key: LEADER_KEY }, 0, (r) => {
-      const item = r.ok ? (r.value.item ?? null) : null;
+    this.ctx.store({ op: 'get', key: LEADER_KEY }, 0, (result) => {
+      const item = result.ok ? (result.value.item ?? null) : null;
       const holder = item ? decodeLeader(item.value) : null;
       if (item && holder && holder.lease === String(lease) && holder.incarnation === this.incarnation) {
         return this.becomeLeader(item.version, term, lease, sentAt);
@@ -237,16 +238,16 @@
     this.ctx.store(
       { op: 'renew', lease: held.lease },
       0,
-      (r) => {
+      (result) => {
         this.renewing = false;
         if (this.current !== held) return;
-        if (r.ok) {
+        if (result.ok) {
           const lapsed = !this.isValid();
           this.extendValidity(sentAt);
           if (lapsed) this.ctx.log('info', 'the lease outlived the gap: leading on', { token: held.token });
           return this.scheduleRenewal(this.ttlMs / 4);
         }
-        if (r.why === 'gone' || r.why === 'rejected') {
+        if (result.why === 'gone' || result.why === 'rejected') {
           this.ctx.log('info', 'the lease ended: no longer leading', { token: held.token });
           this.loseLeadership();
           return this.retry(10);
@@ -262,7 +263,7 @@
   }
 }
 
-export const leaderCondition = (l: Leadership): { key: string; version: Revision } => ({
+export const leaderCondition = (leadership: Leadership): { key: string; version: Revision } => ({
   key: LEADER_KEY,
-  version: revision(l.token),
+  version: revision(leadership.token),
 });
--- a/src/core/fleet.ts
+++ b/src/core/fleet.ts
@@ -152,29 +152,29 @@
     );
   }
 
-  hasRoomFor(r: Resources): boolean {
+  hasRoomFor(resources: Resources): boolean {
     const eps = 1e-6;
     return (
-      this.usedCpus + r.cpus <= this.type.cpus + eps &&
-      this.usedGpus + r.gpus <= this.type.gpus + eps &&
-      this.usedMemGb + r.memGb <= this.type.memGb + eps
+      this.usedCpus + resources.cpus <= this.type.cpus + eps &&
+      this.usedGpus + resources.gpus <= this.type.gpus + eps &&
+      this.usedMemGb + resources.memGb <= this.type.memGb + eps
     );
   }
 
-  addPlacement(p: Placement): void {
-    this.placements.set(taskKey(p.job.id, p.index), p);
-    this.usedCpus += p.job.spec.cpus;
-    this.usedGpus += p.job.spec.gpus;
-    this.usedMemGb += p.job.spec.memGb;
+  addPlacement(placement: Placement): void {
+    this.placements.set(taskKey(placement.job.id, placement.index), placement);
+    this.usedCpus += placement.job.spec.cpus;
+    this.usedGpus += placement.job.spec.gpus;
+    this.usedMemGb += placement.job.spec.memGb;
   }
 
-  removePlacement(p: Placement, now: Steady): void {
-    const key = taskKey(p.job.id, p.index);
-    if (this.placements.get(key) !== p) return;
+  removePlacement(placement: Placement, now: Steady): void {
+    const key = taskKey(placement.job.id, placement.index);
+    if (this.placements.get(key) !== placement) return;
     this.placements.delete(key);
-    this.usedCpus -= p.job.spec.cpus;
-    this.usedGpus -= p.job.spec.gpus;
-    this.usedMemGb -= p.job.spec.memGb;
+    this.usedCpus -= placement.job.spec.cpus;
+    this.usedGpus -= placement.job.spec.gpus;
+    this.usedMemGb -= placement.job.spec.memGb;
     if (this.placements.size === 0) {
       this.usedCpus = 0;
       this.usedGpus = 0;
@@ -250,9 +250,9 @@
     while (total > this.type.cacheGb && this.images.size > 1) {
       let oldest: ImageName | null = null;
       let at = Number.POSITIVE_INFINITY;
-      for (const [image, c] of this.images) {
-        if (c.fetchingSince === null && c.lastUsedAt < at) {
-          at = c.lastUsedAt;
+      for (const [image, cached] of this.images) {
+        if (cached.fetchingSince === null && cached.lastUsedAt < at) {
+          at = cached.lastUsedAt;
           oldest = image;
         }
       }
--- a/src/core/jobs.ts
+++ b/src/core/jobs.ts
@@ -161,8 +161,8 @@
   /** How many of its tasks may be in each zone now. */
   zoneCounts(): Map<ZoneName, number> {
     const counts = new Map<ZoneName, number>();
-    for (const p of this.placements.values()) {
-      counts.set(p.machine.zone, (counts.get(p.machine.zone) ?? 0) + 1);
+    for (const placement of this.placements.values()) {
+      counts.set(placement.machine.zone, (counts.get(placement.machine.zone) ?? 0) + 1);
     }
     return counts;
   }
--- a/src/core/leader.ts
+++ b/src/core/leader.ts
@@ -144,11 +144,11 @@
   private readPages(then: (items: StoredItem[] | null) => void): void {
     const all: StoredItem[] = [];
     const next = (after: string | null): void => {
-      this.ctx.store({ op: 'list', prefix: MACHINE_PREFIX, after, limit: 500 }, 1, (r) => {
-        if (!r.ok) return then(null);
-        all.push(...(r.value.items ?? []));
+      this.ctx.store({ op: 'list', prefix: MACHINE_PREFIX, after, limit: 500 }, 1, (result) => {
+        if (!result.ok) return then(null);
+        all.push(...(result.value.items ?? []));
         const last = all[all.length - 1];
-        if (r.value.more && last) return next(last.key);
+        if (result.value.more && last) return next(last.key);
         then(all);
       });
     };
@@ -178,14 +178,14 @@
     // A record that isn't understood stays as it is: its page is never written without it.
     if (!type) return this.registry.keepUnknown(key, record);
     const now = this.ctx.now.steady;
-    const m = new Machine(record.id, type, record.zone, record.spot, record.addr, false, 'up', now);
-    m.fetchSpeed = record.fetchSpeed;
+    const machine = new Machine(record.id, type, record.zone, record.spot, record.addr, false, 'up', now);
+    machine.fetchSpeed = record.fetchSpeed;
     for (const image of record.images) {
       const gb = this.cluster.imageGb.get(image);
-      if (gb !== undefined) m.restoreImage(image, gb, now);
+      if (gb !== undefined) machine.restoreImage(image, gb, now);
     }
-    this.cluster.machines.set(m.id, m);
-    this.registry.restore(m, key);
+    this.cluster.machines.set(machine.id, machine);
+    this.registry.restore(machine, key);
   }
 
   /** The mirror has a newer record of a job: a submission, a cancellation, or what we wrote ourselves. */
--- a/src/core/ledger.ts
+++ b/src/core/ledger.ts
@@ -77,13 +77,13 @@
     this.stopped = true;
   }
 
-  registerMachine(m: Machine): void {
-    this.registry.add(m);
+  registerMachine(machine: Machine): void {
+    this.registry.add(machine);
     this.scheduleFlush();
   }
 
-  unregisterMachine(m: Machine): void {
-    this.registry.remove(m.id);
+  unregisterMachine(machine: Machine): void {
+    this.registry.remove(machine.id);
     this.scheduleFlush();
   }
 
@@ -169,22 +169,22 @@
   private send(batch: Batch): void {
     const { conditions, changes, jobs, pages } = batch;
     this.inFlight += 1;
-    this.ctx.store({ op: 'txn', conditions, changes }, batch.urgent ? 1 : 3, (r) => {
+    this.ctx.store({ op: 'txn', conditions, changes }, batch.urgent ? 1 : 3, (result) => {
       this.inFlight -= 1;
       for (const s of jobs) s.job.writeInFlight = false;
       for (const s of pages) s.page.writeInFlight = false;
       if (this.stopped) return;
-      if (r.ok && r.value.revision !== undefined) {
-        for (const s of jobs) this.onJobWritten(s, r.value.revision);
-        for (const s of pages) this.onPageWritten(s, r.value.revision);
+      if (result.ok && result.value.revision !== undefined) {
+        for (const s of jobs) this.onJobWritten(s, result.value.revision);
+        for (const s of pages) this.onPageWritten(s, result.value.revision);
       } else {
-        const unclear = r.ok || r.why !== 'refused';
+        const unclear = result.ok || result.why !== 'refused';
         for (const { page } of pages) {
           page.urgent = true;
           page.versionUnknown = unclear;
         }
         if (unclear) for (const s of jobs) this.rereadJob(s.job);
-        if (!r.ok && r.why === 'rejected') this.shrinkWrites(batch);
+        if (!result.ok && result.why === 'rejected') this.shrinkWrites(batch);
         this.ctx.timers.set('recordFlush', steadyPlus(this.ctx.now.steady, 150));
       }
       this.callbacks.onWritten();
@@ -204,33 +204,33 @@
     });
   }
 
-  private onJobWritten(s: JobSnapshot, version: Revision): void {
-    const { job } = s;
+  private onJobWritten(snapshot: JobSnapshot, version: Revision): void {
+    const { job } = snapshot;
     if (version > job.version) {
       job.version = version;
-      job.durableState = s.state;
-      job.durableStartTerm = s.startTerm;
-      job.durableDone = RangeSet.from(s.done);
+      job.durableState = snapshot.state;
+      job.durableStartTerm = snapshot.startTerm;
+      job.durableDone = RangeSet.from(snapshot.done);
     }
     if (job.needsWrite === 'no' && job.state !== 'accepted' && job.placements.size === 0)
       this.cluster.activeJobs.delete(job);
     if (job.needsWrite === 'now') this.scheduleFlush();
   }
 
-  private onPageWritten(s: PageSnapshot, version: Revision): void {
-    if (version > s.page.version) s.page.version = version;
-    for (const m of s.machines) if (s.page.machines.has(m)) m.registered = true;
-    this.registry.onPageStored(s.page, s.machines);
+  private onPageWritten(snapshot: PageSnapshot, version: Revision): void {
+    if (version > snapshot.page.version) snapshot.page.version = version;
+    for (const m of snapshot.machines) if (snapshot.page.machines.has(m)) m.registered = true;
+    this.registry.onPageStored(snapshot.page, snapshot.machines);
     this.scheduleFlush();
   }
 
   /** A write failed or has an unknown outcome: the store tells what holds now. */
   private rereadJob(job: Job): void {
     job.writeInFlight = true;
-    this.ctx.store({ op: 'get', key: jobKey(job.id) }, 1, (r) => {
+    this.ctx.store({ op: 'get', key: jobKey(job.id) }, 1, (result) => {
       job.writeInFlight = false;
-      if (this.stopped || !r.ok || !r.value.item) return;
-      this.callbacks.onRecordRead(r.value.item);
+      if (this.stopped || !result.ok || !result.value.item) return;
+      this.callbacks.onRecordRead(result.value.item);
       this.scheduleFlush();
     });
   }
@@ -238,14 +238,14 @@
   /** Only the version matters: the page is written anew, on the condition that nothing has come in between. */
   private rereadPage(page: Page): void {
     page.writeInFlight = true;
-    this.ctx.store({ op: 'get', key: pageKey(page.no) }, 1, (r) => {
+    this.ctx.store({ op: 'get', key: pageKey(page.no) }, 1, (result) => {
       page.writeInFlight = false;
       if (this.stopped) return;
-      if (r.ok) {
-        page.version = r.value.item ? r.value.item.version : ABSENT;
+      if (result.ok) {
+        page.version = result.value.item ? result.value.item.version : ABSENT;
         page.versionUnknown = false;
       }
-      this.ctx.timers.set('recordFlush', steadyPlus(this.ctx.now.steady, r.ok ? 1 : 200));
+      this.ctx.timers.set('recordFlush', steadyPlus(this.ctx.now.steady, result.ok ? 1 : 200));
     });
   }
 }
--- a/src/core/mirror.ts
+++ b/src/core/mirror.ts
@@ -78,13 +78,13 @@
     let first: Revision | null = null;
     const items: StoredItem[] = [];
     const page = (after: string | null): void => {
-      this.ctx.store({ op: 'list', prefix: JOB_PREFIX, after, limit: PAGE }, 1, (r) => {
-        if (!r.ok) return this.readDone(false);
-        items.push(...(r.value.items ?? []));
+      this.ctx.store({ op: 'list', prefix: JOB_PREFIX, after, limit: PAGE }, 1, (result) => {
+        if (!result.ok) return this.readDone(false);
+        items.push(...(result.value.items ?? []));
         // Changes made while later pages are read come again through the watch.
-        first ??= r.value.revision ?? null;
+        first ??= result.value.revision ?? null;
         const last = items[items.length - 1];
-        if (r.value.more && last) return page(last.key);
+        if (result.value.more && last) return page(last.key);
         for (const item of items) this.update(item);
         if (first !== null && (this.watchFrom === null || first > this.watchFrom)) this.watchFrom = first;
         if (sentAt > this.currentAsOf) this.currentAsOf = sentAt;
@@ -116,10 +116,10 @@
     this.ctx.store(
       { op: 'watch', prefix: JOB_PREFIX, after: this.watchFrom, waitMs },
       1,
-      (r) => {
+      (result) => {
         this.watching = false;
-        if (!r.ok) {
-          if (r.why === 'gone') {
+        if (!result.ok) {
+          if (result.why === 'gone') {
             // Too far behind the store's changes: all is read again, as often as it takes.
             this.watchFrom = null;
             if (!this.reading) this.readAll();
@@ -127,13 +127,13 @@
           }
           return this.scheduleNext(250);
         }
-        const events = r.value.events ?? [];
+        const events = result.value.events ?? [];
         // One that brings nothing has waited for its whole time first.
         const knownAt = events.length > 0 ? sentAt : steadyPlus(sentAt, waitMs * (1 - CLOCK_DRIFT));
         const freshAt = Math.min(knownAt, this.ctx.now.steady) as Steady;
         if (freshAt > this.currentAsOf) this.currentAsOf = freshAt;
         for (const e of events) this.applyEvent(e);
-        const { revision } = r.value;
+        const { revision } = result.value;
         if (revision !== undefined && this.watchFrom !== null && revision > this.watchFrom) this.watchFrom = revision;
         this.scheduleNext(this.leading ? PACE_LEADING_MS : PACE_MS);
       },
@@ -145,9 +145,9 @@
     );
   }
 
-  private applyEvent(e: StoreEvent): void {
-    if ('drop' in e) return;
-    this.update({ key: e.put, value: e.value, version: e.version });
+  private applyEvent(event: StoreEvent): void {
+    if ('drop' in event) return;
+    this.update({ key: event.put, value: event.value, version: event.version });
   }
 
   /** A record as the store holds or held it; older ones than known are passed over. */
--- a/src/core/node.ts
+++ b/src/core/node.ts
@@ -247,12 +247,12 @@
   }
 
   private readCatalog(): void {
-    this.ctx.cloud({ op: 'types' }, this.types.size === 0 ? 0 : 3, (r) => {
-      if (!r.ok || !r.value.types) {
+    this.ctx.cloud({ op: 'types' }, this.types.size === 0 ? 0 : 3, (result) => {
+      if (!result.ok || !result.value.types) {
         this.ctx.timers.set('catalog', this.at(CATALOG_RETRY_MS));
         return;
       }
-      this.types = new Map(r.value.types.map((t) => [t.name, t]));
+      this.types = new Map(result.value.types.map((t) => [t.name, t]));
       this.leader?.setTypes(this.types);
       // Only the leader needs today's prices.
       this.ctx.timers.set('catalog', this.at(CATALOG_FRESH_MS));
@@ -337,12 +337,12 @@
   private expireForwardedReports(): void {
     const { steady } = this.ctx.now;
     const holder = this.election.holderName();
-    for (const [id, b] of this.forwardedReports) {
-      if (b.until > steady && b.to === holder) continue;
+    for (const [id, forwarded] of this.forwardedReports) {
+      if (forwarded.until > steady && forwarded.to === holder) continue;
       this.forwardedReports.delete(id);
-      const peer = this.peers.get(b.to);
-      if (peer && b.until <= steady) peer.silentUntil = this.at(FORWARD_MS);
-      b.answer({ status: 503 });
+      const peer = this.peers.get(forwarded.to);
+      if (peer && forwarded.until <= steady) peer.silentUntil = this.at(FORWARD_MS);
+      forwarded.answer({ status: 503 });
     }
   }
 
@@ -386,11 +386,11 @@
     const after = this.ctx.tuning.leadership.resign_after_ms;
     const heard = Math.max(this.workersHeardAt ?? 0, this.ledSince);
     if (now - heard < after) return;
-    for (const p of this.peers.values()) {
-      const { workersHeardMs } = p.status;
+    for (const peer of this.peers.values()) {
+      const { workersHeardMs } = peer.status;
       // A peer that has just come back heard its workers without us; now it passes their reports on.
-      if (now - p.heardSince < after) continue;
-      if (now - p.heardAt < LINK_FRESH_MS && workersHeardMs >= 0 && workersHeardMs < after / 2) {
+      if (now - peer.heardSince < after) continue;
+      if (now - peer.heardAt < LINK_FRESH_MS && workersHeardMs >= 0 && workersHeardMs < after / 2) {
         return this.election.resign('workers reach a peer but not this node');
       }
     }
@@ -421,8 +421,8 @@
       }
       case 'report': {
         const { id, report } = message;
-        const answer = (a: WorkerAnswer): void =>
-          this.ctx.peer(from, { kind: 'reportAnswer', id, machine: report.machine, answer: a });
+        const answer = (answer: WorkerAnswer): void =>
+          this.ctx.peer(from, { kind: 'reportAnswer', id, machine: report.machine, answer: answer });
         if (!this.leader) return answer({ status: 503 });
         this.workersHeardAt = this.ctx.now.steady;
         this.leader.onReport(report, answer);
@@ -473,21 +473,21 @@
 
   private expireNotices(): void {
     let next = Number.POSITIVE_INFINITY;
-    for (const [id, w] of this.pendingNotices) {
-      if (w.until > this.ctx.now.steady) {
-        next = Math.min(next, w.until);
+    for (const [id, notice] of this.pendingNotices) {
+      if (notice.until > this.ctx.now.steady) {
+        next = Math.min(next, notice.until);
         continue;
       }
       this.pendingNotices.delete(id);
-      w.then();
+      notice.then();
     }
     if (Number.isFinite(next)) this.ctx.timers.set('cancellationNotices', next as Steady);
   }
 
   private relay(request: UserRequest, answer: (a: UserAnswer) => void): boolean {
     const now = this.ctx.now.steady;
-    for (const [name, p] of this.peers) {
-      if (!p.status.storeOk || now - p.heardAt > PEER_FRESH_MS) continue;
+    for (const [name, peer] of this.peers) {
+      if (!peer.status.storeOk || now - peer.heardAt > PEER_FRESH_MS) continue;
       const id = ++this.lastRelay;
       this.relays.set(id, { answer, until: this.at(RELAY_MS) });
       this.ctx.peer(name, { kind: 'request', id, request });
--- a/src/core/quotas.ts
+++ b/src/core/quotas.ts
@@ -13,9 +13,9 @@
   unreconciled: Use = { cpus: 0, gpus: 0 };
 
   constructor(teams: readonly Team[]) {
-    for (const t of teams) {
-      this.teams.set(t.name, t);
-      this.use.set(t.name, { cpus: 0, gpus: 0 });
+    for (const team of teams) {
+      this.teams.set(team.name, team);
+      this.use.set(team.name, { cpus: 0, gpus: 0 });
     }
   }
 
@@ -32,10 +32,10 @@
   }
 
   add(spec: JobSpec, tasks: number): void {
-    const u = this.use.get(spec.team);
-    if (!u) return;
-    u.cpus += spec.cpus * tasks;
-    u.gpus += spec.gpus * tasks;
+    const use = this.use.get(spec.team);
+    if (!use) return;
+    use.cpus += spec.cpus * tasks;
+    use.gpus += spec.gpus * tasks;
   }
 
   /** How many more tasks of this kind the team's limit allows now. */
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -46,10 +46,11 @@
 const isFields = (v: unknown): v is Fields => typeof v === 'object' && v !== null && !Array.isArray(v);
 
 /** A job's record in `valueBytes` at most: results that find no room in it stay with the workers that have them. */
-export function encodeJob(r: JobRecord, valueBytes: number): Fields & { done: [number, number][] } {
-  const { spec, submittedAt: at, state, startTerm: term, startZone: zone } = r;
+export function encodeJob(record: JobRecord, valueBytes: number): Fields & { done: [number, number][] } {
+  const { spec, submittedAt: at, state, startTerm: term, startZone: zone } = record;
   const value = { v: 1, spec, at, state, term, zone, done: [] as [number, number][] };
-  if (r.done.count > 0) value.done = r.done.pairs(valueBytes - SPARE_BYTES - Buffer.byteLength(JSON.stringify(value)));
+  if (record.done.count > 0)
+    value.done = record.done.pairs(valueBytes - SPARE_BYTES - Buffer.byteLength(JSON.stringify(value)));
   return value;
 }
 
@@ -76,14 +77,14 @@
 export function encodePage(machines: readonly MachineRecord[], mostImages: number): Fields {
   return {
     v: 2,
-    machines: machines.map((m) => [
-      m.id,
-      m.addr,
-      m.type,
-      m.zone,
-      m.spot ? 1 : 0,
-      Math.round(m.fetchSpeed * 100) / 100,
-      mostImages > 0 ? m.images.slice(-mostImages) : [],
+    machines: machines.map((record) => [
+      record.id,
+      record.addr,
+      record.type,
+      record.zone,
+      record.spot ? 1 : 0,
+      Math.round(record.fetchSpeed * 100) / 100,
+      mostImages > 0 ? record.images.slice(-mostImages) : [],
     ]),
   };
 }
--- a/src/core/registry.ts
+++ b/src/core/registry.ts
@@ -54,13 +54,13 @@
     if (page.leaving.size > 0) return;
     const machines = [...page.machines];
     while (machines.length > 1 && (machines.length > this.perPage || !this.fits(machines))) {
-      const m = machines.pop() as Machine;
-      if (m.registered) {
-        const to = this.assignPage(m, page);
-        page.leaving.set(m, to);
+      const machine = machines.pop() as Machine;
+      if (machine.registered) {
+        const to = this.assignPage(machine, page);
+        page.leaving.set(machine, to);
       } else {
-        page.machines.delete(m);
-        this.assignPage(m, page).urgent = true;
+        page.machines.delete(machine);
+        this.assignPage(machine, page).urgent = true;
       }
     }
   }
@@ -79,10 +79,10 @@
   onPageStored(page: Page, machines: readonly Machine[]): void {
     for (const from of this.pages.values()) {
       if (from.leaving.size === 0) continue;
-      for (const m of machines) {
-        if (from.leaving.get(m) !== page) continue;
-        from.leaving.delete(m);
-        from.machines.delete(m);
+      for (const machine of machines) {
+        if (from.leaving.get(machine) !== page) continue;
+        from.leaving.delete(machine);
+        from.machines.delete(machine);
         from.needsRewrite = true;
       }
     }
@@ -93,20 +93,20 @@
   }
 
   /** Puts a machine on a page with room, other than `not`; the page is written before long. */
-  private assignPage(m: Machine, not: Page | null): Page {
+  private assignPage(machine: Machine, not: Page | null): Page {
     let page: Page | undefined;
     for (const p of this.pages.values()) {
       if (p === not || p.leaving.size > 0 || p.machines.size >= this.perPage) continue;
-      if ((page === undefined || p.machines.size > page.machines.size) && this.fits([...p.machines, m])) page = p;
+      if ((page === undefined || p.machines.size > page.machines.size) && this.fits([...p.machines, machine])) page = p;
     }
     if (!page) {
       page = this.emptyPage(this.pages.size, ABSENT);
       while (this.pages.has(page.no) || this.unreadablePages.has(page.no)) page = this.emptyPage(page.no + 1, ABSENT);
       this.pages.set(page.no, page);
     }
-    page.machines.add(m);
+    page.machines.add(machine);
     page.needsRewrite = true;
-    this.pageOf.set(m.id, page);
+    this.pageOf.set(machine.id, page);
     return page;
   }
 
@@ -145,17 +145,17 @@
   }
 
   /** Puts a machine that was read from a page back on it. */
-  restore(m: Machine, key: string): void {
+  restore(machine: Machine, key: string): void {
     const page = this.pages.get(Number(key.slice(MACHINE_PREFIX.length)));
     if (!page) return;
-    page.machines.add(m);
-    this.pageOf.set(m.id, page);
-    m.registered = true;
+    page.machines.add(machine);
+    this.pageOf.set(machine.id, page);
+    machine.registered = true;
   }
 
-  add(m: Machine): void {
-    if (this.pageOf.has(m.id)) return;
-    this.assignPage(m, null).urgent = true;
+  add(machine: Machine): void {
+    if (this.pageOf.has(machine.id)) return;
+    this.assignPage(machine, null).urgent = true;
   }
 
   remove(id: MachineId): void {
@@ -165,10 +165,10 @@
     for (const m of page.machines) if (m.id === id) page.machines.delete(m);
     page.needsRewrite = true;
     for (const from of this.pages.values()) {
-      for (const m of from.leaving.keys()) {
-        if (m.id !== id) continue;
-        from.leaving.delete(m);
-        from.machines.delete(m);
+      for (const machine of from.leaving.keys()) {
+        if (machine.id !== id) continue;
+        from.leaving.delete(machine);
+        from.machines.delete(machine);
         from.needsRewrite = true;
       }
     }
@@ -177,8 +177,8 @@
   collectHints(): void {
     for (const page of this.pages.values()) {
       if (page.hintsChanged) continue;
-      for (const m of page.machines) {
-        if (!m.imagesChanged) continue;
+      for (const machine of page.machines) {
+        if (!machine.imagesChanged) continue;
         page.hintsChanged = true;
         break;
       }
@@ -188,10 +188,11 @@
   /** Pages to write, the most pressing first; without tokens to spare only what can't wait. */
   duePages(now: Steady, spare: boolean): Page[] {
     const found: Page[] = [];
-    for (const p of this.pages.values()) {
+    for (const page of this.pages.values()) {
       // One that is being spread is too large to be written until the others have left.
-      if (p.writeInFlight || p.versionUnknown || p.leaving.size > 0) continue;
-      if (p.urgent || p.needsRewrite || (p.hintsChanged && spare && now - p.writtenAt > HINTS_MS)) found.push(p);
+      if (page.writeInFlight || page.versionUnknown || page.leaving.size > 0) continue;
+      if (page.urgent || page.needsRewrite || (page.hintsChanged && spare && now - page.writtenAt > HINTS_MS))
+        found.push(page);
     }
     return found.sort((a, b) => Number(b.urgent) - Number(a.urgent) || Number(b.needsRewrite) - Number(a.needsRewrite));
   }
@@ -216,12 +217,12 @@
 
 const IMAGES_MOST = 16;
 
-const machineRecord = (m: Machine): MachineRecord => ({
-  id: m.id,
-  addr: m.addr,
-  type: m.typeName,
-  zone: m.zone,
-  spot: m.spot,
-  images: m.cachedImages(),
-  fetchSpeed: m.fetchSpeed,
+const machineRecord = (machine: Machine): MachineRecord => ({
+  id: machine.id,
+  addr: machine.addr,
+  type: machine.typeName,
+  zone: machine.zone,
+  spot: machine.spot,
+  images: machine.cachedImages(),
+  fetchSpeed: machine.fetchSpeed,
 });
--- a/src/core/scheduler/hosting.ts
+++ b/src/core/scheduler/hosting.ts
@@ -17,19 +17,19 @@
 }
 
 /** Whether one more task of the job may go to this machine, by its job's wishes and the room really free. */
-export function mayHost(cluster: Cluster, job: Job, m: Machine, instead = false): boolean {
+export function mayHost(cluster: Cluster, job: Job, machine: Machine, instead = false): boolean {
   const { spec } = job;
   if (
-    !m.isSchedulable(cluster.ctx.now.steady, cluster.ctx.settings.workers.reportMs) ||
-    !m.hasRoomFor(spec) ||
+    !machine.isSchedulable(cluster.ctx.now.steady, cluster.ctx.settings.workers.reportMs) ||
+    !machine.hasRoomFor(spec) ||
     (!instead && cluster.quotas.room(spec) < 1)
   )
     return false;
-  if (!couldHost(job, m.type, m.zone) || (m.spot && !spec.spotOk)) return false;
+  if (!couldHost(job, machine.type, machine.zone) || (machine.spot && !spec.spotOk)) return false;
   // `instead`: asked for a place that it would take once it has left all of its present ones.
   if (instead) return true;
-  if (spec.sameZone) for (const p of job.placements.values()) if (p.machine.zone !== m.zone) return false;
-  return !spec.spread || (job.zoneCounts().get(m.zone) ?? 0) < job.zoneLimit;
+  if (spec.sameZone) for (const p of job.placements.values()) if (p.machine.zone !== machine.zone) return false;
+  return !spec.spread || (job.zoneCounts().get(machine.zone) ?? 0) < job.zoneLimit;
 }
 
 /** Gives the task its place: it is sent once the job's first start is on record. */
@@ -68,11 +68,11 @@
   const found = new Map<TypeName, { cpus: number; memGb: number }>();
   for (const type of cluster.types.values()) {
     const most = { cpus: 0, memGb: 0 };
-    for (const r of shapes.values()) {
-      if (r.gpus > type.gpus) continue;
-      const n = Math.floor(type.gpus / r.gpus + 1e-6);
-      most.cpus = Math.max(most.cpus, Math.min(type.cpus, n * r.cpus));
-      most.memGb = Math.max(most.memGb, Math.min(type.memGb, n * r.memGb));
+    for (const resources of shapes.values()) {
+      if (resources.gpus > type.gpus) continue;
+      const n = Math.floor(type.gpus / resources.gpus + 1e-6);
+      most.cpus = Math.max(most.cpus, Math.min(type.cpus, n * resources.cpus));
+      most.memGb = Math.max(most.memGb, Math.min(type.memGb, n * resources.memGb));
     }
     found.set(type.name, most);
   }
@@ -83,13 +83,13 @@
  * On machines with GPUs, the cores and memory that GPU work has no use for even when it has all the GPUs. Work without
  * GPUs that took more would keep GPUs idle: a gang that needs whole machines would wait for the last small task on each.
  */
-export function spareRoom(m: Machine, gpuWork: GpuWork): { cpus: number; memGb: number } {
-  const { type } = m;
+export function spareRoom(machine: Machine, gpuWork: GpuWork): { cpus: number; memGb: number } {
+  const { type } = machine;
   if (type.gpus === 0) return { cpus: Number.POSITIVE_INFINITY, memGb: Number.POSITIVE_INFINITY };
   const taken = gpuWork.get(type.name) ?? { cpus: 0, memGb: 0 };
   let cpus = type.cpus - taken.cpus;
   let memGb = type.memGb - taken.memGb;
-  for (const { job } of m.placements.values()) {
+  for (const { job } of machine.placements.values()) {
     if (job.spec.gpus > 0) continue;
     cpus -= job.spec.cpus;
     memGb -= job.spec.memGb;
--- a/src/core/scheduler/moves.ts
+++ b/src/core/scheduler/moves.ts
@@ -33,9 +33,9 @@
 /** Seconds until the gang's last image is there; 0 if any of its tasks is past fetching. */
 function fetchLeftS(cluster: Cluster, job: Job): number {
   let most = 0;
-  for (const p of job.placements.values()) {
-    if (p.phase !== 'fetching' || p.stop !== null) return 0;
-    most = Math.max(most, p.machine.fetchSeconds(job.spec.image, job.spec.imageGb, cluster.ctx.now.steady));
+  for (const placement of job.placements.values()) {
+    if (placement.phase !== 'fetching' || placement.stop !== null) return 0;
+    most = Math.max(most, placement.machine.fetchSeconds(job.spec.image, job.spec.imageGb, cluster.ctx.now.steady));
   }
   return most;
 }
@@ -47,13 +47,13 @@
   if (spec.spread) return null;
   const now = cluster.ctx.now.steady;
   const byZone = new Map<string, Machine[]>();
-  for (const m of cluster.machines.values()) {
-    const image = m.images.get(spec.image);
-    if (!image || image.fetchingSince !== null || !mayHost(cluster, job, m, true)) continue;
-    if (m.reserved && m.reserved.until > now && m.reserved.job !== job.id) continue;
-    const zone = spec.sameZone ? m.zone : 'any';
+  for (const machine of cluster.machines.values()) {
+    const image = machine.images.get(spec.image);
+    if (!image || image.fetchingSince !== null || !mayHost(cluster, job, machine, true)) continue;
+    if (machine.reserved && machine.reserved.until > now && machine.reserved.job !== job.id) continue;
+    const zone = spec.sameZone ? machine.zone : 'any';
     const found = byZone.get(zone) ?? [];
-    found.push(m);
+    found.push(machine);
     byZone.set(zone, found);
     if (found.length === spec.tasks) return found;
   }
--- a/src/core/scheduler/planner.ts
+++ b/src/core/scheduler/planner.ts
@@ -91,68 +91,68 @@
 const UNPLACED_S = 600;
 
 /** Field by field: a spread into a literal that goes on costs several microseconds, and a round makes thousands. */
-export function cloneMachine(m: PlanMachine): PlanMachine {
+export function cloneMachine(machine: PlanMachine): PlanMachine {
   return {
-    slot: m.slot,
-    zone: m.zone,
-    type: m.type,
-    spot: m.spot,
-    times: m.times.slice(),
-    cpus: m.cpus.slice(),
-    gpus: m.gpus.slice(),
-    memGb: m.memGb.slice(),
-    spareCpus: m.spareCpus,
-    spareMemGb: m.spareMemGb,
-    fetchS: m.fetchS,
-    reservedForGangs: m.reservedForGangs,
-    largestCachedShare: m.largestCachedShare,
+    slot: machine.slot,
+    zone: machine.zone,
+    type: machine.type,
+    spot: machine.spot,
+    times: machine.times.slice(),
+    cpus: machine.cpus.slice(),
+    gpus: machine.gpus.slice(),
+    memGb: machine.memGb.slice(),
+    spareCpus: machine.spareCpus,
+    spareMemGb: machine.spareMemGb,
+    fetchS: machine.fetchS,
+    reservedForGangs: machine.reservedForGangs,
+    largestCachedShare: machine.largestCachedShare,
   };
 }
 
 /** The part of a machine that one task takes, by what it takes most of. */
-export function machineShare(r: Resources, t: MachineType): number {
+export function machineShare(resources: Resources, type: MachineType): number {
   const of = (a: number, b: number): number => (b > 0 ? a / b : 0);
-  return Math.max(of(r.cpus, t.cpus), of(r.gpus, t.gpus), of(r.memGb, t.memGb));
+  return Math.max(of(resources.cpus, type.cpus), of(resources.gpus, type.gpus), of(resources.memGb, type.memGb));
 }
 
 const at = (xs: number[], i: number): number => xs[i] as number;
 
-function typeFits(job: PlanJob, t: MachineType): boolean {
+function typeFits(job: PlanJob, type: MachineType): boolean {
   return (
-    (job.types === null || job.types.includes(t.name)) &&
-    job.cpus <= t.cpus + EPS &&
-    job.gpus <= t.gpus + EPS &&
-    job.memGb <= t.memGb + EPS
+    (job.types === null || job.types.includes(type.name)) &&
+    job.cpus <= type.cpus + EPS &&
+    job.gpus <= type.gpus + EPS &&
+    job.memGb <= type.memGb + EPS
   );
 }
 
 /** How many tasks of the job fit from step `k` for as long as they need. */
-function fitCount(m: PlanMachine, k: number, needS: number, r: Resources): number {
-  const until = at(m.times, k) + needS;
+function fitCount(machine: PlanMachine, k: number, needS: number, resources: Resources): number {
+  const until = at(machine.times, k) + needS;
   let cpus = Number.POSITIVE_INFINITY;
   let gpus = Number.POSITIVE_INFINITY;
   let mem = Number.POSITIVE_INFINITY;
-  for (let i = k; i < m.times.length && (i === k || at(m.times, i) < until - EPS); i++) {
-    if (at(m.cpus, i) < cpus) cpus = at(m.cpus, i);
-    if (at(m.gpus, i) < gpus) gpus = at(m.gpus, i);
-    if (at(m.memGb, i) < mem) mem = at(m.memGb, i);
-    if (cpus + EPS < r.cpus || gpus + EPS < r.gpus || mem + EPS < r.memGb) return 0;
+  for (let i = k; i < machine.times.length && (i === k || at(machine.times, i) < until - EPS); i++) {
+    if (at(machine.cpus, i) < cpus) cpus = at(machine.cpus, i);
+    if (at(machine.gpus, i) < gpus) gpus = at(machine.gpus, i);
+    if (at(machine.memGb, i) < mem) mem = at(machine.memGb, i);
+    if (cpus + EPS < resources.cpus || gpus + EPS < resources.gpus || mem + EPS < resources.memGb) return 0;
   }
   let n = Number.POSITIVE_INFINITY;
-  if (r.cpus > 0) n = Math.min(n, Math.floor(cpus / r.cpus + EPS));
-  if (r.gpus > 0) n = Math.min(n, Math.floor(gpus / r.gpus + EPS));
-  if (r.memGb > 0) n = Math.min(n, Math.floor(mem / r.memGb + EPS));
+  if (resources.cpus > 0) n = Math.min(n, Math.floor(cpus / resources.cpus + EPS));
+  if (resources.gpus > 0) n = Math.min(n, Math.floor(gpus / resources.gpus + EPS));
+  if (resources.memGb > 0) n = Math.min(n, Math.floor(mem / resources.memGb + EPS));
   return n;
 }
 
 /** As `fitCount`, and without taking from GPU work what it needs beside its GPUs. */
-function fits(m: PlanMachine, k: number, needS: number, r: PlanJob): number {
-  if (r.gpus > 0 || m.type.gpus === 0 || r.penaltyFactor === 0) return fitCount(m, k, needS, r);
+function fits(machine: PlanMachine, k: number, needS: number, job: PlanJob): number {
+  if (job.gpus > 0 || machine.type.gpus === 0 || job.penaltyFactor === 0) return fitCount(machine, k, needS, job);
   const loose = Math.min(
-    r.cpus > 0 ? m.spareCpus / r.cpus : Number.POSITIVE_INFINITY,
-    r.memGb > 0 ? m.spareMemGb / r.memGb : Number.POSITIVE_INFINITY,
+    job.cpus > 0 ? machine.spareCpus / job.cpus : Number.POSITIVE_INFINITY,
+    job.memGb > 0 ? machine.spareMemGb / job.memGb : Number.POSITIVE_INFINITY,
   );
-  return loose + EPS < 1 ? 0 : Math.min(Math.floor(loose + EPS), fitCount(m, k, needS, r));
+  return loose + EPS < 1 ? 0 : Math.min(Math.floor(loose + EPS), fitCount(machine, k, needS, job));
 }
 
 /** For jobs with and without GPUs, the least that any of them asks for of each resource. */
@@ -168,54 +168,64 @@
 }
 
 /** Whether so much is free at the first step, not asking for how long. */
-function fitsNow(m: PlanMachine, r: Resources): boolean {
-  if (r.gpus === 0 && m.type.gpus > 0 && (m.spareCpus + EPS < r.cpus || m.spareMemGb + EPS < r.memGb)) return false;
-  return at(m.cpus, 0) + EPS >= r.cpus && at(m.gpus, 0) + EPS >= r.gpus && at(m.memGb, 0) + EPS >= r.memGb;
+function fitsNow(machine: PlanMachine, resources: Resources): boolean {
+  if (
+    resources.gpus === 0 &&
+    machine.type.gpus > 0 &&
+    (machine.spareCpus + EPS < resources.cpus || machine.spareMemGb + EPS < resources.memGb)
+  )
+    return false;
+  return (
+    at(machine.cpus, 0) + EPS >= resources.cpus &&
+    at(machine.gpus, 0) + EPS >= resources.gpus &&
+    at(machine.memGb, 0) + EPS >= resources.memGb
+  );
 }
 
 /** Whether `a` can begin only where `b` could: it asks for no less, for no shorter, and may go to no more places. */
-function asksNoLess(a: PlanJob, b: PlanJob): boolean {
+function asksNoLess(job: PlanJob, b: PlanJob): boolean {
   return (
-    a.cpus >= b.cpus &&
-    a.gpus >= b.gpus &&
-    a.gpus > 0 === b.gpus > 0 &&
-    a.memGb >= b.memGb &&
-    a.durationS >= b.durationS &&
-    (b.spotOk || !a.spotOk) &&
-    (b.types === null || (a.types?.every((t) => b.types?.includes(t)) ?? false)) &&
-    a.zones.every((z) => b.zones.includes(z)) &&
+    job.cpus >= b.cpus &&
+    job.gpus >= b.gpus &&
+    job.gpus > 0 === b.gpus > 0 &&
+    job.memGb >= b.memGb &&
+    job.durationS >= b.durationS &&
+    (b.spotOk || !job.spotOk) &&
+    (b.types === null || (job.types?.every((t) => b.types?.includes(t)) ?? false)) &&
+    job.zones.every((z) => b.zones.includes(z)) &&
     b.avoid === null &&
-    (!b.gang || (a.gang && a.tasks >= b.tasks && (a.sameZone || !b.sameZone)))
+    (!b.gang || (job.gang && job.tasks >= b.tasks && (job.sameZone || !b.sameZone)))
   );
 }
 
 /** Room left in the scarcest resource after `n` tasks, as a share of the machine: best fit takes the least. */
-function slack(m: PlanMachine, k: number, n: number, r: Resources): number {
+function slack(machine: PlanMachine, k: number, n: number, resources: Resources): number {
   let least = 1;
-  if (m.type.gpus > 0) least = Math.min(least, (at(m.gpus, k) - n * r.gpus) / m.type.gpus);
-  if (m.type.cpus > 0) least = Math.min(least, (at(m.cpus, k) - n * r.cpus) / m.type.cpus);
-  if (m.type.memGb > 0) least = Math.min(least, (at(m.memGb, k) - n * r.memGb) / m.type.memGb);
+  if (machine.type.gpus > 0) least = Math.min(least, (at(machine.gpus, k) - n * resources.gpus) / machine.type.gpus);
+  if (machine.type.cpus > 0) least = Math.min(least, (at(machine.cpus, k) - n * resources.cpus) / machine.type.cpus);
+  if (machine.type.memGb > 0)
+    least = Math.min(least, (at(machine.memGb, k) - n * resources.memGb) / machine.type.memGb);
   return least;
 }
 
-function stepAt(m: PlanMachine, t: number): number {
-  let k = m.times.length - 1;
-  while (k > 0 && at(m.times, k) > t + EPS) k -= 1;
-  if (Math.abs(at(m.times, k) - t) <= EPS || t <= at(m.times, k)) return k;
-  m.times.splice(k + 1, 0, t);
-  m.cpus.splice(k + 1, 0, at(m.cpus, k));
-  m.gpus.splice(k + 1, 0, at(m.gpus, k));
-  m.memGb.splice(k + 1, 0, at(m.memGb, k));
+function stepAt(machine: PlanMachine, t: number): number {
+  let k = machine.times.length - 1;
+  while (k > 0 && at(machine.times, k) > t + EPS) k -= 1;
+  if (Math.abs(at(machine.times, k) - t) <= EPS || t <= at(machine.times, k)) return k;
+  machine.times.splice(k + 1, 0, t);
+  machine.cpus.splice(k + 1, 0, at(machine.cpus, k));
+  machine.gpus.splice(k + 1, 0, at(machine.gpus, k));
+  machine.memGb.splice(k + 1, 0, at(machine.memGb, k));
   return k + 1;
 }
 
-function reserve(m: PlanMachine, from: number, needS: number, n: number, r: Resources): void {
-  const a = stepAt(m, from);
-  const b = stepAt(m, from + needS);
+function reserve(machine: PlanMachine, from: number, needS: number, n: number, resources: Resources): void {
+  const a = stepAt(machine, from);
+  const b = stepAt(machine, from + needS);
   for (let i = a; i < b; i++) {
-    m.cpus[i] = at(m.cpus, i) - n * r.cpus;
-    m.gpus[i] = at(m.gpus, i) - n * r.gpus;
-    m.memGb[i] = at(m.memGb, i) - n * r.memGb;
+    machine.cpus[i] = at(machine.cpus, i) - n * resources.cpus;
+    machine.gpus[i] = at(machine.gpus, i) - n * resources.gpus;
+    machine.memGb[i] = at(machine.memGb, i) - n * resources.memGb;
   }
 }
 
@@ -232,8 +242,12 @@
   slack: number;
 }
 
-const before = (a: Candidate, b: Candidate): boolean =>
-  a.rank !== b.rank ? a.rank < b.rank : a.slack !== b.slack ? a.slack < b.slack : a.slot < b.slot;
+const before = (candidate: Candidate, b: Candidate): boolean =>
+  candidate.rank !== b.rank
+    ? candidate.rank < b.rank
+    : candidate.slack !== b.slack
+      ? candidate.slack < b.slack
+      : candidate.slot < b.slot;
 
 /** Candidates with the best on top: an array takes many places one after the other, from hundreds of machines. */
 class CandidateHeap {
@@ -322,10 +336,10 @@
     if (this.base === base) return;
     this.base = base;
     this.zoneSlots.clear();
-    for (const m of base) {
-      const slots = this.zoneSlots.get(m.zone);
-      if (slots) slots.push(m.slot);
-      else this.zoneSlots.set(m.zone, [m.slot]);
+    for (const machine of base) {
+      const slots = this.zoneSlots.get(machine.zone);
+      if (slots) slots.push(machine.slot);
+      else this.zoneSlots.set(machine.zone, [machine.slot]);
     }
   }
 
@@ -359,10 +373,10 @@
         }
       } else {
         const now: Candidate[] = [];
-        for (const c of candidates) {
-          if (!job.zones.includes(c.machine.zone)) continue;
-          c.count = fits(c.machine, 0, c.fetchS + job.durationS, job);
-          if (c.count > 0) now.push(this.ranked(c, job, 0));
+        for (const candidate of candidates) {
+          if (!job.zones.includes(candidate.machine.zone)) continue;
+          candidate.count = fits(candidate.machine, 0, candidate.fetchS + job.durationS, job);
+          if (candidate.count > 0) now.push(this.ranked(candidate, job, 0));
         }
         now.sort((a, b) => (before(a, b) ? -1 : 1));
         let left = job.tasks;
@@ -418,48 +432,51 @@
   /** The zone whose machines the job fits have most room now. */
   private roomiest(job: PlanJob): ZoneName {
     const room = new Map<ZoneName, number>();
-    for (const { machine: m } of this.candidates(job, this.slotsIn(job.zones))) {
-      room.set(m.zone, (room.get(m.zone) ?? 0) + fitCount(m, 0, job.durationS, job) - at(m.times, 0) * 1e-3);
+    for (const { machine } of this.candidates(job, this.slotsIn(job.zones))) {
+      room.set(
+        machine.zone,
+        (room.get(machine.zone) ?? 0) + fitCount(machine, 0, job.durationS, job) - at(machine.times, 0) * 1e-3,
+      );
     }
     let best = job.zones[0] as ZoneName;
     for (const z of job.zones) if ((room.get(z) ?? 0) > (room.get(best) ?? 0)) best = z;
     return best;
   }
 
-  private penaltyS(job: PlanJob, m: PlanMachine, share: number): number {
+  private penaltyS(job: PlanJob, machine: PlanMachine, share: number): number {
     const { gpuS, onDemandS, reservedS, cachedImageS } = this.penalties;
     let s = 0;
-    if (job.gpus === 0 && m.type.gpus > 0) s += gpuS;
-    if (job.spotOk && !m.spot) s += m.reservedForGangs && !job.gang ? reservedS : onDemandS;
-    if (m.largestCachedShare > share + 0.01) s += cachedImageS;
-    return s * job.penaltyFactor + (m.spot ? job.spotDelayS : 0);
+    if (job.gpus === 0 && machine.type.gpus > 0) s += gpuS;
+    if (job.spotOk && !machine.spot) s += machine.reservedForGangs && !job.gang ? reservedS : onDemandS;
+    if (machine.largestCachedShare > share + 0.01) s += cachedImageS;
+    return s * job.penaltyFactor + (machine.spot ? job.spotDelayS : 0);
   }
 
   private candidates(job: PlanJob, slots: readonly number[]): Candidate[] {
     const found: Candidate[] = [];
     const types = new Map<MachineType, number>();
     for (const slot of slots) {
-      const m = this.machines[slot] as PlanMachine;
-      if ((m.spot && !job.spotOk) || job.avoid?.has(slot)) continue;
-      let share = types.get(m.type);
+      const machine = this.machines[slot] as PlanMachine;
+      if ((machine.spot && !job.spotOk) || job.avoid?.has(slot)) continue;
+      let share = types.get(machine.type);
       if (share === undefined) {
-        share = typeFits(job, m.type) ? machineShare(job, m.type) : -1;
-        types.set(m.type, share);
+        share = typeFits(job, machine.type) ? machineShare(job, machine.type) : -1;
+        types.set(machine.type, share);
       }
       if (share < 0) continue;
       // Most machines with GPUs have nothing loose: looking no further there is a third of the cost of small work.
       if (
         job.gpus === 0 &&
         job.penaltyFactor > 0 &&
-        m.type.gpus > 0 &&
-        (m.spareCpus + EPS < job.cpus || m.spareMemGb + EPS < job.memGb)
+        machine.type.gpus > 0 &&
+        (machine.spareCpus + EPS < job.cpus || machine.spareMemGb + EPS < job.memGb)
       )
         continue;
       found.push({
         slot,
-        machine: m,
-        fetchS: m.fetchS(job.image, job.imageGb),
-        penaltyS: this.penaltyS(job, m, share),
+        machine: machine,
+        fetchS: machine.fetchS(job.image, job.imageGb),
+        penaltyS: this.penaltyS(job, machine, share),
         step: 0,
         count: 0,
         startS: 0,
@@ -471,38 +488,38 @@
     return found;
   }
 
-  private ranked(c: Candidate, job: PlanJob, step: number): Candidate {
-    const roomAt = at(c.machine.times, step);
-    c.step = step;
-    c.startS = roomAt + c.fetchS;
-    c.rank = Math.round(2 * (c.startS + this.penalties.futureDiscount * roomAt + c.penaltyS));
-    c.slack = slack(c.machine, step, 1, job);
-    return c;
+  private ranked(candidate: Candidate, job: PlanJob, step: number): Candidate {
+    const roomAt = at(candidate.machine.times, step);
+    candidate.step = step;
+    candidate.startS = roomAt + candidate.fetchS;
+    candidate.rank = Math.round(2 * (candidate.startS + this.penalties.futureDiscount * roomAt + candidate.penaltyS));
+    candidate.slack = slack(candidate.machine, step, 1, job);
+    return candidate;
   }
 
   /** Finds the first step from which at least one task fits. */
-  private earliest(c: Candidate, job: PlanJob): void {
-    const m = c.machine;
-    const need = c.fetchS + job.durationS;
-    c.count = 0;
-    for (let k = 0; k < m.times.length; k++) {
-      const n = fits(m, k, need, job);
+  private earliest(candidate: Candidate, job: PlanJob): void {
+    const machine = candidate.machine;
+    const need = candidate.fetchS + job.durationS;
+    candidate.count = 0;
+    for (let k = 0; k < machine.times.length; k++) {
+      const n = fits(machine, k, need, job);
       if (n === 0) continue;
-      c.count = n;
-      this.ranked(c, job, k);
+      candidate.count = n;
+      this.ranked(candidate, job, k);
       return;
     }
   }
 
-  private reserve(c: Candidate, from: number, needS: number, n: number, r: Resources): void {
-    if (this.machines[c.slot] === this.base[c.slot]) {
-      this.machines[c.slot] = cloneMachine(this.base[c.slot] as PlanMachine);
+  private reserve(candidate: Candidate, from: number, needS: number, n: number, resources: Resources): void {
+    if (this.machines[candidate.slot] === this.base[candidate.slot]) {
+      this.machines[candidate.slot] = cloneMachine(this.base[candidate.slot] as PlanMachine);
     }
-    c.machine = this.machines[c.slot] as PlanMachine;
-    reserve(c.machine, from, needS, n, r);
-    if (r.gpus > 0 || c.machine.type.gpus === 0) return;
-    c.machine.spareCpus -= n * r.cpus;
-    c.machine.spareMemGb -= n * r.memGb;
+    candidate.machine = this.machines[candidate.slot] as PlanMachine;
+    reserve(candidate.machine, from, needS, n, resources);
+    if (resources.gpus > 0 || candidate.machine.type.gpus === 0) return;
+    candidate.machine.spareCpus -= n * resources.cpus;
+    candidate.machine.spareMemGb -= n * resources.memGb;
   }
 
   private planArray(
@@ -542,13 +559,13 @@
     const candidates = this.candidates(job, this.slotsIn(zones));
     // Before the machines that come free first have room for all of it, no instant need be tried.
     const free: { at: number; count: number }[] = [];
-    for (const c of candidates) {
-      const m = c.machine;
+    for (const candidate of candidates) {
+      const machine = candidate.machine;
       let before = 0;
-      for (let k = 0; k < m.times.length && before < job.tasks; k++) {
-        const n = fits(m, k, c.fetchS + job.durationS, job);
+      for (let k = 0; k < machine.times.length && before < job.tasks; k++) {
+        const n = fits(machine, k, candidate.fetchS + job.durationS, job);
         if (n <= before) continue;
-        free.push({ at: at(m.times, k), count: n - before });
+        free.push({ at: at(machine.times, k), count: n - before });
         before = n;
       }
     }
@@ -581,24 +598,24 @@
   private takeGang(chosen: readonly Chosen[], job: PlanJob, roomAt: number, starts: PlannedStart[]): void {
     let fetch = 0;
     for (const { c } of chosen) fetch = Math.max(fetch, c.fetchS);
-    for (const { c, n } of chosen) {
-      starts.push({ job: job.slot, machine: c.slot, tasks: n, roomAtS: roomAt, startAtS: roomAt + fetch });
-      this.reserve(c, roomAt, fetch + job.durationS, n, job);
+    for (const { c: candidate, n } of chosen) {
+      starts.push({ job: job.slot, machine: candidate.slot, tasks: n, roomAtS: roomAt, startAtS: roomAt + fetch });
+      this.reserve(candidate, roomAt, fetch + job.durationS, n, job);
     }
   }
 
   /** The machines that take the whole gang at `t`, or null. */
   private gangAt(candidates: readonly Candidate[], job: PlanJob, zone: ZoneName, t: number): Chosen[] | null {
     const options: { c: Candidate; n: number; near: number; rank: number; slack: number }[] = [];
-    for (const c of candidates) {
-      const m = c.machine;
-      if (at(m.times, 0) > t + EPS) continue;
-      let k = m.times.length - 1;
-      while (k > 0 && at(m.times, k) > t + EPS) k -= 1;
-      const n = fits(m, k, t - at(m.times, k) + c.fetchS + job.durationS, job);
+    for (const candidate of candidates) {
+      const machine = candidate.machine;
+      if (at(machine.times, 0) > t + EPS) continue;
+      let k = machine.times.length - 1;
+      while (k > 0 && at(machine.times, k) > t + EPS) k -= 1;
+      const n = fits(machine, k, t - at(machine.times, k) + candidate.fetchS + job.durationS, job);
       if (n === 0) continue;
-      const rank = Math.round(2 * (c.fetchS + c.penaltyS));
-      options.push({ c, n, near: m.zone === zone ? 0 : 1, rank, slack: slack(m, k, 1, job) });
+      const rank = Math.round(2 * (candidate.fetchS + candidate.penaltyS));
+      options.push({ c: candidate, n, near: machine.zone === zone ? 0 : 1, rank, slack: slack(machine, k, 1, job) });
     }
     this.steps += options.length;
     options.sort((a, b) => a.near - b.near || a.rank - b.rank || a.slack - b.slack || a.c.slot - b.c.slot);
@@ -628,13 +645,13 @@
   const horizon = 60;
   let used = 0;
   let there = 0;
-  for (const m of machines) {
-    const gpu = m.type.gpus > 0;
-    const capacity = gpu ? m.type.gpus : m.type.cpus;
-    const free = gpu ? m.gpus : m.cpus;
-    for (let k = 0; k < m.times.length && at(m.times, k) < horizon; k++) {
-      const end = Math.min(horizon, k + 1 < m.times.length ? at(m.times, k + 1) : horizon);
-      const share = (end - at(m.times, k)) / horizon;
+  for (const machine of machines) {
+    const gpu = machine.type.gpus > 0;
+    const capacity = gpu ? machine.type.gpus : machine.type.cpus;
+    const free = gpu ? machine.gpus : machine.cpus;
+    for (let k = 0; k < machine.times.length && at(machine.times, k) < horizon; k++) {
+      const end = Math.min(horizon, k + 1 < machine.times.length ? at(machine.times, k + 1) : horizon);
+      const share = (end - at(machine.times, k)) / horizon;
       there += share;
       used += share * (1 - at(free, k) / capacity);
     }
--- a/src/core/scheduler/preempt.ts
+++ b/src/core/scheduler/preempt.ts
@@ -40,9 +40,9 @@
     job.preemptions += 1;
     for (const { machine, victims } of chosen) {
       machine.reserved = { job: job.id, until: steadyPlus(cluster.ctx.now.steady, RESERVED_MS) };
-      for (const p of victims) {
-        if (p.phase === 'planned') cluster.release(p);
-        else cluster.stop(p, 0);
+      for (const placement of victims) {
+        if (placement.phase === 'planned') cluster.release(placement);
+        else cluster.stop(placement, 0);
       }
       stopped += victims.length;
     }
@@ -68,10 +68,10 @@
 /** The machines, in one zone if the job wants that, on which room for all its tasks costs least. */
 function cheapest(cluster: Cluster, job: Job): Option[] | null {
   const byZone = new Map<string, Option[]>();
-  for (const m of cluster.machines.values()) {
-    const option = optionOn(cluster, job, m);
+  for (const machine of cluster.machines.values()) {
+    const option = optionOn(cluster, job, machine);
     if (!option) continue;
-    const zone = job.spec.sameZone ? m.zone : 'any';
+    const zone = job.spec.sameZone ? machine.zone : 'any';
     const found = byZone.get(zone);
     if (found) found.push(option);
     else byZone.set(zone, [option]);
@@ -87,25 +87,25 @@
 }
 
 /** What would have to be stopped on a machine for one task of the job, and what that costs; null if it can't be. */
-export function optionOn(cluster: Cluster, job: Job, m: Machine): Option | null {
+export function optionOn(cluster: Cluster, job: Job, machine: Machine): Option | null {
   const { spec } = job;
   const now = cluster.ctx.now.steady;
-  if (!m.isSchedulable(now, cluster.ctx.settings.workers.reportMs)) return null;
-  if (!couldHost(job, m.type, m.zone) || (m.spot && !spec.spotOk)) return null;
-  if (m.reserved && m.reserved.until > now && m.reserved.job !== job.id) return null;
+  if (!machine.isSchedulable(now, cluster.ctx.settings.workers.reportMs)) return null;
+  if (!couldHost(job, machine.type, machine.zone) || (machine.spot && !spec.spotOk)) return null;
+  if (machine.reserved && machine.reserved.until > now && machine.reserved.job !== job.id) return null;
   const lower: { p: Placement; lost: number }[] = [];
-  for (const p of m.placements.values()) {
+  for (const placement of machine.placements.values()) {
     // What is being stopped already comes free by itself, and not for this job.
-    if (p.stop !== null) return null;
-    if (p.job.spec.shape !== 'array' || p.job.spec.rank >= spec.rank) continue;
-    const ranS = p.runningSince === null ? 0 : (now - p.runningSince) / 1000;
-    lower.push({ p, lost: ranS * Math.max(p.job.spec.gpus, 0.1) });
+    if (placement.stop !== null) return null;
+    if (placement.job.spec.shape !== 'array' || placement.job.spec.rank >= spec.rank) continue;
+    const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000;
+    lower.push({ p: placement, lost: ranS * Math.max(placement.job.spec.gpus, 0.1) });
   }
   lower.sort((a, b) => a.lost - b.lost);
-  let cpus = m.type.cpus - m.usedCpus;
-  let gpus = m.type.gpus - m.usedGpus;
-  let mem = m.type.memGb - m.usedMemGb;
-  let cost = m.fetchSeconds(spec.image, spec.imageGb, now) * Math.max(spec.gpus, 0.1);
+  let cpus = machine.type.cpus - machine.usedCpus;
+  let gpus = machine.type.gpus - machine.usedGpus;
+  let mem = machine.type.memGb - machine.usedMemGb;
+  let cost = machine.fetchSeconds(spec.image, spec.imageGb, now) * Math.max(spec.gpus, 0.1);
   const victims: Placement[] = [];
   const room = (): boolean => cpus + 1e-6 >= spec.cpus && gpus + 1e-6 >= spec.gpus && mem + 1e-6 >= spec.memGb;
   for (const { p, lost } of lower) {
@@ -116,5 +116,5 @@
     gpus += p.job.spec.gpus;
     mem += p.job.spec.memGb;
   }
-  return room() ? { machine: m, victims, cost } : null;
+  return room() ? { machine: machine, victims, cost } : null;
 }
--- a/src/core/scheduler/priority.ts
+++ b/src/core/scheduler/priority.ts
@@ -31,12 +31,12 @@
   settings: UrgencySettings,
 ): number {
   let most = 0;
-  for (const o of objectives) {
-    if (o.jobClass !== spec.jobClass) continue;
+  for (const objective of objectives) {
+    if (objective.jobClass !== spec.jobClass) continue;
     let slack = Number.POSITIVE_INFINITY;
-    if (o.kind === 'wait') slack = o.withinS - waitedS - fetchS;
-    else if (o.kind === 'finished') slack = o.withinS - waitedS - fetchS - runS;
-    else if (spec.deadlineS !== null) slack = spec.deadlineS * o.times - waitedS - fetchS - runS;
+    if (objective.kind === 'wait') slack = objective.withinS - waitedS - fetchS;
+    else if (objective.kind === 'finished') slack = objective.withinS - waitedS - fetchS - runS;
+    else if (spec.deadlineS !== null) slack = spec.deadlineS * objective.times - waitedS - fetchS - runS;
     if (slack < 0) continue;
     most = Math.max(most, 1 - slack / settings.horizonS);
   }
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -40,41 +40,41 @@
 const FILL_MOST = 250;
 
 /** Seconds until a running task is expected to leave its machine. */
-function remainingS(cluster: Cluster, p: Placement, now: Steady): number {
+function remainingS(cluster: Cluster, placement: Placement, now: Steady): number {
   const report = cluster.ctx.settings.workers.reportMs / 1000;
-  const { spec } = p.job;
-  if (p.stop !== null) return Math.max(report, p.stop.graceS);
+  const { spec } = placement.job;
+  if (placement.stop !== null) return Math.max(report, placement.stop.graceS);
   const expected = cluster.estimates.expectS(spec);
   if (spec.shape === 'service') return expected;
-  if (p.runningSince === null) {
-    return p.machine.fetchSeconds(spec.image, spec.imageGb, now) + expected;
+  if (placement.runningSince === null) {
+    return placement.machine.fetchSeconds(spec.image, spec.imageGb, now) + expected;
   }
-  const elapsed = (now - p.runningSince) / 1000;
+  const elapsed = (now - placement.runningSince) / 1000;
   // The longer work has run over what was expected, the longer it is likely to go on: taking overdue work to end at once
   // makes others wait for gaps that never come.
   return Math.max(report, expected - elapsed, elapsed * cluster.ctx.tuning.scheduler.overdue_share);
 }
 
 /** When a machine that was rented but hasn't reported is expected, in seconds from now. */
-export function bootingS(m: Machine, now: Steady): number {
-  const age = (now - m.rentedAt) / 1000;
-  return Math.max(m.type.bootS * 0.15, m.type.bootS * 1.05 - age);
+export function bootingS(machine: Machine, now: Steady): number {
+  const age = (now - machine.rentedAt) / 1000;
+  return Math.max(machine.type.bootS * 0.15, machine.type.bootS * 1.05 - age);
 }
 
 function planMachine(
   cluster: Cluster,
-  m: Machine,
+  machine: Machine,
   slot: number,
   now: Steady,
   gpuWork: GpuWork,
   wanted: ReadonlySet<TypeName>,
 ): PlanMachine {
-  const ready = m.phase === 'booting' ? bootingS(m, now) : 0;
+  const ready = machine.phase === 'booting' ? bootingS(machine, now) : 0;
   const times = [ready];
-  const cpus = [m.type.cpus - m.usedCpus];
-  const gpus = [m.type.gpus - m.usedGpus];
-  const memGb = [m.type.memGb - m.usedMemGb];
-  const ends = [...m.placements.values()]
+  const cpus = [machine.type.cpus - machine.usedCpus];
+  const gpus = [machine.type.gpus - machine.usedGpus];
+  const memGb = [machine.type.memGb - machine.usedMemGb];
+  const ends = [...machine.placements.values()]
     .map((p) => ({ at: remainingS(cluster, p, now), spec: p.job.spec }))
     .sort((a, b) => a.at - b.at);
   for (const { at, spec } of ends) {
@@ -91,29 +91,29 @@
     gpus[k] = (gpus[k] as number) + spec.gpus;
     memGb[k] = (memGb[k] as number) + spec.memGb;
   }
-  const loose = spareRoom(m, gpuWork);
+  const loose = spareRoom(machine, gpuWork);
   return {
     slot,
-    zone: m.zone,
+    zone: machine.zone,
     spareCpus: loose.cpus,
     spareMemGb: loose.memGb,
-    type: m.type,
-    spot: m.spot,
+    type: machine.type,
+    spot: machine.spot,
     times,
     cpus,
     gpus,
     memGb,
-    reservedForGangs: !m.spot && wanted.has(m.typeName),
-    fetchS: (image, gb) => m.fetchSeconds(image, gb, now),
-    largestCachedShare: largestCachedShare(cluster, m),
+    reservedForGangs: !machine.spot && wanted.has(machine.typeName),
+    fetchS: (image, gb) => machine.fetchSeconds(image, gb, now),
+    largestCachedShare: largestCachedShare(cluster, machine),
   };
 }
 
-function largestCachedShare(cluster: Cluster, m: Machine): number {
+function largestCachedShare(cluster: Cluster, machine: Machine): number {
   let most = 0;
-  for (const [name, cached] of m.images) {
+  for (const [name, cached] of machine.images) {
     const user = cluster.largestImageUsers.get(name);
-    if (user && cached.fetchingSince === null) most = Math.max(most, machineShare(user, m.type));
+    if (user && cached.fetchingSince === null) most = Math.max(most, machineShare(user, machine.type));
   }
   return most;
 }
@@ -123,8 +123,8 @@
   const { spec } = job;
   if (spec.sameZone) for (const p of job.placements.values()) return [p.machine.zone];
   const here = new Set<ZoneName>();
-  for (const m of machines) {
-    if ((spec.spotOk || !m.spot) && couldHost(job, m.type, m.zone)) here.add(m.zone);
+  for (const machine of machines) {
+    if ((spec.spotOk || !machine.spot) && couldHost(job, machine.type, machine.zone)) here.add(machine.zone);
   }
   if (here.size > 0) return [...here].sort();
   for (const t of cluster.types.values()) for (const z of t.zones) if (couldHost(job, t, z)) here.add(z);
@@ -143,10 +143,10 @@
     wanted.set(job.spec.team, w);
   }
   const found = new Set<string>();
-  for (const t of cluster.quotas.teamsInOrder()) {
-    const w = wanted.get(t.name);
-    if (!w || (t.cpus <= 0 && t.gpus <= 0)) continue;
-    if ((t.cpus <= 0 || w.cpus <= t.cpus) && (t.gpus <= 0 || w.gpus <= t.gpus)) found.add(t.name);
+  for (const team of cluster.quotas.teamsInOrder()) {
+    const w = wanted.get(team.name);
+    if (!w || (team.cpus <= 0 && team.gpus <= 0)) continue;
+    if ((team.cpus <= 0 || w.cpus <= team.cpus) && (team.gpus <= 0 || w.gpus <= team.gpus)) found.add(team.name);
   }
   return found;
 }
@@ -154,8 +154,8 @@
 /** A fetch at the pace of the slowest type that could host the job: how long it takes if nothing is cached. */
 function fetchGuessS(cluster: Cluster, job: Job): number {
   let rate = Number.POSITIVE_INFINITY;
-  for (const t of cluster.types.values()) {
-    if (t.zones.some((z) => couldHost(job, t, z))) rate = Math.min(rate, t.fetchGbPerS);
+  for (const type of cluster.types.values()) {
+    if (type.zones.some((z) => couldHost(job, type, z))) rate = Math.min(rate, type.fetchGbPerS);
   }
   return Number.isFinite(rate) ? job.spec.imageGb / Math.max(0.01, rate) : 0;
 }
@@ -167,12 +167,12 @@
   const tuning = ctx.tuning.scheduler;
   const unaccounted = cluster.updateUnreconciled();
   const machines: Machine[] = [];
-  for (const m of cluster.machines.values()) {
+  for (const machine of cluster.machines.values()) {
     if (
-      m.isSchedulable(now, ctx.settings.workers.reportMs) ||
-      (m.phase === 'booting' && !m.deletionInFlight && m.draining === null)
+      machine.isSchedulable(now, ctx.settings.workers.reportMs) ||
+      (machine.phase === 'booting' && !machine.deletionInFlight && machine.draining === null)
     )
-      machines.push(m);
+      machines.push(machine);
   }
   const gpuWork = gpuWorkOf(cluster);
   const guaranteed = guaranteedTeams(cluster);
@@ -306,8 +306,9 @@
   const found = new Set<TypeName>();
   for (const { job } of waiting) {
     if (job.spec.shape !== 'gang' || job.spec.spotOk) continue;
-    for (const t of cluster.types.values()) {
-      if (machineShare(job.spec, t) > WHOLE_SHARE && t.zones.some((z) => couldHost(job, t, z))) found.add(t.name);
+    for (const type of cluster.types.values()) {
+      if (machineShare(job.spec, type) > WHOLE_SHARE && type.zones.some((z) => couldHost(job, type, z)))
+        found.add(type.name);
     }
   }
   return found;
@@ -322,10 +323,10 @@
 /** For each job the zone in which a plan over all zones puts most of it. */
 function zonesChosen(plan: Plan, jobs: readonly PlanJob[]): ZoneName[] {
   const counts = jobs.map(() => new Map<ZoneName, number>());
-  for (const s of plan.starts) {
-    const zone = (plan.machines[s.machine] as PlanMachine).zone;
-    const count = counts[s.job] as Map<ZoneName, number>;
-    count.set(zone, (count.get(zone) ?? 0) + s.tasks);
+  for (const start of plan.starts) {
+    const zone = (plan.machines[start.machine] as PlanMachine).zone;
+    const count = counts[start.job] as Map<ZoneName, number>;
+    count.set(zone, (count.get(zone) ?? 0) + start.tasks);
   }
   return jobs.map((job, i) => {
     let best = job.zones[0] as ZoneName;
@@ -339,9 +340,9 @@
 /** For each type, zone and kind in sight one machine that stands for the others, with its zone. */
 function zonesOf(machines: readonly PlanMachine[]): PlanMachine[] {
   const seen = new Map<string, PlanMachine>();
-  for (const m of machines) {
-    const key = `${m.type.name}|${m.zone}|${m.spot}`;
-    if (!seen.has(key)) seen.set(key, m);
+  for (const machine of machines) {
+    const key = `${machine.type.name}|${machine.zone}|${machine.spot}`;
+    if (!seen.has(key)) seen.set(key, machine);
   }
   return [...seen.values()];
 }
@@ -411,10 +412,10 @@
   machines: readonly Machine[],
 ): number {
   const byJob = new Map<number, PlannedStart[]>();
-  for (const s of starts) {
-    const parts = byJob.get(s.job);
-    if (parts) parts.push(s);
-    else byJob.set(s.job, [s]);
+  for (const start of starts) {
+    const parts = byJob.get(start.job);
+    if (parts) parts.push(start);
+    else byJob.set(start.job, [start]);
   }
   let started = 0;
   for (const [slot, parts] of byJob) {
@@ -441,9 +442,9 @@
   if (job.placements.size > 0 || cluster.quotas.room(job.spec) < job.spec.tasks) return 0;
   const attempt = cluster.nextAttempt();
   let index = 0;
-  for (const s of parts) {
-    const machine = machines[s.machine] as Machine;
-    for (let i = 0; i < s.tasks; i++) {
+  for (const start of parts) {
+    const machine = machines[start.machine] as Machine;
+    for (let i = 0; i < start.tasks; i++) {
       if (!mayHost(cluster, job, machine)) {
         cluster.breakGang(job);
         return 0;
--- a/src/core/scheduler/services.ts
+++ b/src/core/scheduler/services.ts
@@ -44,12 +44,12 @@
     const room = zoneRoom(job);
     job.replicaPendingSince ??= cluster.ctx.now.steady;
     for (const index of job.pendingTasks(job.spec.tasks)) {
-      const m = cluster.quotas.room(job.spec) >= 1 ? bestMachine(cluster, job, room) : null;
-      if (!m) break;
-      placeTask(cluster, job, index, m, cluster.nextAttempt());
-      cluster.machinesWithStarts.add(m);
-      if (m.reserved?.job === job.id) m.reserved = null;
-      takeZoneRoom(room, m.zone, job);
+      const machine = cluster.quotas.room(job.spec) >= 1 ? bestMachine(cluster, job, room) : null;
+      if (!machine) break;
+      placeTask(cluster, job, index, machine, cluster.nextAttempt());
+      cluster.machinesWithStarts.add(machine);
+      if (machine.reserved?.job === job.id) machine.reserved = null;
+      takeZoneRoom(room, machine.zone, job);
       placed += 1;
     }
     if (job.pendingCount === 0) job.replicaPendingSince = null;
@@ -70,9 +70,9 @@
   room?.set(zone, (room.get(zone) ?? job.zoneLimit) - 1);
 }
 
-function replicasOn(job: Job, m: Machine): number {
+function replicasOn(job: Job, machine: Machine): number {
   let n = 0;
-  for (const p of job.placements.values()) if (p.machine === m) n += 1;
+  for (const p of job.placements.values()) if (p.machine === machine) n += 1;
   return n;
 }
 
@@ -83,9 +83,9 @@
   // One that has waited for long takes what there is (service-takes-gpu-cores.txt).
   const choosy = job.replicaPendingSince === null || now - job.replicaPendingSince < AVOID_GPU_MS;
   let gpuWork: GpuWork | null = null;
-  const isLoose = (m: Machine): boolean => {
+  const isLoose = (machine: Machine): boolean => {
     gpuWork ??= gpuWorkOf(cluster);
-    const left = spareRoom(m, gpuWork);
+    const left = spareRoom(machine, gpuWork);
     return left.cpus >= spec.cpus && left.memGb >= spec.memGb;
   };
   let best: Machine | null = null;
@@ -111,10 +111,10 @@
   return best;
 }
 
-function slacks(m: Machine): number[] {
-  const { type } = m;
+function slacks(machine: Machine): number[] {
+  const { type } = machine;
   const of = (used: number, all: number): number => (all > 0 ? (all - used) / all : 1);
-  return [of(m.usedCpus, type.cpus), of(m.usedGpus, type.gpus), of(m.usedMemGb, type.memGb)];
+  return [of(machine.usedCpus, type.cpus), of(machine.usedGpus, type.gpus), of(machine.usedMemGb, type.memGb)];
 }
 
 /** Stops lower arrays on the machine where least is lost; the replica follows when they are gone. */
@@ -124,8 +124,8 @@
   if (spec.rank === 0 || cluster.quotas.room(spec) < 1) return false;
   // Room made a moment ago and not yet taken.
   let coming = 0;
-  for (const m of cluster.machines.values()) {
-    if (m.reserved && m.reserved.job === job.id && m.reserved.until > now) coming += 1;
+  for (const machine of cluster.machines.values()) {
+    if (machine.reserved && machine.reserved.job === job.id && machine.reserved.until > now) coming += 1;
   }
   if (coming >= job.pendingCount) return false;
   const plain = [...cluster.types.values()].some((t) => t.gpus === 0 && t.zones.some((z) => couldHost(job, t, z)));
@@ -143,9 +143,9 @@
   }
   if (!best) return false;
   best.m.reserved = { job: job.id, until: steadyPlus(now, RESERVED_MS) };
-  for (const p of best.victims) {
-    if (p.phase === 'planned') cluster.release(p);
-    else cluster.stop(p, 0);
+  for (const placement of best.victims) {
+    if (placement.phase === 'planned') cluster.release(placement);
+    else cluster.stop(placement, 0);
   }
   takeZoneRoom(room, best.m.zone, job);
   cluster.ctx.log('debug', 'lower work makes room for a service', { job: job.id, machine: best.m.id });
@@ -156,18 +156,18 @@
  * A replica on a machine that is about to go moves: its new place is found and kept first, so that the gap is a stop and a
  * start. Without one it stays where it is. Never more than half of a service at a time.
  */
-export function moveReplica(cluster: Cluster, p: Placement): boolean {
-  const { job } = p;
+export function moveReplica(cluster: Cluster, placement: Placement): boolean {
+  const { job } = placement;
   let moving = 0;
   for (const other of job.placements.values()) if (other.stop !== null) moving += 1;
   if (moving + job.pendingCount >= Math.max(1, Math.ceil(job.spec.tasks * MOVING_MOST_SHARE))) return false;
   const room = zoneRoom(job);
   // Its own place comes free with the move.
-  room?.set(p.machine.zone, (room.get(p.machine.zone) ?? job.zoneLimit) + 1);
-  const to = bestMachine(cluster, job, room, p.machine);
-  if (!to || (job.spec.sameZone && to.zone !== p.machine.zone)) return false;
+  room?.set(placement.machine.zone, (room.get(placement.machine.zone) ?? job.zoneLimit) + 1);
+  const to = bestMachine(cluster, job, room, placement.machine);
+  if (!to || (job.spec.sameZone && to.zone !== placement.machine.zone)) return false;
   to.reserved = { job: job.id, until: steadyPlus(cluster.ctx.now.steady, RESERVED_MS) };
-  cluster.ctx.log('info', 'moving a replica', { job: job.id, from: p.machine.id, to: to.id });
-  cluster.stop(p, 0);
+  cluster.ctx.log('info', 'moving a replica', { job: job.id, from: placement.machine.id, to: to.id });
+  cluster.stop(placement, 0);
   return true;
 }
--- a/src/core/slowness.ts
+++ b/src/core/slowness.ts
@@ -18,9 +18,9 @@
 export class Slowness {
   private readonly jobs = new Map<JobId, Evidence>();
 
-  note(job: JobId, e: Evidence): void {
+  note(job: JobId, evidence: Evidence): void {
     this.jobs.delete(job);
-    this.jobs.set(job, e);
+    this.jobs.set(job, evidence);
     if (this.jobs.size <= JOBS_KEPT) return;
     const oldest = this.jobs.keys().next();
     if (!oldest.done) this.jobs.delete(oldest.value);
--- a/src/core/upkeep.ts
+++ b/src/core/upkeep.ts
@@ -26,14 +26,14 @@
     const now = ctx.now.steady;
     const { reportMs } = ctx.settings.workers;
     const emptyAfter = workerLeaseExpiryMs(ctx.settings);
-    for (const m of this.cluster.machines.values()) {
+    for (const machine of this.cluster.machines.values()) {
       // What a silent machine was only meant to get goes elsewhere.
-      if (m.phase === 'up' && now - m.lastReportAt > MISSED_REPORTS_UNTIL_SILENT * reportMs) {
-        for (const p of [...m.placements.values()]) if (p.phase === 'planned') this.cluster.release(p);
+      if (machine.phase === 'up' && now - machine.lastReportAt > MISSED_REPORTS_UNTIL_SILENT * reportMs) {
+        for (const p of [...machine.placements.values()]) if (p.phase === 'planned') this.cluster.release(p);
       }
-      if (m.phase === 'booting' || now - m.leaseRenewedAt <= emptyAfter) continue;
-      if (m.reconciled && m.placements.size === 0) continue;
-      this.releaseExpired(m);
+      if (machine.phase === 'booting' || now - machine.leaseRenewedAt <= emptyAfter) continue;
+      if (machine.reconciled && machine.placements.size === 0) continue;
+      this.releaseExpired(machine);
     }
     this.drainSlowMachine(now);
     this.drainMachines(now);
@@ -43,20 +43,20 @@
    * Nobody has answered it for longer than its lease, not even an earlier leader: whatever it held is gone. It comes back
    * with a new session, and nothing of the old one counts.
    */
-  private releaseExpired(m: Machine): void {
+  private releaseExpired(machine: Machine): void {
     this.cluster.ctx.log('info', 'machine silent for longer than its lease: its tasks are gone', {
-      machine: m.id,
-      tasks: m.placements.size,
-      accounted: m.reconciled,
+      machine: machine.id,
+      tasks: machine.placements.size,
+      accounted: machine.reconciled,
     });
-    this.cluster.releaseAll(m);
-    if (m.session !== null) {
-      m.session = (m.session + 1n) as Session;
-      m.seq = 0n as Seq;
-      m.lastReportSeq = null;
+    this.cluster.releaseAll(machine);
+    if (machine.session !== null) {
+      machine.session = (machine.session + 1n) as Session;
+      machine.seq = 0n as Seq;
+      machine.lastReportSeq = null;
     }
-    m.unconfirmedStarts.clear();
-    m.reconciled = true;
+    machine.unconfirmedStarts.clear();
+    machine.reconciled = true;
     this.cluster.updateUnreconciled();
     this.scheduleRoundSoon();
   }
@@ -65,10 +65,10 @@
   isLeaderUnreachable(): boolean {
     let up = 0;
     let deaf = 0;
-    for (const m of this.cluster.machines.values()) {
-      if (m.phase !== 'up' || m.firstReportAt === null) continue;
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.phase !== 'up' || machine.firstReportAt === null) continue;
       up += 1;
-      if (m.unresponsiveSince !== null) deaf += 1;
+      if (machine.unresponsiveSince !== null) deaf += 1;
     }
     return up >= MIN_MACHINES_FOR_SELF_CHECK && deaf * 2 > up;
   }
@@ -76,21 +76,21 @@
   /** A machine that takes several times as long for everything is replaced, one at a time. */
   private drainSlowMachine(now: Steady): void {
     if (now < this.nextSlowAt) return;
-    for (const m of this.cluster.machines.values()) {
-      if (m.phase !== 'up' || m.draining !== null || m.deletionInFlight) continue;
-      if (!m.slowness.isSlow(this.overdue(m, now))) continue;
-      m.draining = SLOW;
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.phase !== 'up' || machine.draining !== null || machine.deletionInFlight) continue;
+      if (!machine.slowness.isSlow(this.overdue(machine, now))) continue;
+      machine.draining = SLOW;
       this.nextSlowAt = steadyPlus(now, SLOW_PAUSE_MS / Math.max(1, this.cluster.machines.size / 30));
-      this.cluster.ctx.log('info', 'machine is much slower than others: taking it out of use', { machine: m.id });
+      this.cluster.ctx.log('info', 'machine is much slower than others: taking it out of use', { machine: machine.id });
       this.scheduleRoundSoon();
       return;
     }
   }
 
   /** What runs on a machine and has already taken longer than expected. */
-  private overdue(m: Machine, now: Steady): ReadonlyMap<JobId, Evidence> {
+  private overdue(machine: Machine, now: Steady): ReadonlyMap<JobId, Evidence> {
     let found: Map<JobId, Evidence> | null = null;
-    for (const { job, phase, runningSince } of m.placements.values()) {
+    for (const { job, phase, runningSince } of machine.placements.values()) {
       // A service runs for as long as its user wants: that says nothing of its machine.
       if (job.spec.shape === 'service') continue;
       if (phase !== 'running' || runningSince === null) continue;
@@ -102,7 +102,7 @@
       found ??= new Map();
       if (surprise > (found.get(job.id)?.surprise ?? 0)) {
         found.set(job.id, { surprise, spread: this.cluster.estimates.spread(job.spec) });
-        if (surprise > SLOW_FACTOR) job.slowOn.add(m.id);
+        if (surprise > SLOW_FACTOR) job.slowOn.add(machine.id);
       }
     }
     return found ?? NOTHING;
@@ -110,23 +110,24 @@
 
   /** Work on a machine about to be taken is saved where that helps; what would end in time is left alone. */
   private drainMachines(now: Steady): void {
-    for (const m of this.cluster.machines.values()) {
-      if (m.interruptionAt === null && m.draining === null) continue;
-      for (const p of [...m.placements.values()]) {
-        if (p.stop !== null) continue;
-        if (p.phase === 'planned') {
-          this.cluster.release(p);
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.interruptionAt === null && machine.draining === null) continue;
+      for (const placement of [...machine.placements.values()]) {
+        if (placement.stop !== null) continue;
+        if (placement.phase === 'planned') {
+          this.cluster.release(placement);
           continue;
         }
-        if (p.job.spec.shape === 'service') {
-          moveReplica(this.cluster, p);
+        if (placement.job.spec.shape === 'service') {
+          moveReplica(this.cluster, placement);
           continue;
         }
-        const leftS = m.interruptionAt === null ? 20 : (m.interruptionAt - now) / 1000;
-        const expected = this.cluster.estimates.expectS(p.job.spec);
-        const remaining = p.runningSince === null ? expected + 5 : expected - (now - p.runningSince) / 1000;
-        if (p.phase === 'running' && remaining < leftS * 0.6 && m.draining !== SLOW) continue;
-        this.cluster.stopSaving(p);
+        const leftS = machine.interruptionAt === null ? 20 : (machine.interruptionAt - now) / 1000;
+        const expected = this.cluster.estimates.expectS(placement.job.spec);
+        const remaining =
+          placement.runningSince === null ? expected + 5 : expected - (now - placement.runningSince) / 1000;
+        if (placement.phase === 'running' && remaining < leftS * 0.6 && machine.draining !== SLOW) continue;
+        this.cluster.stopSaving(placement);
       }
     }
   }
--- a/src/io/fields.ts
+++ b/src/io/fields.ts
@@ -8,50 +8,50 @@
   return v as Fields;
 }
 
-export function list(f: Fields, key: string): unknown[] {
-  const v = f[key];
+export function list(fields: Fields, key: string): unknown[] {
+  const v = fields[key];
   if (!Array.isArray(v)) throw new WireError(`${key} is not a list`);
   return v;
 }
 
-export function text(f: Fields, key: string, most = 200): string {
-  const v = f[key];
+export function text(fields: Fields, key: string, most = 200): string {
+  const v = fields[key];
   if (typeof v !== 'string' || v.length === 0 || v.length > most) throw new WireError(`${key} is not a text`);
   return v;
 }
 
-export function textOrNull(f: Fields, key: string): string | null {
-  return f[key] === undefined || f[key] === null ? null : text(f, key);
+export function textOrNull(fields: Fields, key: string): string | null {
+  return fields[key] === undefined || fields[key] === null ? null : text(fields, key);
 }
 
-export function flag(f: Fields, key: string): boolean {
-  const v = f[key];
+export function flag(fields: Fields, key: string): boolean {
+  const v = fields[key];
   if (typeof v !== 'boolean') throw new WireError(`${key} is not a boolean`);
   return v;
 }
 
 /** A count, version, token or attempt: an integer below 2^64, whole whatever its size. */
-export function uint(f: Fields, key: string): bigint {
-  const v = f[key];
+export function uint(fields: Fields, key: string): bigint {
+  const v = fields[key];
   if (typeof v === 'bigint' && v >= 0n && v < 1n << 64n) return v;
   if (typeof v === 'number' && Number.isSafeInteger(v) && v >= 0) return BigInt(v);
   throw new WireError(`${key} is not a count`);
 }
 
 /** An amount: finite and not negative. */
-export function amount(f: Fields, key: string): number {
-  const v = f[key];
+export function amount(fields: Fields, key: string): number {
+  const v = fields[key];
   const n = typeof v === 'bigint' ? Number(v) : v;
   if (typeof n !== 'number' || !Number.isFinite(n) || n < 0) throw new WireError(`${key} is not an amount`);
   return n;
 }
 
-export function amountOrNull(f: Fields, key: string): number | null {
-  return f[key] === undefined || f[key] === null ? null : amount(f, key);
+export function amountOrNull(fields: Fields, key: string): number | null {
+  return fields[key] === undefined || fields[key] === null ? null : amount(fields, key);
 }
 
-export function oneOf<T>(f: Fields, key: string, values: Readonly<Record<string, T>>): T {
-  const v = f[key];
+export function oneOf<T>(fields: Fields, key: string, values: Readonly<Record<string, T>>): T {
+  const v = fields[key];
   if (typeof v === 'string' && Object.hasOwn(values, v)) return values[v] as T;
   throw new WireError(`${key} has an unknown value`);
 }
--- a/src/io/front.ts
+++ b/src/io/front.ts
@@ -27,8 +27,8 @@
   return new Response(encode(body) as Uint8Array<ArrayBuffer>, { status, headers });
 }
 
-const replyUser = (a: UserAnswer): Response =>
-  reply(a.status, encodeUserAnswer(a), 'retryAfterS' in a ? a.retryAfterS : 0);
+const replyUser = (answer: UserAnswer): Response =>
+  reply(answer.status, encodeUserAnswer(answer), 'retryAfterS' in answer ? answer.retryAfterS : 0);
 
 /**
  * The body as Node gives it. Going through a web stream costs two thirds of what a whole report costs, and reports are most
@@ -65,11 +65,11 @@
   return fields(value, 'the body');
 }
 
-function submission(f: Fields, refused: (what: string) => void): UserRequest | string {
-  const id = jobId(f.ref);
+function submission(fields: Fields, refused: (what: string) => void): UserRequest | string {
+  const id = jobId(fields.ref);
   if (!id) return 'ref is not a job id';
   try {
-    return { op: 'submit', id, spec: decodeJob(f), problem: '' };
+    return { op: 'submit', id, spec: decodeJob(fields), problem: '' };
   } catch (e) {
     if (!(e instanceof WireError)) throw e;
     // A known job is answered with its state whatever the repeat's body: the desk decides.
--- a/src/io/peer_codec.ts
+++ b/src/io/peer_codec.ts
@@ -168,40 +168,43 @@
   }
 }
 
-function writeSpec(w: Writer, s: JobSpec): void {
-  w.text(s.jobClass);
-  w.text(s.team);
-  w.u8(SHAPES.indexOf(s.shape));
-  w.u8(s.rank);
-  w.u32(s.tasks);
-  for (const n of [s.cpus, s.gpus, s.memGb, s.imageGb, s.estimateS, s.checkpointS, s.saveS]) w.f64(n);
-  w.text(s.image);
-  w.optional(s.types === null ? null : s.types.join('\n'));
-  w.optional(s.zone);
-  w.u8((s.sameZone ? 1 : 0) | (s.spread ? 2 : 0) | (s.spotOk ? 4 : 0) | (s.deadlineS === null ? 0 : 8));
-  w.f64(s.deadlineS ?? 0);
+function writeSpec(writer: Writer, spec: JobSpec): void {
+  writer.text(spec.jobClass);
+  writer.text(spec.team);
+  writer.u8(SHAPES.indexOf(spec.shape));
+  writer.u8(spec.rank);
+  writer.u32(spec.tasks);
+  for (const n of [spec.cpus, spec.gpus, spec.memGb, spec.imageGb, spec.estimateS, spec.checkpointS, spec.saveS])
+    writer.f64(n);
+  writer.text(spec.image);
+  writer.optional(spec.types === null ? null : spec.types.join('\n'));
+  writer.optional(spec.zone);
+  writer.u8(
+    (spec.sameZone ? 1 : 0) | (spec.spread ? 2 : 0) | (spec.spotOk ? 4 : 0) | (spec.deadlineS === null ? 0 : 8),
+  );
+  writer.f64(spec.deadlineS ?? 0);
 }
 
-function readSpec(r: Reader, id: JobSpec['id']): JobSpec {
-  const jobClass = r.text();
-  const team = r.text() as JobSpec['team'];
-  const shape = r.pick(SHAPES);
-  const rank = r.pick([0, 1, 2, 3] as const);
-  const tasks = r.u32();
+function readSpec(reader: Reader, id: JobSpec['id']): JobSpec {
+  const jobClass = reader.text();
+  const team = reader.text() as JobSpec['team'];
+  const shape = reader.pick(SHAPES);
+  const rank = reader.pick([0, 1, 2, 3] as const);
+  const tasks = reader.u32();
   const [cpus, gpus, memGb, imageGb, estimateS, checkpointS, saveS] = [
-    r.f64(),
-    r.f64(),
-    r.f64(),
-    r.f64(),
-    r.f64(),
-    r.f64(),
-    r.f64(),
+    reader.f64(),
+    reader.f64(),
+    reader.f64(),
+    reader.f64(),
+    reader.f64(),
+    reader.f64(),
+    reader.f64(),
   ];
-  const image = r.text() as JobSpec['image'];
-  const types = r.optional();
-  const zone = r.optional() as JobSpec['zone'];
-  const bits = r.u8();
-  const deadlineS = r.f64();
+  const image = reader.text() as JobSpec['image'];
+  const types = reader.optional();
+  const zone = reader.optional() as JobSpec['zone'];
+  const bits = reader.u8();
+  const deadlineS = reader.f64();
   return {
     id,
     jobClass,
@@ -226,160 +229,160 @@
   };
 }
 
-function writeRequest(w: Writer, q: UserRequest): void {
-  w.u8(OPS.indexOf(q.op));
-  w.text(q.id);
-  if (q.op !== 'submit') return;
-  w.text(q.problem);
-  w.u8(q.spec ? 1 : 0);
-  if (q.spec) writeSpec(w, q.spec);
+function writeRequest(writer: Writer, request: UserRequest): void {
+  writer.u8(OPS.indexOf(request.op));
+  writer.text(request.id);
+  if (request.op !== 'submit') return;
+  writer.text(request.problem);
+  writer.u8(request.spec ? 1 : 0);
+  if (request.spec) writeSpec(writer, request.spec);
 }
 
-function readRequest(r: Reader): UserRequest {
-  const op = r.pick(OPS);
-  const id = jobId(r.text());
+function readRequest(reader: Reader): UserRequest {
+  const op = reader.pick(OPS);
+  const id = jobId(reader.text());
   if (!id) throw new FrameError('not a job id');
   if (op !== 'submit') return { op, id };
-  const problem = r.text();
-  return { op, id, problem, spec: r.u8() === 1 ? readSpec(r, id) : null };
+  const problem = reader.text();
+  return { op, id, problem, spec: reader.u8() === 1 ? readSpec(reader, id) : null };
 }
 
-function writeAnswer(w: Writer, a: UserAnswer): void {
-  w.u32(a.status);
-  if ('jobStatus' in a) {
-    w.text(a.id);
-    w.u8(JOB_STATUSES.indexOf(a.jobStatus));
-    w.u32(a.done);
-    w.u32(a.running);
+function writeAnswer(writer: Writer, answer: UserAnswer): void {
+  writer.u32(answer.status);
+  if ('jobStatus' in answer) {
+    writer.text(answer.id);
+    writer.u8(JOB_STATUSES.indexOf(answer.jobStatus));
+    writer.u32(answer.done);
+    writer.u32(answer.running);
   } else {
-    w.text(a.problem);
-    w.u32(a.retryAfterS ?? 0);
+    writer.text(answer.problem);
+    writer.u32(answer.retryAfterS ?? 0);
   }
 }
 
-function readAnswer(r: Reader): UserAnswer {
-  const status = r.u32();
+function readAnswer(reader: Reader): UserAnswer {
+  const status = reader.u32();
   if (status === 200 || status === 201) {
-    const id = jobId(r.text());
+    const id = jobId(reader.text());
     if (!id) throw new FrameError('not a job id');
-    return { status, id, jobStatus: r.pick(JOB_STATUSES), done: r.u32(), running: r.u32() };
+    return { status, id, jobStatus: reader.pick(JOB_STATUSES), done: reader.u32(), running: reader.u32() };
   }
   if (status !== 400 && status !== 404 && status !== 422 && status !== 503) throw new FrameError('unknown status');
-  const problem = r.text();
-  const retryAfterS = r.u32();
+  const problem = reader.text();
+  const retryAfterS = reader.u32();
   return retryAfterS > 0 ? { status, problem, retryAfterS } : { status, problem };
 }
 
-function writeReport(w: Writer, r: WorkerReport): void {
-  w.text(r.machine);
-  w.text(r.addr);
-  w.text(r.type);
-  w.text(r.zone);
-  w.u8((r.spot ? 1 : 0) | (r.noticeS === null ? 0 : 2));
-  w.u64(r.session);
-  w.u64(r.seq);
-  w.u64(r.token);
-  w.f64(r.noticeS ?? 0);
-  w.u32(r.tasks.length);
-  for (const t of r.tasks) {
-    w.text(t.job);
-    w.u32(t.index);
-    w.u64(t.attempt);
-    w.u8(PHASES.indexOf(t.phase) | (t.saved ? 16 : 0));
-    w.u8(REASONS.indexOf(t.reason));
+function writeReport(writer: Writer, report: WorkerReport): void {
+  writer.text(report.machine);
+  writer.text(report.addr);
+  writer.text(report.type);
+  writer.text(report.zone);
+  writer.u8((report.spot ? 1 : 0) | (report.noticeS === null ? 0 : 2));
+  writer.u64(report.session);
+  writer.u64(report.seq);
+  writer.u64(report.token);
+  writer.f64(report.noticeS ?? 0);
+  writer.u32(report.tasks.length);
+  for (const task of report.tasks) {
+    writer.text(task.job);
+    writer.u32(task.index);
+    writer.u64(task.attempt);
+    writer.u8(PHASES.indexOf(task.phase) | (task.saved ? 16 : 0));
+    writer.u8(REASONS.indexOf(task.reason));
   }
 }
 
-function readReport(r: Reader): WorkerReport {
-  const machine = r.text() as MachineId;
-  const addr = r.text();
-  const type = r.text() as TypeName;
-  const zone = r.text() as ZoneName;
-  const bits = r.u8();
-  const session = r.u64() as Session;
-  const seq = r.u64() as Seq;
-  const token = r.u64() as Token;
-  const notice = r.f64();
+function readReport(reader: Reader): WorkerReport {
+  const machine = reader.text() as MachineId;
+  const addr = reader.text();
+  const type = reader.text() as TypeName;
+  const zone = reader.text() as ZoneName;
+  const bits = reader.u8();
+  const session = reader.u64() as Session;
+  const seq = reader.u64() as Seq;
+  const token = reader.u64() as Token;
+  const notice = reader.f64();
   const tasks: TaskReport[] = [];
-  for (let n = r.count(); n > 0; n--) {
-    const job = jobId(r.text());
+  for (let n = reader.count(); n > 0; n--) {
+    const job = jobId(reader.text());
     if (!job) throw new FrameError('not a job id');
-    const index = r.u32();
-    const attempt = r.u64() as Attempt;
-    const code = r.u8();
+    const index = reader.u32();
+    const attempt = reader.u64() as Attempt;
+    const code = reader.u8();
     const phase = PHASES[code & 15];
     if (phase === undefined) throw new FrameError('unknown code');
-    tasks.push({ job, index, attempt, phase, reason: r.pick(REASONS), saved: (code & 16) !== 0 });
+    tasks.push({ job, index, attempt, phase, reason: reader.pick(REASONS), saved: (code & 16) !== 0 });
   }
   const noticeS = (bits & 2) !== 0 ? notice : null;
   return { machine, addr, type, zone, spot: (bits & 1) !== 0, session, seq, token, noticeS, tasks };
 }
 
-function writeWorkerAnswer(w: Writer, a: WorkerAnswer): void {
-  w.u32(a.status);
-  if (a.status === 421) w.optional(a.reportTo);
-  if (a.status !== 200) return;
-  w.u64(a.token);
-  w.u32(a.commands.length);
-  for (const c of a.commands) {
-    w.u8(COMMANDS.indexOf(c.op));
-    w.text(c.job);
-    w.u32(c.index);
-    w.u64(c.attempt);
-    if (c.op === 'stop') w.f64(c.graceS);
+function writeWorkerAnswer(writer: Writer, answer: WorkerAnswer): void {
+  writer.u32(answer.status);
+  if (answer.status === 421) writer.optional(answer.reportTo);
+  if (answer.status !== 200) return;
+  writer.u64(answer.token);
+  writer.u32(answer.commands.length);
+  for (const command of answer.commands) {
+    writer.u8(COMMANDS.indexOf(command.op));
+    writer.text(command.job);
+    writer.u32(command.index);
+    writer.u64(command.attempt);
+    if (command.op === 'stop') writer.f64(command.graceS);
   }
 }
 
-function readWorkerAnswer(r: Reader): WorkerAnswer {
-  const status = r.u32();
+function readWorkerAnswer(reader: Reader): WorkerAnswer {
+  const status = reader.u32();
   if (status === 503) return { status };
-  if (status === 421) return { status, reportTo: r.optional() as NodeName | null };
+  if (status === 421) return { status, reportTo: reader.optional() as NodeName | null };
   if (status !== 200) throw new FrameError('unknown status');
-  const token = r.u64() as Token;
+  const token = reader.u64() as Token;
   const commands: Command[] = [];
-  for (let n = r.count(); n > 0; n--) {
-    const op = r.pick(COMMANDS);
-    const job = jobId(r.text());
+  for (let n = reader.count(); n > 0; n--) {
+    const op = reader.pick(COMMANDS);
+    const job = jobId(reader.text());
     if (!job) throw new FrameError('not a job id');
-    const index = r.u32();
-    const attempt = r.u64() as Attempt;
-    commands.push(op === 'stop' ? { op, job, index, attempt, graceS: r.f64() } : { op, job, index, attempt });
+    const index = reader.u32();
+    const attempt = reader.u64() as Attempt;
+    commands.push(op === 'stop' ? { op, job, index, attempt, graceS: reader.f64() } : { op, job, index, attempt });
   }
   return { status, token, commands };
 }
 
-export function encodeFrame(f: PeerFrame): Buffer {
-  const w = new Writer();
-  if (f.kind === 'hello') w.text(f.node);
-  else if (f.kind === 'status') {
-    const { leading, storeOk, takesReports, acknowledgesCancellations } = f.status;
-    w.u8((leading ? 1 : 0) | (storeOk ? 2 : 0) | (takesReports ? 4 : 0) | (acknowledgesCancellations ? 8 : 0));
-    w.f64(f.status.workersHeardMs);
-    w.f64(f.status.reportsPerS);
+export function encodeFrame(frame: PeerFrame): Buffer {
+  const writer = new Writer();
+  if (frame.kind === 'hello') writer.text(frame.node);
+  else if (frame.kind === 'status') {
+    const { leading, storeOk, takesReports, acknowledgesCancellations } = frame.status;
+    writer.u8((leading ? 1 : 0) | (storeOk ? 2 : 0) | (takesReports ? 4 : 0) | (acknowledgesCancellations ? 8 : 0));
+    writer.f64(frame.status.workersHeardMs);
+    writer.f64(frame.status.reportsPerS);
   } else {
-    w.f64(f.id);
-    if (f.kind === 'request') writeRequest(w, f.request);
-    else if (f.kind === 'requestAnswer') writeAnswer(w, f.answer);
-    else if (f.kind === 'report') writeReport(w, f.report);
-    else if (f.kind === 'cancellation') w.text(f.job);
-    else if (f.kind === 'reportAnswer') {
-      w.text(f.machine);
-      writeWorkerAnswer(w, f.answer);
+    writer.f64(frame.id);
+    if (frame.kind === 'request') writeRequest(writer, frame.request);
+    else if (frame.kind === 'requestAnswer') writeAnswer(writer, frame.answer);
+    else if (frame.kind === 'report') writeReport(writer, frame.report);
+    else if (frame.kind === 'cancellation') writer.text(frame.job);
+    else if (frame.kind === 'reportAnswer') {
+      writer.text(frame.machine);
+      writeWorkerAnswer(writer, frame.answer);
     }
   }
-  return w.finish(KINDS.indexOf(f.kind));
+  return writer.finish(KINDS.indexOf(frame.kind));
 }
 
 /** Null for a kind that this build doesn't know. */
 function decodeFrame(kind: number, payload: Buffer): PeerFrame | null {
-  const r = new Reader(payload);
+  const reader = new Reader(payload);
   switch (KINDS[kind]) {
     case 'hello':
-      return { kind: 'hello', node: r.text() as NodeName };
+      return { kind: 'hello', node: reader.text() as NodeName };
     case 'status': {
-      const bits = r.u8();
-      const workersHeardMs = r.f64();
-      const reportsPerS = r.f64();
+      const bits = reader.u8();
+      const workersHeardMs = reader.f64();
+      const reportsPerS = reader.f64();
       const [leading, storeOk, takesReports] = [(bits & 1) !== 0, (bits & 2) !== 0, (bits & 4) !== 0];
       const acknowledgesCancellations = (bits & 8) !== 0;
       return {
@@ -388,21 +391,26 @@
       };
     }
     case 'request':
-      return { kind: 'request', id: r.f64(), request: readRequest(r) };
+      return { kind: 'request', id: reader.f64(), request: readRequest(reader) };
     case 'requestAnswer':
-      return { kind: 'requestAnswer', id: r.f64(), answer: readAnswer(r) };
+      return { kind: 'requestAnswer', id: reader.f64(), answer: readAnswer(reader) };
     case 'report':
-      return { kind: 'report', id: r.f64(), report: readReport(r) };
+      return { kind: 'report', id: reader.f64(), report: readReport(reader) };
     case 'reportAnswer':
-      return { kind: 'reportAnswer', id: r.f64(), machine: r.text() as MachineId, answer: readWorkerAnswer(r) };
+      return {
+        kind: 'reportAnswer',
+        id: reader.f64(),
+        machine: reader.text() as MachineId,
+        answer: readWorkerAnswer(reader),
+      };
     case 'cancellation': {
-      const id = r.f64();
-      const job = jobId(r.text());
+      const id = reader.f64();
+      const job = jobId(reader.text());
       if (!job) throw new FrameError('not a job id');
       return { kind: 'cancellation', id, job };
     }
     case 'cancellationAck':
-      return { kind: 'cancellationAck', id: r.f64() };
+      return { kind: 'cancellationAck', id: reader.f64() };
     default:
       return null;
   }
--- a/src/io/peer_link.ts
+++ b/src/io/peer_link.ts
@@ -66,11 +66,11 @@
         told = Math.max(1, told) * 2;
         this.log('info', 'peer frames of unknown kind or version passed over', { peer: from, count: splitter.skipped });
       }
-      for (const f of frames) {
-        if (f.kind === 'hello') {
-          if (!this.names.has(f.node) || f.node === this.me) return void socket.destroy();
-          from = f.node;
-        } else if (from !== null) this.receive(from, f);
+      for (const frame of frames) {
+        if (frame.kind === 'hello') {
+          if (!this.names.has(frame.node) || frame.node === this.me) return void socket.destroy();
+          from = frame.node;
+        } else if (from !== null) this.receive(from, frame);
       }
     });
   }
--- a/src/io/runtime.ts
+++ b/src/io/runtime.ts
@@ -81,8 +81,8 @@
   start(): void {
     const { listen } = this.platform;
     const { host, port } = hostPort(listen);
-    this.httpServer.on('error', (e) => {
-      this.log('error', 'cannot listen', { listen, error: e.message });
+    this.httpServer.on('error', (error) => {
+      this.log('error', 'cannot listen', { listen, error: error.message });
       process.exit(1);
     });
     this.httpServer.listen(port, host, () => {
@@ -124,48 +124,48 @@
     );
   }
 
-  private carryOut(o: Output): void {
-    switch (o.kind) {
+  private carryOut(output: Output): void {
+    switch (output.kind) {
       case 'answerUser': {
-        this.userWaits.get(o.req)?.(o.answer);
-        this.userWaits.delete(o.req);
+        this.userWaits.get(output.req)?.(output.answer);
+        this.userWaits.delete(output.req);
         break;
       }
       case 'answerWorker': {
-        this.workerWaits.get(o.req)?.(o.answer);
-        this.workerWaits.delete(o.req);
+        this.workerWaits.get(output.req)?.(output.answer);
+        this.workerWaits.delete(output.req);
         break;
       }
       case 'store': {
-        const client = o.op.op === 'watch' ? this.watches : this.store;
-        const { method, path, body } = encodeStore(o.op);
-        client.call(method, path, body, o.timeoutMs, (reply) => {
-          const result = this.read(reply, 'state service', (r) => decodeStore(o.op, r.status, r.body));
-          this.step({ kind: 'storeReply', call: o.call, result });
+        const client = output.op.op === 'watch' ? this.watches : this.store;
+        const { method, path, body } = encodeStore(output.op);
+        client.call(method, path, body, output.timeoutMs, (reply) => {
+          const result = this.read(reply, 'state service', (r) => decodeStore(output.op, r.status, r.body));
+          this.step({ kind: 'storeReply', call: output.call, result });
         });
         break;
       }
       case 'cloud': {
-        const { method, path, body } = encodeCloud(o.op);
+        const { method, path, body } = encodeCloud(output.op);
         this.cloud.call(method, path, body, CLOUD_TIMEOUT_MS, (reply) => {
-          const result = this.read(reply, 'cloud', (r) => decodeCloud(o.op, r.status, r.body));
-          this.step({ kind: 'cloudReply', call: o.call, result });
+          const result = this.read(reply, 'cloud', (r) => decodeCloud(output.op, r.status, r.body));
+          this.step({ kind: 'cloudReply', call: output.call, result });
         });
         break;
       }
       case 'worker': {
-        const client = this.workerClient(o.op.addr);
-        client.call('POST', COMMANDS_PATH, encodeDirect(o.op), WORKER_TIMEOUT_MS, (reply) => {
+        const client = this.workerClient(output.op.addr);
+        client.call('POST', COMMANDS_PATH, encodeDirect(output.op), WORKER_TIMEOUT_MS, (reply) => {
           const result = this.read(reply, 'worker', (r) => decodeDirect(r.status, r.body));
-          this.step({ kind: 'workerReply', call: o.call, result });
+          this.step({ kind: 'workerReply', call: output.call, result });
         });
         break;
       }
       case 'peer':
-        this.peers.send(o.to, o.message);
+        this.peers.send(output.to, output.message);
         break;
       case 'log':
-        this.log(o.level, o.text, o.fields);
+        this.log(output.level, output.text, output.fields);
         break;
     }
   }
--- a/src/io/wire.ts
+++ b/src/io/wire.ts
@@ -86,42 +86,42 @@
 
 // ---- users
 
-export function decodeJob(f: Fields): JobSpec {
-  const id = jobId(f.ref);
+export function decodeJob(fields: Fields): JobSpec {
+  const id = jobId(fields.ref);
   if (!id) throw new WireError('ref is not a job id');
-  const tasks = uint(f, 'chicks');
+  const tasks = uint(fields, 'chicks');
   if (tasks < 1n || tasks > BigInt(TASKS_MAX)) throw new WireError('chicks is out of range');
-  const types = f.breeds === undefined || f.breeds === null ? null : list(f, 'breeds');
+  const types = fields.breeds === undefined || fields.breeds === null ? null : list(fields, 'breeds');
   if (types?.some((t) => typeof t !== 'string')) throw new WireError('breeds is not a list of texts');
   return {
     id,
-    jobClass: text(f, 'flock'),
-    team: text(f, 'crew') as TeamName,
-    shape: oneOf(f, 'shape', SHAPES),
-    rank: oneOf(f, 'rank', RANKS),
+    jobClass: text(fields, 'flock'),
+    team: text(fields, 'crew') as TeamName,
+    shape: oneOf(fields, 'shape', SHAPES),
+    rank: oneOf(fields, 'rank', RANKS),
     tasks: Number(tasks),
-    cpus: amount(f, 'cpus'),
-    gpus: amount(f, 'gpus'),
-    memGb: amount(f, 'mem_gb'),
-    image: text(f, 'plumage') as ImageName,
-    imageGb: amount(f, 'image_gb'),
+    cpus: amount(fields, 'cpus'),
+    gpus: amount(fields, 'gpus'),
+    memGb: amount(fields, 'mem_gb'),
+    image: text(fields, 'plumage') as ImageName,
+    imageGb: amount(fields, 'image_gb'),
     types: types as TypeName[] | null,
-    zone: textOrNull(f, 'grove') as ZoneName | null,
-    sameZone: flag(f, 'same_place'),
-    spread: flag(f, 'apart'),
-    spotOk: flag(f, 'loaners'),
-    estimateS: amount(f, 'flight_s'),
-    checkpointS: amount(f, 'cache_s'),
-    saveS: amount(f, 'stash_s'),
-    deadlineS: amountOrNull(f, 'due_s'),
+    zone: textOrNull(fields, 'grove') as ZoneName | null,
+    sameZone: flag(fields, 'same_place'),
+    spread: flag(fields, 'apart'),
+    spotOk: flag(fields, 'loaners'),
+    estimateS: amount(fields, 'flight_s'),
+    checkpointS: amount(fields, 'cache_s'),
+    saveS: amount(fields, 'stash_s'),
+    deadlineS: amountOrNull(fields, 'due_s'),
   };
 }
 
-export function encodeUserAnswer(a: UserAnswer): Fields {
-  if ('jobStatus' in a) {
-    return { ref: a.id, mood: JOB_STATUSES[a.jobStatus], done: a.done, running: a.running };
+export function encodeUserAnswer(answer: UserAnswer): Fields {
+  if ('jobStatus' in answer) {
+    return { ref: answer.id, mood: JOB_STATUSES[answer.jobStatus], done: answer.done, running: answer.running };
   }
-  return { error: a.problem };
+  return { error: answer.problem };
 }
 
 // ---- workers
@@ -161,16 +161,16 @@
   };
 }
 
-function encodeCommand(c: Command): Fields {
-  const chick = `${c.job}/${c.index}`;
-  if (c.op === 'start') return { call: 'run', chick, hop: c.attempt };
-  if (c.op === 'forget') return { call: 'reap', chick, hop: c.attempt };
-  return { call: 'stop', chick, hop: c.attempt, settle_s: c.graceS };
+function encodeCommand(command: Command): Fields {
+  const chick = `${command.job}/${command.index}`;
+  if (command.op === 'start') return { call: 'run', chick, hop: command.attempt };
+  if (command.op === 'forget') return { call: 'reap', chick, hop: command.attempt };
+  return { call: 'stop', chick, hop: command.attempt, settle_s: command.graceS };
 }
 
-export function encodeWorkerAnswer(a: WorkerAnswer): Fields {
-  if (a.status === 200) return { crest: a.token, calls: a.commands.map(encodeCommand) };
-  if (a.status === 421 && a.reportTo !== null) return { nest: a.reportTo };
+export function encodeWorkerAnswer(answer: WorkerAnswer): Fields {
+  if (answer.status === 200) return { crest: answer.token, calls: answer.commands.map(encodeCommand) };
+  if (answer.status === 421 && answer.reportTo !== null) return { nest: answer.reportTo };
   return {};
 }
 
@@ -278,11 +278,11 @@
         path: '/multi',
         body: {
           if: op.conditions.map((c) => ({ k: c.key, feather: c.version })),
-          then: op.changes.map((c) => {
-            if ('drop' in c) return { drop: c.drop };
-            return c.lease === undefined
-              ? { put: c.put, data: c.value }
-              : { put: c.put, data: c.value, tether: c.lease };
+          then: op.changes.map((change) => {
+            if ('drop' in change) return { drop: change.drop };
+            return change.lease === undefined
+              ? { put: change.put, data: change.value }
+              : { put: change.put, data: change.value, tether: change.lease };
           }),
         },
       };
--- a/src/main.ts
+++ b/src/main.ts
@@ -5,8 +5,8 @@
   // The service's own parts are loaded only when it serves: `--help` and `check` need none of them.
   const [{ makeLog }, { Runtime }] = await Promise.all([import('./io/log.js'), import('./io/runtime.js')]);
   const log = makeLog(platform.settings.node);
-  process.on('uncaughtException', (e) => {
-    log('error', 'unexpected failure: ending, to be started anew', { error: e.stack ?? String(e) });
+  process.on('uncaughtException', (error) => {
+    log('error', 'unexpected failure: ending, to be started anew', { error: error.stack ?? String(error) });
     process.exit(1);
   });
   new Runtime(platform, tuning, log).start();
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -125,18 +125,18 @@
   zones: ['a' as ZoneName],
 });
 
-function machine(slot: number, zone: string, t: MachineType, freeCpus: number, fetchS = 0): PlanMachine {
+function machine(slot: number, zone: string, type: MachineType, freeCpus: number, fetchS = 0): PlanMachine {
   return {
     slot,
     zone: zone as ZoneName,
-    type: t,
+    type: type,
     spot: false,
-    times: freeCpus < t.cpus ? [0, 20] : [0],
-    cpus: freeCpus < t.cpus ? [freeCpus, t.cpus] : [t.cpus],
-    gpus: freeCpus < t.cpus ? [t.gpus, t.gpus] : [t.gpus],
-    memGb: freeCpus < t.cpus ? [64, 64] : [64],
-    spareCpus: t.cpus,
-    spareMemGb: t.memGb,
+    times: freeCpus < type.cpus ? [0, 20] : [0],
+    cpus: freeCpus < type.cpus ? [freeCpus, type.cpus] : [type.cpus],
+    gpus: freeCpus < type.cpus ? [type.gpus, type.gpus] : [type.gpus],
+    memGb: freeCpus < type.cpus ? [64, 64] : [64],
+    spareCpus: type.cpus,
+    spareMemGb: type.memGb,
     reservedForGangs: false,
     fetchS: () => fetchS,
     largestCachedShare: 0,
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -62,8 +62,8 @@
   if (rolled) {
     const order = [...world.nodes].sort(() => clock.between(-1, 1));
     let at = clock.between(5, 40);
-    for (const n of order) {
-      clock.in(at * 1000, () => events.upgrade?.(world, [n.name, String(clock.between(0.2, 6))]));
+    for (const node of order) {
+      clock.in(at * 1000, () => events.upgrade?.(world, [node.name, String(clock.between(0.2, 6))]));
       at += clock.between(1, 25);
     }
   }
@@ -202,8 +202,8 @@
 });
 
 test('a day with the same seed is the same day', () => {
-  const a = randomDay(7);
+  const world = randomDay(7);
   const b = randomDay(7);
-  assert.equal(a.rules.starts, b.rules.starts);
-  assert.equal(a.state.writes, b.state.writes);
+  assert.equal(world.rules.starts, b.rules.starts);
+  assert.equal(world.state.writes, b.state.writes);
 });
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -22,14 +22,14 @@
 before(async () => {
   server = makeHttpServer(
     {
-      user: async (r): Promise<UserAnswer> => {
-        seen.push(r);
-        if (r.op === 'submit' && r.spec === null) return { status: 400, problem: r.problem };
-        if (r.op === 'poll') return { status: 503, problem: 'busy', retryAfterS: 1 };
-        return { status: 201, id: r.id, jobStatus: 'queued', done: 0, running: 0 };
+      user: async (request): Promise<UserAnswer> => {
+        seen.push(request);
+        if (request.op === 'submit' && request.spec === null) return { status: 400, problem: request.problem };
+        if (request.op === 'poll') return { status: 503, problem: 'busy', retryAfterS: 1 };
+        return { status: 201, id: request.id, jobStatus: 'queued', done: 0, running: 0 };
       },
-      report: async (r): Promise<WorkerAnswer> => {
-        reports.push(r);
+      report: async (report): Promise<WorkerAnswer> => {
+        reports.push(report);
         return { status: 200, token: 5n as Token, commands: [] };
       },
       healthy: () => true,
--- a/test/sim/idle_room.ts
+++ b/test/sim/idle_room.ts
@@ -65,14 +65,14 @@
     return null;
   }
 
-  private takes(w: Worker, spec: JobSpec): number {
-    if (!w.alive || w.hung || w.sick || w.speed < 1 || w.noticeAt !== null) return 0;
-    if ((w.spot && !spec.spotOk) || (spec.zone !== null && spec.zone !== w.zone)) return 0;
-    if (spec.types !== null && !spec.types.includes(w.type.name)) return 0;
-    let { cpus, gpus, memGb } = w.type;
-    for (const t of w.tasks.values()) {
-      const other = this.world.rules.submitted.get(t.job);
-      if (!other || t.phase === 'exited') continue;
+  private takes(worker: Worker, spec: JobSpec): number {
+    if (!worker.alive || worker.hung || worker.sick || worker.speed < 1 || worker.noticeAt !== null) return 0;
+    if ((worker.spot && !spec.spotOk) || (spec.zone !== null && spec.zone !== worker.zone)) return 0;
+    if (spec.types !== null && !spec.types.includes(worker.type.name)) return 0;
+    let { cpus, gpus, memGb } = worker.type;
+    for (const task of worker.tasks.values()) {
+      const other = this.world.rules.submitted.get(task.job);
+      if (!other || task.phase === 'exited') continue;
       cpus -= other.cpus;
       gpus -= other.gpus;
       memGb -= other.memGb;
@@ -86,10 +86,10 @@
     if (!team) return false;
     let cpus = spec.cpus * tasks;
     let gpus = spec.gpus * tasks;
-    for (const w of this.world.workers.values()) {
-      for (const t of w.tasks.values()) {
-        const other = this.world.rules.submitted.get(t.job);
-        if (!other || other.team !== spec.team || t.phase === 'exited') continue;
+    for (const worker of this.world.workers.values()) {
+      for (const task of worker.tasks.values()) {
+        const other = this.world.rules.submitted.get(task.job);
+        if (!other || other.team !== spec.team || task.phase === 'exited') continue;
         cpus += other.cpus;
         gpus += other.gpus;
       }
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -35,10 +35,10 @@
   }
 
   send(from: string, to: string, deliver: () => void): void {
-    for (const c of this.cuts) {
-      const hits = (x: string, y: string): boolean => c.a === x && (c.b === y || (c.b === '*' && x !== y));
-      if (!hits(to, from) && (c.deaf || !hits(from, to))) continue;
-      if (c.mode === 'hold') c.held.push(deliver);
+    for (const cut of this.cuts) {
+      const hits = (x: string, y: string): boolean => cut.a === x && (cut.b === y || (cut.b === '*' && x !== y));
+      if (!hits(to, from) && (cut.deaf || !hits(from, to))) continue;
+      if (cut.mode === 'hold') cut.held.push(deliver);
       return;
     }
     const slowest = Math.max(this.delays.get(from) ?? 0, this.delays.get(to) ?? 0);
--- a/test/sim/scenario.ts
+++ b/test/sim/scenario.ts
@@ -128,15 +128,15 @@
 }
 
 /** The old versions that its nodes run at first; none: all run the present one. */
-const versionNames = (s: Scenario): readonly string[] =>
-  s.lines.find((l) => l.words[0] === 'versions')?.words.slice(1) ?? [];
+const versionNames = (scenario: Scenario): readonly string[] =>
+  scenario.lines.find((l) => l.words[0] === 'versions')?.words.slice(1) ?? [];
 export const usesOldVersions = (s: Scenario): boolean => versionNames(s).length > 0;
 
-function readLimits(s: Scenario): Limits {
+function readLimits(scenario: Scenario): Limits {
   const limits: Record<keyof Limits, number> = { ...LIMITS };
-  for (const { n, words } of s.lines.filter((l) => l.words[0] === 'limits')) {
+  for (const { n, words } of scenario.lines.filter((l) => l.words[0] === 'limits')) {
     for (const [key, value] of Object.entries(readOptions(words.slice(1)))) {
-      if (!(key in limits)) throw new Error(`${s.file}:${n}: no limit ${key}`);
+      if (!(key in limits)) throw new Error(`${scenario.file}:${n}: no limit ${key}`);
       limits[key as keyof Limits] = Number(value);
     }
   }
@@ -151,11 +151,11 @@
 const NO_VERSIONS: ReadonlyMap<string, Build> = new Map();
 
 /** `oldVersions`: for scenarios that begin with some of them. */
-export function runScenario(s: Scenario, oldVersions: ReadonlyMap<string, Build> = NO_VERSIONS): Outcome {
-  const value = (key: string): string | undefined => s.lines.find((l) => l.words[0] === key)?.words[1];
-  const zones = (s.lines.find((l) => l.words[0] === 'zones')?.words.slice(1) ?? ['a']) as ZoneName[];
+export function runScenario(scenario: Scenario, oldVersions: ReadonlyMap<string, Build> = NO_VERSIONS): Outcome {
+  const value = (key: string): string | undefined => scenario.lines.find((l) => l.words[0] === key)?.words[1];
+  const zones = (scenario.lines.find((l) => l.words[0] === 'zones')?.words.slice(1) ?? ['a']) as ZoneName[];
   const types = TYPES.map((t) => ({ ...t, zones }));
-  const teams: Team[] = s.lines
+  const teams: Team[] = scenario.lines
     .filter((l) => l.words[0] === 'team')
     .map((l) => {
       const o = readOptions(l.words.slice(2));
@@ -177,36 +177,36 @@
     types,
     capacity: Number(value('capacity') ?? 8),
     tuning,
-    limits: readLimits(s),
-    ...(usesOldVersions(s)
-      ? { builds: versionNames(s).map((name) => buildNamed(oldVersions, name)), oldVersions }
+    limits: readLimits(scenario),
+    ...(usesOldVersions(scenario)
+      ? { builds: versionNames(scenario).map((name) => buildNamed(oldVersions, name)), oldVersions }
       : {}),
   });
-  for (const { n, words } of s.lines.filter((l) => l.words[0] === 'machines')) {
+  for (const { n, words } of scenario.lines.filter((l) => l.words[0] === 'machines')) {
     const type = types.find((t) => t.name === words[2]);
-    if (!type) throw new Error(`${s.file}:${n}: no machine type ${words[2]}`);
+    if (!type) throw new Error(`${scenario.file}:${n}: no machine type ${words[2]}`);
     for (let i = 0; i < Number(words[1]); i++) world.cloud.add(type, words[3] as ZoneName, words[4] === 'spot', 1);
   }
   world.startNodes();
   const failures: string[] = [];
-  for (const { n, words } of s.lines.filter((l) => l.words[0] === 'at')) {
+  for (const { n, words } of scenario.lines.filter((l) => l.words[0] === 'at')) {
     const event = events[words[2] ?? ''];
-    if (!event) throw new Error(`${s.file}:${n}: no event ${words[2]}`);
+    if (!event) throw new Error(`${scenario.file}:${n}: no event ${words[2]}`);
     world.clock.in(Number(words[1]) * 1000, () => event(world, words.slice(3)));
   }
-  for (const { n, words } of s.lines.filter((l) => l.words[0] === 'every')) {
+  for (const { n, words } of scenario.lines.filter((l) => l.words[0] === 'every')) {
     const [from, to, step] = words.slice(1, 4).map(Number) as [number, number, number];
     const event = events[words[4] ?? ''];
-    if (!event) throw new Error(`${s.file}:${n}: no event ${words[4]}`);
+    if (!event) throw new Error(`${scenario.file}:${n}: no event ${words[4]}`);
     for (let at = from; at <= to; at += step) {
       world.clock.in(at * 1000, () => event(world, [`${words[5]}${at}`, ...words.slice(6)]));
     }
   }
   world.clock.runUntil(Number(value('until') ?? 60) * 1000);
   failures.push(...world.rules.broken);
-  for (const { n, words } of s.lines.filter((l) => l.words[0] === 'expect')) {
+  for (const { n, words } of scenario.lines.filter((l) => l.words[0] === 'expect')) {
     const check = checks[words[1] ?? ''];
-    if (!check) throw new Error(`${s.file}:${n}: no check ${words[1]}`);
+    if (!check) throw new Error(`${scenario.file}:${n}: no check ${words[1]}`);
     const problem = check(world, words.slice(2));
     if (problem) failures.push(`line ${n}: ${problem}`);
   }
@@ -273,9 +273,9 @@
   },
   /** crash NODE|leader|all [back after S seconds, default 3] */
   crash(world, [which, back]) {
-    for (const n of nodesNamed(world, which)) {
-      n.crash();
-      world.clock.in(lasts(world, back ?? '3'), () => n.start());
+    for (const node of nodesNamed(world, which)) {
+      node.crash();
+      world.clock.in(lasts(world, back ?? '3'), () => node.start());
     }
   },
   /** freeze NODE|leader|all S: it stands still while its clocks run on */
@@ -287,9 +287,9 @@
   },
   /** refuse NODE S: the state service answers 503 to this node alone */
   refuse(world, [which, s]) {
-    for (const n of nodesNamed(world, which)) {
-      world.state.refused.add(n.name);
-      world.clock.in(lasts(world, s), () => world.state.refused.delete(n.name));
+    for (const node of nodesNamed(world, which)) {
+      world.state.refused.add(node.name);
+      world.clock.in(lasts(world, s), () => world.state.refused.delete(node.name));
     }
   },
   /** cut NODE|MACHINE state|cloud|workers|users|control|* S drop|hold|refuse; control: state service and other nodes */
@@ -320,15 +320,15 @@
   /** deaf-from NODE S: nothing that this node says reaches any machine, by whatever way it goes */
   'deaf-from'(world, [which, s]) {
     const ms = lasts(world, s);
-    for (const n of nodesNamed(world, which)) {
-      for (const id of world.workers.keys()) world.network.cut(id, n.name, ms, 'drop', true);
+    for (const node of nodesNamed(world, which)) {
+      for (const id of world.workers.keys()) world.network.cut(id, node.name, ms, 'drop', true);
     }
   },
   /** unanswered NODE S: what it says reaches the machines, and nothing that they say reaches it */
   unanswered(world, [which, s]) {
     const ms = lasts(world, s);
-    for (const n of nodesNamed(world, which)) {
-      for (const id of world.workers.keys()) world.network.cut(n.name, id, ms, 'drop', true);
+    for (const node of nodesNamed(world, which)) {
+      for (const id of world.workers.keys()) world.network.cut(node.name, id, ms, 'drop', true);
     }
   },
   /** copies S: reports sent in this time come once more, 1 to 60 s late, to any node */
@@ -377,20 +377,20 @@
   },
   /** upgrade NODE|all BACK [EVERY]: it ends and comes back with the present build, one after the other with EVERY */
   upgrade(world, [which, back, every]) {
-    nodesNamed(world, which).forEach((n, i) => {
+    nodesNamed(world, which).forEach((node, i) => {
       const at = i * Number(every ?? 0) * 1000;
       lasts(world, String(at / 1000 + Number(back ?? 3)));
       world.clock.in(at, () => {
-        n.become(PRESENT);
-        events.crash?.(world, [n.name, back ?? '3']);
+        node.become(PRESENT);
+        events.crash?.(world, [node.name, back ?? '3']);
       });
     });
   },
   /** downgrade NODE VERSION BACK: it ends and comes back with an old version, as a process found old after a roll */
   downgrade(world, [which, version, back]) {
-    for (const n of nodesNamed(world, which)) {
-      n.become(buildNamed(world.options.oldVersions ?? NO_VERSIONS, version ?? ''));
-      events.crash?.(world, [n.name, back ?? '3']);
+    for (const node of nodesNamed(world, which)) {
+      node.become(buildNamed(world.options.oldVersions ?? NO_VERSIONS, version ?? ''));
+      events.crash?.(world, [node.name, back ?? '3']);
     }
   },
   /** gap AFTER S: the leader alone is refused, jobs are called off, and AFTER seconds later the state service is out */
@@ -418,9 +418,9 @@
   },
   /** blind NODE S: the state service tells it nothing of jobs, while its lease is renewed */
   blind(world, [which, s]) {
-    for (const n of nodesNamed(world, which)) {
-      world.state.blind.add(n.name);
-      world.clock.in(lasts(world, s), () => world.state.blind.delete(n.name));
+    for (const node of nodesNamed(world, which)) {
+      world.state.blind.add(node.name);
+      world.clock.in(lasts(world, s), () => world.state.blind.delete(node.name));
     }
   },
   /** flap N STEP BACK: whoever leads ends, so many times, every STEP seconds, and is back after BACK seconds */
@@ -478,9 +478,9 @@
   },
   /** notice MACHINE S: the cloud takes it after S seconds */
   notice(world, [which, s]) {
-    for (const w of workersNamed(world, which)) {
-      w.noticeAt = world.clock.now + Number(s) * 1000;
-      world.clock.in(Number(s) * 1000, () => world.cloud.take(w.id));
+    for (const worker of workersNamed(world, which)) {
+      worker.noticeAt = world.clock.now + Number(s) * 1000;
+      world.clock.in(Number(s) * 1000, () => world.cloud.take(worker.id));
     }
   },
   take(world, [which]) {
--- a/test/sim/state_service.ts
+++ b/test/sim/state_service.ts
@@ -117,9 +117,9 @@
         }
       }
       this.onOp(from, op, false);
-      this.run(from, op, (r) => {
+      this.run(from, op, (result) => {
         this.onOp(from, op, true);
-        reply(r);
+        reply(result);
       });
     });
   }
@@ -129,12 +129,12 @@
   }
 
   private end(id: bigint): void {
-    const l = this.leases.get(id);
-    if (!l) return;
+    const lease = this.leases.get(id);
+    if (!lease) return;
     this.leases.delete(id);
-    if (l.keys.size === 0) return;
+    if (lease.keys.size === 0) return;
     this.rev += 1n;
-    for (const k of l.keys) this.drop(k);
+    for (const k of lease.keys) this.drop(k);
     this.notify();
   }
 
@@ -169,10 +169,10 @@
         return reply(yes({ lease: id as LeaseId }));
       }
       case 'renew': {
-        const l = this.leases.get(op.lease);
-        if (!l) return reply(no('gone'));
-        l.endsAt = this.clock.now + l.ttlMs;
-        this.clock.in(l.ttlMs + 50, () => this.check());
+        const lease = this.leases.get(op.lease);
+        if (!lease) return reply(no('gone'));
+        lease.endsAt = this.clock.now + lease.ttlMs;
+        this.clock.in(lease.ttlMs + 50, () => this.check());
         return reply(yes({}));
       }
       case 'revoke':
@@ -194,10 +194,10 @@
       this.onTooLarge(from);
       return no('rejected');
     }
-    for (const c of op.changes) {
-      if ('drop' in c) continue;
-      if (c.lease !== undefined && !this.leases.has(c.lease)) return no('rejected');
-      const bytes = JSON.stringify(c.value).length;
+    for (const change of op.changes) {
+      if ('drop' in change) continue;
+      if (change.lease !== undefined && !this.leases.has(change.lease)) return no('rejected');
+      const bytes = JSON.stringify(change.value).length;
       if (bytes > this.limits.valueBytes) {
         this.onTooLarge(from);
         return no('rejected');
--- a/test/sim/uptime.ts
+++ b/test/sim/uptime.ts
@@ -20,9 +20,10 @@
   private look(): void {
     const { rules, workers, clock } = this.world;
     const running = new Map<JobId, number>();
-    for (const w of workers.values()) {
-      if (w.hung) continue;
-      for (const t of w.tasks.values()) if (t.phase === 'running') running.set(t.job, (running.get(t.job) ?? 0) + 1);
+    for (const worker of workers.values()) {
+      if (worker.hung) continue;
+      for (const t of worker.tasks.values())
+        if (t.phase === 'running') running.set(t.job, (running.get(t.job) ?? 0) + 1);
     }
     for (const spec of rules.submitted.values()) {
       if (spec.shape !== 'service' || !rules.isAccepted(spec.id) || rules.cancelAsked.has(spec.id)) continue;
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -87,26 +87,26 @@
   }
 
   private clear(): void {
-    for (const t of this.tasks.values()) {
-      if (t.phase !== 'exited') this.leave(t);
-      this.world.forgetMate(this, t);
+    for (const task of this.tasks.values()) {
+      if (task.phase !== 'exited') this.leave(task);
+      this.world.forgetMate(this, task);
     }
     this.tasks.clear();
   }
 
-  private leave(t: Task): void {
-    if (t.phase !== 'fetching') this.world.rules.ended(t.job, t.index, this.id);
+  private leave(task: Task): void {
+    if (task.phase !== 'fetching') this.world.rules.ended(task.job, task.index, this.id);
   }
 
-  private exit(t: Task, reason: ExitReason, saved = false): void {
-    this.leave(t);
-    t.phase = 'exited';
-    t.reason = reason;
-    t.saved = saved;
+  private exit(task: Task, reason: ExitReason, saved = false): void {
+    this.leave(task);
+    task.phase = 'exited';
+    task.reason = reason;
+    task.saved = saved;
     this.changed = true;
     // A replica that ends has no result.
-    const service = this.world.rules.submitted.get(t.job)?.shape === 'service';
-    if (reason === 'done' && !service) this.world.rules.completed(t.job, t.index);
+    const service = this.world.rules.submitted.get(task.job)?.shape === 'service';
+    if (reason === 'done' && !service) this.world.rules.completed(task.job, task.index);
   }
 
   private tick(): void {
@@ -126,53 +126,54 @@
     if (!this.reporting && (this.now >= this.nextReportAt || early)) this.report();
   }
 
-  private advance(t: Task): void {
-    const spec = this.world.rules.submitted.get(t.job);
-    if (!spec || t.phase === 'exited') return;
-    if (t.phase === 'fetching') {
-      if (this.now < t.imageAt) return;
+  private advance(task: Task): void {
+    const spec = this.world.rules.submitted.get(task.job);
+    if (!spec || task.phase === 'exited') return;
+    if (task.phase === 'fetching') {
+      if (this.now < task.imageAt) return;
       this.images.add(spec.image);
-      this.world.rules.started(t.job, t.index, this.id, this.type, this.zone, this.spot);
-      t.phase = spec.shape === 'gang' ? 'waiting' : 'running';
-      t.waitingSince = this.now;
+      this.world.rules.started(task.job, task.index, this.id, this.type, this.zone, this.spot);
+      task.phase = spec.shape === 'gang' ? 'waiting' : 'running';
+      task.waitingSince = this.now;
       this.changed = true;
-      if (this.world.rules.done.get(t.job)?.has(t.index)) return this.exit(t, 'done');
-      if (this.sick || this.world.faulty.has(t.job)) return this.exit(t, 'error');
+      if (this.world.rules.done.get(task.job)?.has(task.index)) return this.exit(task, 'done');
+      if (this.sick || this.world.faulty.has(task.job)) return this.exit(task, 'error');
     }
-    if (t.phase === 'saving') {
-      if (t.savedAt !== null && this.now >= t.savedAt) {
-        this.world.saveProgress(t.job, t.index, t.workMs);
-        this.exit(t, 'stopped', true);
+    if (task.phase === 'saving') {
+      if (task.savedAt !== null && this.now >= task.savedAt) {
+        this.world.saveProgress(task.job, task.index, task.workMs);
+        this.exit(task, 'stopped', true);
       }
       return;
     }
     if (spec.shape === 'gang') {
-      const mates = this.world.mates(t.job, t.attempt);
+      const mates = this.world.mates(task.job, task.attempt);
       const present = mates.filter((m) => m.task.phase !== 'exited');
-      if (t.phase === 'waiting') {
+      if (task.phase === 'waiting') {
         const ready = present.filter((m) => m.task.phase === 'waiting' || m.task.phase === 'running');
         if (ready.length === spec.tasks) for (const m of ready) m.task.phase = 'running';
-        else if (this.now - (t.waitingSince ?? this.now) > this.world.settings.gangWait) this.exit(t, 'alone');
+        else if (this.now - (task.waitingSince ?? this.now) > this.world.settings.gangWait) this.exit(task, 'alone');
         return;
       }
       if (present.length < spec.tasks || present.some((m) => m.worker.hung)) {
-        t.waitingSince ??= this.now;
-        if (t.savedAt === null) t.savedAt = this.now;
-        if (this.now - t.savedAt > this.world.settings.gangPeer) this.exit(t, 'peers_gone');
+        task.waitingSince ??= this.now;
+        if (task.savedAt === null) task.savedAt = this.now;
+        if (this.now - task.savedAt > this.world.settings.gangPeer) this.exit(task, 'peers_gone');
         return;
       }
-      t.savedAt = null;
+      task.savedAt = null;
     }
-    const before = t.workMs;
-    t.workMs += TICK_MS * this.speed;
+    const before = task.workMs;
+    task.workMs += TICK_MS * this.speed;
     const every = spec.checkpointS * 1000;
-    if (every > 0 && Math.floor(before / every) < Math.floor(t.workMs / every)) {
-      this.world.saveProgress(t.job, t.index, Math.floor(t.workMs / every) * every);
+    if (every > 0 && Math.floor(before / every) < Math.floor(task.workMs / every)) {
+      this.world.saveProgress(task.job, task.index, Math.floor(task.workMs / every) * every);
     }
-    if (t.workMs < this.world.runMs(t.job)) return;
+    if (task.workMs < this.world.runMs(task.job)) return;
     if (spec.shape === 'gang') {
-      for (const m of this.world.mates(t.job, t.attempt)) if (m.task.phase === 'running') m.worker.exit(m.task, 'done');
-    } else this.exit(t, 'done');
+      for (const m of this.world.mates(task.job, task.attempt))
+        if (m.task.phase === 'running') m.worker.exit(m.task, 'done');
+    } else this.exit(task, 'done');
   }
 
   private makeReport(): WorkerReport {
@@ -187,13 +188,13 @@
       seq: this.seq as Seq,
       token: this.token as Token,
       noticeS: this.noticeAt === null ? null : Math.max(0, (this.noticeAt - this.now) / 1000),
-      tasks: [...this.tasks.values()].map((t) => ({
-        job: t.job,
-        index: t.index,
-        attempt: t.attempt,
-        phase: t.phase,
-        reason: t.reason,
-        saved: t.saved,
+      tasks: [...this.tasks.values()].map((task) => ({
+        job: task.job,
+        index: task.index,
+        attempt: task.attempt,
+        phase: task.phase,
+        reason: task.reason,
+        saved: task.saved,
       })),
     };
   }
@@ -284,36 +285,36 @@
     reply({ executed, report: this.makeReport() });
   }
 
-  private execute(c: Command): void {
-    const key = `${c.job}/${c.index}`;
-    const t = this.tasks.get(key);
-    if (c.op === 'forget') {
-      if (t && t.attempt === c.attempt && t.phase === 'exited') {
+  private execute(command: Command): void {
+    const key = `${command.job}/${command.index}`;
+    const task = this.tasks.get(key);
+    if (command.op === 'forget') {
+      if (task && task.attempt === command.attempt && task.phase === 'exited') {
         this.tasks.delete(key);
-        this.world.forgetMate(this, t);
+        this.world.forgetMate(this, task);
       }
-    } else if (c.op === 'stop') {
-      if (t && t.attempt === c.attempt) this.stop(t, c.graceS);
-    } else if (!t || t.attempt !== c.attempt) this.start(c.job, c.index, c.attempt, t);
+    } else if (command.op === 'stop') {
+      if (task && task.attempt === command.attempt) this.stop(task, command.graceS);
+    } else if (!task || task.attempt !== command.attempt) this.start(command.job, command.index, command.attempt, task);
   }
 
-  private stop(t: Task, graceS: number): void {
-    const spec = this.world.rules.submitted.get(t.job);
-    if (!spec || t.phase === 'exited') return;
-    if (t.phase === 'saving') {
-      if (graceS === 0) this.exit(t, 'stopped');
+  private stop(task: Task, graceS: number): void {
+    const spec = this.world.rules.submitted.get(task.job);
+    if (!spec || task.phase === 'exited') return;
+    if (task.phase === 'saving') {
+      if (graceS === 0) this.exit(task, 'stopped');
       return;
     }
-    if (t.phase === 'running' && spec.checkpointS > 0 && graceS >= spec.saveS) {
-      t.phase = 'saving';
-      t.savedAt = this.now + spec.saveS * 1000;
+    if (task.phase === 'running' && spec.checkpointS > 0 && graceS >= spec.saveS) {
+      task.phase = 'saving';
+      task.savedAt = this.now + spec.saveS * 1000;
       this.changed = true;
-    } else this.exit(t, 'stopped');
+    } else this.exit(task, 'stopped');
   }
 
   private start(job: JobId, index: number, attempt: Attempt, old: Task | undefined): void {
     const spec = this.world.rules.submitted.get(job);
-    const t: Task = {
+    const task: Task = {
       job,
       index,
       attempt,
@@ -336,14 +337,14 @@
       gpus += other.gpus;
     }
     if (old) this.world.forgetMate(this, old);
-    this.tasks.set(`${job}/${index}`, t);
-    this.world.addMate(this, t);
+    this.tasks.set(`${job}/${index}`, task);
+    this.world.addMate(this, task);
     this.changed = true;
     if (cpus > this.type.cpus || gpus > this.type.gpus) {
-      t.phase = 'exited';
-      t.reason = 'no_room';
+      task.phase = 'exited';
+      task.reason = 'no_room';
       return;
     }
-    t.imageAt = this.now + (this.images.has(spec.image) ? 0 : (spec.imageGb / this.type.fetchGbPerS) * 1000);
+    task.imageAt = this.now + (this.images.has(spec.image) ? 0 : (spec.imageGb / this.type.fetchGbPerS) * 1000);
   }
 }
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -223,38 +223,44 @@
     };
   }
 
-  private carryOut(o: Output): void {
+  private carryOut(output: Output): void {
     const { world } = this;
     const { network } = world;
-    switch (o.kind) {
+    switch (output.kind) {
       case 'answerUser':
       case 'answerWorker': {
-        const wait = this.waits.get(o.req);
-        this.waits.delete(o.req);
-        wait?.(o.answer as never);
+        const wait = this.waits.get(output.req);
+        this.waits.delete(output.req);
+        wait?.(output.answer as never);
         break;
       }
       case 'store': {
-        const done = this.mine((r: Result<StoreValue> | null) =>
-          this.step({ kind: 'storeReply', call: o.call, result: r ?? { ok: false, why: 'unknown' } }),
+        const done = this.mine((result: Result<StoreValue> | null) =>
+          this.step({ kind: 'storeReply', call: output.call, result: result ?? { ok: false, why: 'unknown' } }),
+        );
+        world.meters.storeOp(output.op);
+        network.call(
+          this.name,
+          'state',
+          output.timeoutMs,
+          (reply) => world.state.serve(this.name, output.op, reply),
+          done,
         );
-        world.meters.storeOp(o.op);
-        network.call(this.name, 'state', o.timeoutMs, (reply) => world.state.serve(this.name, o.op, reply), done);
         break;
       }
       case 'cloud': {
-        const done = this.mine((r: Parameters<Parameters<Cloud['serve']>[1]>[0] | null) =>
-          this.step({ kind: 'cloudReply', call: o.call, result: r ?? { ok: false, why: 'unknown' } }),
+        const done = this.mine((result: Parameters<Parameters<Cloud['serve']>[1]>[0] | null) =>
+          this.step({ kind: 'cloudReply', call: output.call, result: result ?? { ok: false, why: 'unknown' } }),
         );
         world.meters.cloudOp();
-        network.call(this.name, 'cloud', 4000, (reply) => world.cloud.serve(o.op, reply), done);
+        network.call(this.name, 'cloud', 4000, (reply) => world.cloud.serve(output.op, reply), done);
         break;
       }
       case 'worker': {
         const carriedOut = this.mine((r: WorkerValue | null) =>
           this.step({
             kind: 'workerReply',
-            call: o.call,
+            call: output.call,
             result: r ? { ok: true, value: r } : { ok: false, why: 'unknown' },
           }),
         );
@@ -263,25 +269,26 @@
           world.meters.direct(-1);
           carriedOut(r);
         };
-        const worker = world.workers.get(o.op.addr as MachineId);
-        network.call(this.name, o.op.addr, 2500, (reply) => worker?.direct(o.op, reply), done);
+        const worker = world.workers.get(output.op.addr as MachineId);
+        network.call(this.name, output.op.addr, 2500, (reply) => worker?.direct(output.op, reply), done);
         break;
       }
       case 'peer': {
-        const to = world.nodes.find((n) => n.name === o.to);
+        const to = world.nodes.find((n) => n.name === output.to);
         if (world.bytes) {
-          const frame = this.build.encodeFrame(o.message);
-          network.send(this.name, o.to, () => to?.fromPeerBytes(this.name, frame));
+          const frame = this.build.encodeFrame(output.message);
+          network.send(this.name, output.to, () => to?.fromPeerBytes(this.name, frame));
           break;
         }
-        world.meters.frame(o.message);
-        network.send(this.name, o.to, () => to?.fromPeer(this.name, o.message));
+        world.meters.frame(output.message);
+        network.send(this.name, output.to, () => to?.fromPeer(this.name, output.message));
         break;
       }
       case 'log':
-        if (o.text === 'round') world.meters.round(o.fields);
-        if (world.verbose) console.error((world.clock.now / 1000).toFixed(2), this.name, o.level, o.text, o.fields);
-        if (o.level === 'error') world.errors.push(`${o.text} ${JSON.stringify(o.fields)}`);
+        if (output.text === 'round') world.meters.round(output.fields);
+        if (world.verbose)
+          console.error((world.clock.now / 1000).toFixed(2), this.name, output.level, output.text, output.fields);
+        if (output.level === 'error') world.errors.push(`${output.text} ${JSON.stringify(output.fields)}`);
         break;
     }
   }
@@ -474,10 +481,10 @@
   }
 
   private submitAgain(spec: JobSpec, until: number): void {
-    this.ask({ op: 'submit', id: spec.id, spec, problem: '' }, (a) => {
-      if (a) this.rules.told(spec.id, a);
-      if (a && 'jobStatus' in a) return this.poll(spec.id);
-      if ((a === null || a.status === 503) && this.clock.now < until) {
+    this.ask({ op: 'submit', id: spec.id, spec, problem: '' }, (answer) => {
+      if (answer) this.rules.told(spec.id, answer);
+      if (answer && 'jobStatus' in answer) return this.poll(spec.id);
+      if ((answer === null || answer.status === 503) && this.clock.now < until) {
         this.clock.in(1000, () => this.submitAgain(spec, until));
       }
     });
@@ -485,9 +492,9 @@
 
   private poll(id: JobId): void {
     this.clock.in(this.clock.between(4000, 6000), () => {
-      this.ask({ op: 'poll', id }, (a) => {
-        if (a) this.rules.told(id, a);
-        if (!a || !('jobStatus' in a)) this.rules.unanswered(id);
+      this.ask({ op: 'poll', id }, (answer) => {
+        if (answer) this.rules.told(id, answer);
+        if (!answer || !('jobStatus' in answer)) this.rules.unanswered(id);
         const job = this.jobs.get(id);
         if (job && this.rules.finalOf(id)) job.settled = true;
         // Users may ask again at any later time: every final state is asked for twice more.
@@ -500,9 +507,10 @@
   cancel(id: JobId): void {
     this.rules.cancelAsked.add(id);
     const again = (until: number): void => {
-      this.ask({ op: 'cancel', id }, (a) => {
-        if (a) this.rules.told(id, a);
-        if ((a === null || a.status === 503) && this.clock.now < until) this.clock.in(1000, () => again(until));
+      this.ask({ op: 'cancel', id }, (answer) => {
+        if (answer) this.rules.told(id, answer);
+        if ((answer === null || answer.status === 503) && this.clock.now < until)
+          this.clock.in(1000, () => again(until));
       });
     };
     again(this.clock.now + 60_000);
@@ -510,15 +518,15 @@
 
   /** Any node may be asked; what it says is judged by the rules, unless `excused` says that its build knows no better. */
   request(request: UserRequest, excused: (asked: Build) => boolean = () => false): void {
-    this.ask(request, (a, asked) => {
-      if (a && asked && !excused(asked)) this.rules.told(request.id, a);
+    this.ask(request, (answer, asked) => {
+      if (answer && asked && !excused(asked)) this.rules.told(request.id, answer);
     });
   }
 
   pollUnknown(id: JobId, seen: (a: UserAnswer | null) => void): void {
-    this.ask({ op: 'poll', id }, (a) => {
-      if (a) this.rules.told(id, a);
-      seen(a);
+    this.ask({ op: 'poll', id }, (answer) => {
+      if (answer) this.rules.told(id, answer);
+      seen(answer);
     });
   }
 }
