--- a/src/core/buckets.ts
+++ b/src/core/calls/call_queue.ts
@@ -1,4 +1,4 @@
-import type { Steady } from './types.js';
+import type { Steady } from '../types.js';
 
 /** A token bucket on the steady clock it is given. */
 export class TokenBucket {
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -1,4 +1,4 @@
-import { type CallPriority, CallQueue, TokenBucket } from './buckets.js';
+import { type CallPriority, CallQueue, TokenBucket } from './calls/call_queue.js';
 import type {
   CallId,
   CloudOp,
--- a/src/core/estimates.ts
+++ b/src/core/jobs/estimates.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from './types.js';
+import type { JobSpec } from '../types.js';
 
 interface Seen {
   n: number;
--- a/src/core/jobs.ts
+++ b/src/core/jobs/job.ts
@@ -1,7 +1,7 @@
-import type { Machine } from './fleet.js';
-import { RangeSet } from './ranges.js';
-import type { JobRecord, JobState } from './records.js';
-import type { Attempt, JobId, JobSpec, Revision, Seq, Steady, Wall, ZoneName } from './types.js';
+import type { Machine } from '../machines/machine.js';
+import type { JobRecord, JobState } from '../records.js';
+import type { Attempt, JobId, JobSpec, Revision, Seq, Steady, Wall, ZoneName } from '../types.js';
+import { RangeSet } from './range_set.js';
 
 export type PlacementPhase =
   /** Given a place; no `start` has been answered yet, so it can be taken back freely. */
--- a/src/core/mirror.ts
+++ b/src/core/jobs/job_cache.ts
@@ -1,8 +1,8 @@
-import { CLOCK_DRIFT, maxJobViewAgeMs } from './bounds.js';
-import type { Context } from './context.js';
-import type { StoredItem, StoreEvent } from './messages.js';
-import { decodeJob, JOB_PREFIX, type JobRecord } from './records.js';
-import { type JobId, type Revision, type Steady, steadyPlus } from './types.js';
+import type { Context } from '../context.js';
+import { CLOCK_DRIFT, maxJobViewAgeMs } from '../leadership/lease_bounds.js';
+import type { StoredItem, StoreEvent } from '../messages.js';
+import { decodeJob, JOB_PREFIX, type JobRecord } from '../records.js';
+import { type JobId, type Revision, type Steady, steadyPlus } from '../types.js';
 
 const WATCH_MS = 4000;
 /** The leader asks more often: what starts depends on how fresh its view of cancellations is. */
--- a/src/core/cluster.ts
+++ b/src/core/leadership/cluster.ts
@@ -1,10 +1,10 @@
-import type { Context } from './context.js';
-import { Estimates } from './estimates.js';
-import { type Machine, taskKey } from './fleet.js';
-import { SpotInterruptionRate } from './hazard.js';
-import { Job, type Placement, type PlacementPhase } from './jobs.js';
-import { Quotas } from './quotas.js';
-import type { JobRecord } from './records.js';
+import type { Context } from '../context.js';
+import { Estimates } from '../jobs/estimates.js';
+import { Job, type Placement, type PlacementPhase } from '../jobs/job.js';
+import { type Machine, taskKey } from '../machines/machine.js';
+import { SpotInterruptionRate } from '../machines/spot_interruptions.js';
+import type { JobRecord } from '../records.js';
+import { Quotas } from '../scheduler/quotas.js';
 import type {
   Attempt,
   ImageName,
@@ -15,7 +15,7 @@
   Revision,
   Steady,
   TypeName,
-} from './types.js';
+} from '../types.js';
 
 const MAX_EARLY_CANCELLATIONS = 10_000;
 /** Least spacing of looks at waiting replicas, and what one gathers. */
--- a/src/core/election.ts
+++ b/src/core/leadership/election.ts
@@ -1,6 +1,5 @@
-import { CLOCK_DRIFT, leaderLeaseMs } from './bounds.js';
-import type { Context } from './context.js';
-import { decodeLeader, LEADER_KEY, type LeaderRecord, TERM_KEY } from './records.js';
+import type { Context } from '../context.js';
+import { decodeLeader, LEADER_KEY, type LeaderRecord, TERM_KEY } from '../records.js';
 import {
   ABSENT,
   type LeaseId,
@@ -10,7 +9,8 @@
   type Steady,
   steadyPlus,
   type Token,
-} from './types.js';
+} from '../types.js';
+import { CLOCK_DRIFT, leaderLeaseMs } from './lease_bounds.js';
 
 /** The watch of the key is answered at least every 5 s while the state service is there. */
 const HOLDER_FRESH_MS = 6500;
--- a/src/core/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -1,21 +1,21 @@
-import { Autoscaler } from './autoscaler.js';
-import { ReportHandler, type ReportReply } from './beats.js';
-import { maxJobViewAgeMs } from './bounds.js';
+import type { Context } from '../context.js';
+import type { CachedJob, JobCache } from '../jobs/job_cache.js';
+import { Autoscaler } from '../machines/autoscaler.js';
+import { HealthChecks } from '../machines/health_checks.js';
+import { Machine } from '../machines/machine.js';
+import { Registry } from '../machines/registry.js';
+import type { StoredItem } from '../messages.js';
+import { MACHINE_PREFIX, type MachineRecord } from '../records.js';
+import { migrateToCachedImages } from '../scheduler/migration.js';
+import { preempt } from '../scheduler/preemption.js';
+import { scheduleRound } from '../scheduler/round.js';
+import { placeServices } from '../scheduler/services.js';
+import { type JobId, type MachineType, type Steady, steadyPlus, type TypeName, type WorkerReport } from '../types.js';
+import { ReportHandler, type ReportReply } from '../workers/report_handler.js';
 import { Cluster } from './cluster.js';
-import type { Context } from './context.js';
 import type { Election, Leadership } from './election.js';
-import { Machine } from './fleet.js';
-import { RecordWriter } from './ledger.js';
-import type { StoredItem } from './messages.js';
-import type { CachedJob, JobCache } from './mirror.js';
-import { MACHINE_PREFIX, type MachineRecord } from './records.js';
-import { Registry } from './registry.js';
-import { migrateToCachedImages } from './scheduler/moves.js';
-import { preempt } from './scheduler/preempt.js';
-import { scheduleRound } from './scheduler/round.js';
-import { placeServices } from './scheduler/services.js';
-import { type JobId, type MachineType, type Steady, steadyPlus, type TypeName, type WorkerReport } from './types.js';
-import { HealthChecks } from './upkeep.js';
+import { maxJobViewAgeMs } from './lease_bounds.js';
+import { RecordWriter } from './record_writer.js';
 
 /**
  * The holder of the lead. A new one is made for every term. Here: reading what earlier terms left, rounds, and how the
--- a/src/core/bounds.ts
+++ b/src/core/leadership/lease_bounds.ts
@@ -1,4 +1,4 @@
-import type { Settings, Tuning } from './settings.js';
+import type { Settings, Tuning } from '../settings.js';
 
 /** Clocks of different machines drift apart by up to 0.05 %; both ends may be off. */
 export const CLOCK_DRIFT = 0.001;
--- a/src/core/ledger.ts
+++ b/src/core/leadership/record_writer.ts
@@ -1,13 +1,13 @@
+import type { Context } from '../context.js';
+import type { Job } from '../jobs/job.js';
+import { RangeSet } from '../jobs/range_set.js';
+import type { Machine } from '../machines/machine.js';
+import type { Page, Registry } from '../machines/registry.js';
+import type { Change, Condition, StoredItem } from '../messages.js';
+import { encodeJob, type JobState, jobKey, pageKey } from '../records.js';
+import { ABSENT, type Revision, type Steady, steadyPlus } from '../types.js';
 import type { Cluster } from './cluster.js';
-import type { Context } from './context.js';
 import { type Leadership, leaderCondition } from './election.js';
-import type { Machine } from './fleet.js';
-import type { Job } from './jobs.js';
-import type { Change, Condition, StoredItem } from './messages.js';
-import { RangeSet } from './ranges.js';
-import { encodeJob, type JobState, jobKey, pageKey } from './records.js';
-import type { Page, Registry } from './registry.js';
-import { ABSENT, type Revision, type Steady, steadyPlus } from './types.js';
 
 const LAZY_WRITE_MS = 4000;
 const TXN_BYTES = 48_000;
--- a/src/core/autoscaler.ts
+++ b/src/core/machines/autoscaler.ts
@@ -1,7 +1,6 @@
-import type { Cluster } from './cluster.js';
-import { Machine, MISSED_REPORTS_UNTIL_SILENT, startKey } from './fleet.js';
-import type { PlanJob } from './scheduler/planner.js';
-import type { RoundResult } from './scheduler/round.js';
+import type { Cluster } from '../leadership/cluster.js';
+import type { PlanJob } from '../scheduler/planner.js';
+import type { RoundResult } from '../scheduler/round.js';
 import {
   type ListedMachine,
   type MachineId,
@@ -10,7 +9,8 @@
   steadyPlus,
   type TypeName,
   type ZoneName,
-} from './types.js';
+} from '../types.js';
+import { Machine, MISSED_REPORTS_UNTIL_SILENT, startKey } from './machine.js';
 
 interface Kind {
   readonly type: MachineType;
--- a/src/core/upkeep.ts
+++ b/src/core/machines/health_checks.ts
@@ -1,9 +1,9 @@
-import { workerLeaseExpiryMs } from './bounds.js';
-import type { Cluster } from './cluster.js';
-import { type Machine, MISSED_REPORTS_UNTIL_SILENT } from './fleet.js';
-import { moveReplica } from './scheduler/services.js';
+import type { Cluster } from '../leadership/cluster.js';
+import { workerLeaseExpiryMs } from '../leadership/lease_bounds.js';
+import { moveReplica } from '../scheduler/services.js';
+import { type JobId, type Seq, type Session, type Steady, steadyPlus } from '../types.js';
+import { type Machine, MISSED_REPORTS_UNTIL_SILENT } from './machine.js';
 import { type Evidence, SLOW_FACTOR } from './slowness.js';
-import { type JobId, type Seq, type Session, type Steady, steadyPlus } from './types.js';
 
 /** Why a machine is out of use. */
 const SLOW = 'slow';
--- a/src/core/fleet.ts
+++ b/src/core/machines/machine.ts
@@ -1,5 +1,4 @@
-import type { Job, Placement } from './jobs.js';
-import { Slowness } from './slowness.js';
+import type { Job, Placement } from '../jobs/job.js';
 import type {
   Attempt,
   ImageName,
@@ -12,7 +11,8 @@
   Steady,
   TypeName,
   ZoneName,
-} from './types.js';
+} from '../types.js';
+import { Slowness } from './slowness.js';
 
 export type TaskKey = string;
 export const taskKey = (job: JobId, index: number): TaskKey => `${job}/${index}`;
--- a/src/core/registry.ts
+++ b/src/core/machines/registry.ts
@@ -1,7 +1,7 @@
-import type { Machine } from './fleet.js';
-import type { Change, StoredItem } from './messages.js';
-import { decodePage, encodePage, MACHINE_PREFIX, type MachineRecord, pageKey } from './records.js';
-import { ABSENT, type MachineId, type Revision, type Steady } from './types.js';
+import type { Change, StoredItem } from '../messages.js';
+import { decodePage, encodePage, MACHINE_PREFIX, type MachineRecord, pageKey } from '../records.js';
+import { ABSENT, type MachineId, type Revision, type Steady } from '../types.js';
+import type { Machine } from './machine.js';
 
 /** What a page's text may take of the store's limit for a value, and what one machine with its hints is reckoned at. */
 const PAGE_SHARE = 0.95;
--- a/src/core/slowness.ts
+++ b/src/core/machines/slowness.ts
@@ -1,4 +1,4 @@
-import type { JobId } from './types.js';
+import type { JobId } from '../types.js';
 
 export interface Evidence {
   /** log(actual / expected), or at least so much for work that still runs. */
--- a/src/core/node.ts
+++ b/src/core/node.ts
@@ -1,7 +1,7 @@
 import { Context } from './context.js';
-import { RequestHandler } from './desk.js';
-import { Election } from './election.js';
-import { Leader } from './leader.js';
+import { JobCache } from './jobs/job_cache.js';
+import { Election } from './leadership/election.js';
+import { Leader } from './leadership/leader.js';
 import type {
   Input,
   Output,
@@ -12,7 +12,7 @@
   UserRequest,
   WorkerAnswer,
 } from './messages.js';
-import { JobCache } from './mirror.js';
+import { RequestHandler } from './requests/request_handler.js';
 import type { Settings, Tuning } from './settings.js';
 import {
   type JobId,
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -1,4 +1,4 @@
-import { RangeSet } from './ranges.js';
+import { RangeSet } from './jobs/range_set.js';
 import type { ImageName, JobId, JobSpec, MachineId, TypeName, Wall, ZoneName } from './types.js';
 
 /** What the state service holds. Nothing else survives a process. */
--- a/src/core/desk.ts
+++ b/src/core/requests/request_handler.ts
@@ -1,9 +1,9 @@
-import type { Context } from './context.js';
-import type { JobStatus, UserAnswer, UserRequest } from './messages.js';
-import type { CachedJob, JobCache } from './mirror.js';
-import { withinLimit } from './quotas.js';
-import { RangeSet } from './ranges.js';
-import { encodeJob, JOB_PREFIX, type JobRecord, jobKey } from './records.js';
+import type { Context } from '../context.js';
+import type { CachedJob, JobCache } from '../jobs/job_cache.js';
+import { RangeSet } from '../jobs/range_set.js';
+import type { JobStatus, UserAnswer, UserRequest } from '../messages.js';
+import { encodeJob, JOB_PREFIX, type JobRecord, jobKey } from '../records.js';
+import { withinLimit } from '../scheduler/quotas.js';
 import {
   ABSENT,
   type JobId,
@@ -13,7 +13,7 @@
   steadyPlus,
   type TypeName,
   type ZoneName,
-} from './types.js';
+} from '../types.js';
 
 type Answer = (answer: UserAnswer) => void;
 
--- a/src/core/scheduler/hosting.ts
+++ b/src/core/scheduler/hosting.ts
@@ -1,6 +1,6 @@
-import type { Cluster } from '../cluster.js';
-import type { Machine } from '../fleet.js';
-import type { Job, Placement } from '../jobs.js';
+import type { Job, Placement } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
+import type { Machine } from '../machines/machine.js';
 import type { MachineType, Resources, TypeName, ZoneName } from '../types.js';
 
 /* What a job's wishes and the room on machines allow: asked by the plan, by services and by all that moves work. */
--- a/src/core/scheduler/moves.ts
+++ b/src/core/scheduler/migration.ts
@@ -1,6 +1,6 @@
-import type { Cluster } from '../cluster.js';
-import type { Machine } from '../fleet.js';
-import type { Job } from '../jobs.js';
+import type { Job } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
+import type { Machine } from '../machines/machine.js';
 import { steadyPlus } from '../types.js';
 import { mayHost } from './hosting.js';
 
--- a/src/core/scheduler/preempt.ts
+++ b/src/core/scheduler/preemption.ts
@@ -1,6 +1,6 @@
-import type { Cluster } from '../cluster.js';
-import type { Machine } from '../fleet.js';
-import type { Job, Placement } from '../jobs.js';
+import type { Job, Placement } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
+import type { Machine } from '../machines/machine.js';
 import { steadyPlus } from '../types.js';
 import { couldHost } from './hosting.js';
 import type { RoundResult } from './round.js';
--- a/src/core/quotas.ts
+++ b/src/core/scheduler/quotas.ts
@@ -1,4 +1,4 @@
-import type { JobSpec, Team, TeamName } from './types.js';
+import type { JobSpec, Team, TeamName } from '../types.js';
 
 interface Use {
   cpus: number;
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -1,8 +1,8 @@
 import { xoroshiro128plus } from 'pure-rand';
-import type { Cluster } from '../cluster.js';
-import type { Machine } from '../fleet.js';
-import { spotDelayS } from '../hazard.js';
-import type { Job, Placement } from '../jobs.js';
+import type { Job, Placement } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
+import type { Machine } from '../machines/machine.js';
+import { spotDelayS } from '../machines/spot_interruptions.js';
 import type { JobId, Steady, TypeName, ZoneName } from '../types.js';
 import { Evolution } from './evolution.js';
 import { couldHost, type GpuWork, gpuWorkOf, mayHost, overdueS, placeTask, spareRoom } from './hosting.js';
--- a/src/core/scheduler/services.ts
+++ b/src/core/scheduler/services.ts
@@ -1,9 +1,9 @@
-import type { Cluster } from '../cluster.js';
-import type { Machine } from '../fleet.js';
-import type { Job, Placement } from '../jobs.js';
+import type { Job, Placement } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
+import type { Machine } from '../machines/machine.js';
 import { steadyPlus, type ZoneName } from '../types.js';
 import { couldHost, type GpuWork, gpuWorkOf, mayHost, placeTask, spareRoom } from './hosting.js';
-import { optionOn } from './preempt.js';
+import { optionOn } from './preemption.js';
 
 /** Seconds of start time that a replica would rather lose than share its machine with another of its service ... */
 const SHARED_S = 8;
--- a/src/core/beats.ts
+++ b/src/core/workers/report_handler.ts
@@ -1,11 +1,11 @@
-import type { Cluster } from './cluster.js';
-import type { Context } from './context.js';
-import type { Leadership } from './election.js';
-import { Machine, startKey, UNRESPONSIVE_AFTER_IGNORED } from './fleet.js';
-import type { Job, Placement } from './jobs.js';
-import type { WorkerAnswer } from './messages.js';
-import { applyReport, compileCommands, isNewer } from './reports.js';
-import { type Command, type Seq, type Session, type Steady, steadyPlus, type WorkerReport } from './types.js';
+import type { Context } from '../context.js';
+import type { Job, Placement } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
+import type { Leadership } from '../leadership/election.js';
+import { Machine, startKey, UNRESPONSIVE_AFTER_IGNORED } from '../machines/machine.js';
+import type { WorkerAnswer } from '../messages.js';
+import { type Command, type Seq, type Session, type Steady, steadyPlus, type WorkerReport } from '../types.js';
+import { applyReport, compileCommands, isNewer } from './report_processing.js';
 
 const HOLD_MS = 600;
 /** Workers drop an answer that comes after 4 s: an idle one is kept waiting for well less. */
--- a/src/core/reports.ts
+++ b/src/core/workers/report_processing.ts
@@ -1,8 +1,8 @@
-import type { Cluster } from './cluster.js';
-import { type Machine, startKey, taskKey } from './fleet.js';
-import { FAULTY_AFTER, type Job, type Placement } from './jobs.js';
-import { type Evidence, SLOW_FACTOR } from './slowness.js';
-import { type Command, type Steady, steadyPlus, type TaskReport, type Token, type WorkerReport } from './types.js';
+import { FAULTY_AFTER, type Job, type Placement } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
+import { type Machine, startKey, taskKey } from '../machines/machine.js';
+import { type Evidence, SLOW_FACTOR } from '../machines/slowness.js';
+import { type Command, type Steady, steadyPlus, type TaskReport, type Token, type WorkerReport } from '../types.js';
 
 const COMMANDS_MAX = 400;
 
--- a/src/io/runtime.ts
+++ b/src/io/runtime.ts
@@ -6,8 +6,8 @@
 import type { Tuning } from '../core/settings.js';
 import type { Now, Steady, Wall } from '../core/types.js';
 import { hostPort } from './address.js';
-import { makeHttpServer } from './front.js';
 import { HttpClient, type Reply } from './http_client.js';
+import { makeHttpServer } from './http_server.js';
 import type { Log } from './log.js';
 import { PeerLink } from './peer_link.js';
 import {
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { xoroshiro128plus } from 'pure-rand';
-import { CallQueue, TokenBucket } from '../src/core/buckets.js';
-import { Estimates } from '../src/core/estimates.js';
-import { Machine } from '../src/core/fleet.js';
-import { SpotInterruptionRate, spotDelayS } from '../src/core/hazard.js';
-import { RangeSet } from '../src/core/ranges.js';
+import { CallQueue, TokenBucket } from '../src/core/calls/call_queue.js';
+import { Estimates } from '../src/core/jobs/estimates.js';
+import { RangeSet } from '../src/core/jobs/range_set.js';
+import { Machine } from '../src/core/machines/machine.js';
+import { type Evidence, Slowness } from '../src/core/machines/slowness.js';
+import { SpotInterruptionRate, spotDelayS } from '../src/core/machines/spot_interruptions.js';
 import { Evolution } from '../src/core/scheduler/evolution.js';
 import { type PlanJob, type PlanMachine, Planner } from '../src/core/scheduler/planner.js';
 import { rankValue } from '../src/core/scheduler/priority.js';
-import { type Evidence, Slowness } from '../src/core/slowness.js';
 import type { ImageName, JobId, MachineId, MachineType, Steady, TypeName, ZoneName } from '../src/core/types.js';
 import { makeSpec } from './sim/scenario.js';
 
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -10,7 +10,7 @@
 import type { UserAnswer, UserRequest, WorkerAnswer } from '../src/core/messages.js';
 import type { Token, WorkerReport } from '../src/core/types.js';
 import { decode, encode } from '../src/io/cbor.js';
-import { makeHttpServer } from '../src/io/front.js';
+import { makeHttpServer } from '../src/io/http_server.js';
 
 const root = fileURLToPath(new URL('../../../', import.meta.url));
 const main = join(root, 'target/check/src/main.js');
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RangeSet } from '../src/core/ranges.js';
+import { RangeSet } from '../src/core/jobs/range_set.js';
 import * as records from '../src/core/records.js';
 import type { ImageName, MachineId, TypeName, Wall, ZoneName } from '../src/core/types.js';
 import { decode, encode } from '../src/io/cbor.js';
