--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -1,4 +1,5 @@
-import { type CallPriority, CallQueue, TokenBucket } from './calls/call_queue.js';
+import { type CallPriority, CallQueue } from './calls/call_queue.js';
+import { TokenBucket } from './calls/token_bucket.js';
 import type {
   CallId,
   CloudOp,
@@ -38,32 +39,61 @@
   | 'storeQueue'
   | 'cloudQueue';
 
-type Reply<T> = (result: Result<T>) => void;
+type OnResult<T> = (result: Result<T>) => void;
 
+/** How a call to an outside service may wait. */
+export interface CallOptions {
+  /** For an answer, once it is sent. */
+  readonly timeoutMs?: number;
+  /** For tokens, before it is sent; what has to wait longer is refused. */
+  readonly maxQueueMs?: number;
+  /** Called at the moment it is sent. */
+  readonly onSend?: (at: Steady) => void;
+}
+
+interface OpenStoreCall {
+  readonly onResult: OnResult<StoreValue>;
+  readonly writes: boolean;
+}
+
+/** The leader's part of the state service's limits, and what the followers share: together somewhat over the whole. */
 const LEADER_PART = 0.65;
 const FOLLOWERS_PART = 0.7;
+const CLOUD_RATE_PART = 0.8;
+const STORE_TIMEOUT_MS = 1500;
+const STORE_QUEUE_MS = 3000;
+const CLOUD_QUEUE_MS = 5000;
+/** Pause after a call that the state service refused. */
+const REFUSED_PAUSE_MS = 100;
+/** With less of the burst left than this, writes that can wait should. */
+const SPARE_WRITES_LEVEL = 0.5;
 
 const REFUSED = { ok: false, why: 'refused' } as const;
 
-/** The step in progress: the time, the outputs gathered, and the calls still without an answer. */
+const isWrite = (op: StoreOp): boolean => op.op === 'txn' && op.changes.length > 0;
+
+/**
+ * What a step has in common for all parts of a node: the time, the outputs gathered so far, timers, and calls to outside
+ * services that have yet to be sent or answered.
+ */
 export class Context {
-  now: Now = { steady: 0 as Steady, wall: 0 as Now['wall'] };
-  outputs: Output[] = [];
+  now: Now;
   readonly timers = new Timers<TimerName>();
   /** Since when the state service has only refused this node or not answered; null: it answers. */
   storeFailingSince: Steady | null = null;
 
+  private outputs: Output[] = [];
   private isLeading = false;
-  /** The lower rates that were announced have come into force, as far as this process has seen. */
-  private lowered = false;
+  /** Whether the lower rates that were announced have come into force, as far as this process has seen. */
+  private loweredRates = false;
   private lastCall: CallId = 0;
-  private readonly storeCalls = new Map<CallId, { readonly reply: Reply<StoreValue>; readonly writes: boolean }>();
-  private readonly cloudCalls = new Map<CallId, Reply<CloudValue>>();
-  private readonly workerCalls = new Map<CallId, Reply<WorkerValue>>();
-  private readonly storeQueue: CallQueue<StoreOp>;
-  private readonly storeCallsBucket: TokenBucket;
-  private readonly storeWrites: TokenBucket;
-  private readonly cloudQueue: CallQueue<CloudOp>;
+  private readonly storeCalls = new Map<CallId, OpenStoreCall>();
+  private readonly cloudCalls = new Map<CallId, OnResult<CloudValue>>();
+  private readonly workerCalls = new Map<CallId, OnResult<WorkerValue>>();
+  private readonly storeCallTokens: TokenBucket;
+  private readonly storeWriteTokens: TokenBucket;
+  private readonly storeQueue: CallQueue;
+  private readonly cloudQueue: CallQueue;
 
   constructor(
     readonly settings: Settings,
@@ -71,85 +101,99 @@
     start: Now,
   ) {
     this.now = start;
-    const s = settings.store;
-    this.storeCallsBucket = new TokenBucket(s.rps, s.rps, start.steady);
-    this.storeWrites = new TokenBucket(s.writeRps, s.writeRps, start.steady);
-    this.storeQueue = new CallQueue(this.storeCallsBucket, this.storeWrites);
-    this.leading(false);
-    this.cloudQueue = new CallQueue(new TokenBucket(settings.cloud.rps * 0.8, settings.cloud.rps, start.steady), null);
+    const { store, cloud } = settings;
+    this.storeCallTokens = new TokenBucket(store.rps, store.rps, start.steady);
+    this.storeWriteTokens = new TokenBucket(store.writeRps, store.writeRps, start.steady);
+    this.storeQueue = new CallQueue(this.storeCallTokens, this.storeWriteTokens);
+    this.cloudQueue = new CallQueue(new TokenBucket(cloud.rps * CLOUD_RATE_PART, cloud.rps, start.steady), null);
+    this.setLeading(false);
+  }
+
+  beginStep(now: Now): void {
+    this.now = now;
+    this.outputs = [];
+  }
+
+  /** Lets queued calls out as far as the token buckets allow, and returns all outputs of the step. */
+  endStep(): Output[] {
+    this.pump(this.storeQueue, 'storeQueue');
+    this.pump(this.cloudQueue, 'cloudQueue');
+    return this.outputs;
+  }
+
+  private pump(queue: CallQueue, timer: 'storeQueue' | 'cloudQueue'): void {
+    const next = queue.pump(this.now.steady);
+    if (next === null) this.timers.clear(timer);
+    else this.timers.set(timer, next);
+  }
+
+  /** The instant so many milliseconds from now. */
+  after(ms: number): Steady {
+    return steadyPlus(this.now.steady, ms);
   }
 
   /**
-   * The nodes share the service's limits without talking about it. Most of what is written comes from the leader, so it
-   * takes the larger part and the others share the rest; together somewhat over the whole, and a refusal makes a node
-   * pause.
+   * The nodes share the limits of the state service without talking about it. Most of what is written comes from the
+   * leader, so it takes the larger part and the others share the rest; a refusal makes a node pause.
    */
-  leading(yes: boolean): void {
+  setLeading(leading: boolean): void {
+    this.isLeading = leading;
     const { nodes, store } = this.settings;
-    this.isLeading = yes;
-    const part = nodes === 1 ? 1 : yes ? LEADER_PART : Math.min(LEADER_PART, FOLLOWERS_PART / (nodes - 1));
+    const followerPart = Math.min(LEADER_PART, FOLLOWERS_PART / (nodes - 1));
+    const part = nodes === 1 ? 1 : leading ? LEADER_PART : followerPart;
     const { steady } = this.now;
-    const rps = (this.lowered ? store.nextRps : store.rps) * part;
-    const writeRps = (this.lowered ? store.nextWriteRps : store.writeRps) * part;
-    this.storeCallsBucket.resize(rps, rps, steady);
-    this.storeWrites.resize(writeRps, Math.max(store.txnOps, writeRps), steady);
+    const rps = (this.loweredRates ? store.nextRps : store.rps) * part;
+    const writeRps = (this.loweredRates ? store.nextWriteRps : store.writeRps) * part;
+    this.storeCallTokens.resize(rps, rps, steady);
+    this.storeWriteTokens.resize(writeRps, Math.max(store.txnOps, writeRps), steady);
   }
 
   /** Whether the state service takes more writes than what must be written now needs. */
-  writesToSpare(): boolean {
-    return this.storeWrites.fullness(this.now.steady) > 0.5;
+  hasSpareWrites(): boolean {
+    return this.storeWriteTokens.fullness(this.now.steady) > SPARE_WRITES_LEVEL;
   }
 
   log(level: LogLevel, text: string, fields: LogFields = {}): void {
     this.outputs.push({ kind: 'log', level, text, fields });
   }
 
-  store(
-    op: StoreOp,
-    priority: CallPriority,
-    reply: Reply<StoreValue>,
-    timeoutMs = 1500,
-    waitAtMostMs = 3000,
-    onSend?: (at: Steady) => void,
-  ): void {
+  store(op: StoreOp, priority: CallPriority, onResult: OnResult<StoreValue>, options: CallOptions = {}): void {
+    const { timeoutMs = STORE_TIMEOUT_MS, maxQueueMs = STORE_QUEUE_MS, onSend } = options;
     this.storeQueue.add(priority, {
-      op,
-      cost: 1,
       writes: op.op === 'txn' ? op.changes.length : 0,
-      expires: steadyPlus(this.now.steady, waitAtMostMs),
+      expiresAt: this.after(maxQueueMs),
       send: () => {
-        const call = ++this.lastCall;
-        this.storeCalls.set(call, { reply, writes: op.op === 'txn' && op.changes.length > 0 });
+        const call = this.nextCall();
+        this.storeCalls.set(call, { onResult, writes: isWrite(op) });
         onSend?.(this.now.steady);
         this.outputs.push({ kind: 'store', call, op, timeoutMs });
       },
-      giveUp: () => reply(REFUSED),
+      giveUp: () => onResult(REFUSED),
     });
   }
 
-  cloud(op: CloudOp, priority: CallPriority, reply: Reply<CloudValue>, waitAtMostMs = 5000): void {
+  cloud(op: CloudOp, priority: CallPriority, onResult: OnResult<CloudValue>): void {
     this.cloudQueue.add(priority, {
-      op,
-      cost: 1,
       writes: 0,
-      expires: steadyPlus(this.now.steady, waitAtMostMs),
+      expiresAt: this.after(CLOUD_QUEUE_MS),
       send: () => {
-        const call = ++this.lastCall;
-        this.cloudCalls.set(call, reply);
+        const call = this.nextCall();
+        this.cloudCalls.set(call, onResult);
         this.outputs.push({ kind: 'cloud', call, op });
       },
-      giveUp: () => reply(REFUSED),
+      giveUp: () => onResult(REFUSED),
     });
   }
 
-  worker(op: WorkerOp, reply: Reply<WorkerValue>): void {
-    const call = ++this.lastCall;
-    this.workerCalls.set(call, reply);
+  /** A direct call to a worker: it is sent at once. */
+  worker(op: WorkerOp, onResult: OnResult<WorkerValue>): void {
+    const call = this.nextCall();
+    this.workerCalls.set(call, onResult);
     this.outputs.push({ kind: 'worker', call, op });
   }
 
   /** Direct calls without an answer so far: each holds a socket, and one to a silent machine for seconds. */
-  get workerCallsOpen(): number {
+  get openWorkerCalls(): number {
     return this.workerCalls.size;
   }
 
@@ -165,57 +209,54 @@
     this.outputs.push({ kind: 'answerWorker', req, answer });
   }
 
+  private nextCall(): CallId {
+    this.lastCall += 1;
+    return this.lastCall;
+  }
+
   onStoreReply(call: CallId, result: Result<StoreValue>): void {
     const sent = this.storeCalls.get(call);
     if (!sent) return;
     this.storeCalls.delete(call);
     if (!result.ok && result.throttled) this.onThrottled(sent.writes);
+    this.noteStoreHealth(result);
+    sent.onResult(result);
+  }
+
+  private noteStoreHealth(result: Result<StoreValue>): void {
     if (result.ok || (result.why !== 'refused' && result.why !== 'unknown')) {
       this.storeFailingSince = null;
-    } else {
-      this.storeFailingSince ??= this.now.steady;
-      if (result.why === 'refused') this.storeQueue.pause(steadyPlus(this.now.steady, 100));
+      return;
     }
-    sent.reply(result);
+    this.storeFailingSince ??= this.now.steady;
+    if (result.why === 'refused') this.storeQueue.pause(this.after(REFUSED_PAUSE_MS));
   }
 
   /**
-   * The service said that we come too often. Where lower rates are announced this is the only sign that they have come into
-   * force; taken too early it costs some pace, and sizes have kept to both limits from the start.
+   * The service said that calls come too often. Where lower rates are announced this is the only sign that they have come
+   * into force; taken too early it costs some pace, and sizes have kept to both limits from the start.
    */
   private onThrottled(writes: boolean): void {
     const { store } = this.settings;
-    const lower = writes ? store.nextWriteRps < store.writeRps : store.nextRps < store.rps;
-    if (this.lowered || !lower) return;
-    this.lowered = true;
-    this.log('info', 'the state service takes fewer calls: keeping to the limits announced for later', {
+    const announced = writes ? store.nextWriteRps < store.writeRps : store.nextRps < store.rps;
+    if (this.loweredRates || !announced) return;
+    this.loweredRates = true;
+    this.log('info', 'state service takes fewer calls: keeping to the announced limits', {
       rps: store.nextRps,
       writeRps: store.nextWriteRps,
     });
-    this.leading(this.isLeading);
+    this.setLeading(this.isLeading);
   }
 
   onCloudReply(call: CallId, result: Result<CloudValue>): void {
-    const reply = this.cloudCalls.get(call);
-    if (!reply) return;
+    const onResult = this.cloudCalls.get(call);
     this.cloudCalls.delete(call);
-    reply(result);
+    onResult?.(result);
   }
 
   onWorkerReply(call: CallId, result: Result<WorkerValue>): void {
-    const reply = this.workerCalls.get(call);
-    if (!reply) return;
+    const onResult = this.workerCalls.get(call);
     this.workerCalls.delete(call);
-    reply(result);
-  }
-
-  /** Lets queued calls out as far as the buckets allow. */
-  pump(): void {
-    const store = this.storeQueue.pump(this.now.steady);
-    if (store === null) this.timers.clear('storeQueue');
-    else this.timers.set('storeQueue', store);
-    const cloud = this.cloudQueue.pump(this.now.steady);
-    if (cloud === null) this.timers.clear('cloudQueue');
-    else this.timers.set('cloudQueue', cloud);
+    onResult?.(result);
   }
 }
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -1,33 +1,34 @@
 import type { Machine } from '../machines/machine.js';
 import type { JobRecord, JobState } from '../records.js';
-import type { Attempt, JobId, JobSpec, Revision, Seq, Steady, Wall, ZoneName } from '../types.js';
+import type { Attempt, JobId, JobSpec, MachineId, Revision, Seq, Steady, Wall, ZoneName } from '../types.js';
 import { RangeSet } from './range_set.js';
 
 export type PlacementPhase =
-  /** Given a place; no `start` has been answered yet, so it can be taken back freely. */
+  /** Given a place; no start has been sent yet, so it can be taken back freely. */
   | 'planned'
-  /** A `start` went out in a report's answer: it is on the machine until a newer report says otherwise. */
+  /** A start went out: it may be on the machine until a newer report says otherwise. */
   | 'sent'
   | 'fetching'
   | 'waiting'
   | 'running'
   | 'saving';
 
+/** A task that is, or may be, or is about to be on a machine. */
 export interface Placement {
   readonly job: Job;
   readonly index: number;
   readonly machine: Machine;
   readonly attempt: Attempt;
   phase: PlacementPhase;
-  /** The report in whose answer the `start` last went out. */
+  /** The report in whose answer the start last went out; null: it went out directly, or not yet. */
   sentInReplyTo: Seq | null;
   readonly since: Steady;
   runningSince: Steady | null;
-  stop: { graceS: number; readonly since: Steady } | null;
+  stop: { readonly graceS: number; readonly since: Steady } | null;
 }
 
 /** A job that failed on so many machines is more likely at fault than they. */
-export const FAULTY_AFTER = 3;
+export const FAULTY_AFTER_MACHINES = 3;
 
 /** A job as the leader holds it: its record, and where its tasks are. */
 export class Job {
@@ -39,6 +40,7 @@
   durableDone: RangeSet;
   durableState: JobState;
   durableStartTerm: number;
+  /** The term in which its first start was allowed, 0 before. */
   startTerm: number;
   startZone: ZoneName | null;
   /** What is known to be complete, durable or not. */
@@ -48,15 +50,14 @@
   gangBroken = false;
   writeInFlight = false;
   lastWriteAt = 0 as Steady;
-  /** After failures: not before this time. */
+  /** After failures: not started before this time. */
   notBefore = 0 as Steady;
   failures = 0;
-  readonly failedOn = new Set<string>();
+  readonly failedOn = new Set<MachineId>();
   /** Machines on which a task of it took far longer than expected. */
-  readonly slowOn = new Set<string>();
-  /** How often it was moved to machines that hold its image. */
+  readonly slowOn = new Set<MachineId>();
+  /** How often it was moved to machines that hold its image, and how often lower work was stopped for it. */
   migrations = 0;
-  /** How often lower work was stopped for it. */
   preemptions = 0;
   /** Of a service: replicas that ended soon after their start, one after the other. */
   shortRuns = 0;
@@ -65,6 +66,7 @@
   replicaPendingSince: Steady | null = null;
   /** Since when nothing of it has been on any machine, or it is known here. */
   inactiveSince = 0 as Steady;
+  /** Every task below this number is done or has a place. */
   private firstPossiblyPending = 0;
 
   constructor(record: JobRecord, version: Revision) {
@@ -84,6 +86,14 @@
     return this.spec.id;
   }
 
+  get isGang(): boolean {
+    return this.spec.shape === 'gang';
+  }
+
+  get isService(): boolean {
+    return this.spec.shape === 'service';
+  }
+
   /** Takes over what a newer record says. */
   merge(record: JobRecord, version: Revision): void {
     if (version < this.version) return;
@@ -99,9 +109,10 @@
     this.done.addAll(record.done);
   }
 
+  /** How many tasks wait for a place; of a gang all or none. */
   get pendingCount(): number {
     if (this.state !== 'accepted') return 0;
-    if (this.spec.shape === 'gang') return this.placements.size === 0 && this.done.count === 0 ? this.spec.tasks : 0;
+    if (this.isGang) return this.placements.size === 0 && this.done.count === 0 ? this.spec.tasks : 0;
     return this.spec.tasks - this.done.count - this.placements.size;
   }
 
@@ -112,6 +123,11 @@
     return this.done.count > this.durableDone.count ? 'soon' : 'no';
   }
 
+  /** Nothing of it is left to write or to stop. */
+  get isSettled(): boolean {
+    return this.state !== 'accepted' && this.placements.size === 0 && this.needsWrite === 'no';
+  }
+
   isDone(index: number): boolean {
     return this.done.has(index);
   }
@@ -121,49 +137,55 @@
     return this.durableState !== 'accepted' || this.durableDone.has(index);
   }
 
-  /** A machine that failed it is avoided; once several did, it is the job. */
-  avoids(machine: string): boolean {
-    return this.failedOn.size < FAULTY_AFTER && this.failedOn.has(machine);
+  /** Whether so many machines failed it that it is the job itself that is at fault. */
+  get isFaulty(): boolean {
+    return this.failedOn.size >= FAULTY_AFTER_MACHINES;
+  }
+
+  /** A machine that failed it is avoided, unless the job is at fault. */
+  avoids(machine: MachineId): boolean {
+    return !this.isFaulty && this.failedOn.has(machine);
   }
 
   markDone(index: number): void {
     // A replica that ends has to run again, whatever it says of itself.
-    if (this.spec.shape === 'service') return;
-    if (this.spec.shape === 'gang') for (let i = 0; i < this.spec.tasks; i++) this.done.add(i);
+    if (this.isService) return;
+    if (this.isGang) for (let task = 0; task < this.spec.tasks; task++) this.done.add(task);
     else this.done.add(index);
     if (this.done.count >= this.spec.tasks && this.state === 'accepted') this.state = 'done';
   }
 
+  /** A task has lost its place. */
   noteReleased(index: number): void {
     if (index < this.firstPossiblyPending) this.firstPossiblyPending = index;
   }
 
-  /** Up to `most` task numbers that wait for a place, lowest first. */
-  pendingTasks(most: number): number[] {
+  /** Up to `limit` task numbers that wait for a place, lowest first. */
+  pendingTasks(limit: number): number[] {
     const found: number[] = [];
-    let contiguous = true;
-    for (let i = this.firstPossiblyPending; i < this.spec.tasks && found.length < most; i++) {
-      const waits = !this.placements.has(i) && !this.done.has(i);
-      if (waits) {
-        found.push(i);
-        contiguous = false;
-      } else if (contiguous) this.firstPossiblyPending = i + 1;
+    for (let index = this.firstPossiblyPending; index < this.spec.tasks && found.length < limit; index++) {
+      if (!this.placements.has(index) && !this.done.has(index)) found.push(index);
+      else if (found.length === 0) this.firstPossiblyPending = index + 1;
     }
     return found;
   }
 
   runningCount(): number {
-    let n = 0;
-    for (const p of this.placements.values()) if (p.phase === 'running' || p.phase === 'saving') n += 1;
-    return n;
+    let count = 0;
+    for (const { phase } of this.placements.values()) if (phase === 'running' || phase === 'saving') count += 1;
+    return count;
+  }
+
+  replicasOn(machine: Machine): number {
+    let count = 0;
+    for (const placement of this.placements.values()) if (placement.machine === machine) count += 1;
+    return count;
   }
 
   /** How many of its tasks may be in each zone now. */
   zoneCounts(): Map<ZoneName, number> {
     const counts = new Map<ZoneName, number>();
-    for (const placement of this.placements.values()) {
-      counts.set(placement.machine.zone, (counts.get(placement.machine.zone) ?? 0) + 1);
-    }
+    for (const { machine } of this.placements.values()) counts.set(machine.zone, (counts.get(machine.zone) ?? 0) + 1);
     return counts;
   }
 
--- a/src/core/jobs/job_cache.ts
+++ b/src/core/jobs/job_cache.ts
@@ -1,43 +1,54 @@
 import type { Context } from '../context.js';
 import { CLOCK_DRIFT, maxJobViewAgeMs } from '../leadership/lease_bounds.js';
-import type { StoredItem, StoreEvent } from '../messages.js';
+import type { Result, StoredItem, StoreEvent, StoreValue } from '../messages.js';
 import { decodeJob, JOB_PREFIX, type JobRecord } from '../records.js';
 import { type JobId, type Revision, type Steady, steadyPlus } from '../types.js';
 
-const WATCH_MS = 4000;
+const FOLLOWER_WATCH_MS = 4000;
 /** The leader asks more often: what starts depends on how fresh its view of cancellations is. */
-const WATCH_LEADING_MS = 1000;
-const PAGE = 500;
+const LEADER_WATCH_MS = 1000;
+/** So many watches fit into the greatest age that the leader's view may have. */
+const WATCHES_A_VIEW = 4;
 /** How long after one answer of the watch the next is asked for: each costs a call, and brings all that came meanwhile. */
-const PACE_LEADING_MS = 120;
-const PACE_MS = 800;
+const LEADER_PAUSE_MS = 120;
+const FOLLOWER_PAUSE_MS = 800;
+const WATCH_GRACE_MS = 2000;
+const WATCH_QUEUE_MS = 5000;
+const WATCH_RETRY_MS = 250;
+const READ_RETRY_MS = 300;
+const PAGE_SIZE = 500;
 
 export interface CachedJob {
   readonly record: JobRecord;
   readonly version: Revision;
 }
 
+type OnRead = (ok: boolean) => void;
+
 /**
  * A node's copy of the job records, kept up by a watch. It may lag, so nothing that isn't final is told from it alone: it
- * spares the reads, as one compare-only transaction then confirms many records at once (desk.ts).
+ * saves reads, as one compare-only transaction then confirms many records at once (poll_confirmation.ts).
  */
 export class JobCache {
   private readonly jobs = new Map<JobId, CachedJob>();
+  /** The revision from which the watch goes on; null: all has to be read first. */
   private watchFrom: Revision | null = null;
   private reading = false;
   private readAgain = false;
-  private readCallbacks: ((ok: boolean) => void)[] = [];
+  private readCallbacks: OnRead[] = [];
   private watching = false;
   private leading = false;
-  private readonly watchLeadingMs: number;
-  /** What happened before this is known: when the last answered watch was sent, or when one that brought nothing ended. */
+  private readonly leaderWatchMs: number;
+  /** What the store held before this is known: when the last answered watch was sent, or when one without news ended. */
   currentAsOf: Steady;
-  /** Told of each record that is newer than what was known. */
-  onRecord: (item: CachedJob) => void = () => {};
 
-  constructor(private readonly ctx: Context) {
-    // Where `cancel_s` leaves little, the view has to be the fresher (tight-cancel.txt).
-    this.watchLeadingMs = Math.min(WATCH_LEADING_MS, maxJobViewAgeMs(ctx.settings) / 4);
+  /** `onRecord` is told of each record that is newer than what was known. */
+  constructor(
+    private readonly ctx: Context,
+    private readonly onRecord: (job: CachedJob) => void,
+  ) {
+    // Where `cancel_s` leaves little time, the view has to be the fresher (tight-cancel.txt).
+    this.leaderWatchMs = Math.min(LEADER_WATCH_MS, maxJobViewAgeMs(ctx.settings) / WATCHES_A_VIEW);
     this.currentAsOf = ctx.now.steady;
   }
 
@@ -53,96 +64,97 @@
     return this.jobs.size;
   }
 
-  setLeading(yes: boolean): void {
-    this.leading = yes;
+  setLeading(leading: boolean): void {
+    this.leading = leading;
   }
 
-  /** Reads everything anew, beginning after this moment; `then` hears once that is done or has failed. */
-  read(then: (ok: boolean) => void = () => {}): void {
-    this.readCallbacks.push(then);
+  /** Reads everything anew, beginning after this moment; `done` hears once that has worked or failed. */
+  read(done: OnRead = () => {}): void {
+    this.readCallbacks.push(done);
     // A reading under way may have begun too early for this caller.
     if (this.reading) this.readAgain = true;
     else this.readAll();
   }
 
   onTimer(): void {
-    if (this.watchFrom === null) {
-      if (!this.reading) this.readAll();
-    } else this.watch();
+    if (this.watchFrom !== null) this.watch(this.watchFrom);
+    else if (!this.reading) this.readAll();
   }
 
   private readAll(): void {
     this.reading = true;
     this.readAgain = false;
     const sentAt = this.ctx.now.steady;
-    let first: Revision | null = null;
+    let firstRevision: Revision | null = null;
     const items: StoredItem[] = [];
-    const page = (after: string | null): void => {
-      this.ctx.store({ op: 'list', prefix: JOB_PREFIX, after, limit: PAGE }, 1, (result) => {
-        if (!result.ok) return this.readDone(false);
+    const readPage = (after: string | null): void => {
+      this.ctx.store({ op: 'list', prefix: JOB_PREFIX, after, limit: PAGE_SIZE }, 1, (result) => {
+        if (!result.ok) return this.onReadDone(false);
         items.push(...(result.value.items ?? []));
         // Changes made while later pages are read come again through the watch.
-        first ??= result.value.revision ?? null;
+        firstRevision ??= result.value.revision ?? null;
         const last = items[items.length - 1];
-        if (result.value.more && last) return page(last.key);
-        for (const item of items) this.update(item);
-        if (first !== null && (this.watchFrom === null || first > this.watchFrom)) this.watchFrom = first;
-        if (sentAt > this.currentAsOf) this.currentAsOf = sentAt;
-        this.readDone(true);
+        if (result.value.more && last) return readPage(last.key);
+        this.onAllRead(items, firstRevision, sentAt);
       });
     };
-    page(null);
+    readPage(null);
+  }
+
+  private onAllRead(items: readonly StoredItem[], revision: Revision | null, sentAt: Steady): void {
+    for (const item of items) this.update(item);
+    if (revision !== null && (this.watchFrom === null || revision > this.watchFrom)) this.watchFrom = revision;
+    if (sentAt > this.currentAsOf) this.currentAsOf = sentAt;
+    this.onReadDone(true);
   }
 
-  private readDone(ok: boolean): void {
+  private onReadDone(ok: boolean): void {
     this.reading = false;
     if (this.readAgain) return this.readAll();
-    const waiting = this.readCallbacks;
+    const callbacks = this.readCallbacks;
     this.readCallbacks = [];
-    for (const w of waiting) w(ok);
-    this.scheduleNext(ok ? 1 : 300);
+    for (const done of callbacks) done(ok);
+    this.scheduleNext(ok ? 1 : READ_RETRY_MS);
   }
 
   private scheduleNext(ms: number): void {
     if (this.watching && this.watchFrom !== null) return;
-    this.ctx.timers.set('jobCache', (this.ctx.now.steady + ms) as Steady);
+    this.ctx.timers.set('jobCache', this.ctx.after(ms));
   }
 
-  private watch(): void {
-    if (this.watching || this.watchFrom === null) return;
+  private watch(after: Revision): void {
+    if (this.watching) return;
     this.watching = true;
-    const waitMs = this.leading ? this.watchLeadingMs : WATCH_MS;
+    const waitMs = this.leading ? this.leaderWatchMs : FOLLOWER_WATCH_MS;
     let sentAt = this.ctx.now.steady;
-    this.ctx.store(
-      { op: 'watch', prefix: JOB_PREFIX, after: this.watchFrom, waitMs },
-      1,
-      (result) => {
-        this.watching = false;
-        if (!result.ok) {
-          if (result.why === 'gone') {
-            // Too far behind the store's changes: all is read again, as often as it takes.
-            this.watchFrom = null;
-            if (!this.reading) this.readAll();
-            return;
-          }
-          return this.scheduleNext(250);
-        }
-        const events = result.value.events ?? [];
-        // One that brings nothing has waited for its whole time first.
-        const knownAt = events.length > 0 ? sentAt : steadyPlus(sentAt, waitMs * (1 - CLOCK_DRIFT));
-        const freshAt = Math.min(knownAt, this.ctx.now.steady) as Steady;
-        if (freshAt > this.currentAsOf) this.currentAsOf = freshAt;
-        for (const e of events) this.applyEvent(e);
-        const { revision } = result.value;
-        if (revision !== undefined && this.watchFrom !== null && revision > this.watchFrom) this.watchFrom = revision;
-        this.scheduleNext(this.leading ? PACE_LEADING_MS : PACE_MS);
-      },
-      waitMs + 2000,
-      5000,
-      (at) => {
+    const onResult = (result: Result<StoreValue>): void => {
+      this.watching = false;
+      if (result.ok) this.onNews(result.value, sentAt, waitMs);
+      else this.onWatchFailed(result.why === 'gone');
+    };
+    this.ctx.store({ op: 'watch', prefix: JOB_PREFIX, after, waitMs }, 1, onResult, {
+      timeoutMs: waitMs + WATCH_GRACE_MS,
+      maxQueueMs: WATCH_QUEUE_MS,
+      onSend: (at) => {
         sentAt = at;
       },
-    );
+    });
+  }
+
+  private onNews({ events = [], revision }: StoreValue, sentAt: Steady, waitMs: number): void {
+    // A watch without news has waited for its whole time first.
+    const knownAt = events.length > 0 ? sentAt : steadyPlus(sentAt, waitMs * (1 - CLOCK_DRIFT));
+    const currentAsOf = Math.min(knownAt, this.ctx.now.steady) as Steady;
+    if (currentAsOf > this.currentAsOf) this.currentAsOf = currentAsOf;
+    for (const event of events) this.applyEvent(event);
+    if (revision !== undefined && this.watchFrom !== null && revision > this.watchFrom) this.watchFrom = revision;
+    this.scheduleNext(this.leading ? LEADER_PAUSE_MS : FOLLOWER_PAUSE_MS);
+  }
+
+  private onWatchFailed(tooFarBehind: boolean): void {
+    if (!tooFarBehind) return this.scheduleNext(WATCH_RETRY_MS);
+    this.watchFrom = null;
+    if (!this.reading) this.readAll();
   }
 
   private applyEvent(event: StoreEvent): void {
@@ -150,7 +162,7 @@
     this.update({ key: event.put, value: event.value, version: event.version });
   }
 
-  /** A record as the store holds or held it; older ones than known are passed over. */
+  /** A record as the store holds or held it; one older than what is known is ignored. Null: it isn't understood. */
   update(item: StoredItem): CachedJob | null {
     const id = item.key.slice(JOB_PREFIX.length) as JobId;
     const known = this.jobs.get(id);
@@ -160,9 +172,9 @@
       this.ctx.log('error', 'job record not understood', { key: item.key });
       return null;
     }
-    const entry = { record, version: item.version };
-    this.jobs.set(id, entry);
-    this.onRecord(entry);
-    return entry;
+    const job = { record, version: item.version };
+    this.jobs.set(id, job);
+    this.onRecord(job);
+    return job;
   }
 }
--- a/src/core/leadership/cluster.ts
+++ b/src/core/leadership/cluster.ts
@@ -1,51 +1,46 @@
 import type { Context } from '../context.js';
 import { Estimates } from '../jobs/estimates.js';
 import { Job, type Placement, type PlacementPhase } from '../jobs/job.js';
+import type { MachineTypes } from '../machines/catalog.js';
 import { type Machine, taskKey } from '../machines/machine.js';
 import { SpotInterruptionRate } from '../machines/spot_interruptions.js';
 import type { JobRecord } from '../records.js';
 import { Quotas } from '../scheduler/quotas.js';
-import type {
-  Attempt,
-  ImageName,
-  JobId,
-  MachineId,
-  MachineType,
-  Resources,
-  Revision,
-  Steady,
-  TypeName,
-} from '../types.js';
+import type { Attempt, ImageName, JobId, MachineId, Resources, Revision, Steady } from '../types.js';
 
 const MAX_EARLY_CANCELLATIONS = 10_000;
-/** Least spacing of looks at waiting replicas, and what one gathers. */
-const SERVICES_SPACING_MS = 100;
-const SERVICES_GATHER_MS = 10;
+/** Least spacing of placements of replicas, and how long one waits for more to place. */
+const SERVICE_SPACING_MS = 100;
+const SERVICE_GATHER_MS = 10;
+/** Attempts of one term are numbered within so many bits. */
+const ATTEMPT_BITS = 24n;
+/** A task is given more time to save than it says it needs. */
+const SAVE_TIME_FACTOR = 1.5;
+const SAVE_TIME_EXTRA_S = 1;
 
 /** What the leader knows: jobs, machines, and which task may be on which machine. */
 export class Cluster {
   readonly jobs = new Map<JobId, Job>();
   /** Jobs that still need attention: not over, or over with tasks left on machines. */
   readonly activeJobs = new Set<Job>();
+  /** Accepted services: their replicas are placed outside the search. */
+  readonly services = new Set<Job>();
   readonly machines = new Map<MachineId, Machine>();
   /** Machines proven gone in this term: a late report of theirs brings nothing back. */
   readonly removedMachines = new Set<MachineId>();
+  /** Machines with tasks that were told to stop, or with replicas to start: only these need direct commands. */
+  readonly machinesWithStops = new Set<Machine>();
+  readonly machinesWithStarts = new Set<Machine>();
   readonly quotas: Quotas;
   readonly estimates = new Estimates();
   readonly spotInterruptions = new SpotInterruptionRate();
-  /** The largest tasks seen that use an image. */
+  /** The largest tasks seen that use an image, and its size. */
   readonly largestImageUsers = new Map<ImageName, Resources>();
   readonly imageGb = new Map<ImageName, number>();
-  /** Accepted services: their replicas are placed outside the search. */
-  readonly services = new Set<Job>();
-  /** Machines with tasks that were told to stop, or with replicas to start: only these need direct commands. */
-  readonly machinesWithStops = new Set<Machine>();
-  readonly machinesWithStarts = new Set<Machine>();
-  types: ReadonlyMap<TypeName, MachineType> = new Map();
-  /** Jobs that a peer said are cancelled before their records were known here. */
-  private readonly cancelledBeforeKnown = new Set<JobId>();
-  /** When replicas were last placed. */
+  types: MachineTypes = new Map();
   lastServicePlacementAt = 0 as Steady;
+  /** Jobs of whose cancellation a notice came before their records were known here. */
+  private readonly cancelledBeforeKnown = new Set<JobId>();
   private attempts = 0n;
 
   constructor(
@@ -58,35 +53,39 @@
   /** Higher than any attempt of an earlier term, and than any earlier one of this term. */
   nextAttempt(): Attempt {
     this.attempts += 1n;
-    return ((BigInt(this.term) << 24n) + this.attempts) as Attempt;
+    return ((BigInt(this.term) << ATTEMPT_BITS) + this.attempts) as Attempt;
   }
 
-  learnJob(record: JobRecord, version: Revision): Job {
+  // ---- jobs
+
+  /** Takes over a job's record, whether or not the job is known. */
+  learnJob(record: JobRecord, version: Revision): void {
     const known = this.jobs.get(record.spec.id);
-    if (known) {
-      const before = known.state;
-      known.merge(record, version);
-      if (known.state !== before) this.onJobFinished(known);
-      return known;
-    }
-    const job = new Job(record, version);
+    if (!known) return this.addJob(new Job(record, version));
+    const stateBefore = known.state;
+    known.merge(record, version);
+    if (known.state !== stateBefore) this.onJobFinished(known);
+  }
+
+  private addJob(job: Job): void {
     if (this.cancelledBeforeKnown.delete(job.id) && job.state === 'accepted') job.state = 'cancelled';
     job.inactiveSince = this.ctx.now.steady;
     this.jobs.set(job.id, job);
-    this.imageGb.set(job.spec.image, job.spec.imageGb);
-    const user = this.largestImageUsers.get(job.spec.image);
-    if (!user || user.gpus < job.spec.gpus || user.cpus < job.spec.cpus)
-      this.largestImageUsers.set(job.spec.image, job.spec);
-    if (job.state !== 'accepted') return job;
+    this.noteImageUser(job);
+    if (job.state !== 'accepted') return;
     this.activeJobs.add(job);
-    if (job.spec.shape === 'service') {
-      this.services.add(job);
-      this.scheduleServicePlacement();
-    }
-    return job;
+    if (!job.isService) return;
+    this.services.add(job);
+    this.scheduleServicePlacement();
+  }
+
+  private noteImageUser({ spec }: Job): void {
+    this.imageGb.set(spec.image, spec.imageGb);
+    const largest = this.largestImageUsers.get(spec.image);
+    if (!largest || largest.gpus < spec.gpus || largest.cpus < spec.cpus) this.largestImageUsers.set(spec.image, spec);
   }
 
-  /** A peer's word that the job's cancellation is on record: it never turns back, so nothing more is started at once. */
+  /** A node says that the job's cancellation is on record: it never turns back, so nothing more is started at once. */
   cancelOnNotice(id: JobId): void {
     const job = this.jobs.get(id);
     if (!job) {
@@ -98,8 +97,8 @@
     this.onJobFinished(job);
   }
 
-  /** A job is done or cancelled: what is only planned goes, what may be there is stopped. */
-  onJobFinished(job: Job): void {
+  /** A job is done or cancelled: what is only planned is released, what may be on a machine is stopped. */
+  private onJobFinished(job: Job): void {
     this.services.delete(job);
     for (const placement of [...job.placements.values()]) {
       if (placement.phase === 'planned') this.release(placement);
@@ -108,24 +107,38 @@
     this.deactivateIfSettled(job);
   }
 
+  deactivateIfSettled(job: Job): void {
+    if (job.isSettled) this.activeJobs.delete(job);
+  }
+
+  /** Whether any replica waits for a place. */
+  hasPendingReplicas(): boolean {
+    for (const job of this.services) if (job.pendingCount > 0) return true;
+    return false;
+  }
+
   /** Replicas wait for a place, or room was made for one: looked at soon, not with the next round. */
   scheduleServicePlacement(at: Steady = this.ctx.now.steady): void {
-    let waits = false;
-    for (const job of this.services) if (job.pendingCount > 0) waits = true;
-    if (!waits) return;
-    const due = this.ctx.timers.at('servicePlacement');
-    const soon = Math.max(
+    if (!this.hasPendingReplicas()) return;
+    const earliest = Math.max(
       at,
-      this.lastServicePlacementAt + SERVICES_SPACING_MS,
-      this.ctx.now.steady + SERVICES_GATHER_MS,
+      this.lastServicePlacementAt + SERVICE_SPACING_MS,
+      this.ctx.after(SERVICE_GATHER_MS),
     ) as Steady;
-    if (due === null || due > soon) this.ctx.timers.set('servicePlacement', soon);
+    const due = this.ctx.timers.at('servicePlacement');
+    if (due === null || due > earliest) this.ctx.timers.set('servicePlacement', earliest);
   }
 
-  private deactivateIfSettled(job: Job): void {
-    if (job.state !== 'accepted' && job.placements.size === 0 && job.needsWrite === 'no') this.activeJobs.delete(job);
+  /**
+   * Whether tasks of the job may be on a machine whose list has yet to come: then nothing of it may be started, here or in
+   * another zone. `unreconciled`: how many such machines there are.
+   */
+  isBlocked(job: Job, unreconciled: number): boolean {
+    return unreconciled > 0 && job.startTerm > 0 && job.startTerm < this.term;
   }
 
+  // ---- placements
+
   place(job: Job, index: number, machine: Machine, attempt: Attempt, phase: PlacementPhase): Placement {
     const now = this.ctx.now.steady;
     const placement: Placement = {
@@ -155,8 +168,8 @@
     machine.removePlacement(placement, this.ctx.now.steady);
     this.quotas.add(job.spec, -1);
     job.noteReleased(placement.index);
-    if (this.services.has(job) || machine.reserved !== null) this.scheduleServicePlacement();
-    if (job.spec.shape === 'gang' && job.state === 'accepted') {
+    if (this.services.has(job) || machine.hasReservation) this.scheduleServicePlacement();
+    if (job.isGang && job.state === 'accepted') {
       if (job.placements.size > 0) this.breakGang(job);
       else job.gangBroken = false;
     }
@@ -164,18 +177,28 @@
   }
 
   releaseAll(machine: Machine): void {
-    for (const p of [...machine.placements.values()]) this.release(p);
+    for (const placement of [...machine.placements.values()]) this.release(placement);
     machine.exitedTasks = [];
   }
 
+  /** What was only meant for the machine goes elsewhere. */
+  releasePlanned(machine: Machine): void {
+    for (const placement of [...machine.placements.values()]) {
+      if (placement.phase === 'planned') this.release(placement);
+    }
+  }
+
+  /** Takes the task from its machine: at once if no start was sent, otherwise by a stop. */
+  evict(placement: Placement, graceS: number): void {
+    if (placement.phase === 'planned') this.release(placement);
+    else this.stop(placement, graceS);
+  }
+
   /** One task of a gang is lost: the others of its attempt have nothing to wait for. */
   breakGang(job: Job): void {
     if (job.gangBroken) return;
     job.gangBroken = true;
-    for (const placement of [...job.placements.values()]) {
-      if (placement.phase === 'planned') this.release(placement);
-      else this.stop(placement, 0);
-    }
+    for (const placement of [...job.placements.values()]) this.evict(placement, 0);
     if (job.placements.size === 0) job.gangBroken = false;
   }
 
@@ -189,19 +212,25 @@
   /** Stops a task so that its work is saved where it can be; a gang is stopped as a whole. */
   stopSaving(placement: Placement): void {
     const { job } = placement;
-    const grace = job.spec.checkpointS > 0 ? job.spec.saveS * 1.5 + 1 : 0;
-    const group = job.spec.shape === 'gang' ? [...job.placements.values()] : [placement];
-    if (job.spec.shape === 'gang') job.gangBroken = true;
-    for (const member of group) {
-      if (member.phase === 'planned') this.release(member);
-      else this.stop(member, grace);
-    }
+    const { checkpointS, saveS } = job.spec;
+    const graceS = checkpointS > 0 ? saveS * SAVE_TIME_FACTOR + SAVE_TIME_EXTRA_S : 0;
+    if (!job.isGang) return this.evict(placement, graceS);
+    job.gangBroken = true;
+    for (const member of [...job.placements.values()]) this.evict(member, graceS);
   }
 
   findPlacement(machine: Machine, job: JobId, index: number): Placement | undefined {
     return machine.placements.get(taskKey(job, index));
   }
 
+  // ---- machines
+
+  /** Whether the machine is still the one that is known by its name. */
+  isKnown(machine: Machine): boolean {
+    return this.machines.get(machine.id) === machine;
+  }
+
+  /** The machine is proven gone, with everything on it. */
   removeMachine(machine: Machine): void {
     this.releaseAll(machine);
     this.machines.delete(machine.id);
@@ -209,26 +238,24 @@
     this.updateUnreconciled();
   }
 
-  /** Machines that may hold anybody's tasks count in full against every limited team. */
+  /** Nothing of an earlier leader can be on the machine any more. */
+  markReconciled(machine: Machine): void {
+    machine.reconciled = true;
+    this.updateUnreconciled();
+  }
+
+  /** Counts the machines that may hold anybody's tasks: they count in full against every limited team. */
   updateUnreconciled(): number {
-    let n = 0;
+    let count = 0;
     let cpus = 0;
     let gpus = 0;
-    for (const machine of this.machines.values()) {
-      if (machine.reconciled) continue;
-      n += 1;
-      cpus += machine.type.cpus;
-      gpus += machine.type.gpus;
+    for (const { reconciled, type } of this.machines.values()) {
+      if (reconciled) continue;
+      count += 1;
+      cpus += type.cpus;
+      gpus += type.gpus;
     }
     this.quotas.unreconciled = { cpus, gpus };
-    return n;
-  }
-
-  /**
-   * Whether tasks of the job may be on a machine that has not shown us its list: then nothing of it may be started,
-   * here or in another zone.
-   */
-  isBlocked(job: Job, unaccounted: number): boolean {
-    return unaccounted > 0 && job.startTerm > 0 && job.startTerm < this.term;
+    return count;
   }
 }
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -1,105 +1,137 @@
-import type { Context } from '../context.js';
+import type { Context, TimerName } from '../context.js';
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
 import { Autoscaler } from '../machines/autoscaler.js';
+import type { MachineTypes } from '../machines/catalog.js';
 import { HealthChecks } from '../machines/health_checks.js';
 import { Machine } from '../machines/machine.js';
 import { Registry } from '../machines/registry.js';
 import type { StoredItem } from '../messages.js';
-import { MACHINE_PREFIX, type MachineRecord } from '../records.js';
+import type { MachineRecord } from '../records.js';
+import type { TaskCounts } from '../requests/job_reader.js';
 import { migrateToCachedImages } from '../scheduler/migration.js';
 import { preempt } from '../scheduler/preemption.js';
 import { scheduleRound } from '../scheduler/round.js';
 import { placeServices } from '../scheduler/services.js';
-import { type JobId, type MachineType, type Steady, steadyPlus, type TypeName, type WorkerReport } from '../types.js';
+import type { JobId, Steady, WorkerReport } from '../types.js';
+import { CommandSender } from '../workers/command_sender.js';
+import { Reconciliation } from '../workers/reconciliation.js';
 import { ReportHandler, type ReportReply } from '../workers/report_handler.js';
 import { Cluster } from './cluster.js';
 import type { Election, Leadership } from './election.js';
 import { maxJobViewAgeMs } from './lease_bounds.js';
 import { RecordWriter } from './record_writer.js';
+import { StateLoader } from './state_loader.js';
+
+const HEALTH_CHECK_MS = 1000;
+const FIRST_ROUND_MS = 50;
+const FIRST_HEALTH_CHECK_MS = 500;
+/** A round that something calls for waits a moment for more of it. */
+const ROUND_GATHER_MS = 20;
+/** Sets the random choices of one round apart from those of the next. */
+const ROUND_SEED_STEP = 7919;
+/** A start is based on a view of jobs that is at most so old: a cancellation may be on record since. */
+const START_VIEW_MS = 4000;
+
+const OWN_TIMERS: readonly TimerName[] = [
+  'round',
+  'recordFlush',
+  'heldReports',
+  'healthChecks',
+  'workerCommands',
+  'loadState',
+  'servicePlacement',
+];
+
+/** What the leader's parts ask of it. */
+export interface LeaderState {
+  /** Whether no other node can lead at this moment. */
+  isLeaseValid(): boolean;
+  /** Whether the view of jobs is recent enough to renew workers' leases on. */
+  hasRecentJobView(): boolean;
+  /** Whether the view of jobs is recent enough to start tasks on. */
+  mayStartTasks(): boolean;
+  /** Whether what earlier leaders left has been read. */
+  isLoaded(): boolean;
+  /** Whether records are being written that a start may wait for. */
+  writesInFlight(): boolean;
+  registerMachine(machine: Machine): void;
+  scheduleRoundSoon(): void;
+}
 
 /**
- * The holder of the lead. A new one is made for every term. Here: reading what earlier terms left, rounds, and how the
- * parts hang together: beats.ts talks with workers, ledger.ts writes, upkeep.ts and autoscaler.ts look after machines.
+ * The holder of the lead; a new one is made for every term. It ties the parts together: reports and commands (workers/),
+ * records (record_writer.ts), machines (machines/), and the rounds of the scheduler.
  */
-export class Leader {
-  readonly cluster: Cluster;
+export class Leader implements LeaderState {
+  private readonly cluster: Cluster;
   private readonly autoscaler: Autoscaler;
   private readonly recordWriter: RecordWriter;
   private readonly reportHandler: ReportHandler;
+  private readonly reconciliation: Reconciliation;
+  private readonly commandSender: CommandSender;
   private readonly healthChecks: HealthChecks;
   private readonly registry: Registry;
-  private readonly since: Steady;
-  private readonly maxJobViewAgeMs: number;
+  private readonly loader: StateLoader;
+  private readonly leadingSince: Steady;
   private loaded = false;
-  private loading = false;
   private stopped = false;
   private lastRoundAt = 0 as Steady;
   private rounds = 0;
-  private lastSteps = 0;
-  private unresponsiveSince: Steady | null = null;
+  private lastRoundSteps = 0;
+  private unreachableSince: Steady | null = null;
 
   constructor(
     private readonly ctx: Context,
     private readonly election: Election,
     private readonly jobCache: JobCache,
     leadership: Leadership,
-    types: ReadonlyMap<TypeName, MachineType>,
+    types: MachineTypes,
     private readonly seed: number,
   ) {
-    this.since = ctx.now.steady;
-    this.maxJobViewAgeMs = maxJobViewAgeMs(ctx.settings);
+    this.leadingSince = ctx.now.steady;
     this.cluster = new Cluster(ctx, leadership.term);
     this.cluster.types = types;
     this.registry = new Registry(ctx.settings.store.valueBytes);
     this.recordWriter = new RecordWriter(this.cluster, leadership, this.registry, {
-      mayWrite: () => this.valid() && this.loaded,
+      mayWrite: () => this.isLeaseValid() && this.loaded,
       onRecordRead: (item) => void this.jobCache.update(item),
       onWritten: () => {
-        this.reportHandler.release();
-        this.reportHandler.sendDirect();
+        this.reportHandler.releaseHeld();
+        this.commandSender.send();
       },
     });
-    this.reportHandler = new ReportHandler(this.cluster, leadership, {
-      isLeaseValid: () => this.valid(),
-      hasRecentJobView: () => this.hasRecentJobView(),
-      isLoaded: () => this.loaded,
-      writesInFlight: () => this.recordWriter.busy,
-      jobsCurrentAsOf: () => this.jobCache.currentAsOf,
-      registerMachine: (m) => this.recordWriter.registerMachine(m),
-      scheduleRoundSoon: () => this.scheduleRoundSoon(),
-    });
+    this.reconciliation = new Reconciliation(this.cluster, leadership.token, this);
+    this.reportHandler = new ReportHandler(this.cluster, leadership.token, this.reconciliation, this);
+    this.commandSender = new CommandSender(this.cluster, leadership.token, this.reconciliation, this);
     this.healthChecks = new HealthChecks(this.cluster, () => this.scheduleRoundSoon());
-    this.autoscaler = new Autoscaler(
-      this.cluster,
-      (m) => this.recordWriter.registerMachine(m),
-      (m) => this.recordWriter.unregisterMachine(m),
-    );
-    this.load();
-    ctx.timers.set('healthChecks', this.inMs(1000));
+    this.autoscaler = new Autoscaler(this.cluster, this.recordWriter);
+    this.loader = new StateLoader(ctx, jobCache, (pages) => this.takeOver(pages));
+    this.loadState();
+    ctx.timers.set('healthChecks', ctx.after(HEALTH_CHECK_MS));
+  }
+
+  get machineCount(): number {
+    return this.cluster.machines.size;
   }
 
-  setTypes(types: ReadonlyMap<TypeName, MachineType>): void {
+  setTypes(types: MachineTypes): void {
     this.cluster.types = types;
-    if (!this.loaded) this.load();
+    this.loadState();
   }
 
   stop(): void {
     this.stopped = true;
+    this.loader.stop();
     this.recordWriter.stop();
+    this.reconciliation.stop();
+    this.commandSender.stop();
     this.reportHandler.stop();
-    for (const t of [
-      'round',
-      'recordFlush',
-      'heldReports',
-      'healthChecks',
-      'workerCommands',
-      'loadState',
-      'servicePlacement',
-    ] as const)
-      this.ctx.timers.clear(t);
+    for (const timer of OWN_TIMERS) this.ctx.timers.clear(timer);
   }
 
-  private valid(): boolean {
+  // ---- what the parts ask
+
+  isLeaseValid(): boolean {
     return !this.stopped && this.election.isValid();
   }
 
@@ -107,52 +139,42 @@
    * A leader whose lease is renewed while it hears nothing of jobs would keep cancelled tasks alive for ever: its answers
    * count for nothing then, and it lets go of the lead (uninformed-leader.txt).
    */
-  private hasRecentJobView(): boolean {
-    const knownAt = this.loaded ? this.jobCache.currentAsOf : this.since;
-    return this.ctx.now.steady - knownAt < this.maxJobViewAgeMs;
+  hasRecentJobView(): boolean {
+    const knownAt = this.loaded ? this.jobCache.currentAsOf : this.leadingSince;
+    return this.ctx.now.steady - knownAt < maxJobViewAgeMs(this.ctx.settings);
   }
 
-  private inMs(ms: number): Steady {
-    return steadyPlus(this.ctx.now.steady, ms);
+  mayStartTasks(): boolean {
+    return this.ctx.now.steady - this.jobCache.currentAsOf < START_VIEW_MS;
   }
 
-  // ---- rebuilding from the store
+  isLoaded(): boolean {
+    return this.loaded;
+  }
 
-  /** Reads machines and jobs as they stand after the key was taken; tried again until it works. */
-  load(): void {
-    if (this.loaded || this.loading || this.stopped || this.cluster.types.size === 0) return;
-    this.loading = true;
-    let pages: StoredItem[] | null = null;
-    let jobs = false;
-    const part = (ok: boolean): void => {
-      if (this.stopped || this.loaded || !this.loading) return;
-      if (!ok) {
-        this.loading = false;
-        this.ctx.timers.set('loadState', this.inMs(300));
-      } else if (pages !== null && jobs) this.takeOver(pages);
-    };
-    this.readPages((items) => {
-      pages = items;
-      part(items !== null);
-    });
-    this.jobCache.read((ok) => {
-      jobs = ok;
-      part(ok);
-    });
+  writesInFlight(): boolean {
+    return this.recordWriter.busy;
   }
 
-  private readPages(then: (items: StoredItem[] | null) => void): void {
-    const all: StoredItem[] = [];
-    const next = (after: string | null): void => {
-      this.ctx.store({ op: 'list', prefix: MACHINE_PREFIX, after, limit: 500 }, 1, (result) => {
-        if (!result.ok) return then(null);
-        all.push(...(result.value.items ?? []));
-        const last = all[all.length - 1];
-        if (result.value.more && last) return next(last.key);
-        then(all);
-      });
-    };
-    next(null);
+  registerMachine(machine: Machine): void {
+    this.recordWriter.registerMachine(machine);
+  }
+
+  scheduleRoundSoon(): void {
+    this.cluster.scheduleServicePlacement();
+    const { spacing_ms, spacing_per_machine_ms, spacing_per_step_ms } = this.ctx.tuning.scheduler;
+    const costMs = spacing_per_machine_ms * this.machineCount + spacing_per_step_ms * this.lastRoundSteps;
+    const earliest = this.lastRoundAt + spacing_ms + costMs;
+    const at = Math.max(earliest, this.ctx.after(ROUND_GATHER_MS)) as Steady;
+    const due = this.ctx.timers.at('round');
+    if (due === null || due > at) this.ctx.timers.set('round', at);
+  }
+
+  // ---- rebuilding from the store
+
+  /** Begins, or begins again, to read what earlier leaders left. */
+  loadState(): void {
+    if (!this.loaded && this.cluster.types.size > 0) this.loader.load();
   }
 
   private takeOver(pages: readonly StoredItem[]): void {
@@ -162,42 +184,37 @@
     }
     this.registry.spreadAll();
     this.loaded = true;
-    this.loading = false;
-    const machines = this.cluster.machines.size;
-    this.ctx.log('info', 'state read', { jobs: this.jobCache.size, machines });
+    this.ctx.log('info', 'state read', { jobs: this.jobCache.size, machines: this.machineCount });
     this.cluster.updateUnreconciled();
     this.autoscaler.listMachines();
-    this.reportHandler.fence();
-    this.ctx.timers.set('round', this.inMs(50));
-    this.ctx.timers.set('healthChecks', this.inMs(500));
+    this.reconciliation.reconcileAll();
+    this.ctx.timers.set('round', this.ctx.after(FIRST_ROUND_MS));
+    this.ctx.timers.set('healthChecks', this.ctx.after(FIRST_HEALTH_CHECK_MS));
   }
 
   private restoreMachine(record: MachineRecord, key: string): void {
-    const type = this.cluster.types.get(record.type);
     if (this.cluster.machines.has(record.id)) return this.registry.rewriteWithoutDuplicates(key);
+    const type = this.cluster.types.get(record.type);
     // A record that isn't understood stays as it is: its page is never written without it.
     if (!type) return this.registry.keepUnknown(key, record);
     const now = this.ctx.now.steady;
-    const machine = new Machine(record.id, type, record.zone, record.spot, record.addr, false, 'up', now);
-    machine.fetchSpeed = record.fetchSpeed;
-    for (const image of record.images) {
-      const gb = this.cluster.imageGb.get(image);
-      if (gb !== undefined) machine.restoreImage(image, gb, now);
-    }
-    this.cluster.machines.set(machine.id, machine);
+    const { id, zone, spot, addr } = record;
+    const machine = new Machine({ id, type, zone, spot, addr, reconciled: false, phase: 'up', now });
+    machine.images.restore(record.images, record.fetchSpeed, this.cluster.imageGb, now);
+    this.cluster.machines.set(id, machine);
     this.registry.restore(machine, key);
   }
 
-  /** The mirror has a newer record of a job: a submission, a cancellation, or what we wrote ourselves. */
-  onRecord(seen: CachedJob): void {
+  /** The cache has a newer record of a job: a submission, a cancellation, or what this leader wrote itself. */
+  onJobRecord(job: CachedJob): void {
     if (!this.loaded || this.stopped) return;
-    const known = this.cluster.jobs.get(seen.record.spec.id);
-    if (known && known.version >= seen.version) return;
-    this.cluster.learnJob(seen.record, seen.version);
+    const known = this.cluster.jobs.get(job.record.spec.id);
+    if (known && known.version >= job.version) return;
+    this.cluster.learnJob(job.record, job.version);
     this.scheduleRoundSoon();
   }
 
-  /** A peer has put a cancellation on record; the store's own word of it may take long to come through. */
+  /** A node has put a cancellation on record; the store's own news of it may take long to come through. */
   onCancellationNotice(id: JobId): void {
     if (!this.stopped) this.cluster.cancelOnNotice(id);
   }
@@ -205,18 +222,18 @@
   // ---- workers
 
   onReport(report: WorkerReport, reply: ReportReply): void {
-    this.reportHandler.take(report, reply);
+    this.reportHandler.onReport(report, reply);
   }
 
   releaseHeldReports(): void {
-    this.reportHandler.release();
+    this.reportHandler.releaseHeld();
   }
 
-  sendDirect(): void {
-    this.reportHandler.sendDirect();
+  sendCommands(): void {
+    this.commandSender.send();
   }
 
-  flush(): void {
+  flushRecords(): void {
     this.recordWriter.flush();
   }
 
@@ -224,66 +241,58 @@
 
   /** Replicas that wait are given places at once, and their starts go out directly. */
   placeServices(): void {
-    if (!this.valid() || !this.loaded) return;
+    if (!this.isLeaseValid() || !this.loaded) return;
     this.cluster.lastServicePlacementAt = this.ctx.now.steady;
     if (placeServices(this.cluster) === 0) return;
     this.recordWriter.flush();
-    this.reportHandler.sendDirect();
-  }
-
-  private scheduleRoundSoon(): void {
-    this.cluster.scheduleServicePlacement();
-    const { spacing_ms, spacing_per_machine_ms, spacing_per_step_ms } = this.ctx.tuning.scheduler;
-    const cost = spacing_per_machine_ms * this.cluster.machines.size + spacing_per_step_ms * this.lastSteps;
-    const earliest = steadyPlus(this.lastRoundAt, spacing_ms + cost);
-    const at = Math.max(earliest, this.ctx.now.steady + 20) as Steady;
-    const next = this.ctx.timers.at('round');
-    if (next === null || next > at) this.ctx.timers.set('round', at);
+    this.commandSender.send();
   }
 
-  round(): void {
-    this.ctx.timers.set('round', this.inMs(this.ctx.tuning.scheduler.period_ms));
+  /** One planning round, and what follows from it. */
+  runRound(): void {
+    this.ctx.timers.set('round', this.ctx.after(this.ctx.tuning.scheduler.period_ms));
     this.lastRoundAt = this.ctx.now.steady;
-    if (!this.valid() || !this.loaded) return;
+    if (!this.isLeaseValid() || !this.loaded) return;
     this.rounds += 1;
     this.placeServices();
-    const result = scheduleRound(this.cluster, (this.seed + this.rounds * 7919) | 0);
-    this.lastSteps = result.steps;
+    const round = scheduleRound(this.cluster, (this.seed + this.rounds * ROUND_SEED_STEP) | 0);
+    this.lastRoundSteps = round.steps;
     migrateToCachedImages(this.cluster);
-    preempt(this.cluster, result);
-    this.autoscaler.rentForNeed(result);
+    preempt(this.cluster, round);
+    this.autoscaler.rentForNeed(round);
     this.recordWriter.flush();
-    this.reportHandler.release();
+    this.reportHandler.releaseHeld();
   }
 
   /** Once a second: silence, losses, returns. */
   runHealthChecks(): void {
-    this.ctx.timers.set('healthChecks', this.inMs(1000));
-    if (!this.valid()) return;
+    this.ctx.timers.set('healthChecks', this.ctx.after(HEALTH_CHECK_MS));
+    if (!this.isLeaseValid()) return;
     if (!this.hasRecentJobView()) return this.election.resign('what is known of jobs is too old');
     if (!this.loaded) return;
     this.healthChecks.run();
-    this.reportHandler.probe();
-    this.autoscaler.returnMachines(this.since);
+    this.reconciliation.probe();
+    this.autoscaler.returnMachines(this.leadingSince);
     this.registry.collectHints();
     this.recordWriter.flush();
-    this.resignIfUnresponsive();
+    this.resignIfUnreachable();
   }
 
-  private resignIfUnresponsive(): void {
+  /** Where most machines report but don't hear this node, another should lead. */
+  private resignIfUnreachable(): void {
     const now = this.ctx.now.steady;
     if (!this.healthChecks.isLeaderUnreachable()) {
-      this.unresponsiveSince = null;
+      this.unreachableSince = null;
       return;
     }
-    this.unresponsiveSince ??= now;
-    if (now - this.unresponsiveSince < this.ctx.tuning.leadership.resign_after_ms) return;
+    this.unreachableSince ??= now;
+    if (now - this.unreachableSince < this.ctx.tuning.leadership.resign_after_ms) return;
     this.election.resign('machines report but hear nothing from this node');
   }
 
   /** Counts for display, where this node knows them. */
-  taskCounts(id: JobId): { done: number; running: number } | null {
-    if (!this.valid() || !this.loaded) return null;
+  taskCounts(id: JobId): TaskCounts | null {
+    if (!this.isLeaseValid() || !this.loaded) return null;
     const job = this.cluster.jobs.get(id);
     return job ? { done: job.done.count, running: job.runningCount() } : null;
   }
--- a/src/core/leadership/lease_bounds.ts
+++ b/src/core/leadership/lease_bounds.ts
@@ -1,5 +1,10 @@
 import type { Settings, Tuning } from '../settings.js';
 
+/**
+ * The times that keep cancelled tasks within the deployment's bound, reckoned from its settings (docs/rules.md, "How long a
+ * cancelled task can last"). All in milliseconds.
+ */
+
 /** Clocks of different machines drift apart by up to 0.05 %; both ends may be off. */
 export const CLOCK_DRIFT = 0.001;
 /** What workers and answers take on top of their times: a tick, a late timer, a message on its way. */
@@ -7,12 +12,12 @@
 const MIN_VIEW_AGE_MS = 1000;
 
 /** How long after its last answered report was sent a worker that is not answered again may still have tasks. */
-export const workerLeaseExpiryMs = (s: Settings): number => s.workers.leaseMs * (1 + CLOCK_DRIFT) + SLACK_MS;
+export const workerLeaseExpiryMs = ({ workers }: Settings): number => workers.leaseMs * (1 + CLOCK_DRIFT) + SLACK_MS;
 
 /**
- * How old a leader's knowledge of jobs may be while its answers still renew workers' leases. A task of a job that was
- * cancelled right after the leader last heard of jobs ends with a lease renewed at most so long after: together they stay
- * within `cancel_s`, whatever happens to the state service, the links and the leader meanwhile.
+ * How old a leader's view of jobs may be while its answers still renew workers' leases. A task of a job that was cancelled
+ * right after the leader last heard of jobs ends with a lease renewed at most so long after: together they stay within
+ * `cancel_s`, whatever happens to the state service, the links and the leader meanwhile.
  */
 export function maxJobViewAgeMs(settings: Settings): number {
   return Math.max(MIN_VIEW_AGE_MS, settings.workers.cancelMs - workerLeaseExpiryMs(settings));
@@ -20,5 +25,6 @@
 
 /** The leader's own lease: the share that the operators chose, shortened where `cancel_s` leaves less room. */
 export function leaderLeaseMs(settings: Settings, tuning: Tuning): number {
-  return Math.round(Math.min(settings.workers.leaseMs * tuning.leadership.lease_share, maxJobViewAgeMs(settings)));
+  const chosen = settings.workers.leaseMs * tuning.leadership.lease_share;
+  return Math.round(Math.min(chosen, maxJobViewAgeMs(settings)));
 }
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -3,20 +3,32 @@
 import { RangeSet } from '../jobs/range_set.js';
 import type { Machine } from '../machines/machine.js';
 import type { Page, Registry } from '../machines/registry.js';
-import type { Change, Condition, StoredItem } from '../messages.js';
+import type { Change, Condition, Result, StoredItem, StoreValue } from '../messages.js';
 import { encodeJob, type JobState, jobKey, pageKey } from '../records.js';
-import { ABSENT, type Revision, type Steady, steadyPlus } from '../types.js';
+import { ABSENT, type Revision, type Steady } from '../types.js';
 import type { Cluster } from './cluster.js';
 import { type Leadership, leaderCondition } from './election.js';
 
+/** Results that nobody waits for are written this rarely, and more rarely still where writes are scarce. */
 const LAZY_WRITE_MS = 4000;
-const TXN_BYTES = 48_000;
-const JOB_BYTES = 700;
+const SCARCE_LAZY_FACTOR = 4;
+/** Completions come in crowds: a moment's gathering puts them into one transaction. */
 const GATHER_MS = 30;
+const RETRY_MS = 150;
+const REREAD_RETRY_MS = 200;
+const AFTER_REREAD_MS = 1;
 /** After a write that was refused for its size. */
 const REJECTED_PAUSE_MS = 1000;
-const LEAST_VALUE_BYTES = 512;
-
+const MIN_VALUE_BYTES = 512;
+const VALUE_SHRINK_FACTOR = 0.75;
+/** A transaction may have 64 KiB; sizes are estimated. */
+const MAX_TRANSACTION_BYTES = 48_000;
+const JOB_RECORD_BYTES = 700;
+const DONE_RANGE_BYTES = 14;
+const URGENT_PRIORITY = 1;
+const LAZY_PRIORITY = 3;
+
+/** A job's record as one transaction writes it. */
 interface JobSnapshot {
   readonly job: Job;
   readonly state: JobState;
@@ -24,6 +36,7 @@
   readonly done: [number, number][];
 }
 
+/** A page of the registry as one transaction writes it. */
 interface PageSnapshot {
   readonly page: Page;
   readonly machines: readonly Machine[];
@@ -42,19 +55,19 @@
   mayWrite(): boolean;
   /** A record as the store was found to hold it. */
   onRecordRead(item: StoredItem): void;
-  /** Something that others may wait for is now on record. */
+  /** Something that others may wait for is now on record, or has failed to be. */
   onWritten(): void;
 }
 
 /**
- * What the leader writes: many changes to a transaction, what others wait for first. Every transaction depends on the
- * leader key and on each changed key's version, so one that is carried out late changes nothing.
+ * Writes the leader's records of jobs and machines: many changes to a transaction, what others wait for first. Every
+ * transaction depends on the leader key and on each changed key's version, so one that is carried out late changes nothing.
  */
 export class RecordWriter {
   private readonly ctx: Context;
   private inFlight = 0;
   private stopped = false;
-  private mostChanges: number;
+  private maxChanges: number;
   private valueBytes: number;
   private pausedUntil = 0 as Steady;
 
@@ -65,7 +78,7 @@
     private readonly callbacks: RecordWriterCallbacks,
   ) {
     this.ctx = cluster.ctx;
-    this.mostChanges = this.ctx.settings.store.txnOps;
+    this.maxChanges = this.ctx.settings.store.txnOps;
     this.valueBytes = this.ctx.settings.store.valueBytes;
   }
 
@@ -87,66 +100,56 @@
     this.scheduleFlush();
   }
 
-  /** Completions come in crowds: a moment's gathering puts them into one transaction. */
-  scheduleFlush(): void {
-    const at = this.ctx.timers.at('recordFlush');
-    const mine = steadyPlus(this.ctx.now.steady, GATHER_MS);
-    if (at === null || at > mine) this.ctx.timers.set('recordFlush', mine);
+  private scheduleFlush(): void {
+    const due = this.ctx.timers.at('recordFlush');
+    const at = this.ctx.after(GATHER_MS);
+    if (due === null || due > at) this.ctx.timers.set('recordFlush', at);
+  }
+
+  private flushIn(ms: number): void {
+    this.ctx.timers.set('recordFlush', this.ctx.after(ms));
   }
 
+  /** Writes what is due. */
   flush(): void {
     if (this.stopped || !this.callbacks.mayWrite()) return;
     const now = this.ctx.now.steady;
     if (now < this.pausedUntil) return this.ctx.timers.set('recordFlush', this.pausedUntil);
-    const spare = this.ctx.writesToSpare();
-    const jobs = this.dueJobs(now, spare);
-    for (const page of this.registry.lostPages()) this.rereadPage(page);
-    const pages = this.registry.duePages(now, spare);
-    while (jobs.length > 0 || pages.length > 0) {
-      const batch: Batch = {
-        conditions: [leaderCondition(this.leadership)],
-        changes: [],
-        jobs: [],
-        pages: [],
-        bytes: 0,
-        urgent: false,
-      };
-      while (pages[0]?.urgent && this.fits(batch)) this.addPage(batch, pages.shift() as Page);
-      while (jobs.length > 0 && this.fits(batch)) this.addJob(batch, jobs.shift() as Job, now);
-      while (pages.length > 0 && this.fits(batch)) this.addPage(batch, pages.shift() as Page);
-      if (batch.changes.length === 0) break;
-      this.send(batch);
-    }
+    const hasSpareWrites = this.ctx.hasSpareWrites();
+    const jobs = this.dueJobs(now, hasSpareWrites);
+    for (const page of this.registry.pagesToReread()) this.rereadPage(page);
+    const pages = this.registry.duePages(now, hasSpareWrites);
+    while (jobs.length > 0 || pages.length > 0) this.send(this.nextBatch(jobs, pages, now));
+  }
+
+  /** Takes from both lists what fits into one transaction: urgent pages, then jobs, then other pages. */
+  private nextBatch(jobs: Job[], pages: Page[], now: Steady): Batch {
+    const conditions = [leaderCondition(this.leadership)];
+    const batch: Batch = { conditions, changes: [], jobs: [], pages: [], bytes: 0, urgent: false };
+    while (pages[0]?.urgent && this.hasRoom(batch)) this.addPage(batch, pages.shift() as Page);
+    while (jobs.length > 0 && this.hasRoom(batch)) this.addJob(batch, jobs.shift() as Job, now);
+    while (pages.length > 0 && this.hasRoom(batch)) this.addPage(batch, pages.shift() as Page);
+    return batch;
   }
 
-  private dueJobs(now: Steady, spare: boolean): Job[] {
+  private dueJobs(now: Steady, hasSpareWrites: boolean): Job[] {
     const due: Job[] = [];
-    const lazy = spare ? LAZY_WRITE_MS : 4 * LAZY_WRITE_MS;
+    const lazyMs = hasSpareWrites ? LAZY_WRITE_MS : SCARCE_LAZY_FACTOR * LAZY_WRITE_MS;
     for (const job of this.cluster.activeJobs) {
       const need = job.needsWrite;
-      if (need === 'no') {
-        if (job.state !== 'accepted' && job.placements.size === 0) this.cluster.activeJobs.delete(job);
-        continue;
-      }
-      if (job.writeInFlight || (need === 'soon' && now - job.lastWriteAt < lazy)) continue;
-      due.push(job);
+      if (need === 'no') this.cluster.deactivateIfSettled(job);
+      else if (!job.writeInFlight && (need === 'now' || now - job.lastWriteAt >= lazyMs)) due.push(job);
     }
     return due.sort((a, b) => Number(b.needsWrite === 'now') - Number(a.needsWrite === 'now'));
   }
 
-  private fits(batch: Batch): boolean {
-    return batch.changes.length < this.mostChanges && batch.bytes < TXN_BYTES;
+  private hasRoom(batch: Batch): boolean {
+    return batch.changes.length < this.maxChanges && batch.bytes < MAX_TRANSACTION_BYTES;
   }
 
   private addPage(batch: Batch, page: Page): void {
-    const { change, bytes, machines } = this.registry.changeFor(page);
-    page.writeInFlight = true;
-    page.writtenAt = this.ctx.now.steady;
     if (page.urgent) batch.urgent = true;
-    page.urgent = false;
-    page.needsRewrite = false;
-    page.hintsChanged = false;
-    for (const m of machines) m.imagesChanged = false;
+    const { change, bytes, machines } = this.registry.beginWrite(page, this.ctx.now.steady);
     batch.bytes += bytes;
     batch.pages.push({ page, machines });
     batch.conditions.push({ key: pageKey(page.no), version: page.version });
@@ -157,77 +160,76 @@
     if (job.needsWrite === 'now') batch.urgent = true;
     job.writeInFlight = true;
     job.lastWriteAt = now;
-    const { spec, submittedAt, state, startTerm, startZone } = job;
-    const record = { spec, submittedAt, state, startTerm, startZone, done: job.done };
-    const value = encodeJob(record, this.valueBytes);
-    batch.bytes += JOB_BYTES + value.done.length * 14;
+    const { spec, submittedAt, state, startTerm, startZone, done } = job;
+    const value = encodeJob({ spec, submittedAt, state, startTerm, startZone, done }, this.valueBytes);
+    batch.bytes += JOB_RECORD_BYTES + value.done.length * DONE_RANGE_BYTES;
     batch.jobs.push({ job, state, startTerm, done: value.done });
     batch.conditions.push({ key: jobKey(job.id), version: job.version });
     batch.changes.push({ put: jobKey(job.id), value });
   }
 
   private send(batch: Batch): void {
-    const { conditions, changes, jobs, pages } = batch;
+    const { conditions, changes } = batch;
     this.inFlight += 1;
-    this.ctx.store({ op: 'txn', conditions, changes }, batch.urgent ? 1 : 3, (result) => {
+    this.ctx.store({ op: 'txn', conditions, changes }, batch.urgent ? URGENT_PRIORITY : LAZY_PRIORITY, (result) => {
       this.inFlight -= 1;
-      for (const s of jobs) s.job.writeInFlight = false;
-      for (const s of pages) s.page.writeInFlight = false;
+      for (const { job } of batch.jobs) job.writeInFlight = false;
+      for (const { page } of batch.pages) page.writeInFlight = false;
       if (this.stopped) return;
-      if (result.ok && result.value.revision !== undefined) {
-        for (const s of jobs) this.onJobWritten(s, result.value.revision);
-        for (const s of pages) this.onPageWritten(s, result.value.revision);
-      } else {
-        const unclear = result.ok || result.why !== 'refused';
-        for (const { page } of pages) {
-          page.urgent = true;
-          page.versionUnknown = unclear;
-        }
-        if (unclear) for (const s of jobs) this.rereadJob(s.job);
-        if (!result.ok && result.why === 'rejected') this.shrinkWrites(batch);
-        this.ctx.timers.set('recordFlush', steadyPlus(this.ctx.now.steady, 150));
-      }
+      if (result.ok && result.value.revision !== undefined) this.onBatchWritten(batch, result.value.revision);
+      else this.onBatchFailed(batch, result);
       this.callbacks.onWritten();
     });
   }
 
-  /** The service calls a transaction malformed: it may take less than we were told. The same one is never sent again. */
-  private shrinkWrites(batch: Batch): void {
-    const n = batch.changes.length;
-    if (n > 1) this.mostChanges = Math.max(1, Math.floor(n / 2));
-    else this.valueBytes = Math.max(LEAST_VALUE_BYTES, Math.floor(this.valueBytes * 0.75));
-    this.registry.limitPages(this.valueBytes);
-    this.pausedUntil = steadyPlus(this.ctx.now.steady, REJECTED_PAUSE_MS);
-    this.ctx.log('info', 'the state service refuses a write for its size: writing less at a time', {
-      changes: this.mostChanges,
-      valueBytes: this.valueBytes,
-    });
+  private onBatchWritten(batch: Batch, version: Revision): void {
+    for (const snapshot of batch.jobs) this.onJobWritten(snapshot, version);
+    for (const { page, machines } of batch.pages) {
+      this.registry.onPageStored(page, machines, version);
+      this.scheduleFlush();
+    }
   }
 
-  private onJobWritten(snapshot: JobSnapshot, version: Revision): void {
-    const { job } = snapshot;
+  private onJobWritten({ job, state, startTerm, done }: JobSnapshot, version: Revision): void {
     if (version > job.version) {
       job.version = version;
-      job.durableState = snapshot.state;
-      job.durableStartTerm = snapshot.startTerm;
-      job.durableDone = RangeSet.from(snapshot.done);
+      job.durableState = state;
+      job.durableStartTerm = startTerm;
+      job.durableDone = RangeSet.from(done);
     }
-    if (job.needsWrite === 'no' && job.state !== 'accepted' && job.placements.size === 0)
-      this.cluster.activeJobs.delete(job);
+    this.cluster.deactivateIfSettled(job);
     if (job.needsWrite === 'now') this.scheduleFlush();
   }
 
-  private onPageWritten(snapshot: PageSnapshot, version: Revision): void {
-    if (version > snapshot.page.version) snapshot.page.version = version;
-    for (const m of snapshot.machines) if (snapshot.page.machines.has(m)) m.registered = true;
-    this.registry.onPageStored(snapshot.page, snapshot.machines);
-    this.scheduleFlush();
+  private onBatchFailed(batch: Batch, result: Result<StoreValue>): void {
+    // Only what was refused has certainly not been carried out.
+    const outcomeUnknown = result.ok || result.why !== 'refused';
+    for (const { page } of batch.pages) {
+      page.urgent = true;
+      page.versionUnknown = outcomeUnknown;
+    }
+    if (outcomeUnknown) for (const { job } of batch.jobs) this.rereadJob(job);
+    if (!result.ok && result.why === 'rejected') this.shrinkWrites(batch);
+    this.flushIn(RETRY_MS);
+  }
+
+  /** The service calls a transaction malformed: it may take less than was announced. The same one is never sent again. */
+  private shrinkWrites(batch: Batch): void {
+    const changes = batch.changes.length;
+    if (changes > 1) this.maxChanges = Math.max(1, Math.floor(changes / 2));
+    else this.valueBytes = Math.max(MIN_VALUE_BYTES, Math.floor(this.valueBytes * VALUE_SHRINK_FACTOR));
+    this.registry.limitPages(this.valueBytes);
+    this.pausedUntil = this.ctx.after(REJECTED_PAUSE_MS);
+    this.ctx.log('info', 'state service refuses a write for its size: writing less at a time', {
+      changes: this.maxChanges,
+      valueBytes: this.valueBytes,
+    });
   }
 
   /** A write failed or has an unknown outcome: the store tells what holds now. */
   private rereadJob(job: Job): void {
     job.writeInFlight = true;
-    this.ctx.store({ op: 'get', key: jobKey(job.id) }, 1, (result) => {
+    this.ctx.store({ op: 'get', key: jobKey(job.id) }, URGENT_PRIORITY, (result) => {
       job.writeInFlight = false;
       if (this.stopped || !result.ok || !result.value.item) return;
       this.callbacks.onRecordRead(result.value.item);
@@ -238,14 +240,14 @@
   /** Only the version matters: the page is written anew, on the condition that nothing has come in between. */
   private rereadPage(page: Page): void {
     page.writeInFlight = true;
-    this.ctx.store({ op: 'get', key: pageKey(page.no) }, 1, (result) => {
+    this.ctx.store({ op: 'get', key: pageKey(page.no) }, URGENT_PRIORITY, (result) => {
       page.writeInFlight = false;
       if (this.stopped) return;
       if (result.ok) {
         page.version = result.value.item ? result.value.item.version : ABSENT;
         page.versionUnknown = false;
       }
-      this.ctx.timers.set('recordFlush', steadyPlus(this.ctx.now.steady, result.ok ? 1 : 200));
+      this.flushIn(result.ok ? AFTER_REREAD_MS : REREAD_RETRY_MS);
     });
   }
 }
--- /dev/null
+++ b/src/core/leadership/state_loader.ts
@@ -0,0 +1,71 @@
+import type { Context } from '../context.js';
+import type { JobCache } from '../jobs/job_cache.js';
+import type { StoredItem } from '../messages.js';
+import { MACHINE_PREFIX } from '../records.js';
+
+const RETRY_MS = 300;
+const PAGE_SIZE = 500;
+const LOAD_PRIORITY = 1;
+
+/** Reads what earlier leaders left: machines and jobs as they stand after the leader key was taken. */
+export class StateLoader {
+  private loading = false;
+  private stopped = false;
+
+  /** `onLoaded` is given the registry's pages once jobs and machines are read. */
+  constructor(
+    private readonly ctx: Context,
+    private readonly jobCache: JobCache,
+    private readonly onLoaded: (pages: readonly StoredItem[]) => void,
+  ) {}
+
+  stop(): void {
+    this.stopped = true;
+  }
+
+  /** Tried again until it works. */
+  load(): void {
+    if (this.loading || this.stopped) return;
+    this.loading = true;
+    let pages: readonly StoredItem[] | null = null;
+    let jobsRead = false;
+    const onPart = (ok: boolean): void => {
+      if (this.stopped || !this.loading) return;
+      if (!ok) this.retry();
+      else if (pages !== null && jobsRead) this.finish(pages);
+    };
+    this.readPages((items) => {
+      pages = items;
+      onPart(items !== null);
+    });
+    this.jobCache.read((ok) => {
+      jobsRead = ok;
+      onPart(ok);
+    });
+  }
+
+  private retry(): void {
+    this.loading = false;
+    this.ctx.timers.set('loadState', this.ctx.after(RETRY_MS));
+  }
+
+  private finish(pages: readonly StoredItem[]): void {
+    this.loading = false;
+    this.stopped = true;
+    this.onLoaded(pages);
+  }
+
+  private readPages(done: (items: readonly StoredItem[] | null) => void): void {
+    const all: StoredItem[] = [];
+    const readPage = (after: string | null): void => {
+      this.ctx.store({ op: 'list', prefix: MACHINE_PREFIX, after, limit: PAGE_SIZE }, LOAD_PRIORITY, (result) => {
+        if (!result.ok) return done(null);
+        all.push(...(result.value.items ?? []));
+        const last = all[all.length - 1];
+        if (result.value.more && last) readPage(last.key);
+        else done(all);
+      });
+    };
+    readPage(null);
+  }
+}
--- /dev/null
+++ b/src/core/machines/guarantees.ts
@@ -0,0 +1,94 @@
+import type { Cluster } from '../leadership/cluster.js';
+import type { MachineType, Steady } from '../types.js';
+import type { MachineKind } from './machine_kind.js';
+import type { Rentals } from './rentals.js';
+
+/** Capacity for guarantees is given back when there has been no work at all for so long. */
+const KEEP_WITHOUT_WORK_MS = 30_000;
+/** Less than this is a rest that comes of decimal amounts. */
+const TOLERANCE = 0.5;
+/** A guarantee is not left to spot machines while others can be had. */
+const SPOT_PENALTY = 1000;
+
+/** Cores and GPUs; changed in place while machines are judged. */
+export interface Capacity {
+  cpus: number;
+  gpus: number;
+}
+
+/** Keeps capacity for all teams' guarantees while there is work: guaranteed teams need not wait for machines to boot. */
+export class Guarantees {
+  private lastWorkAt: Steady;
+
+  constructor(
+    private readonly cluster: Cluster,
+    private readonly rentals: Rentals,
+  ) {
+    this.lastWorkAt = cluster.ctx.after(-KEEP_WITHOUT_WORK_MS);
+  }
+
+  noteWork(): void {
+    if (this.cluster.activeJobs.size > 0) this.lastWorkAt = this.cluster.ctx.now.steady;
+  }
+
+  /** What the guarantees ask for beyond what is there; negative: to spare; minus infinity where none is given. */
+  missing(): Capacity {
+    const asked = this.asked();
+    const missing: Capacity = { ...asked };
+    const subtract = (type: MachineType, count: number): void => {
+      missing.cpus -= type.cpus * count;
+      missing.gpus -= type.gpus * count;
+    };
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.draining === null && !machine.deletionInFlight) subtract(machine.type, 1);
+    }
+    for (const { kind, count } of this.rentals.underWay()) subtract(kind.type, count);
+    return {
+      cpus: asked.cpus > 0 ? missing.cpus : Number.NEGATIVE_INFINITY,
+      gpus: asked.gpus > 0 ? missing.gpus : Number.NEGATIVE_INFINITY,
+    };
+  }
+
+  private asked(): Capacity {
+    const asked: Capacity = { cpus: 0, gpus: 0 };
+    const { ctx, quotas } = this.cluster;
+    const workMs = ctx.now.steady - this.lastWorkAt;
+    if (!ctx.tuning.machines.keep_guarantees || workMs >= KEEP_WITHOUT_WORK_MS) return asked;
+    for (const { cpus, gpus } of quotas.teamsInOrder()) {
+      asked.cpus += cpus;
+      asked.gpus += gpus;
+    }
+    return asked;
+  }
+
+  /** Rents what is missing, of the kind that brings most for its price. */
+  rentMissing(): void {
+    const missing = this.missing();
+    const lacksGpus = missing.gpus >= TOLERANCE;
+    if (!lacksGpus && missing.cpus < TOLERANCE) return;
+    if (this.rentals.anyUnderWay()) return;
+    const gain = (type: MachineType): number => (lacksGpus ? type.gpus : type.cpus);
+    const kind = this.cheapestKind(gain);
+    if (!kind) return;
+    const missingAmount = lacksGpus ? missing.gpus : missing.cpus;
+    this.rentals.rent(kind, Math.ceil(missingAmount / gain(kind.type)));
+  }
+
+  private cheapestKind(gain: (type: MachineType) => number): MachineKind | null {
+    let cheapest: MachineKind | null = null;
+    let lowestCost = Number.POSITIVE_INFINITY;
+    for (const type of this.cluster.types.values()) {
+      if (gain(type) <= 0) continue;
+      for (const zone of type.zones) {
+        for (const spot of [false, true]) {
+          const kind = { type, zone, spot };
+          const cost = type.price / gain(type) + (spot ? SPOT_PENALTY : 0);
+          if (cost >= lowestCost || this.rentals.isRefused(kind)) continue;
+          cheapest = kind;
+          lowestCost = cost;
+        }
+      }
+    }
+    return cheapest;
+  }
+}
--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -1,18 +1,25 @@
+import type { Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
 import { workerLeaseExpiryMs } from '../leadership/lease_bounds.js';
 import { moveReplica } from '../scheduler/services.js';
 import { type JobId, type Seq, type Session, type Steady, steadyPlus } from '../types.js';
-import { type Machine, MISSED_REPORTS_UNTIL_SILENT } from './machine.js';
+import type { Machine } from './machine.js';
 import { type Evidence, SLOW_FACTOR } from './slowness.js';
 
-/** Why a machine is out of use. */
-const SLOW = 'slow';
-/** One suspicion at a time: if everything seems slow, it isn't the machines. */
+/** One suspicion at a time: if everything seems slow, it isn't the machines. Of more machines, more may be replaced. */
 const SLOW_PAUSE_MS = 30_000;
-/** So many machines must have been heard before their deafness says anything of us. */
+const MACHINES_A_SLOW_PAUSE = 30;
+/** A job that is slow on so many machines was estimated wrongly. */
+const WRONG_ESTIMATE_MACHINES = 2;
+/** So many machines must have reported before what they don't hear says anything of this node. */
 const MIN_MACHINES_FOR_SELF_CHECK = 3;
+/** Work on a draining machine without a notice may take so long to end; work not yet begun is reckoned so much longer. */
+const DRAIN_S = 20;
+const START_S = 5;
+/** Work is left to end where it should be over after this share of the time left. */
+const LET_END_SHARE = 0.6;
 
-/** What a leader looks after once a second: silence, machines about to be taken, slow ones, ones that don't hear us. */
+/** What a leader looks after once a second: silence, slow machines, and work on machines about to go. */
 export class HealthChecks {
   private nextSlowAt = 0 as Steady;
 
@@ -22,32 +29,32 @@
   ) {}
 
   run(): void {
-    const { ctx } = this.cluster;
-    const now = ctx.now.steady;
-    const { reportMs } = ctx.settings.workers;
-    const emptyAfter = workerLeaseExpiryMs(ctx.settings);
+    const now = this.cluster.ctx.now.steady;
+    this.checkSilence(now);
+    this.drainOneSlowMachine(now);
+    this.moveWorkOffLeavingMachines(now);
+  }
+
+  private checkSilence(now: Steady): void {
+    const { settings } = this.cluster.ctx;
+    const leaseExpiryMs = workerLeaseExpiryMs(settings);
     for (const machine of this.cluster.machines.values()) {
-      // What a silent machine was only meant to get goes elsewhere.
-      if (machine.phase === 'up' && now - machine.lastReportAt > MISSED_REPORTS_UNTIL_SILENT * reportMs) {
-        for (const p of [...machine.placements.values()]) if (p.phase === 'planned') this.cluster.release(p);
-      }
-      if (machine.phase === 'booting' || now - machine.leaseRenewedAt <= emptyAfter) continue;
-      if (machine.reconciled && machine.placements.size === 0) continue;
-      this.releaseExpired(machine);
+      if (machine.phase === 'booting') continue;
+      if (machine.isSilent(now, settings.workers.reportMs)) this.cluster.releasePlanned(machine);
+      const mayHoldTasks = !machine.reconciled || machine.placements.size > 0;
+      if (mayHoldTasks && now - machine.leaseRenewedAt > leaseExpiryMs) this.onLeaseExpired(machine);
     }
-    this.drainSlowMachine(now);
-    this.drainMachines(now);
   }
 
   /**
    * Nobody has answered it for longer than its lease, not even an earlier leader: whatever it held is gone. It comes back
    * with a new session, and nothing of the old one counts.
    */
-  private releaseExpired(machine: Machine): void {
+  private onLeaseExpired(machine: Machine): void {
     this.cluster.ctx.log('info', 'machine silent for longer than its lease: its tasks are gone', {
       machine: machine.id,
       tasks: machine.placements.size,
-      accounted: machine.reconciled,
+      reconciled: machine.reconciled,
     });
     this.cluster.releaseAll(machine);
     if (machine.session !== null) {
@@ -56,31 +63,31 @@
       machine.lastReportSeq = null;
     }
     machine.unconfirmedStarts.clear();
-    machine.reconciled = true;
-    this.cluster.updateUnreconciled();
+    this.cluster.markReconciled(machine);
     this.scheduleRoundSoon();
   }
 
-  /** If most machines hear nothing of what we say, it is us that is cut off: another should lead. */
+  /** If most machines hear nothing of what is sent, it is this node that is cut off: another should lead. */
   isLeaderUnreachable(): boolean {
-    let up = 0;
-    let deaf = 0;
+    let reporting = 0;
+    let unresponsive = 0;
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase !== 'up' || machine.firstReportAt === null) continue;
-      up += 1;
-      if (machine.unresponsiveSince !== null) deaf += 1;
+      reporting += 1;
+      if (machine.unresponsiveSince !== null) unresponsive += 1;
     }
-    return up >= MIN_MACHINES_FOR_SELF_CHECK && deaf * 2 > up;
+    return reporting >= MIN_MACHINES_FOR_SELF_CHECK && unresponsive * 2 > reporting;
   }
 
   /** A machine that takes several times as long for everything is replaced, one at a time. */
-  private drainSlowMachine(now: Steady): void {
+  private drainOneSlowMachine(now: Steady): void {
     if (now < this.nextSlowAt) return;
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase !== 'up' || machine.draining !== null || machine.deletionInFlight) continue;
-      if (!machine.slowness.isSlow(this.overdue(machine, now))) continue;
-      machine.draining = SLOW;
-      this.nextSlowAt = steadyPlus(now, SLOW_PAUSE_MS / Math.max(1, this.cluster.machines.size / 30));
+      if (!machine.slowness.isSlow(this.overdueWork(machine, now))) continue;
+      machine.draining = 'slow';
+      const allowance = Math.max(1, this.cluster.machines.size / MACHINES_A_SLOW_PAUSE);
+      this.nextSlowAt = steadyPlus(now, SLOW_PAUSE_MS / allowance);
       this.cluster.ctx.log('info', 'machine is much slower than others: taking it out of use', { machine: machine.id });
       this.scheduleRoundSoon();
       return;
@@ -88,49 +95,49 @@
   }
 
   /** What runs on a machine and has already taken longer than expected. */
-  private overdue(machine: Machine, now: Steady): ReadonlyMap<JobId, Evidence> {
+  private overdueWork(machine: Machine, now: Steady): ReadonlyMap<JobId, Evidence> {
     let found: Map<JobId, Evidence> | null = null;
-    for (const { job, phase, runningSince } of machine.placements.values()) {
-      // A service runs for as long as its user wants: that says nothing of its machine.
-      if (job.spec.shape === 'service') continue;
-      if (phase !== 'running' || runningSince === null) continue;
-      if ((job.spec.shape === 'gang' && job.spec.tasks > 1) || job.slowOn.size >= 2) continue;
-      const ranS = (now - runningSince) / 1000;
-      const expectS = this.cluster.estimates.expectS(job.spec);
-      if (ranS <= expectS) continue;
-      const surprise = Math.log(ranS / expectS);
+    for (const placement of machine.placements.values()) {
+      const surprise = this.surpriseOf(placement, now);
+      const { job } = placement;
+      if (surprise <= (found?.get(job.id)?.surprise ?? 0)) continue;
       found ??= new Map();
-      if (surprise > (found.get(job.id)?.surprise ?? 0)) {
-        found.set(job.id, { surprise, spread: this.cluster.estimates.spread(job.spec) });
-        if (surprise > SLOW_FACTOR) job.slowOn.add(machine.id);
-      }
+      found.set(job.id, { surprise, spread: this.cluster.estimates.spread(job.spec) });
+      if (surprise > SLOW_FACTOR) job.slowOn.add(machine.id);
     }
     return found ?? NOTHING;
   }
 
-  /** Work on a machine about to be taken is saved where that helps; what would end in time is left alone. */
-  private drainMachines(now: Steady): void {
+  /** log(time run / time expected) of a task that has run too long already; 0 where it says nothing of its machine. */
+  private surpriseOf({ job, phase, runningSince }: Placement, now: Steady): number {
+    if (phase !== 'running' || runningSince === null) return 0;
+    // A service runs for as long as its user wants, and a gang is as slow as its slowest machine.
+    if (job.isService || (job.isGang && job.spec.tasks > 1)) return 0;
+    if (job.slowOn.size >= WRONG_ESTIMATE_MACHINES) return 0;
+    const ranS = (now - runningSince) / 1000;
+    return Math.max(0, Math.log(ranS / this.cluster.estimates.expectS(job.spec)));
+  }
+
+  /** Work on a machine about to go is saved where that helps; what would end in time is left alone. */
+  private moveWorkOffLeavingMachines(now: Steady): void {
     for (const machine of this.cluster.machines.values()) {
       if (machine.interruptionAt === null && machine.draining === null) continue;
       for (const placement of [...machine.placements.values()]) {
         if (placement.stop !== null) continue;
-        if (placement.phase === 'planned') {
-          this.cluster.release(placement);
-          continue;
-        }
-        if (placement.job.spec.shape === 'service') {
-          moveReplica(this.cluster, placement);
-          continue;
-        }
-        const leftS = machine.interruptionAt === null ? 20 : (machine.interruptionAt - now) / 1000;
-        const expected = this.cluster.estimates.expectS(placement.job.spec);
-        const remaining =
-          placement.runningSince === null ? expected + 5 : expected - (now - placement.runningSince) / 1000;
-        if (placement.phase === 'running' && remaining < leftS * 0.6 && machine.draining !== SLOW) continue;
-        this.cluster.stopSaving(placement);
+        if (placement.phase === 'planned') this.cluster.release(placement);
+        else if (placement.job.isService) moveReplica(this.cluster, placement);
+        else if (!this.endsInTime(placement, now)) this.cluster.stopSaving(placement);
       }
     }
   }
+
+  private endsInTime({ job, machine, phase, runningSince }: Placement, now: Steady): boolean {
+    if (phase !== 'running' || machine.draining === 'slow') return false;
+    const leftS = machine.interruptionAt === null ? DRAIN_S : (machine.interruptionAt - now) / 1000;
+    const expectedS = this.cluster.estimates.expectS(job.spec);
+    const remainingS = runningSince === null ? expectedS + START_S : expectedS - (now - runningSince) / 1000;
+    return remainingS < leftS * LET_END_SHARE;
+  }
 }
 
 const NOTHING: ReadonlyMap<JobId, Evidence> = new Map();
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,7 +1,6 @@
-import type { Job, Placement } from '../jobs/job.js';
+import type { Placement } from '../jobs/job.js';
 import type {
   Attempt,
-  ImageName,
   JobId,
   MachineId,
   MachineType,
@@ -12,136 +11,167 @@
   TypeName,
   ZoneName,
 } from '../types.js';
+import { ImageCache } from './image_cache.js';
 import { Slowness } from './slowness.js';
 
 export type TaskKey = string;
 export const taskKey = (job: JobId, index: number): TaskKey => `${job}/${index}`;
 
-/** One start: a task and its attempt. */
-export const startKey = (s: { readonly job: JobId | Job; readonly index: number; readonly attempt: Attempt }): string =>
-  `${typeof s.job === 'string' ? s.job : s.job.id}/${s.index}/${s.attempt}`;
+/** Names one start: a task and its attempt. */
+export type StartKey = string;
+export const startKey = (job: JobId, index: number, attempt: Attempt): StartKey => `${job}/${index}/${attempt}`;
+export const startKeyOf = ({ job, index, attempt }: Placement): StartKey => startKey(job.id, index, attempt);
 
+/** A task that a report shows as ended. */
 export interface ExitedTask {
   readonly job: JobId;
   readonly index: number;
   readonly attempt: Attempt;
+  /** Whether it has a result to be put on record. */
   readonly done: boolean;
 }
 
-interface CachedImage {
-  readonly gb: number;
-  lastUsedAt: Steady;
-  /** While it is being fetched: since when. */
-  fetchingSince: Steady | null;
-  /** Whether the fetch was seen from its beginning. */
-  fetchObserved: boolean;
+/** Why a machine gets no new work and is returned once it is empty. */
+export type DrainReason =
+  | 'idle'
+  | 'silent'
+  | 'failed'
+  | 'slow'
+  | 'never came up'
+  | 'fails its tasks'
+  | 'taken by the cloud'
+  | 'does not answer commands'
+  | 'a start may still arrive there';
+
+export interface MachineInit {
+  readonly id: MachineId;
+  readonly type: MachineType;
+  readonly zone: ZoneName;
+  readonly spot: boolean;
+  readonly addr: string;
+  readonly reconciled: boolean;
+  readonly phase: 'booting' | 'up';
+  readonly now: Steady;
 }
 
-/** After so many report periods without a word a machine gets no new work. */
-export const MISSED_REPORTS_UNTIL_SILENT = 2.5;
-/** What we say wasn't heeded so often in a row: hearing a machine doesn't mean reaching it. */
+/** After so many report periods without a report a machine gets no new work. */
+export const SILENT_AFTER_REPORTS = 2.5;
+/** After so many answers in a row that had no effect a machine counts as unresponsive. */
 export const UNRESPONSIVE_AFTER_IGNORED = 2;
+/** Sums of decimal amounts differ from what they should be by less than this. */
+const AMOUNT_TOLERANCE = 1e-6;
 
+/** A rented machine and its worker, as the leader knows them. */
 export class Machine {
+  readonly id: MachineId;
+  readonly type: MachineType;
+  readonly zone: ZoneName;
+  readonly spot: boolean;
   addr: string;
-  phase: 'booting' | 'up' | 'leaving';
-  /** Known to the store: before that, no command goes to it. */
+  phase: 'booting' | 'up';
+  /** On record in the store: before that, no command goes to it. */
   registered = false;
-  /** False while it may hold tasks we don't know of: it was registered by an earlier leader and hasn't shown us its list. */
+  /** False while it may hold tasks of an earlier leader that are not known here: its own list has yet to come. */
   reconciled: boolean;
+
   session: Session | null = null;
   seq: Seq | null = null;
-  /** Highest token the worker has shown. */
+  /** Highest token that the worker has shown. */
   tokenSeen = 0n;
   /** The last sign of life: a report newer than any before, or an answer to a direct command. */
   lastSeenAt: Steady;
-  /** When its lease may last have begun anew: by a report that was answered, or a new session; it bounds its tasks' time. */
+  /** When its lease may last have begun anew: by a report that was answered, or a new session. */
   leaseRenewedAt: Steady;
-  /** Its last report, not counting answers to direct calls. */
+  /** Its last report, not counting answers to direct commands. */
   lastReportAt: Steady;
   /** The newest report of the present session; answers to direct commands are numbered in the same row. */
   lastReportSeq: Seq | null = null;
-  /** Known only from a list or a report that may be a late copy, until it shows that what we say reaches it. */
+  firstReportAt: Steady | null = null;
+
+  /** False for one known only from a list or a report that may be a late copy, until something sent reaches it. */
   confirmed: boolean;
   /** Reports answered in this term that still carried an earlier leader's token. */
   staleTokenReports = 0;
-  /** How often in a row what we told it was not heeded; from DEAF_AFTER on it is set aside. */
+  /** How many answers in a row had no effect. */
   ignoredAnswers = 0;
+  /** Since when it reports but doesn't react to answers: it gets no work. */
   unresponsiveSince: Steady | null = null;
   nextProbeAt = 0 as Steady;
-  firstReportAt: Steady | null = null;
+
   rentedAt: Steady;
+  idleSince: Steady;
+  /** When the cloud takes it away, if it has given notice. */
   interruptionAt: Steady | null = null;
-  /** Out of use for a reason: no new work, and returned once empty. */
-  draining: string | null = null;
+  draining: DrainReason | null = null;
+  /** Failed tasks in a row; after each it gets nothing new for a moment. */
   consecutiveErrors = 0;
-  readonly slowness = new Slowness();
   suspectUntil = 0 as Steady;
-  idleSince: Steady;
-  /** A deletion is under way; and: one was asked for, whose outcome may be unknown. */
+  readonly slowness = new Slowness();
   deletionInFlight = false;
+  /** A deletion was asked for, whose outcome may be unknown. */
   deletionRequested = false;
   interruptionCounted = false;
+
   commandInFlight = false;
-  /** Starts sent by direct calls that were not answered: they may come as long as the session lasts. */
-  readonly unconfirmedStarts = new Set<string>();
   /** It left a direct command without an answer: no other before this time. */
   nextCommandAt = 0 as Steady;
+  /** Starts sent by direct commands that were not answered: they may arrive as long as the session lasts. */
+  readonly unconfirmedStarts = new Set<StartKey>();
+
   /** Kept for a moment for a job that is on its way here. */
-  reserved: { readonly job: JobId; readonly until: Steady } | null = null;
+  private reservation: { readonly job: JobId; readonly until: Steady } | null = null;
   readonly placements = new Map<TaskKey, Placement>();
   exitedTasks: ExitedTask[] = [];
-  readonly images = new Map<ImageName, CachedImage>();
-  /** How fast it fetches, against its type's nominal rate, as seen so far. */
-  fetchSpeed = 1;
-  /** Which images it holds has changed since they were last written down. */
-  imagesChanged = false;
+  readonly images: ImageCache;
   usedCpus = 0;
   usedGpus = 0;
   usedMemGb = 0;
 
-  constructor(
-    readonly id: MachineId,
-    readonly type: MachineType,
-    readonly zone: ZoneName,
-    readonly spot: boolean,
-    addr: string,
-    accounted: boolean,
-    phase: 'booting' | 'up',
-    now: Steady,
-  ) {
-    this.addr = addr;
-    this.reconciled = accounted;
-    this.phase = phase;
+  constructor(init: MachineInit) {
+    const { now } = init;
+    this.id = init.id;
+    this.type = init.type;
+    this.zone = init.zone;
+    this.spot = init.spot;
+    this.addr = init.addr;
+    this.phase = init.phase;
+    this.reconciled = init.reconciled;
+    // What this leader rented itself can't be a late copy of something gone.
+    this.confirmed = init.reconciled && init.phase === 'booting';
+    this.images = new ImageCache(init.type);
     this.lastSeenAt = now;
     this.leaseRenewedAt = now;
     this.lastReportAt = now;
-    this.confirmed = accounted && phase === 'booting';
     this.rentedAt = now;
     this.idleSince = now;
   }
 
-  /** Something we said has reached it. Returns whether it had been set aside as deaf. */
+  get typeName(): TypeName {
+    return this.type.name;
+  }
+
+  /** Something sent has reached it. Returns whether it had counted as unresponsive. */
   confirmReachable(): boolean {
+    const wasUnresponsive = this.unresponsiveSince !== null;
     this.ignoredAnswers = 0;
     this.confirmed = true;
-    const was = this.unresponsiveSince !== null;
     this.unresponsiveSince = null;
-    return was;
+    return wasUnresponsive;
   }
 
-  get typeName(): TypeName {
-    return this.type.name;
+  /** Whether no report has come for so long that it gets no new work. */
+  isSilent(now: Steady, reportMs: number): boolean {
+    return now - this.lastReportAt >= SILENT_AFTER_REPORTS * reportMs;
   }
 
   /**
    * Whether new work may be given to it. One whose reports don't come may never take what it is given, and its lease ends
-   * whatever it answers to direct calls (mute-machine.txt, property): those don't count here.
+   * whatever it answers to direct commands (mute-machine.txt, property): those don't count here.
    */
   isSchedulable(now: Steady, reportMs: number): boolean {
     return (
       this.phase === 'up' &&
-      now - this.lastReportAt < MISSED_REPORTS_UNTIL_SILENT * reportMs &&
+      !this.isSilent(now, reportMs) &&
       this.reconciled &&
       this.confirmed &&
       this.unresponsiveSince === null &&
@@ -152,113 +182,76 @@
     );
   }
 
-  hasRoomFor(resources: Resources): boolean {
-    const eps = 1e-6;
+  /** Whether it is on its way and will take work. */
+  isComing(): boolean {
+    return this.phase === 'booting' && !this.deletionInFlight && this.draining === null;
+  }
+
+  hasRoomFor(task: Resources): boolean {
     return (
-      this.usedCpus + resources.cpus <= this.type.cpus + eps &&
-      this.usedGpus + resources.gpus <= this.type.gpus + eps &&
-      this.usedMemGb + resources.memGb <= this.type.memGb + eps
+      this.usedCpus + task.cpus <= this.type.cpus + AMOUNT_TOLERANCE &&
+      this.usedGpus + task.gpus <= this.type.gpus + AMOUNT_TOLERANCE &&
+      this.usedMemGb + task.memGb <= this.type.memGb + AMOUNT_TOLERANCE
     );
   }
 
-  addPlacement(placement: Placement): void {
-    this.placements.set(taskKey(placement.job.id, placement.index), placement);
-    this.usedCpus += placement.job.spec.cpus;
-    this.usedGpus += placement.job.spec.gpus;
-    this.usedMemGb += placement.job.spec.memGb;
+  hasReplica(): boolean {
+    for (const { job } of this.placements.values()) if (job.spec.shape === 'service') return true;
+    return false;
   }
 
-  removePlacement(placement: Placement, now: Steady): void {
-    const key = taskKey(placement.job.id, placement.index);
-    if (this.placements.get(key) !== placement) return;
-    this.placements.delete(key);
-    this.usedCpus -= placement.job.spec.cpus;
-    this.usedGpus -= placement.job.spec.gpus;
-    this.usedMemGb -= placement.job.spec.memGb;
-    if (this.placements.size === 0) {
-      this.usedCpus = 0;
-      this.usedGpus = 0;
-      this.usedMemGb = 0;
-      this.idleSince = now;
-    }
+  reserve(job: JobId, until: Steady): void {
+    this.reservation = { job, until };
+  }
+
+  /** The job that it is kept for now, if any. */
+  reservedFor(now: Steady): JobId | null {
+    return this.reservation && this.reservation.until > now ? this.reservation.job : null;
   }
 
-  /** Seconds until `image` would be there if a task asked for it now. */
-  fetchSeconds(image: ImageName, gb: number, now: Steady): number {
-    const cached = this.images.get(image);
-    const full = gb / Math.max(0.01, this.type.fetchGbPerS * this.fetchSpeed);
-    if (!cached) return full;
-    if (cached.fetchingSince === null) return 0;
-    return Math.max(1, full - (now - cached.fetchingSince) / 1000);
+  isReservedForOther(job: JobId, now: Steady): boolean {
+    const holder = this.reservedFor(now);
+    return holder !== null && holder !== job;
   }
 
-  recordImage(job: Job, fetching: boolean, now: Steady, fromStart = false): void {
-    const { image, imageGb } = job.spec;
-    const cached = this.images.get(image);
-    if (fetching) {
-      if (!cached)
-        this.images.set(image, { gb: imageGb, lastUsedAt: now, fetchingSince: now, fetchObserved: fromStart });
-      return;
-    }
-    if (cached) {
-      if (cached.fetchingSince !== null && cached.fetchObserved)
-        this.updateFetchSpeed(imageGb, (now - cached.fetchingSince) / 1000);
-      if (cached.fetchingSince !== null) this.imagesChanged = true;
-      cached.fetchingSince = null;
-      cached.lastUsedAt = now;
-      if (!this.imagesChanged) return;
-    } else {
-      this.images.set(image, { gb: imageGb, lastUsedAt: now, fetchingSince: null, fetchObserved: false });
-      this.imagesChanged = true;
-    }
-    this.evict();
+  /** Whether it was ever kept for a job, until that took its place. */
+  get hasReservation(): boolean {
+    return this.reservation !== null;
   }
 
-  /** A fetch seen from beginning to end tells how fast this machine is; one among several tells nothing. */
-  private updateFetchSpeed(gb: number, tookS: number): void {
-    let fetching = 0;
-    for (const c of this.images.values()) if (c.fetchingSince !== null) fetching += 1;
-    if (fetching > 1 || tookS < 2) return;
-    const speed = gb / this.type.fetchGbPerS / tookS;
-    this.fetchSpeed = Math.min(1.6, Math.max(0.5, 0.4 * this.fetchSpeed + 0.6 * speed));
+  endReservation(job: JobId): void {
+    if (this.reservation?.job === job) this.reservation = null;
   }
 
-  /** The images it holds, those used last at the end. */
-  cachedImages(): ImageName[] {
-    const held = [...this.images].filter(([, c]) => c.fetchingSince === null);
-    return held.sort((a, b) => a[1].lastUsedAt - b[1].lastUsedAt).map(([name]) => name);
+  addPlacement(placement: Placement): void {
+    const { spec } = placement.job;
+    this.placements.set(taskKey(placement.job.id, placement.index), placement);
+    this.usedCpus += spec.cpus;
+    this.usedGpus += spec.gpus;
+    this.usedMemGb += spec.memGb;
   }
 
-  restoreImage(name: ImageName, gb: number, now: Steady): void {
-    if (!this.images.has(name))
-      this.images.set(name, { gb, lastUsedAt: now, fetchingSince: null, fetchObserved: false });
+  removePlacement(placement: Placement, now: Steady): void {
+    const key = taskKey(placement.job.id, placement.index);
+    if (this.placements.get(key) !== placement) return;
+    const { spec } = placement.job;
+    this.placements.delete(key);
+    this.usedCpus -= spec.cpus;
+    this.usedGpus -= spec.gpus;
+    this.usedMemGb -= spec.memGb;
+    if (this.placements.size > 0) return;
+    // Sums of decimal amounts leave a rest.
+    this.usedCpus = 0;
+    this.usedGpus = 0;
+    this.usedMemGb = 0;
+    this.idleSince = now;
   }
 
   /** A fetch is given up once no task waits for it. */
   dropAbandonedFetches(): void {
-    for (const [image, cached] of this.images) {
-      if (cached.fetchingSince === null) continue;
-      let wanted = false;
-      for (const p of this.placements.values()) if (p.job.spec.image === image) wanted = true;
-      if (!wanted) this.images.delete(image);
-    }
-  }
-
-  private evict(): void {
-    let total = 0;
-    for (const c of this.images.values()) total += c.gb;
-    while (total > this.type.cacheGb && this.images.size > 1) {
-      let oldest: ImageName | null = null;
-      let at = Number.POSITIVE_INFINITY;
-      for (const [image, cached] of this.images) {
-        if (cached.fetchingSince === null && cached.lastUsedAt < at) {
-          at = cached.lastUsedAt;
-          oldest = image;
-        }
-      }
-      if (oldest === null) return;
-      total -= this.images.get(oldest)?.gb ?? 0;
-      this.images.delete(oldest);
-    }
+    this.images.dropAbandonedFetches((image) => {
+      for (const { job } of this.placements.values()) if (job.spec.image === image) return true;
+      return false;
+    });
   }
 }
--- /dev/null
+++ b/src/core/machines/machine_list.ts
@@ -0,0 +1,81 @@
+import type { Cluster } from '../leadership/cluster.js';
+import type { ListedMachine, MachineId, Steady } from '../types.js';
+import { Machine } from './machine.js';
+
+const LIST_PERIOD_MS = 6000;
+const LIST_PRIORITY = 2;
+const MAX_LISTED = 20_000;
+
+/** Reads the cloud's list of machines, which is late: what it lacks proves nothing, what it has may be news. */
+export class MachineList {
+  private reading = false;
+  private lastReadAt = 0 as Steady;
+  private complete = false;
+
+  /** `onFailed` is told of machines that have stopped by themselves, `onApplied` when a list has been taken in. */
+  constructor(
+    private readonly cluster: Cluster,
+    private readonly onFailed: (machine: Machine) => void,
+    private readonly onApplied: () => void,
+  ) {}
+
+  /** Whether a whole list was read at least once. */
+  get readOnce(): boolean {
+    return this.complete;
+  }
+
+  readIfDue(): void {
+    if (this.cluster.ctx.now.steady - this.lastReadAt > LIST_PERIOD_MS) this.read();
+  }
+
+  read(): void {
+    if (this.reading) return;
+    this.reading = true;
+    this.readPage(null, []);
+  }
+
+  private readPage(after: MachineId | null, before: readonly ListedMachine[]): void {
+    this.cluster.ctx.cloud({ op: 'list', after }, LIST_PRIORITY, (result) => {
+      if (!result.ok) {
+        this.reading = false;
+        return;
+      }
+      const all = [...before, ...(result.value.machines ?? [])];
+      const last = all[all.length - 1];
+      if (result.value.more && last && all.length < MAX_LISTED) return this.readPage(last.id, all);
+      this.reading = false;
+      this.complete = true;
+      this.lastReadAt = this.cluster.ctx.now.steady;
+      for (const listed of all) this.apply(listed);
+      this.onApplied();
+    });
+  }
+
+  private apply(listed: ListedMachine): void {
+    const machine = this.cluster.machines.get(listed.id) ?? this.addUnknown(listed);
+    if (!machine) return;
+    if (listed.addr && !machine.addr) machine.addr = listed.addr;
+    const rentedAt = (this.cluster.ctx.now.steady - listed.ageS * 1000) as Steady;
+    if (rentedAt < machine.rentedAt) machine.rentedAt = rentedAt;
+    if (listed.phase === 'failed' && !machine.deletionInFlight) this.onStopped(machine);
+  }
+
+  /** Rented by an earlier leader, or by a request carried out late: taken into use like any other. */
+  private addUnknown({ id, type: typeName, zone, spot, addr, phase }: ListedMachine): Machine | null {
+    const type = this.cluster.types.get(typeName);
+    if (!type || this.cluster.removedMachines.has(id)) return null;
+    const now = this.cluster.ctx.now.steady;
+    const machine = new Machine({ id, type, zone, spot, addr, reconciled: true, phase: 'booting', now });
+    this.cluster.machines.set(id, machine);
+    this.cluster.ctx.log('info', 'machine found in the list', { machine: id, phase });
+    return machine;
+  }
+
+  /** A failed machine has stopped by itself: nothing is on it any more. */
+  private onStopped(machine: Machine): void {
+    this.cluster.ctx.log('info', 'machine failed', { machine: machine.id, tasks: machine.placements.size });
+    this.cluster.releaseAll(machine);
+    this.cluster.markReconciled(machine);
+    this.onFailed(machine);
+  }
+}
--- a/src/core/machines/registry.ts
+++ b/src/core/machines/registry.ts
@@ -3,12 +3,16 @@
 import { ABSENT, type MachineId, type Revision, type Steady } from '../types.js';
 import type { Machine } from './machine.js';
 
-/** What a page's text may take of the store's limit for a value, and what one machine with its hints is reckoned at. */
+/** What a page's text may take of the store's limit for a value, without and with the images that machines hold. */
 const PAGE_SHARE = 0.95;
+const PAGE_SHARE_WITH_IMAGES = 0.97;
+/** What one machine with its images is reckoned at. */
 const MACHINE_BYTES = 190;
-/** Hints alone are written this rarely. */
+const MAX_IMAGES = 16;
+/** Changes of images alone are written this rarely. */
 const HINTS_MS = 8000;
 
+/** A page of the registry: a value of the store that lists many machines. */
 export interface Page {
   readonly no: number;
   readonly machines: Set<Machine>;
@@ -17,16 +21,43 @@
   /** Machines on their way to another page: they stay on this one until that is on record. */
   readonly leaving: Map<Machine, Page>;
   version: Revision;
-  /** A machine in it must be on record before it may be used; or one is gone; or only its images have changed. */
+  /** A machine in it must be on record before it may be used. */
   urgent: boolean;
+  /** A machine in it is gone, or has come from another page. */
   needsRewrite: boolean;
+  /** Only the images that its machines hold have changed. */
   hintsChanged: boolean;
   writeInFlight: boolean;
-  /** The outcome of a write is unknown: its version has to be read before the next. */
+  /** The outcome of a write is unknown: the version has to be read before the next. */
   versionUnknown: boolean;
   writtenAt: Steady;
 }
 
+/** One write of a page: the change, about its size, and the machines on the page at that moment. */
+export interface PageWrite {
+  readonly change: Change;
+  readonly bytes: number;
+  readonly machines: readonly Machine[];
+}
+
+const pageNumber = (key: string): number => Number(key.slice(MACHINE_PREFIX.length));
+
+function emptyPage(no: number, version: Revision): Page {
+  return {
+    no,
+    machines: new Set(),
+    keptRecords: [],
+    leaving: new Map(),
+    version,
+    urgent: false,
+    needsRewrite: false,
+    hintsChanged: false,
+    writeInFlight: false,
+    versionUnknown: false,
+    writtenAt: 0 as Steady,
+  };
+}
+
 /**
  * The machines that may ever be sent a command, as the store holds them: pages of many machines each, so that renting a
  * hundred costs a few changes and a new leader reads a few records.
@@ -34,30 +65,72 @@
 export class Registry {
   private readonly pages = new Map<number, Page>();
   private readonly pageOf = new Map<MachineId, Page>();
-  private perPage = 1;
-  /** Pages that aren't understood. */
+  /** Numbers of pages that aren't understood: a later release may have written them. */
   private readonly unreadablePages = new Set<number>();
+  private machinesPerPage = 1;
+  private valueBytes = 0;
 
-  constructor(private valueBytes: number) {
+  /** `valueBytes`: the store's limit for one value. */
+  constructor(valueBytes: number) {
     this.limitPages(valueBytes);
   }
 
+  // ---- what was stored
+
+  /** Takes in a stored page and names the machines on it. */
+  load(item: StoredItem): MachineRecord[] {
+    const no = pageNumber(item.key);
+    if (!Number.isSafeInteger(no)) return [];
+    const records = decodePage(item.value);
+    if (!records) {
+      this.unreadablePages.add(no);
+      return [];
+    }
+    this.pages.set(no, emptyPage(no, item.version));
+    return records;
+  }
+
+  /** Puts a machine that was read from a page back on it. */
+  restore(machine: Machine, key: string): void {
+    const page = this.pages.get(pageNumber(key));
+    if (!page) return;
+    page.machines.add(machine);
+    this.pageOf.set(machine.id, page);
+    machine.registered = true;
+  }
+
+  /** A machine of a type that is not known now: its record stays as it is. */
+  keepUnknown(key: string, record: MachineRecord): void {
+    this.pages.get(pageNumber(key))?.keptRecords.push(record);
+  }
+
+  /** Machines of this page are on another one too: that one holds, and this is written without them. */
+  rewriteWithoutDuplicates(key: string): void {
+    const page = this.pages.get(pageNumber(key));
+    if (page) page.needsRewrite = true;
+  }
+
+  // ---- page sizes
+
   /** Pages are kept to so much text from now on; larger ones are spread over others, machine by machine. */
   limitPages(valueBytes: number): void {
     this.valueBytes = valueBytes;
-    this.perPage = Math.max(1, Math.floor((valueBytes * PAGE_SHARE) / MACHINE_BYTES));
+    this.machinesPerPage = Math.max(1, Math.floor((valueBytes * PAGE_SHARE) / MACHINE_BYTES));
+    this.spreadAll();
+  }
+
+  /** Earlier releases, or other limits, may have left pages larger than may be written now. */
+  spreadAll(): void {
     for (const page of [...this.pages.values()]) this.spread(page);
   }
 
-  /** An earlier build, or other limits, may have left a page larger than may be written now. */
-  spread(page: Page): void {
+  private spread(page: Page): void {
     if (page.leaving.size > 0) return;
-    const machines = [...page.machines];
-    while (machines.length > 1 && (machines.length > this.perPage || !this.fits(machines))) {
-      const machine = machines.pop() as Machine;
+    const staying = [...page.machines];
+    while (staying.length > 1 && !this.fits(staying)) {
+      const machine = staying.pop() as Machine;
       if (machine.registered) {
-        const to = this.assignPage(machine, page);
-        page.leaving.set(machine, to);
+        page.leaving.set(machine, this.assignPage(machine, page));
       } else {
         page.machines.delete(machine);
         this.assignPage(machine, page).urgent = true;
@@ -65,164 +138,127 @@
     }
   }
 
-  spreadAll(): void {
-    for (const page of [...this.pages.values()]) this.spread(page);
-  }
-
-  /** Its machines are on another page too: that one holds, and this is written without them. */
-  rewriteWithoutDuplicates(key: string): void {
-    const page = this.pages.get(Number(key.slice(MACHINE_PREFIX.length)));
-    if (page) page.needsRewrite = true;
-  }
-
-  /** A page is on record as it was with these machines: those that came from other pages may leave them. */
-  onPageStored(page: Page, machines: readonly Machine[]): void {
-    for (const from of this.pages.values()) {
-      if (from.leaving.size === 0) continue;
-      for (const machine of machines) {
-        if (from.leaving.get(machine) !== page) continue;
-        from.leaving.delete(machine);
-        from.machines.delete(machine);
-        from.needsRewrite = true;
-      }
-    }
-  }
-
   private fits(machines: readonly Machine[]): boolean {
-    return JSON.stringify(encodePage(machines.map(machineRecord), 0)).length <= this.valueBytes * PAGE_SHARE;
+    if (machines.length > this.machinesPerPage) return false;
+    return JSON.stringify(encodePage(machines.map(recordOf), 0)).length <= this.valueBytes * PAGE_SHARE;
   }
 
-  /** Puts a machine on a page with room, other than `not`; the page is written before long. */
-  private assignPage(machine: Machine, not: Page | null): Page {
-    let page: Page | undefined;
-    for (const p of this.pages.values()) {
-      if (p === not || p.leaving.size > 0 || p.machines.size >= this.perPage) continue;
-      if ((page === undefined || p.machines.size > page.machines.size) && this.fits([...p.machines, machine])) page = p;
-    }
-    if (!page) {
-      page = this.emptyPage(this.pages.size, ABSENT);
-      while (this.pages.has(page.no) || this.unreadablePages.has(page.no)) page = this.emptyPage(page.no + 1, ABSENT);
-      this.pages.set(page.no, page);
-    }
+  /** Puts a machine on the fullest page with room, other than `except`; the page is written before long. */
+  private assignPage(machine: Machine, except: Page | null): Page {
+    const page = this.fullestPageFor(machine, except) ?? this.newPage();
     page.machines.add(machine);
     page.needsRewrite = true;
     this.pageOf.set(machine.id, page);
     return page;
   }
 
-  /** Takes in a stored page and names the machines on it. */
-  load(item: StoredItem): MachineRecord[] {
-    const no = Number(item.key.slice(MACHINE_PREFIX.length));
-    const records = decodePage(item.value);
-    if (!records || !Number.isSafeInteger(no)) {
-      // Not ours to write over: a later build may have put it there.
-      if (Number.isSafeInteger(no)) this.unreadablePages.add(no);
-      return [];
+  private fullestPageFor(machine: Machine, except: Page | null): Page | null {
+    let fullest: Page | null = null;
+    for (const page of this.pages.values()) {
+      if (page === except || page.leaving.size > 0) continue;
+      if (fullest !== null && page.machines.size <= fullest.machines.size) continue;
+      if (this.fits([...page.machines, machine])) fullest = page;
     }
-    this.pages.set(no, this.emptyPage(no, item.version));
-    return records;
+    return fullest;
   }
 
-  private emptyPage(no: number, version: Revision): Page {
-    return {
-      no,
-      machines: new Set(),
-      keptRecords: [],
-      leaving: new Map(),
-      version,
-      urgent: false,
-      needsRewrite: false,
-      hintsChanged: false,
-      writeInFlight: false,
-      versionUnknown: false,
-      writtenAt: 0 as Steady,
-    };
-  }
-
-  /** A machine of a type that is not known now: its record stays as it is. */
-  keepUnknown(key: string, record: MachineRecord): void {
-    this.pages.get(Number(key.slice(MACHINE_PREFIX.length)))?.keptRecords.push(record);
+  private newPage(): Page {
+    let no = this.pages.size;
+    while (this.pages.has(no) || this.unreadablePages.has(no)) no += 1;
+    const page = emptyPage(no, ABSENT);
+    this.pages.set(no, page);
+    return page;
   }
 
-  /** Puts a machine that was read from a page back on it. */
-  restore(machine: Machine, key: string): void {
-    const page = this.pages.get(Number(key.slice(MACHINE_PREFIX.length)));
-    if (!page) return;
-    page.machines.add(machine);
-    this.pageOf.set(machine.id, page);
-    machine.registered = true;
-  }
+  // ---- machines
 
   add(machine: Machine): void {
-    if (this.pageOf.has(machine.id)) return;
-    this.assignPage(machine, null).urgent = true;
+    if (!this.pageOf.has(machine.id)) this.assignPage(machine, null).urgent = true;
   }
 
   remove(id: MachineId): void {
     const page = this.pageOf.get(id);
     if (!page) return;
     this.pageOf.delete(id);
-    for (const m of page.machines) if (m.id === id) page.machines.delete(m);
+    for (const machine of page.machines) if (machine.id === id) page.machines.delete(machine);
     page.needsRewrite = true;
     for (const from of this.pages.values()) {
-      for (const machine of from.leaving.keys()) {
-        if (machine.id !== id) continue;
-        from.leaving.delete(machine);
-        from.machines.delete(machine);
-        from.needsRewrite = true;
-      }
+      for (const machine of from.leaving.keys()) if (machine.id === id) this.finishLeaving(from, machine);
     }
   }
 
+  private finishLeaving(from: Page, machine: Machine): void {
+    from.leaving.delete(machine);
+    from.machines.delete(machine);
+    from.needsRewrite = true;
+  }
+
+  /** Notes on which pages the images held have changed. */
   collectHints(): void {
     for (const page of this.pages.values()) {
-      if (page.hintsChanged) continue;
-      for (const machine of page.machines) {
-        if (!machine.imagesChanged) continue;
-        page.hintsChanged = true;
-        break;
-      }
+      page.hintsChanged ||= [...page.machines].some((machine) => machine.images.changed);
     }
   }
 
-  /** Pages to write, the most pressing first; without tokens to spare only what can't wait. */
-  duePages(now: Steady, spare: boolean): Page[] {
-    const found: Page[] = [];
-    for (const page of this.pages.values()) {
-      // One that is being spread is too large to be written until the others have left.
-      if (page.writeInFlight || page.versionUnknown || page.leaving.size > 0) continue;
-      if (page.urgent || page.needsRewrite || (page.hintsChanged && spare && now - page.writtenAt > HINTS_MS))
-        found.push(page);
-    }
-    return found.sort((a, b) => Number(b.urgent) - Number(a.urgent) || Number(b.needsRewrite) - Number(a.needsRewrite));
+  // ---- writing
+
+  /** Pages to write, the most pressing first; without spare writes only what can't wait. */
+  duePages(now: Steady, hasSpareWrites: boolean): Page[] {
+    const due = [...this.pages.values()].filter((page) => this.isDue(page, now, hasSpareWrites));
+    return due.sort((a, b) => Number(b.urgent) - Number(a.urgent) || Number(b.needsRewrite) - Number(a.needsRewrite));
   }
 
-  lostPages(): Page[] {
-    return [...this.pages.values()].filter((p) => p.versionUnknown && !p.writeInFlight);
+  private isDue(page: Page, now: Steady, hasSpareWrites: boolean): boolean {
+    // One that is being spread is too large to be written until the others have left.
+    if (page.writeInFlight || page.versionUnknown || page.leaving.size > 0) return false;
+    if (page.urgent || page.needsRewrite) return true;
+    return page.hintsChanged && hasSpareWrites && now - page.writtenAt > HINTS_MS;
   }
 
-  /** The change that brings the store up to date with a page; `bytes` is about its size. */
-  changeFor(page: Page): { change: Change; bytes: number; machines: Machine[] } {
+  pagesToReread(): Page[] {
+    return [...this.pages.values()].filter((page) => page.versionUnknown && !page.writeInFlight);
+  }
+
+  /** The change that brings the store up to date with a page. */
+  beginWrite(page: Page, now: Steady): PageWrite {
+    page.writeInFlight = true;
+    page.writtenAt = now;
+    page.urgent = false;
+    page.needsRewrite = false;
+    page.hintsChanged = false;
     const machines = [...page.machines];
-    const records = [...page.keptRecords, ...machines.map(machineRecord)];
-    for (let images = IMAGES_MOST; ; images = Math.floor(images / 2)) {
-      const value = encodePage(records, images);
-      const bytes = JSON.stringify(value).length;
-      // A hint less is no loss; a page that the store refuses would be.
-      if (bytes > this.valueBytes * 0.97 && images > 0) continue;
-      return { change: { put: pageKey(page.no), value }, bytes, machines };
+    const records = [...page.keptRecords, ...machines.map(recordOf)];
+    for (const machine of machines) machine.images.changed = false;
+    const value = this.encode(records);
+    return { change: { put: pageKey(page.no), value: value.page }, bytes: value.bytes, machines };
+  }
+
+  /** With as many of the images as there is room for: a hint less is no loss, a page that the store refuses would be. */
+  private encode(records: readonly MachineRecord[]): { page: unknown; bytes: number } {
+    for (let images = MAX_IMAGES; ; images = Math.floor(images / 2)) {
+      const page = encodePage(records, images);
+      const bytes = JSON.stringify(page).length;
+      if (images === 0 || bytes <= this.valueBytes * PAGE_SHARE_WITH_IMAGES) return { page, bytes };
     }
   }
-}
 
-const IMAGES_MOST = 16;
+  /** A page is on record as it was with these machines: those that came from other pages may leave them. */
+  onPageStored(page: Page, machines: readonly Machine[], version: Revision): void {
+    if (version > page.version) page.version = version;
+    for (const machine of machines) if (page.machines.has(machine)) machine.registered = true;
+    for (const from of this.pages.values()) {
+      if (from.leaving.size === 0) continue;
+      for (const machine of machines) if (from.leaving.get(machine) === page) this.finishLeaving(from, machine);
+    }
+  }
+}
 
-const machineRecord = (machine: Machine): MachineRecord => ({
+const recordOf = (machine: Machine): MachineRecord => ({
   id: machine.id,
   addr: machine.addr,
   type: machine.typeName,
   zone: machine.zone,
   spot: machine.spot,
-  images: machine.cachedImages(),
-  fetchSpeed: machine.fetchSpeed,
+  images: machine.images.heldByLastUse(),
+  fetchSpeed: machine.images.fetchSpeed,
 });
--- /dev/null
+++ b/src/core/machines/rental_need.ts
@@ -0,0 +1,190 @@
+import type { Cluster } from '../leadership/cluster.js';
+import type { PlanJob } from '../scheduler/plan_types.js';
+import type { RoundResult } from '../scheduler/round.js';
+import type { MachineType, TypeName, ZoneName } from '../types.js';
+import { kindKey, type MachineKind } from './machine_kind.js';
+import type { Rentals } from './rentals.js';
+
+const MIN_FETCH_GB_PER_S = 0.01;
+/** Spot machines are lost now and then: their price counts so much more. */
+const SPOT_PRICE_FACTOR = 1.1;
+/** Of equal prices the zone with fewer machines of the type is taken. */
+const CROWDED_ZONE_FACTOR = 0.01;
+const UNBOUNDED_SLOTS = 1000;
+const TOLERANCE = 1e-6;
+
+/** Waiting tasks for which machines may have to be rented. */
+interface LateTasks {
+  readonly job: PlanJob;
+  readonly tasks: number;
+  /** Some of them fit no machine of the plan at all. */
+  readonly unplaced: boolean;
+}
+
+/** Machines of one kind that would start waiting work sooner. */
+interface Need {
+  readonly kind: MachineKind;
+  machines: number;
+  minimum: number;
+}
+
+/** Reckons, once a round, which machines would start waiting work sooner than the plan can. */
+export class RentalNeed {
+  private readonly needs = new Map<string, Need>();
+  private readonly machineCounts: ReadonlyMap<string, number>;
+
+  constructor(
+    private readonly cluster: Cluster,
+    private readonly rentals: Rentals,
+    private readonly round: RoundResult,
+  ) {
+    this.machineCounts = this.countMachines();
+  }
+
+  /** Rents what is needed and not under way already. */
+  rent(): void {
+    for (const late of this.lateTasks()) this.addLate(late);
+    this.addUnplanned();
+    const { rent_round_up } = this.cluster.ctx.tuning.machines;
+    for (const { kind, machines, minimum } of this.needs.values()) {
+      const wanted = Math.max(minimum, Math.floor(machines + rent_round_up));
+      const missing = wanted - this.rentals.countUnderWay(kind.type.name);
+      if (missing > 0) this.rentals.rent(kind, missing);
+    }
+  }
+
+  private add(kind: MachineKind, machines: number, minimum: number): void {
+    const key = kindKey(kind);
+    const need = this.needs.get(key) ?? { kind, machines: 0, minimum: 0 };
+    need.machines += machines;
+    need.minimum = Math.max(need.minimum, minimum);
+    this.needs.set(key, need);
+  }
+
+  private addLate({ job, tasks, unplaced }: LateTasks): void {
+    const kind = this.cheapestKind(job, tasks);
+    // Work that no machine can take gets one, however little it is: rounding must not starve it.
+    if (kind) this.add(kind, this.machinesFor(job, kind.type, tasks), unplaced ? 1 : 0);
+  }
+
+  /** Jobs beyond those that the round planned in full: machines on their way that the plan leaves free take some. */
+  private addUnplanned(): void {
+    const unused = this.unusedComing();
+    for (const { job, tasks } of this.round.beyond) {
+      const kind = this.cheapestKind(job, tasks);
+      if (!kind) continue;
+      const machines = this.machinesFor(job, kind.type, tasks);
+      const free = unused.get(kind.type.name) ?? 0;
+      const taken = Math.min(machines, free);
+      unused.set(kind.type.name, free - taken);
+      this.add(kind, machines - taken, 0);
+    }
+  }
+
+  /** Booting machines, by type, on which the plan starts nothing. */
+  private unusedComing(): Map<TypeName, number> {
+    const used = new Set(this.round.capacity.starts.map((start) => start.machine));
+    const unused = new Map<TypeName, number>();
+    this.round.machines.forEach(({ phase, typeName }, slot) => {
+      if (phase === 'booting' && !used.has(slot)) unused.set(typeName, (unused.get(typeName) ?? 0) + 1);
+    });
+    return unused;
+  }
+
+  private lateTasks(): LateTasks[] {
+    const { capacity, planJobs } = this.round;
+    const marginS = this.cluster.ctx.tuning.machines.rent_margin_s;
+    const late = new Map<number, number>();
+    const add = (slot: number, tasks: number): void => {
+      late.set(slot, (late.get(slot) ?? 0) + tasks);
+    };
+    for (const start of capacity.starts) {
+      const job = planJobs[start.job] as PlanJob;
+      if (start.startAtS > this.soonestOnNewMachineS(job) + marginS) add(start.job, start.tasks);
+    }
+    for (const [slot, tasks] of capacity.unplaced) add(slot, tasks);
+    return [...late].map(([slot, tasks]) => ({
+      job: planJobs[slot] as PlanJob,
+      tasks,
+      unplaced: (capacity.unplaced.get(slot) ?? 0) > 0,
+    }));
+  }
+
+  /** Seconds until a machine rented now could start the job. */
+  private soonestOnNewMachineS(job: PlanJob): number {
+    let soonest = Number.POSITIVE_INFINITY;
+    for (const type of this.cluster.types.values()) {
+      if (!canRun(job, type)) continue;
+      const fetchS = job.imageGb / Math.max(MIN_FETCH_GB_PER_S, type.fetchGbPerS);
+      soonest = Math.min(soonest, type.bootS + fetchS);
+    }
+    return soonest;
+  }
+
+  /** How many machines work off the tasks within the horizon; of a gang as many as it takes at once. */
+  private machinesFor(job: PlanJob, type: MachineType, tasks: number): number {
+    const perMachine = tasksPerMachine(job, type);
+    if (job.gang) return tasks / perMachine;
+    const horizonS = this.cluster.ctx.tuning.machines.rent_horizon_s;
+    const runsInHorizon = Math.max(1, horizonS / Math.max(1, job.durationS));
+    return tasks / (perMachine * runsInHorizon);
+  }
+
+  /** The kind that takes the job's tasks at the lowest price a task, among those not lately refused. */
+  private cheapestKind(job: PlanJob, tasks: number): MachineKind | null {
+    let cheapest: MachineKind | null = null;
+    let lowestCost = Number.POSITIVE_INFINITY;
+    for (const kind of this.possibleKinds(job)) {
+      if (this.rentals.isRefused(kind)) continue;
+      const { type, zone, spot } = kind;
+      const price = spot ? type.spotPrice * SPOT_PRICE_FACTOR : type.price;
+      const crowding = 1 + CROWDED_ZONE_FACTOR * (this.machineCounts.get(countKey(type.name, zone)) ?? 0);
+      const cost = (price / Math.min(tasks, tasksPerMachine(job, type))) * crowding;
+      if (cost >= lowestCost) continue;
+      lowestCost = cost;
+      cheapest = kind;
+    }
+    return cheapest;
+  }
+
+  private *possibleKinds(job: PlanJob): Iterable<MachineKind> {
+    const types = [...this.cluster.types.values()].filter((type) => canRun(job, type));
+    // Machines with GPUs are rented for work without only where nothing else runs it.
+    const avoidGpus = job.gpus === 0 && types.some((type) => type.gpus === 0);
+    for (const type of types) {
+      if (avoidGpus && type.gpus > 0) continue;
+      for (const zone of type.zones) {
+        // A machine in another zone would be rented, found of no use, returned, and rented again.
+        if (job.boundTo !== null && job.boundTo !== zone) continue;
+        for (const spot of job.spotOk ? [true, false] : [false]) yield { type, zone, spot };
+      }
+    }
+  }
+
+  /** Machines that are there or being rented, by type and zone. */
+  private countMachines(): Map<string, number> {
+    const counts = new Map<string, number>();
+    const add = (type: TypeName, zone: ZoneName, count: number): void => {
+      const key = countKey(type, zone);
+      counts.set(key, (counts.get(key) ?? 0) + count);
+    };
+    for (const { typeName, zone } of this.cluster.machines.values()) add(typeName, zone, 1);
+    for (const { kind, count } of this.rentals.underWay()) add(kind.type.name, kind.zone, count);
+    return counts;
+  }
+}
+
+const countKey = (type: TypeName, zone: ZoneName): string => `${type}|${zone}`;
+
+function canRun(job: PlanJob, type: MachineType): boolean {
+  return tasksPerMachine(job, type) >= 1 && (job.types === null || job.types.includes(type.name));
+}
+
+/** How many of the job's tasks one machine of the type takes at once. */
+function tasksPerMachine(job: PlanJob, type: MachineType): number {
+  let count = Number.POSITIVE_INFINITY;
+  if (job.cpus > 0) count = Math.min(count, Math.floor(type.cpus / job.cpus + TOLERANCE));
+  if (job.gpus > 0) count = Math.min(count, Math.floor(type.gpus / job.gpus + TOLERANCE));
+  if (job.memGb > 0) count = Math.min(count, Math.floor(type.memGb / job.memGb + TOLERANCE));
+  return Number.isFinite(count) ? count : UNBOUNDED_SLOTS;
+}
--- /dev/null
+++ b/src/core/machines/rentals.ts
@@ -0,0 +1,104 @@
+import type { Cluster } from '../leadership/cluster.js';
+import type { MachineId, Steady, TypeName } from '../types.js';
+import { Machine } from './machine.js';
+import { kindKey, type MachineKind } from './machine_kind.js';
+
+/** What the cloud takes in one request. */
+const MAX_PER_REQUEST = 50;
+const RENT_PRIORITY = 1;
+/** A request without an answer is repeated for so long; its name makes that safe. */
+const REPEAT_MS = 20_000;
+const BACKOFF_FACTOR = 1.5;
+const MAX_BACKOFF_STEPS = 4;
+
+/** A request for machines that has yet to be answered. */
+export interface Rental {
+  readonly kind: MachineKind;
+  readonly request: string;
+  readonly count: number;
+  readonly since: Steady;
+}
+
+interface Refusal {
+  readonly until: Steady;
+  readonly times: number;
+}
+
+/** Requests to rent machines, and the kinds of which the cloud lately had none. */
+export class Rentals {
+  private readonly pending = new Map<string, Rental>();
+  private readonly refusals = new Map<string, Refusal>();
+  private requests = 0;
+
+  constructor(
+    private readonly cluster: Cluster,
+    private readonly register: (machine: Machine) => void,
+  ) {}
+
+  underWay(): Iterable<Rental> {
+    return this.pending.values();
+  }
+
+  anyUnderWay(): boolean {
+    return this.pending.size > 0;
+  }
+
+  /** How many machines of the type are being rented, in any zone and of either kind. */
+  countUnderWay(type: TypeName): number {
+    let count = 0;
+    for (const rental of this.pending.values()) if (rental.kind.type.name === type) count += rental.count;
+    return count;
+  }
+
+  /** Whether the cloud lately had no machine of this kind. */
+  isRefused(kind: MachineKind): boolean {
+    const refusal = this.refusals.get(kindKey(kind));
+    return refusal !== undefined && refusal.until > this.cluster.ctx.now.steady;
+  }
+
+  /** Asks for so many machines, or as many as one request takes. */
+  rent(kind: MachineKind, count: number): void {
+    this.requests += 1;
+    // The term makes the name unique among all nodes; a name is never used for a second request.
+    const request = `r-${this.cluster.term}-${this.requests}`;
+    const since = this.cluster.ctx.now.steady;
+    const rental: Rental = { kind, request, count: Math.min(count, MAX_PER_REQUEST), since };
+    this.pending.set(request, rental);
+    this.send(rental);
+  }
+
+  private send(rental: Rental): void {
+    const { kind, request, count, since } = rental;
+    const { ctx } = this.cluster;
+    const op = { op: 'rent', request, type: kind.type.name, zone: kind.zone, spot: kind.spot, count } as const;
+    ctx.cloud(op, RENT_PRIORITY, (result) => {
+      if (result.ok) return this.onRented(rental, result.value.rented ?? []);
+      if (result.why === 'unknown' && ctx.now.steady - since < REPEAT_MS) return this.send(rental);
+      this.pending.delete(request);
+      if (result.why === 'no_capacity') this.noteRefusal(kind);
+    });
+  }
+
+  private onRented({ kind, request, count, since }: Rental, ids: readonly MachineId[]): void {
+    const { type, zone, spot } = kind;
+    this.pending.delete(request);
+    if (ids.length < count) this.noteRefusal(kind);
+    else this.refusals.delete(kindKey(kind));
+    this.cluster.ctx.log('info', 'rented', { type: type.name, zone, spot, asked: count, got: ids.length });
+    for (const id of ids) {
+      if (this.cluster.machines.has(id) || this.cluster.removedMachines.has(id)) continue;
+      const machine = new Machine({ id, type, zone, spot, addr: '', reconciled: true, phase: 'booting', now: since });
+      this.cluster.machines.set(id, machine);
+      this.register(machine);
+    }
+  }
+
+  /** Each refusal in a row makes the pause before the next request longer. */
+  private noteRefusal(kind: MachineKind): void {
+    const key = kindKey(kind);
+    const times = Math.min(MAX_BACKOFF_STEPS, (this.refusals.get(key)?.times ?? 0) + 1);
+    const { refused_backoff_s } = this.cluster.ctx.tuning.machines;
+    const pauseMs = refused_backoff_s * 1000 * BACKOFF_FACTOR ** (times - 1);
+    this.refusals.set(key, { until: this.cluster.ctx.after(pauseMs), times });
+  }
+}
--- a/src/core/machines/spot_interruptions.ts
+++ b/src/core/machines/spot_interruptions.ts
@@ -1,14 +1,19 @@
-/** How often spot machines are lost, as seen over the last minutes, starting from a cautious guess. */
+/** How long what was seen counts. */
+const MEMORY_S = 150;
+/** The cautious guess that it starts from: its rate, and how many losses it counts as. */
+const PRIOR_LOSSES = 0.3;
+const PRIOR_PER_S = 1.5 / 3600;
+/** A lost task is found out, placed and fetched anew within about this time. */
+const RESTART_S = 15;
+
+/** How often spot machines are lost, as seen over the last minutes. */
 export class SpotInterruptionRate {
   private losses = 0;
   private machineS = 0;
-  private static readonly MEMORY_S = 150;
-  private static readonly PRIOR_LOSSES = 0.3;
-  private static readonly PRIOR_PER_S = 1.5 / 3600;
 
-  /** `machines` spot machines were there for `seconds` more. */
+  /** So many spot machines were there for so many seconds more. */
   pass(machines: number, seconds: number): void {
-    const keep = Math.exp(-seconds / SpotInterruptionRate.MEMORY_S);
+    const keep = Math.exp(-seconds / MEMORY_S);
     this.losses *= keep;
     this.machineS = this.machineS * keep + machines * seconds;
   }
@@ -19,8 +24,7 @@
 
   /** Losses per machine and second. */
   get perS(): number {
-    const prior = SpotInterruptionRate.PRIOR_LOSSES;
-    return (this.losses + prior) / (this.machineS + prior / SpotInterruptionRate.PRIOR_PER_S);
+    return (this.losses + PRIOR_LOSSES) / (this.machineS + PRIOR_LOSSES / PRIOR_PER_S);
   }
 }
 
@@ -29,9 +33,7 @@
  * that is then done again and the time to start anew.
  */
 export function spotDelayS(perS: number, runS: number, checkpointS: number): number {
-  const again = checkpointS > 0 ? Math.min(checkpointS, runS) / 2 : runS / 2;
-  const chance = 1 - Math.exp(-perS * runS);
-  return chance * (again + RESTART_S);
+  const repeatedS = checkpointS > 0 ? Math.min(checkpointS, runS) / 2 : runS / 2;
+  const lossChance = 1 - Math.exp(-perS * runS);
+  return lossChance * (repeatedS + RESTART_S);
 }
-
-const RESTART_S = 15;
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -36,6 +36,7 @@
   /** `throttled`: it was refused for coming too often. */
   | { readonly ok: false; readonly why: Failure; readonly keys?: readonly string[]; readonly throttled?: boolean };
 
+/** A value of the state service, with the revision of its last change. */
 export interface StoredItem {
   readonly key: string;
   readonly value: unknown;
@@ -74,6 +75,8 @@
   readonly events?: readonly StoreEvent[];
 }
 
+export type OnStoreResult = (result: Result<StoreValue>) => void;
+
 export type CloudOp =
   | { readonly op: 'types' }
   | { readonly op: 'list'; readonly after: MachineId | null }
--- /dev/null
+++ b/src/core/peers/message_ids.ts
@@ -0,0 +1,18 @@
+const IDS_PER_PROCESS = 2 ** 20;
+
+/**
+ * Numbers for messages to peers that await an answer. Peers may still answer what an earlier process of this node asked,
+ * so each process begins at a number drawn from its seed and its numbers don't come again.
+ */
+export class MessageIds {
+  private last: number;
+
+  constructor(seed: number) {
+    this.last = (seed >>> 0) * IDS_PER_PROCESS;
+  }
+
+  next(): number {
+    this.last += 1;
+    return this.last;
+  }
+}
--- a/src/core/requests/request_handler.ts
+++ b/src/core/requests/request_handler.ts
@@ -1,299 +1,186 @@
 import type { Context } from '../context.js';
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
 import { RangeSet } from '../jobs/range_set.js';
-import type { JobStatus, UserAnswer, UserRequest } from '../messages.js';
-import { encodeJob, JOB_PREFIX, type JobRecord, jobKey } from '../records.js';
-import { withinLimit } from '../scheduler/quotas.js';
-import {
-  ABSENT,
-  type JobId,
-  type JobSpec,
-  type MachineType,
-  type Steady,
-  steadyPlus,
-  type TypeName,
-  type ZoneName,
-} from '../types.js';
-
-type Answer = (answer: UserAnswer) => void;
+import type { MachineTypes } from '../machines/catalog.js';
+import type { Change, OnStoreResult, UserAnswer, UserRequest } from '../messages.js';
+import { encodeJob, type JobRecord, jobKey } from '../records.js';
+import { ABSENT, type JobId, type JobSpec } from '../types.js';
+import { BUSY, JobReader, NOT_FOUND, type OnAnswer, type TaskCounts } from './job_reader.js';
+import { PollConfirmation } from './poll_confirmation.js';
+import { whyNeverRuns } from './submission_checks.js';
 
 export interface RequestDependencies {
-  machineTypes(): ReadonlyMap<TypeName, MachineType>;
-  taskCounts(id: JobId): { done: number; running: number } | null;
+  machineTypes(): MachineTypes;
+  /** Null where this node doesn't lead. */
+  taskCounts(id: JobId): TaskCounts | null;
   /** Passes a request to a node that the state service answers; false if there is none. */
-  relay(request: UserRequest, answer: Answer): boolean;
-  /** Tells whoever leads of a cancellation that is on record; `then` follows soon, heard or not. */
-  notifyCancelled(id: JobId, then: () => void): void;
+  relay(request: UserRequest, answer: OnAnswer): boolean;
+  /** Tells whoever leads of a cancellation that is on record; `done` follows soon, acknowledged or not. */
+  notifyCancelled(id: JobId, done: () => void): void;
 }
 
-const BUSY: UserAnswer = { status: 503, problem: 'the state service does not answer', retryAfterS: 1 };
-const TRIES = 3;
-/** Polls that come within so many milliseconds are confirmed by one call. Users wait 2 s for an answer. */
-const GATHER_MS = 120;
-
-interface Poll {
-  readonly id: JobId;
-  readonly answer: Answer;
+const MAX_CANCEL_TRIES = 3;
+const WRITE_PRIORITY = 2;
+const SUBMIT_OPTIONS = { timeoutMs: 1200, maxQueueMs: 1500 } as const;
+const CANCEL_OPTIONS = { timeoutMs: 1000, maxQueueMs: 1000 } as const;
+/** A new record leaves so much of a value's limit free for what is added to it later. */
+const RECORD_SPARE_BYTES = 64;
+/** The state service has refused this node for so long: a peer is asked first, or nobody. */
+const ASK_PEER_AFTER_MS = 300;
+const GIVE_UP_AFTER_MS = 1500;
+
+const TYPES_UNKNOWN: UserAnswer = { status: 503, problem: 'the machine types are not known yet', retryAfterS: 1 };
+const TOO_LONG: UserAnswer = { status: 422, problem: 'its description is longer than can be kept' };
+
+/** How one request is answered. */
+interface Reply {
+  readonly answer: OnAnswer;
+  /** The state service gave this node no answer. */
   readonly failed: () => void;
 }
 
 /**
  * Users' requests, on every node. What is said of a job that isn't over is confirmed by the store in that request: another
- * node may have cancelled or finished it a moment ago. The mirror spares most reads: one transaction that only compares
- * the versions of many mirrored records, begun after their polls arrived, says as much as a read of each. Only final
- * states, which never change, are told from the mirror itself.
+ * node may have cancelled or finished it a moment ago. Only final states, which never change, are told from the cache.
  */
 export class RequestHandler {
-  private polls: Poll[] = [];
-  private confirming = 0;
+  private readonly reader: JobReader;
+  private readonly polls: PollConfirmation;
 
   constructor(
     private readonly ctx: Context,
-    private readonly jobCache: JobCache,
+    private readonly cache: JobCache,
     private readonly dependencies: RequestDependencies,
-  ) {}
+  ) {
+    this.reader = new JobReader(ctx, cache, (id) => dependencies.taskCounts(id));
+    this.polls = new PollConfirmation(ctx, cache, this.reader);
+  }
 
-  /** `relayed`: it came from another node and isn't passed on again. */
-  handle(request: UserRequest, answer: Answer, relayed = false): void {
-    const known = this.jobCache.get(request.id);
-    if (known && known.record.state !== 'accepted') return answer(this.describe(known.record));
-    // A call that brought nothing here may still work for a node that the state service hasn't shut out. Passing the
-    // whole request on also settles an unknown outcome: there it is found carried out, or carried out now.
+  confirmPolls(): void {
+    this.polls.confirm();
+  }
+
+  /** `relayed`: the request came from another node and isn't passed on again. */
+  handle(request: UserRequest, answer: OnAnswer, relayed = false): void {
+    const known = this.cache.get(request.id);
+    if (known && known.record.state !== 'accepted') return answer(this.reader.describe(known.record));
     const refusal = request.op === 'submit' ? this.refusalOf(request.spec, request.problem) : null;
     const passOn = (): boolean => !relayed && this.passOn(request, refusal, answer);
+    const failingMs = this.storeFailingMs();
+    if (failingMs > ASK_PEER_AFTER_MS && passOn()) return;
+    // Nothing here can be confirmed, and nobody else is there to ask: said at once, with when to come back.
+    if (failingMs > GIVE_UP_AFTER_MS) return answer(BUSY);
+    // A call that brought nothing here may still work for a node that the state service hasn't shut out. Passing the
+    // whole request on also settles an unknown outcome: there it is found carried out, or carried out now.
     const failed = (): void => {
       if (!passOn()) answer(BUSY);
     };
-    if (this.refusedLately()) {
-      if (passOn()) return;
-      // Nothing here can be confirmed, and nobody else is there to ask: said at once, with when to come back.
-      if (this.shutOut()) return answer(BUSY);
+    this.carryOut(request, refusal, { answer, failed });
+  }
+
+  private carryOut(request: UserRequest, refusal: UserAnswer | null, reply: Reply): void {
+    switch (request.op) {
+      case 'submit':
+        return this.submit(request.id, request.spec, refusal, reply);
+      case 'poll':
+        return this.polls.add({ id: request.id, ifMissing: NOT_FOUND, ...reply });
+      case 'cancel':
+        return this.cancel(request.id, reply, 1);
     }
-    if (request.op === 'submit') this.submit(request.id, request.spec, refusal, answer, failed);
-    else if (request.op === 'poll') this.poll(request.id, answer, failed, this.notFound());
-    else this.cancel(request.id, answer, failed, 0);
+  }
+
+  /** For how long the state service has refused this node or not answered it; 0: it answers. */
+  private storeFailingMs(): number {
+    const since = this.ctx.storeFailingSince;
+    return since === null ? 0 : this.ctx.now.steady - since;
   }
 
   /**
    * A submission that must be refused is only looked up at the other node, as a repeat of an accepted one is answered with
    * its state: an earlier version there may accept what can never run (upgrade-odd-requests.txt).
    */
-  private passOn(request: UserRequest, refusal: UserAnswer | null, answer: Answer): boolean {
+  private passOn(request: UserRequest, refusal: UserAnswer | null, answer: OnAnswer): boolean {
     if (refusal === null) return this.dependencies.relay(request, answer);
     return this.dependencies.relay({ op: 'poll', id: request.id }, (found) =>
       answer(found.status === 404 ? refusal : found),
     );
   }
 
-  /** A poll of a job that the mirror knows waits for the next confirmation, others are read. */
-  private poll(id: JobId, answer: Answer, failed: () => void, missing: UserAnswer): void {
-    if (!this.jobCache.get(id)) return this.read(id, answer, failed, missing);
-    this.polls.push({ id, answer, failed });
-    if (this.ctx.timers.at('pollConfirmation') === null) this.ctx.timers.set('pollConfirmation', this.at(GATHER_MS));
-  }
-
-  private at(ms: number): Steady {
-    return steadyPlus(this.ctx.now.steady, ms);
-  }
-
-  /** Confirms what was gathered. */
-  confirm(): void {
-    if (this.polls.length === 0 || this.confirming > 1) return;
-    const most = 4 * this.ctx.settings.store.txnOps;
-    const asked = new Map<JobId, { seen: CachedJob; polls: Poll[] }>();
-    const later: Poll[] = [];
-    for (const poll of this.polls) {
-      const seen = this.jobCache.get(poll.id);
-      const entry = asked.get(poll.id);
-      if (entry) entry.polls.push(poll);
-      else if (!seen) this.read(poll.id, poll.answer, poll.failed, this.notFound());
-      else if (seen.record.state !== 'accepted') poll.answer(this.describe(seen.record));
-      else if (asked.size < most) asked.set(poll.id, { seen, polls: [poll] });
-      else later.push(poll);
-    }
-    this.polls = later;
-    if (later.length > 0) this.ctx.timers.set('pollConfirmation', this.at(1));
-    if (asked.size === 0) return;
-    this.confirming += 1;
-    const conditions = [...asked].map(([id, { seen }]) => ({ key: jobKey(id), version: seen.version }));
-    this.ctx.store(
-      { op: 'txn', conditions, changes: [] },
-      2,
-      (result) => {
-        this.confirming -= 1;
-        if (this.polls.length > 0 && this.ctx.timers.at('pollConfirmation') === null)
-          this.ctx.timers.set('pollConfirmation', this.at(1));
-        const changed = new Set(result.ok ? [] : result.why === 'conflict' ? (result.keys ?? []) : []);
-        // A conflict that names nothing we asked for confirms nothing.
-        const named = [...changed].some((k) => asked.has(k.slice(JOB_PREFIX.length) as JobId));
-        for (const [id, { seen, polls }] of asked) {
-          for (const p of polls) {
-            if (result.ok) p.answer(this.describe(seen.record));
-            else if (result.why !== 'conflict') p.failed();
-            else if (!named || changed.has(jobKey(id))) this.read(id, p.answer, p.failed, this.notFound());
-            // The rest of a transaction that failed proves nothing by itself: they go with the next.
-            else this.poll(id, p.answer, p.failed, this.notFound());
-          }
-        }
-      },
-      1000,
-      600,
-    );
-  }
-
-  /** The state service has not answered for so long that asking again in each request helps nobody. */
-  private shutOut(): boolean {
-    const since = this.ctx.storeFailingSince;
-    return since !== null && this.ctx.now.steady - since > 1500;
-  }
-
-  private refusedLately(): boolean {
-    const since = this.ctx.storeFailingSince;
-    return since !== null && this.ctx.now.steady - since > 300;
-  }
-
-  private notFound(): UserAnswer {
-    return { status: 404, problem: 'no such job' };
+  /** Why a submission can't be taken, whoever is asked; null: it can, as far as this node knows. */
+  private refusalOf(spec: JobSpec | null, problem: string): UserAnswer | null {
+    if (!spec) return { status: 400, problem };
+    const types = this.dependencies.machineTypes();
+    if (types.size === 0) return TYPES_UNKNOWN;
+    const reason = whyNeverRuns(spec, types, this.ctx.settings.teams);
+    return reason === null ? null : { status: 422, problem: reason };
   }
 
-  private describe(record: JobRecord): UserAnswer {
-    const { id } = record.spec;
-    if (record.state !== 'accepted') {
-      return { status: 200, id, jobStatus: record.state, done: record.done.count, running: 0 };
+  private submit(id: JobId, spec: JobSpec | null, refusal: UserAnswer | null, reply: Reply): void {
+    // A repeat of a submission that was taken.
+    if (spec && this.cache.get(id)) return this.polls.add({ id, ifMissing: BUSY, ...reply });
+    if (!spec || refusal) return this.reader.answer({ id, ifMissing: refusal ?? BUSY, ...reply });
+    const { valueBytes } = this.ctx.settings.store;
+    const value = encodeJob(this.newRecord(spec), valueBytes);
+    if (JSON.stringify(value).length > valueBytes - RECORD_SPARE_BYTES) {
+      return this.reader.answer({ id, ifMissing: TOO_LONG, ...reply });
     }
-    const counts = this.dependencies.taskCounts(id);
-    const started = counts ? counts.running > 0 : record.startTerm > 0;
-    const jobStatus: JobStatus = started ? 'running' : 'queued';
-    return { status: 200, id, jobStatus, done: counts?.done ?? record.done.count, running: counts?.running ?? 0 };
+    const key = jobKey(id);
+    const conditions = [{ key, version: ABSENT }];
+    const changes: Change[] = [{ put: key, value }];
+    const onResult: OnStoreResult = (result) => {
+      if (result.ok) {
+        if (result.value.revision !== undefined) this.cache.update({ key, value, version: result.value.revision });
+        return reply.answer({ status: 201, id, jobStatus: 'queued', done: 0, running: 0 });
+      }
+      // Another submission was first, or this one may have been written: a read tells. If it shows nothing, the user asks
+      // again.
+      const mayExist = result.why === 'conflict' || result.why === 'unknown';
+      if (mayExist) this.reader.answer({ id, ifMissing: BUSY, ...reply });
+      else reply.failed();
+    };
+    this.ctx.store({ op: 'txn', conditions, changes }, WRITE_PRIORITY, onResult, SUBMIT_OPTIONS);
   }
 
-  private fetch(id: JobId, then: (seen: CachedJob) => void, missing: () => void, failed: () => void): void {
-    this.ctx.store(
-      { op: 'get', key: jobKey(id) },
-      2,
-      (result) => {
-        if (!result.ok) return failed();
-        if (!result.value.item) return missing();
-        const seen = this.jobCache.update(result.value.item);
-        if (!seen) return failed();
-        then(seen);
-      },
-      1000,
-      700,
-    );
+  private newRecord(spec: JobSpec): JobRecord {
+    const submittedAt = this.ctx.now.wall;
+    return { spec, submittedAt, state: 'accepted', startTerm: 0, startZone: null, done: new RangeSet() };
   }
 
-  private read(id: JobId, answer: Answer, failed: () => void, missing: UserAnswer): void {
-    this.fetch(
+  /** Tried first on the cached record: the condition on its version shows whether that is the present one. */
+  private cancel(id: JobId, reply: Reply, tries: number): void {
+    const known = this.cache.get(id);
+    if (known && tries === 1) return this.writeCancellation(known, reply, tries);
+    this.reader.fetch(
       id,
-      (seen) => answer(this.describe(seen.record)),
-      () => answer(missing),
-      failed,
+      (job) => this.writeCancellation(job, reply, tries),
+      () => reply.answer(NOT_FOUND),
+      reply.failed,
     );
   }
 
-  /** Why a submission can't be taken, whoever is asked; null: it can, as far as this node knows. */
-  private refusalOf(spec: JobSpec | null, problem: string): UserAnswer | null {
-    if (!spec) return { status: 400, problem };
-    const types = this.dependencies.machineTypes();
-    if (types.size === 0) return { status: 503, problem: 'the machine types are not known yet', retryAfterS: 1 };
-    const never = this.neverRuns(spec, types);
-    return never === null ? null : { status: 422, problem: never };
-  }
-
-  private submit(
-    id: JobId,
-    spec: JobSpec | null,
-    refusal: UserAnswer | null,
-    answer: Answer,
-    failed: () => void,
-  ): void {
-    if (spec && this.jobCache.get(id)) {
-      // A repeat of a submission that was taken.
-      return this.poll(id, answer, failed, BUSY);
-    }
-    if (!spec || refusal) return this.read(id, answer, failed, refusal ?? BUSY);
-    const record: JobRecord = {
-      spec,
-      submittedAt: this.ctx.now.wall,
-      state: 'accepted',
-      startTerm: 0,
-      startZone: null,
-      done: new RangeSet(),
+  private writeCancellation({ record, version }: CachedJob, reply: Reply, tries: number): void {
+    const { id } = record.spec;
+    // One that an earlier try put on record, without an answer, is news to the leader all the same.
+    if (record.state === 'cancelled') return this.confirmCancelled(record, reply);
+    if (record.state !== 'accepted') return reply.answer(this.reader.describe(record));
+    const cancelled: JobRecord = { ...record, state: 'cancelled' };
+    const key = jobKey(id);
+    const value = encodeJob(cancelled, this.ctx.settings.store.valueBytes);
+    const conditions = [{ key, version }];
+    const changes: Change[] = [{ put: key, value }];
+    const onResult: OnStoreResult = (result) => {
+      if (result.ok) {
+        if (result.value.revision !== undefined) this.cache.update({ key, value, version: result.value.revision });
+        return this.confirmCancelled(cancelled, reply);
+      }
+      // Somebody wrote in between, or the outcome is unknown: looked at again.
+      if (result.why === 'refused' || tries >= MAX_CANCEL_TRIES) reply.failed();
+      else this.cancel(id, reply, tries + 1);
     };
-    const value = encodeJob(record, this.ctx.settings.store.valueBytes);
-    if (JSON.stringify(value).length > this.ctx.settings.store.valueBytes - 64) {
-      return this.read(id, answer, failed, { status: 422, problem: 'its description is longer than can be kept' });
-    }
-    this.ctx.store(
-      {
-        op: 'txn',
-        conditions: [{ key: jobKey(id), version: ABSENT }],
-        changes: [{ put: jobKey(id), value }],
-      },
-      2,
-      (result) => {
-        if (result.ok) {
-          if (result.value.revision !== undefined)
-            this.jobCache.update({ key: jobKey(id), value, version: result.value.revision });
-          return answer({ status: 201, id, jobStatus: 'queued', done: 0, running: 0 });
-        }
-        if (result.why === 'conflict') return this.read(id, answer, failed, BUSY);
-        // Unknown: it may have been written. The read tells; if it shows nothing the user asks again.
-        if (result.why === 'unknown') return this.read(id, answer, failed, BUSY);
-        failed();
-      },
-      1200,
-      1500,
-    );
-  }
-
-  private neverRuns(spec: JobSpec, types: ReadonlyMap<TypeName, MachineType>): string | null {
-    const team = this.ctx.settings.teams.find((t) => t.name === spec.team);
-    if (!team) return 'unknown team';
-    const zones = new Set<ZoneName>();
-    for (const type of types.values()) {
-      if (spec.types !== null && !spec.types.includes(type.name)) continue;
-      if (spec.cpus > type.cpus || spec.gpus > type.gpus || spec.memGb > type.memGb) continue;
-      for (const z of type.zones) if (spec.zone === null || spec.zone === z) zones.add(z);
-    }
-    if (zones.size === 0) return 'a task fits no allowed machine type';
-    if (!withinLimit(team, spec)) return 'more than the limit of its team';
-    // What has to run all at once and may have half of it in a zone needs two; an array goes on in turns.
-    const together = spec.shape !== 'array' && spec.spread && spec.tasks > 1;
-    if (together && (spec.sameZone || zones.size < 2))
-      return 'its tasks must be in several zones and can only be in one';
-    return null;
+    this.ctx.store({ op: 'txn', conditions, changes }, WRITE_PRIORITY, onResult, CANCEL_OPTIONS);
   }
 
-  /** Tried first on the mirrored record: the condition on its version shows whether that is the present one. */
-  private cancel(id: JobId, answer: Answer, failed: () => void, tries: number): void {
-    const write = ({ record, version }: CachedJob): void => {
-      // One that an earlier try put on record, without an answer, is news to the leader all the same.
-      if (record.state === 'cancelled')
-        return this.dependencies.notifyCancelled(id, () => answer(this.describe(record)));
-      if (record.state !== 'accepted') return answer(this.describe(record));
-      const cancelled: JobRecord = { ...record, state: 'cancelled' };
-      const value = encodeJob(cancelled, this.ctx.settings.store.valueBytes);
-      this.ctx.store(
-        { op: 'txn', conditions: [{ key: jobKey(id), version }], changes: [{ put: jobKey(id), value }] },
-        2,
-        (result) => {
-          if (result.ok) {
-            if (result.value.revision !== undefined)
-              this.jobCache.update({ key: jobKey(id), value, version: result.value.revision });
-            return this.dependencies.notifyCancelled(id, () => answer(this.describe(cancelled)));
-          }
-          // Somebody wrote in between, or the outcome is unknown: look again.
-          if (result.why === 'refused' || tries + 1 >= TRIES) return failed();
-          this.cancel(id, answer, failed, tries + 1);
-        },
-        1000,
-        1000,
-      );
-    };
-    const known = this.jobCache.get(id);
-    if (known && tries === 0) return write(known);
-    this.fetch(id, write, () => answer(this.notFound()), failed);
+  private confirmCancelled(record: JobRecord, reply: Reply): void {
+    this.dependencies.notifyCancelled(record.spec.id, () => reply.answer(this.reader.describe(record)));
   }
 }
--- a/src/core/scheduler/evolution.ts
+++ b/src/core/scheduler/evolution.ts
@@ -1,6 +1,7 @@
 import { type RandomGenerator, unsafeUniformIntDistribution } from 'pure-rand';
 import type { ZoneName } from '../types.js';
-import type { Plan, PlanJob, PlanMachine, Planner } from './planner.js';
+import type { Plan, PlanJob, PlanMachine } from './plan_types.js';
+import type { Planner } from './planner.js';
 
 export interface SearchSettings {
   readonly individuals: number;
@@ -10,6 +11,9 @@
   readonly planSteps: number;
 }
 
+/** Chances are drawn in thousandths. */
+const MUTATION_SCALE = 1000;
+
 interface Individual {
   readonly genes: ZoneName[];
   readonly plan: Plan;
@@ -23,8 +27,9 @@
     private readonly settings: SearchSettings,
   ) {}
 
-  private below(n: number): number {
-    return n <= 1 ? 0 : unsafeUniformIntDistribution(0, n - 1, this.random);
+  /** A random number from 0 to below `limit`. */
+  private below(limit: number): number {
+    return limit <= 1 ? 0 : unsafeUniformIntDistribution(0, limit - 1, this.random);
   }
 
   private pick<T>(from: readonly T[]): T {
@@ -49,7 +54,8 @@
       spent += next.plan.steps;
       population.push(next);
     }
-    for (let g = 0; g < generations && spent < planSteps && population.length > 1; g++) {
+    for (let generation = 0; generation < generations && population.length > 1; generation++) {
+      if (spent >= planSteps) break;
       const offspring: Individual[] = [];
       while (offspring.length < individuals && spent < planSteps) {
         for (const genes of this.cross(this.pick(population).genes, this.pick(population).genes)) {
@@ -62,38 +68,40 @@
       population = [...population, ...offspring].sort((a, b) => a.plan.cost - b.plan.cost).slice(0, individuals);
     }
     let best = population[0] as Individual;
-    for (const i of population) if (i.plan.cost < best.plan.cost) best = i;
+    for (const individual of population) if (individual.plan.cost < best.plan.cost) best = individual;
     return best.plan;
   }
 
-  private cross(a: readonly ZoneName[], b: readonly ZoneName[]): [ZoneName[], ZoneName[]] {
-    if (a.length < 2) return [a.slice(), b.slice()];
-    const cut = 1 + this.below(a.length - 1);
+  /** Single-point crossover: two offspring with the parents' genes exchanged behind the point. */
+  private cross(first: readonly ZoneName[], second: readonly ZoneName[]): [ZoneName[], ZoneName[]] {
+    if (first.length < 2) return [first.slice(), second.slice()];
+    const point = 1 + this.below(first.length - 1);
     return [
-      [...a.slice(0, cut), ...b.slice(cut)],
-      [...b.slice(0, cut), ...a.slice(cut)],
+      [...first.slice(0, point), ...second.slice(point)],
+      [...second.slice(0, point), ...first.slice(point)],
     ];
   }
 
+  /** At the mutation rate, moves one job to a feasible zone or swaps the zones of two. */
   private mutate(genes: ZoneName[], jobs: readonly PlanJob[]): void {
-    if (this.below(1000) >= this.settings.mutation * 1000) return;
-    const i = this.below(genes.length);
-    const job = jobs[i] as PlanJob;
-    if (this.below(2) === 0) {
-      genes[i] = this.pick(job.zones);
-      return;
-    }
-    const mine = genes[i] as ZoneName;
+    if (this.below(MUTATION_SCALE) >= this.settings.mutation * MUTATION_SCALE) return;
+    const index = this.below(genes.length);
+    const job = jobs[index] as PlanJob;
+    if (this.below(2) === 0) genes[index] = this.pick(job.zones);
+    else this.swap(genes, jobs, index);
+  }
+
+  private swap(genes: ZoneName[], jobs: readonly PlanJob[], index: number): void {
+    const { zones } = jobs[index] as PlanJob;
+    const zone = genes[index] as ZoneName;
     const partners: number[] = [];
-    for (let k = 0; k < genes.length; k++) {
-      const theirs = genes[k] as ZoneName;
-      if (k !== i && theirs !== mine && job.zones.includes(theirs) && (jobs[k] as PlanJob).zones.includes(mine)) {
-        partners.push(k);
-      }
-    }
+    genes.forEach((other, k) => {
+      const feasible = zones.includes(other) && (jobs[k] as PlanJob).zones.includes(zone);
+      if (k !== index && other !== zone && feasible) partners.push(k);
+    });
     if (partners.length === 0) return;
-    const k = this.pick(partners);
-    genes[i] = genes[k] as ZoneName;
-    genes[k] = mine;
+    const partner = this.pick(partners);
+    genes[index] = genes[partner] as ZoneName;
+    genes[partner] = zone;
   }
 }
--- /dev/null
+++ b/src/core/scheduler/plan_input.ts
@@ -0,0 +1,234 @@
+import type { Job, Placement } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
+import type { Machine } from '../machines/machine.js';
+import { spotDelayS } from '../machines/spot_interruptions.js';
+import type { JobId, MachineId, Steady, TypeName, ZoneName } from '../types.js';
+import { couldHost } from './hosting.js';
+import { machineShare } from './plan_machine.js';
+import type { PlanJob, PlanMachine } from './plan_types.js';
+import { userWeight } from './priority.js';
+import { penaltyFactor, type RankedJob } from './ranking.js';
+import { type GpuDemand, gpuDemand, spareRoom } from './spare_room.js';
+
+/** A task that takes more of a machine than this needs a whole one. */
+const WHOLE_MACHINE_SHARE = 0.6;
+/** A machine that boots is expected after its usual time and a bit, or soon if that is over. */
+const BOOT_TIME_FACTOR = 1.05;
+const MIN_BOOT_SHARE = 0.15;
+/** Ends closer than this are one step of a machine's free room. */
+const SAME_END_S = 0.01;
+
+/** A machine that is kept for a job on its way there. */
+interface Reservation {
+  readonly slot: number;
+  readonly job: JobId;
+}
+
+/** Machines and jobs as a round's plans see them, by slot. */
+export class PlanInput {
+  readonly machines: readonly Machine[];
+  readonly planMachines: readonly PlanMachine[];
+  readonly jobs: Job[] = [];
+  readonly planJobs: PlanJob[] = [];
+  /** One machine for each type, zone and kind there is. */
+  private readonly kinds: readonly PlanMachine[];
+  private readonly reservations: readonly Reservation[];
+  private readonly slotOf: ReadonlyMap<MachineId, number>;
+
+  constructor(
+    private readonly cluster: Cluster,
+    ranked: readonly RankedJob[],
+  ) {
+    const now = cluster.ctx.now.steady;
+    const { reportMs } = cluster.ctx.settings.workers;
+    this.machines = [...cluster.machines.values()].filter(
+      (machine) => machine.isComing() || machine.isSchedulable(now, reportMs),
+    );
+    this.slotOf = new Map(this.machines.map(({ id }, slot) => [id, slot]));
+    this.planMachines = planMachines(cluster, this.machines, ranked);
+    this.kinds = oneOfEachKind(this.planMachines);
+    this.reservations = this.machines.flatMap((machine, slot) => {
+      const job = machine.reservedFor(now);
+      return job === null ? [] : [{ slot, job }];
+    });
+  }
+
+  /** Adds a job, unless no zone could host it. */
+  add({ job, tasks, waitedS }: Pick<RankedJob, 'job' | 'tasks' | 'waitedS'>): number | null {
+    const zones = this.feasibleZones(job);
+    if (zones.length === 0) return null;
+    const slot = this.jobs.length;
+    this.jobs.push(job);
+    this.planJobs.push(this.planJob(job, tasks, waitedS, zones, slot));
+    return slot;
+  }
+
+  /** Zones that may host the job now: the search draws from these only. */
+  private feasibleZones(job: Job): ZoneName[] {
+    if (job.spec.sameZone) for (const { machine } of job.placements.values()) return [machine.zone];
+    const zones = new Set<ZoneName>();
+    for (const { type, zone, spot } of this.kinds) {
+      if ((job.spec.spotOk || !spot) && couldHost(job, type, zone)) zones.add(zone);
+    }
+    if (zones.size === 0) {
+      for (const type of this.cluster.types.values()) {
+        for (const zone of type.zones) if (couldHost(job, type, zone)) zones.add(zone);
+      }
+    }
+    return [...zones].sort();
+  }
+
+  private planJob(job: Job, tasks: number, waitedS: number, zones: ZoneName[], slot: number): PlanJob {
+    const { spec } = job;
+    const { estimates, spotInterruptions, ctx } = this.cluster;
+    const durationS = estimates.expectS(spec);
+    const isBound = spec.sameZone && job.placements.size > 0;
+    return {
+      slot,
+      gang: job.isGang,
+      tasks,
+      durationS,
+      cpus: spec.cpus,
+      gpus: spec.gpus,
+      memGb: spec.memGb,
+      image: spec.image,
+      imageGb: spec.imageGb,
+      types: spec.types,
+      spotOk: spec.spotOk,
+      spotDelayS: spotDelayS(spotInterruptions.perS, durationS, spec.checkpointS),
+      sameZone: spec.sameZone,
+      zoneRoom: zoneRoom(job, zones),
+      zones,
+      boundTo: spec.zone ?? (isBound ? (zones[0] as ZoneName) : null),
+      weight: userWeight(spec.rank, ctx.tuning.scheduler.priority_base),
+      waitedS,
+      penaltyFactor: penaltyFactor(this.cluster, job),
+      avoid: this.slotsToAvoid(job),
+    };
+  }
+
+  private slotsToAvoid(job: Job): Set<number> | null {
+    const slots = new Set<number>();
+    for (const reservation of this.reservations) if (reservation.job !== job.id) slots.add(reservation.slot);
+    for (const id of job.isFaulty ? [] : job.failedOn) {
+      const slot = this.slotOf.get(id);
+      if (slot !== undefined) slots.add(slot);
+    }
+    return slots.size > 0 ? slots : null;
+  }
+}
+
+/** Most tasks of a spread job that each zone may still take. */
+function zoneRoom(job: Job, zones: readonly ZoneName[]): Map<ZoneName, number> | null {
+  if (!job.spec.spread) return null;
+  const counts = job.zoneCounts();
+  return new Map(zones.map((zone) => [zone, Math.max(0, job.zoneLimit - (counts.get(zone) ?? 0))]));
+}
+
+function planMachines(cluster: Cluster, machines: readonly Machine[], ranked: readonly RankedJob[]): PlanMachine[] {
+  const demand = gpuDemand(cluster);
+  const reserved = typesReservedForGangs(cluster, ranked);
+  return machines.map((machine, slot) => planMachine(cluster, machine, slot, demand, reserved));
+}
+
+function planMachine(
+  cluster: Cluster,
+  machine: Machine,
+  slot: number,
+  demand: GpuDemand,
+  reservedTypes: ReadonlySet<TypeName>,
+): PlanMachine {
+  const now = cluster.ctx.now.steady;
+  const spare = spareRoom(machine, demand);
+  return {
+    slot,
+    zone: machine.zone,
+    type: machine.type,
+    spot: machine.spot,
+    ...freeRoom(cluster, machine),
+    spareCpus: spare.cpus,
+    spareMemGb: spare.memGb,
+    reservedForGangs: !machine.spot && reservedTypes.has(machine.typeName),
+    fetchS: (image, gb) => machine.images.fetchSeconds(image, gb, now),
+    largestCachedShare: largestCachedShare(cluster, machine),
+  };
+}
+
+/** What is free on a machine now, and from each expected end of its tasks on. */
+function freeRoom(cluster: Cluster, machine: Machine): Pick<PlanMachine, 'times' | 'cpus' | 'gpus' | 'memGb'> {
+  const now = cluster.ctx.now.steady;
+  const times = [machine.phase === 'booting' ? bootingS(machine, now) : 0];
+  const cpus = [machine.type.cpus - machine.usedCpus];
+  const gpus = [machine.type.gpus - machine.usedGpus];
+  const memGb = [machine.type.memGb - machine.usedMemGb];
+  const ends = [...machine.placements.values()]
+    .map((placement) => ({ atS: remainingS(cluster, placement, now), spec: placement.job.spec }))
+    .sort((a, b) => a.atS - b.atS);
+  for (const { atS, spec } of ends) {
+    let step = times.length - 1;
+    // Ends within a second of each other are one step: a machine of 64 cores would have as many steps as tasks.
+    if (atS > (times[step] as number) + SAME_END_S) {
+      times.push(Math.ceil(atS));
+      cpus.push(cpus[step] as number);
+      gpus.push(gpus[step] as number);
+      memGb.push(memGb[step] as number);
+      step += 1;
+    }
+    cpus[step] = (cpus[step] as number) + spec.cpus;
+    gpus[step] = (gpus[step] as number) + spec.gpus;
+    memGb[step] = (memGb[step] as number) + spec.memGb;
+  }
+  return { times, cpus, gpus, memGb };
+}
+
+/** Seconds until a task is expected to leave its machine. */
+function remainingS({ ctx, estimates }: Cluster, placement: Placement, now: Steady): number {
+  const { job, machine, stop, runningSince } = placement;
+  const reportS = ctx.settings.workers.reportMs / 1000;
+  if (stop !== null) return Math.max(reportS, stop.graceS);
+  const expectedS = estimates.expectS(job.spec);
+  if (job.isService) return expectedS;
+  if (runningSince === null) return machine.images.fetchSeconds(job.spec.image, job.spec.imageGb, now) + expectedS;
+  const elapsedS = (now - runningSince) / 1000;
+  // The longer work has run over what was expected, the longer it is likely to go on: taking overdue work to end at once
+  // makes others wait for gaps that never come.
+  return Math.max(reportS, expectedS - elapsedS, elapsedS * ctx.tuning.scheduler.overdue_share);
+}
+
+/** When a machine that was rented but hasn't reported is expected, in seconds from now. */
+function bootingS({ type, rentedAt }: Machine, now: Steady): number {
+  const ageS = (now - rentedAt) / 1000;
+  return Math.max(type.bootS * MIN_BOOT_SHARE, type.bootS * BOOT_TIME_FACTOR - ageS);
+}
+
+function largestCachedShare(cluster: Cluster, machine: Machine): number {
+  let largest = 0;
+  for (const image of machine.images.heldImages()) {
+    const user = cluster.largestImageUsers.get(image);
+    if (user) largest = Math.max(largest, machineShare(user, machine.type));
+  }
+  return largest;
+}
+
+/** Types of which gangs wait for whole machines that may not be spot ones. */
+function typesReservedForGangs(cluster: Cluster, waiting: readonly RankedJob[]): Set<TypeName> {
+  const found = new Set<TypeName>();
+  for (const { job } of waiting) {
+    if (!job.isGang || job.spec.spotOk) continue;
+    for (const type of cluster.types.values()) {
+      const needsWhole = machineShare(job.spec, type) > WHOLE_MACHINE_SHARE;
+      if (needsWhole && type.zones.some((zone) => couldHost(job, type, zone))) found.add(type.name);
+    }
+  }
+  return found;
+}
+
+/** For each type, zone and kind in sight one machine that stands for the others. */
+function oneOfEachKind(machines: readonly PlanMachine[]): PlanMachine[] {
+  const kinds = new Map<string, PlanMachine>();
+  for (const machine of machines) {
+    const key = `${machine.type.name}|${machine.zone}|${machine.spot}`;
+    if (!kinds.has(key)) kinds.set(key, machine);
+  }
+  return [...kinds.values()];
+}
--- /dev/null
+++ b/src/core/scheduler/plan_machine.ts
@@ -0,0 +1,168 @@
+import type { MachineType, Resources } from '../types.js';
+import type { PlanJob, PlanMachine } from './plan_types.js';
+
+/**
+ * Operations on a machine's free room over time. `step` is an index into the machine's `times`. These run many thousand
+ * times a round: they make no objects.
+ */
+
+/** Amounts and times that differ by less than this are the same. */
+export const TOLERANCE = 1e-6;
+/** The fitness looks at utilization this far ahead. */
+const UTILIZATION_HORIZON_S = 60;
+
+/** Written out field by field: a spread into a literal costs several microseconds, and a round makes thousands. */
+export function cloneMachine(machine: PlanMachine): PlanMachine {
+  return {
+    slot: machine.slot,
+    zone: machine.zone,
+    type: machine.type,
+    spot: machine.spot,
+    times: machine.times.slice(),
+    cpus: machine.cpus.slice(),
+    gpus: machine.gpus.slice(),
+    memGb: machine.memGb.slice(),
+    spareCpus: machine.spareCpus,
+    spareMemGb: machine.spareMemGb,
+    fetchS: machine.fetchS,
+    reservedForGangs: machine.reservedForGangs,
+    largestCachedShare: machine.largestCachedShare,
+  };
+}
+
+/** The element at an index that is known to be within bounds. */
+export const at = (values: readonly number[], index: number): number => values[index] as number;
+
+/** The part of a machine that one task takes, by what it takes most of. */
+export function machineShare(task: Resources, type: MachineType): number {
+  const share = (amount: number, capacity: number): number => (capacity > 0 ? amount / capacity : 0);
+  return Math.max(share(task.cpus, type.cpus), share(task.gpus, type.gpus), share(task.memGb, type.memGb));
+}
+
+/** Whether a task of the job could run on an empty machine of the type. */
+export function fitsType(job: PlanJob, type: MachineType): boolean {
+  return (
+    (job.types === null || job.types.includes(type.name)) &&
+    job.cpus <= type.cpus + TOLERANCE &&
+    job.gpus <= type.gpus + TOLERANCE &&
+    job.memGb <= type.memGb + TOLERANCE
+  );
+}
+
+/** How many tasks fit from a step on for as long as they need. */
+export function fitCount(machine: PlanMachine, step: number, durationS: number, task: Resources): number {
+  const until = at(machine.times, step) + durationS;
+  let cpus = Number.POSITIVE_INFINITY;
+  let gpus = Number.POSITIVE_INFINITY;
+  let memGb = Number.POSITIVE_INFINITY;
+  for (let i = step; i < machine.times.length && (i === step || at(machine.times, i) < until - TOLERANCE); i++) {
+    if (at(machine.cpus, i) < cpus) cpus = at(machine.cpus, i);
+    if (at(machine.gpus, i) < gpus) gpus = at(machine.gpus, i);
+    if (at(machine.memGb, i) < memGb) memGb = at(machine.memGb, i);
+    if (cpus + TOLERANCE < task.cpus || gpus + TOLERANCE < task.gpus || memGb + TOLERANCE < task.memGb) return 0;
+  }
+  let count = Number.POSITIVE_INFINITY;
+  if (task.cpus > 0) count = Math.min(count, Math.floor(cpus / task.cpus + TOLERANCE));
+  if (task.gpus > 0) count = Math.min(count, Math.floor(gpus / task.gpus + TOLERANCE));
+  if (task.memGb > 0) count = Math.min(count, Math.floor(memGb / task.memGb + TOLERANCE));
+  return count;
+}
+
+/** Whether a job is held to the cores and memory that GPU work has no use for. */
+const isHeldToSpare = (machine: PlanMachine, job: PlanJob): boolean =>
+  job.gpus === 0 && machine.type.gpus > 0 && job.penaltyFactor > 0;
+
+/** Whether a job that is held to a machine's spare room finds any. */
+export function lacksSpareRoom(machine: PlanMachine, job: PlanJob): boolean {
+  if (!isHeldToSpare(machine, job)) return false;
+  return machine.spareCpus + TOLERANCE < job.cpus || machine.spareMemGb + TOLERANCE < job.memGb;
+}
+
+/** As `fitCount`, and without taking from GPU work what it needs beside its GPUs. */
+export function allowedCount(machine: PlanMachine, step: number, durationS: number, job: PlanJob): number {
+  if (!isHeldToSpare(machine, job)) return fitCount(machine, step, durationS, job);
+  const spare = Math.min(
+    job.cpus > 0 ? machine.spareCpus / job.cpus : Number.POSITIVE_INFINITY,
+    job.memGb > 0 ? machine.spareMemGb / job.memGb : Number.POSITIVE_INFINITY,
+  );
+  if (spare + TOLERANCE < 1) return 0;
+  return Math.min(Math.floor(spare + TOLERANCE), fitCount(machine, step, durationS, job));
+}
+
+/** Whether so much is free at the first step, not asking for how long. */
+export function fitsNow(machine: PlanMachine, task: Resources): boolean {
+  if (task.gpus === 0 && machine.type.gpus > 0) {
+    if (machine.spareCpus + TOLERANCE < task.cpus || machine.spareMemGb + TOLERANCE < task.memGb) return false;
+  }
+  return (
+    at(machine.cpus, 0) + TOLERANCE >= task.cpus &&
+    at(machine.gpus, 0) + TOLERANCE >= task.gpus &&
+    at(machine.memGb, 0) + TOLERANCE >= task.memGb
+  );
+}
+
+/** Room left in the scarcest resource after one more task, as a share of the machine: best fit takes the least. */
+export function slackAfter(machine: PlanMachine, step: number, task: Resources): number {
+  const { type } = machine;
+  let least = 1;
+  if (type.gpus > 0) least = Math.min(least, (at(machine.gpus, step) - task.gpus) / type.gpus);
+  if (type.cpus > 0) least = Math.min(least, (at(machine.cpus, step) - task.cpus) / type.cpus);
+  if (type.memGb > 0) least = Math.min(least, (at(machine.memGb, step) - task.memGb) / type.memGb);
+  return least;
+}
+
+/** The last step that begins by the time; the first where none does. */
+export function stepBefore(machine: PlanMachine, time: number): number {
+  let step = machine.times.length - 1;
+  while (step > 0 && at(machine.times, step) > time + TOLERANCE) step -= 1;
+  return step;
+}
+
+/** The step that begins at the time, made where there is none. */
+function stepAt(machine: PlanMachine, time: number): number {
+  const step = stepBefore(machine, time);
+  const begins = at(machine.times, step);
+  if (Math.abs(begins - time) <= TOLERANCE || time <= begins) return step;
+  machine.times.splice(step + 1, 0, time);
+  machine.cpus.splice(step + 1, 0, at(machine.cpus, step));
+  machine.gpus.splice(step + 1, 0, at(machine.gpus, step));
+  machine.memGb.splice(step + 1, 0, at(machine.memGb, step));
+  return step + 1;
+}
+
+/** Takes the room of so many tasks for a time. */
+export function reserveRoom(
+  machine: PlanMachine,
+  fromS: number,
+  durationS: number,
+  count: number,
+  task: Resources,
+): void {
+  const first = stepAt(machine, fromS);
+  const end = stepAt(machine, fromS + durationS);
+  for (let step = first; step < end; step++) {
+    machine.cpus[step] = at(machine.cpus, step) - count * task.cpus;
+    machine.gpus[step] = at(machine.gpus, step) - count * task.gpus;
+    machine.memGb[step] = at(machine.memGb, step) - count * task.memGb;
+  }
+  if (task.gpus > 0 || machine.type.gpus === 0) return;
+  machine.spareCpus -= count * task.cpus;
+  machine.spareMemGb -= count * task.memGb;
+}
+
+/** How much of the machines is in use over the next minute, by GPUs where they have some and by cores elsewhere. */
+export function utilization(machines: readonly PlanMachine[]): number {
+  let used = 0;
+  let available = 0;
+  for (const { type, times, gpus, cpus } of machines) {
+    const capacity = type.gpus > 0 ? type.gpus : type.cpus;
+    const free = type.gpus > 0 ? gpus : cpus;
+    for (let step = 0; step < times.length && at(times, step) < UTILIZATION_HORIZON_S; step++) {
+      const next = step + 1 < times.length ? at(times, step + 1) : UTILIZATION_HORIZON_S;
+      const share = (Math.min(UTILIZATION_HORIZON_S, next) - at(times, step)) / UTILIZATION_HORIZON_S;
+      available += share;
+      used += share * (1 - at(free, step) / capacity);
+    }
+  }
+  return available > 0 ? used / available : 1;
+}
--- /dev/null
+++ b/src/core/scheduler/plan_types.ts
@@ -0,0 +1,107 @@
+import type { ImageName, MachineType, Resources, TypeName, ZoneName } from '../types.js';
+
+/**
+ * What a plan is made from and what it says. Machines and jobs are named by their slots: their indices in the lists that the
+ * plan was given. Times are in seconds from now.
+ */
+
+/** A machine as a plan sees it: its free room as a step function of time. */
+export interface PlanMachine {
+  readonly slot: number;
+  readonly zone: ZoneName;
+  readonly type: MachineType;
+  readonly spot: boolean;
+  /** From `times[step]` on, so much is free. */
+  times: number[];
+  cpus: number[];
+  gpus: number[];
+  memGb: number[];
+  /** What jobs without GPUs may still take of a machine with GPUs: only what GPU work could not use anyway. */
+  spareCpus: number;
+  spareMemGb: number;
+  /** Seconds until an image would be there. */
+  fetchS(image: ImageName, gb: number): number;
+  /** A machine on demand, of a type that gangs wait for which need whole ones and may not use spot machines. */
+  readonly reservedForGangs: boolean;
+  /** Largest share of a machine that a job needs whose image it holds. */
+  readonly largestCachedShare: number;
+}
+
+/** A waiting job as a plan sees it; `cpus`, `gpus` and `memGb` are of one task. */
+export interface PlanJob extends Resources {
+  readonly slot: number;
+  readonly gang: boolean;
+  readonly tasks: number;
+  readonly durationS: number;
+  readonly image: ImageName;
+  readonly imageGb: number;
+  readonly types: readonly TypeName[] | null;
+  readonly spotOk: boolean;
+  /** What a start on a spot machine is expected to cost through losses, in seconds. */
+  readonly spotDelayS: number;
+  readonly sameZone: boolean;
+  /** Most tasks that each zone may still take; null: no such limit. */
+  readonly zoneRoom: ReadonlyMap<ZoneName, number> | null;
+  /** Zones that may host it. */
+  readonly zones: readonly ZoneName[];
+  /** The only zone it may ever use; null: any. */
+  readonly boundTo: ZoneName | null;
+  /** How much its waiting counts. */
+  readonly weight: number;
+  readonly waitedS: number;
+  /** How much placement penalties count for it, 1 to 0: a job of which nothing has run for long takes what there is. */
+  readonly penaltyFactor: number;
+  /** Machines it must not use. */
+  readonly avoid: ReadonlySet<number> | null;
+}
+
+/** Tasks of a job that the plan puts on a machine. */
+export interface PlannedStart {
+  readonly job: number;
+  readonly machine: number;
+  readonly tasks: number;
+  /** When the room is there, and when the image is too. */
+  readonly roomAtS: number;
+  readonly startAtS: number;
+}
+
+export interface Plan {
+  readonly starts: PlannedStart[];
+  /** The machines as the plan leaves them. */
+  readonly machines: readonly PlanMachine[];
+  /** The fitness of the search; less is better. */
+  readonly cost: number;
+  /** By job, tasks that no machine of the plan can take. */
+  readonly unplaced: ReadonlyMap<number, number>;
+  /** Work spent on it, in plan steps: what bounds a round, so that a seed repeats. */
+  readonly steps: number;
+}
+
+/** Seconds of start time that a job would rather lose than take a machine that others need more. */
+export interface PlacementPenalties {
+  /** For a machine with GPUs, by a job that asks for none. */
+  readonly gpuS: number;
+  /** For a machine on demand, by a job that may use a spot one: cheaper, and the others can't. */
+  readonly onDemandS: number;
+  /** For a machine that waiting gangs have no choice but to use, by an array that may use spot ones. */
+  readonly reservedS: number;
+  /** For a machine that holds images of larger jobs: those would have to fetch elsewhere. */
+  readonly cachedImageS: number;
+  /** Room in the future counts this much more than its time: what is expected to end often doesn't. */
+  readonly futureDiscount: number;
+}
+
+export const NO_PENALTIES: PlacementPenalties = {
+  gpuS: 0,
+  onDemandS: 0,
+  reservedS: 0,
+  cachedImageS: 0,
+  futureDiscount: 0,
+};
+
+/** Weights of the fitness: mean weighted wait, longest weighted wait, idle share. */
+export interface FitnessWeights {
+  readonly average: number;
+  readonly maximum: number;
+  readonly idle: number;
+}
