--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -1,19 +1,23 @@
 import type { Job, Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
-import { steadyPlus } from '../types.js';
-import { couldHost } from './hosting.js';
+import type { Steady, ZoneName } from '../types.js';
+import { allows } from './hosting.js';
 import type { RoundResult } from './round.js';
 
 /** A gang whose room the plan sees no sooner than this, and that has waited so long, may stop lower work. */
 const LATE_S = 6;
-const WAITED_S = 3;
+const MIN_WAITED_S = 3;
 /** So often for one job, and for so many jobs in one round: what is stopped has to be done again. */
-const TIMES_MOST = 2;
-const GANGS_A_ROUND = 4;
-const RESERVED_MS = 6000;
+const MAX_PREEMPTIONS = 2;
+const MAX_GANGS_A_ROUND = 4;
+const RESERVATION_MS = 6000;
+/** What work without GPUs counts, in GPUs. */
+const CPU_WORK_WEIGHT = 0.1;
+const TOLERANCE = 1e-6;
 
-interface Option {
+/** What would have to be stopped on a machine for one task of a job. */
+export interface EvictionOption {
   readonly machine: Machine;
   readonly victims: readonly Placement[];
   /** GPU seconds (or core seconds) that are lost, and that the fetch holds the place idle. */
@@ -23,98 +27,116 @@
 /**
  * Gangs of higher priority that would wait take the places of arrays of lower priority, where least is lost. The plan
  * itself never stops anything; this only makes the room, keeps it for the gang, and leaves the start to the next round.
- * Returns how many tasks were stopped.
  */
-export function preempt(cluster: Cluster, { capacity: plan, jobs }: RoundResult): number {
-  const startsAt = new Map<number, number>();
-  for (const s of plan.starts) startsAt.set(s.job, Math.max(startsAt.get(s.job) ?? 0, s.roomAtS));
-  for (const slot of plan.unplaced.keys()) startsAt.set(slot, Number.POSITIVE_INFINITY);
-  let stopped = 0;
+export function preempt(cluster: Cluster, round: RoundResult): void {
+  const roomAt = whenRoomIsThere(round);
   let gangs = 0;
-  for (const [slot, job] of jobs.entries()) {
-    if (gangs >= GANGS_A_ROUND) break;
-    if ((startsAt.get(slot) ?? 0) < LATE_S || !mayPreempt(cluster, job)) continue;
-    const chosen = cheapest(cluster, job);
-    if (!chosen) continue;
+  for (const [slot, job] of round.jobs.entries()) {
+    if (gangs >= MAX_GANGS_A_ROUND) break;
+    if ((roomAt.get(slot) ?? 0) < LATE_S || !mayPreempt(cluster, job)) continue;
+    const options = cheapestOptions(cluster, job);
+    if (!options) continue;
     gangs += 1;
     job.preemptions += 1;
-    for (const { machine, victims } of chosen) {
-      machine.reserved = { job: job.id, until: steadyPlus(cluster.ctx.now.steady, RESERVED_MS) };
-      for (const placement of victims) {
-        if (placement.phase === 'planned') cluster.release(placement);
-        else cluster.stop(placement, 0);
-      }
-      stopped += victims.length;
-    }
-    cluster.ctx.log('debug', 'lower work makes room', { job: job.id, machines: chosen.length, stopped });
+    for (const option of options) evictFor(cluster, job, option);
+    cluster.ctx.log('debug', 'lower work makes room', { job: job.id, machines: options.length });
   }
-  return stopped;
+}
+
+/** By slot, when the plan sees room for a whole job; infinite where it sees none. */
+function whenRoomIsThere({ capacity }: RoundResult): Map<number, number> {
+  const roomAt = new Map<number, number>();
+  for (const { job, roomAtS } of capacity.starts) roomAt.set(job, Math.max(roomAt.get(job) ?? 0, roomAtS));
+  for (const slot of capacity.unplaced.keys()) roomAt.set(slot, Number.POSITIVE_INFINITY);
+  return roomAt;
+}
+
+function evictFor(cluster: Cluster, job: Job, { machine, victims }: EvictionOption): void {
+  machine.reserve(job.id, cluster.ctx.after(RESERVATION_MS));
+  for (const victim of victims) cluster.evict(victim, 0);
 }
 
 function mayPreempt(cluster: Cluster, job: Job): boolean {
   const { spec } = job;
   return (
-    spec.shape === 'gang' &&
+    job.isGang &&
     spec.rank > 0 &&
     !spec.spread &&
     job.placements.size === 0 &&
     !job.gangBroken &&
-    job.preemptions < TIMES_MOST &&
-    (cluster.ctx.now.wall - job.submittedAt) / 1000 >= WAITED_S &&
+    job.preemptions < MAX_PREEMPTIONS &&
+    (cluster.ctx.now.wall - job.submittedAt) / 1000 >= MIN_WAITED_S &&
     cluster.quotas.room(spec) >= spec.tasks
   );
 }
 
 /** The machines, in one zone if the job wants that, on which room for all its tasks costs least. */
-function cheapest(cluster: Cluster, job: Job): Option[] | null {
-  const byZone = new Map<string, Option[]>();
+function cheapestOptions(cluster: Cluster, job: Job): EvictionOption[] | null {
+  let cheapest: EvictionOption[] | null = null;
+  let lowestCost = Number.POSITIVE_INFINITY;
+  for (const options of optionsByZone(cluster, job)) {
+    if (options.length < job.spec.tasks) continue;
+    const chosen = options.sort((a, b) => a.cost - b.cost).slice(0, job.spec.tasks);
+    const cost = chosen.reduce((sum, option) => sum + option.cost, 0);
+    if (cost >= lowestCost) continue;
+    cheapest = chosen;
+    lowestCost = cost;
+  }
+  return cheapest;
+}
+
+/** All options of each zone, or of all zones together where the job may use several. */
+function optionsByZone(cluster: Cluster, job: Job): Iterable<EvictionOption[]> {
+  const byZone = new Map<ZoneName | null, EvictionOption[]>();
   for (const machine of cluster.machines.values()) {
-    const option = optionOn(cluster, job, machine);
+    const option = evictionOption(cluster, job, machine);
     if (!option) continue;
-    const zone = job.spec.sameZone ? machine.zone : 'any';
-    const found = byZone.get(zone);
-    if (found) found.push(option);
+    const zone = job.spec.sameZone ? machine.zone : null;
+    const options = byZone.get(zone);
+    if (options) options.push(option);
     else byZone.set(zone, [option]);
   }
-  let best: { options: Option[]; cost: number } | null = null;
-  for (const options of byZone.values()) {
-    if (options.length < job.spec.tasks) continue;
-    const chosen = options.sort((a, b) => a.cost - b.cost).slice(0, job.spec.tasks);
-    const cost = chosen.reduce((sum, o) => sum + o.cost, 0);
-    if (best === null || cost < best.cost) best = { options: chosen, cost };
-  }
-  return best?.options ?? null;
+  return byZone.values();
 }
 
 /** What would have to be stopped on a machine for one task of the job, and what that costs; null if it can't be. */
-export function optionOn(cluster: Cluster, job: Job, machine: Machine): Option | null {
+export function evictionOption(cluster: Cluster, job: Job, machine: Machine): EvictionOption | null {
   const { spec } = job;
-  const now = cluster.ctx.now.steady;
-  if (!machine.isSchedulable(now, cluster.ctx.settings.workers.reportMs)) return null;
-  if (!couldHost(job, machine.type, machine.zone) || (machine.spot && !spec.spotOk)) return null;
-  if (machine.reserved && machine.reserved.until > now && machine.reserved.job !== job.id) return null;
-  const lower: { p: Placement; lost: number }[] = [];
-  for (const placement of machine.placements.values()) {
-    // What is being stopped already comes free by itself, and not for this job.
-    if (placement.stop !== null) return null;
-    if (placement.job.spec.shape !== 'array' || placement.job.spec.rank >= spec.rank) continue;
-    const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000;
-    lower.push({ p: placement, lost: ranS * Math.max(placement.job.spec.gpus, 0.1) });
-  }
-  lower.sort((a, b) => a.lost - b.lost);
-  let cpus = machine.type.cpus - machine.usedCpus;
-  let gpus = machine.type.gpus - machine.usedGpus;
-  let mem = machine.type.memGb - machine.usedMemGb;
-  let cost = machine.fetchSeconds(spec.image, spec.imageGb, now) * Math.max(spec.gpus, 0.1);
+  const { ctx } = cluster;
+  const now = ctx.now.steady;
+  if (!machine.isSchedulable(now, ctx.settings.workers.reportMs) || !allows(job, machine)) return null;
+  if (machine.isReservedForOther(job.id, now)) return null;
+  // What is being stopped already comes free by itself, and not for this job.
+  for (const { stop } of machine.placements.values()) if (stop !== null) return null;
+  const { type } = machine;
+  let cpus = type.cpus - machine.usedCpus;
+  let gpus = type.gpus - machine.usedGpus;
+  let memGb = type.memGb - machine.usedMemGb;
+  const hasRoom = (): boolean =>
+    cpus + TOLERANCE >= spec.cpus && gpus + TOLERANCE >= spec.gpus && memGb + TOLERANCE >= spec.memGb;
+  const fetchS = machine.images.fetchSeconds(spec.image, spec.imageGb, now);
+  let cost = fetchS * Math.max(spec.gpus, CPU_WORK_WEIGHT);
   const victims: Placement[] = [];
-  const room = (): boolean => cpus + 1e-6 >= spec.cpus && gpus + 1e-6 >= spec.gpus && mem + 1e-6 >= spec.memGb;
-  for (const { p, lost } of lower) {
-    if (room()) break;
-    victims.push(p);
+  for (const { placement, lost } of lowerWork(machine, job, now)) {
+    if (hasRoom()) break;
+    const victim = placement.job.spec;
+    victims.push(placement);
     cost += lost;
-    cpus += p.job.spec.cpus;
-    gpus += p.job.spec.gpus;
-    mem += p.job.spec.memGb;
+    cpus += victim.cpus;
+    gpus += victim.gpus;
+    memGb += victim.memGb;
+  }
+  return hasRoom() ? { machine, victims, cost } : null;
+}
+
+/** Array tasks of lower priority on a machine, those first of which least is lost. */
+function lowerWork(machine: Machine, job: Job, now: Steady): { placement: Placement; lost: number }[] {
+  const lower: { placement: Placement; lost: number }[] = [];
+  for (const placement of machine.placements.values()) {
+    const { spec } = placement.job;
+    if (spec.shape !== 'array' || spec.rank >= job.spec.rank) continue;
+    const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000;
+    lower.push({ placement, lost: ranS * Math.max(spec.gpus, CPU_WORK_WEIGHT) });
   }
-  return room() ? { machine: machine, victims, cost } : null;
+  return lower.sort((a, b) => a.lost - b.lost);
 }
--- /dev/null
+++ b/src/core/scheduler/ranking.ts
@@ -0,0 +1,130 @@
+import type { Job } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
+import type { TeamName } from '../types.js';
+import { couldHost } from './hosting.js';
+import { rankValue, urgency } from './priority.js';
+
+/** A waiting job with the tasks of it that the round plans. */
+export interface RankedJob {
+  readonly job: Job;
+  readonly tasks: number;
+  readonly waitedS: number;
+  /** Groups go one after the other, higher ones first; within a group the smallest value does. */
+  readonly group: RankGroup;
+  readonly value: number;
+}
+
+/** Overdue jobs by how long they have waited, then teams within their guarantee, then the rest. */
+const GROUPS = { overdue: 2, guaranteed: 1, others: 0 } as const;
+type RankGroup = (typeof GROUPS)[keyof typeof GROUPS];
+
+const MAX_TASKS_PLANNED = 400;
+/** Of an array that has waited too long so many tasks are enough, so that others go on too. */
+const OVERDUE_TASKS = 20;
+/** Of an array that takes whatever room there is, so many tasks are enough to go on. */
+const FEW_TASKS = 4;
+/** Placement penalties count in full for so long, and not at all after twice that. */
+const FULL_PENALTY_S = 35;
+const MIN_FETCH_GB_PER_S = 0.01;
+
+/** Seconds since the job was submitted. */
+export const waitedS = ({ ctx }: Cluster, job: Job): number => Math.max(0, (ctx.now.wall - job.submittedAt) / 1000);
+
+/** Whether a job has waited too long and has not begun. */
+export function isOverdue(cluster: Cluster, job: Job): boolean {
+  return job.startTerm === 0 && waitedS(cluster, job) > cluster.ctx.tuning.scheduler.overdue_after_s;
+}
+
+/**
+ * How much placement penalties count for a job, 1 to 0: nothing may keep a job of which nothing runs waiting beside room
+ * for ever.
+ */
+export function penaltyFactor({ ctx }: Cluster, job: Job): number {
+  if (job.placements.size > 0) return 1;
+  const { steady, wall } = ctx.now;
+  const inactiveS = (job.startTerm === 0 ? wall - job.submittedAt : steady - job.inactiveSince) / 1000;
+  return Math.min(1, Math.max(0, 1 - (inactiveS - FULL_PENALTY_S) / FULL_PENALTY_S));
+}
+
+/** Whether teams' unfinished work fits their guarantees: then it need not wait for others. */
+function teamsWithinGuarantee(cluster: Cluster): Set<TeamName> {
+  const demands = new Map<TeamName, { cpus: number; gpus: number }>();
+  for (const { spec, state, done } of cluster.activeJobs) {
+    if (state !== 'accepted') continue;
+    const demand = demands.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    const unfinished = spec.tasks - done.count;
+    demand.cpus += unfinished * spec.cpus;
+    demand.gpus += unfinished * spec.gpus;
+    demands.set(spec.team, demand);
+  }
+  const found = new Set<TeamName>();
+  for (const { name, cpus, gpus } of cluster.quotas.teamsInOrder()) {
+    const demand = demands.get(name);
+    if (!demand || (cpus <= 0 && gpus <= 0)) continue;
+    const fits = (cpus <= 0 || demand.cpus <= cpus) && (gpus <= 0 || demand.gpus <= gpus);
+    if (fits) found.add(name);
+  }
+  return found;
+}
+
+/** A fetch at the pace of the slowest type that could host the job: how long it takes if nothing is cached. */
+function slowestFetchS(cluster: Cluster, job: Job): number {
+  let slowest = Number.POSITIVE_INFINITY;
+  for (const type of cluster.types.values()) {
+    if (type.zones.some((zone) => couldHost(job, type, zone))) slowest = Math.min(slowest, type.fetchGbPerS);
+  }
+  return Number.isFinite(slowest) ? job.spec.imageGb / Math.max(MIN_FETCH_GB_PER_S, slowest) : 0;
+}
+
+/** The design's ranking, sooner where an aim or deadline comes near; smallest goes first. */
+function rankingValue(cluster: Cluster, job: Job, tasks: number): number {
+  const { settings, tuning } = cluster.ctx;
+  const { priority_base, urgency: most, urgency_horizon_s: horizonS } = tuning.scheduler;
+  const waited = waitedS(cluster, job);
+  const runS = cluster.estimates.expectS(job.spec);
+  const fetchS = slowestFetchS(cluster, job);
+  const rank = rankValue(job.spec, tasks, runS, waited, priority_base);
+  return rank / urgency(job.spec, settings.objectives, waited, fetchS, runS, { most, horizonS });
+}
+
+/** How many tasks of a job the round plans, of those that wait and its team's limit allows. */
+function plannedTasks(cluster: Cluster, job: Job, waiting: number, overdue: boolean): number {
+  if (job.isGang) return waiting;
+  let tasks = overdue ? Math.min(waiting, OVERDUE_TASKS) : waiting;
+  if (job.spec.gpus === 0 && penaltyFactor(cluster, job) === 0) tasks = Math.min(tasks, FEW_TASKS);
+  return tasks;
+}
+
+/**
+ * The jobs that wait and may be started now, in the order in which they are planned. Smallest first alone would let the
+ * largest wait for as long as smaller work keeps coming: a job that has waited too long goes before all others until it
+ * has begun. Jobs of a team at its limit sit the round out.
+ */
+export function rankWaitingJobs(cluster: Cluster, unreconciled: number): RankedJob[] {
+  const now = cluster.ctx.now.steady;
+  const guaranteed = teamsWithinGuarantee(cluster);
+  /** Teams whose limit is kept free for an overdue gang: small work would fill it as fast as it comes free. */
+  const heldTeams = new Set<TeamName>();
+  const ranked: RankedJob[] = [];
+  for (const job of cluster.activeJobs) {
+    // Services have been placed before, by best fit outside the search (services.ts).
+    if (job.isService) continue;
+    const pending = Math.min(job.pendingCount, MAX_TASKS_PLANNED);
+    if (pending <= 0 || job.notBefore > now || cluster.isBlocked(job, unreconciled)) continue;
+    const room = cluster.quotas.room(job.spec);
+    const overdue = isOverdue(cluster, job);
+    const waiting = job.isGang ? pending : Math.min(pending, room);
+    if (waiting <= 0 || waiting > room) {
+      if (overdue && job.isGang) heldTeams.add(job.spec.team);
+      continue;
+    }
+    const tasks = plannedTasks(cluster, job, waiting, overdue);
+    const waited = waitedS(cluster, job);
+    const group = overdue ? GROUPS.overdue : guaranteed.has(job.spec.team) ? GROUPS.guaranteed : GROUPS.others;
+    const value = overdue ? -waited : rankingValue(cluster, job, tasks);
+    ranked.push({ job, tasks, waitedS: waited, group, value });
+  }
+  return ranked
+    .filter(({ job, group }) => group === GROUPS.overdue || !heldTeams.has(job.spec.team))
+    .sort((a, b) => b.group - a.group || a.value - b.value || (a.job.id < b.job.id ? -1 : 1));
+}
--- /dev/null
+++ b/src/core/workers/command_sender.ts
@@ -0,0 +1,99 @@
+import type { Context } from '../context.js';
+import type { Placement } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
+import type { LeaderState } from '../leadership/leader.js';
+import { type Machine, type StartKey, startKeyOf } from '../machines/machine.js';
+import type { Command, Session, Token } from '../types.js';
+import { stopCommands } from './commands.js';
+import { MAX_OPEN_COMMANDS, type Reconciliation } from './reconciliation.js';
+import { mayStart } from './start_checks.js';
+
+const REPEAT_MS = 1000;
+/** After a command without an answer the machine is left alone for so long. */
+const UNANSWERED_PAUSE_MS = 5000;
+
+/**
+ * Sends stops to the workers at once, and starts of replicas; all other starts only ever go out in answers to reports. A
+ * direct command can arrive late: a start sent this way counts as possibly there until the command is answered, the session
+ * ends or the machine is gone.
+ */
+export class CommandSender {
+  private readonly ctx: Context;
+  private stopped = false;
+
+  constructor(
+    private readonly cluster: Cluster,
+    private readonly token: Token,
+    private readonly reconciliation: Reconciliation,
+    private readonly leader: LeaderState,
+  ) {
+    this.ctx = cluster.ctx;
+  }
+
+  stop(): void {
+    this.stopped = true;
+  }
+
+  /** Sends what is due, and looks again as long as something is left. */
+  send(): void {
+    if (!this.leader.isLeaseValid()) return;
+    const { machinesWithStops, machinesWithStarts } = this.cluster;
+    let anyLeft = false;
+    for (const machine of new Set([...machinesWithStops, ...machinesWithStarts])) {
+      const stops = machinesWithStops.has(machine) ? this.dueStops(machine) : [];
+      if (stops.length === 0) machinesWithStops.delete(machine);
+      const planned = machinesWithStarts.has(machine) ? this.plannedReplicas(machine) : [];
+      if (planned.length === 0) machinesWithStarts.delete(machine);
+      if (stops.length === 0 && planned.length === 0) continue;
+      anyLeft = true;
+      if (!this.mayCommand(machine)) continue;
+      if (this.ctx.openWorkerCalls >= MAX_OPEN_COMMANDS) break;
+      this.command(machine, machine.session, stops, planned);
+    }
+    if (anyLeft) this.ctx.timers.set('workerCommands', this.ctx.after(REPEAT_MS));
+  }
+
+  private mayCommand(machine: Machine): machine is Machine & { session: Session } {
+    if (!machine.reconciled || !machine.addr || machine.session === null || machine.deletionInFlight) return false;
+    return !machine.commandInFlight && machine.nextCommandAt <= this.ctx.now.steady;
+  }
+
+  /** Stops that the machine has yet to carry out. */
+  private dueStops(machine: Machine): Command[] {
+    if (!this.cluster.isKnown(machine)) return [];
+    return stopCommands(machine, ({ phase, stop }) => phase !== 'saving' || stop?.graceS === 0);
+  }
+
+  /** Replicas that have a place there and are yet to be started. */
+  private plannedReplicas(machine: Machine): Placement[] {
+    if (!this.cluster.isKnown(machine)) return [];
+    return [...machine.placements.values()].filter(({ job, phase }) => job.isService && phase === 'planned');
+  }
+
+  private command(machine: Machine, session: Session, stops: readonly Command[], planned: readonly Placement[]): void {
+    const mayStartAny = this.leader.mayStartTasks() && this.leader.hasRecentJobView();
+    const starting = mayStartAny ? planned.filter(({ job }) => mayStart(job, machine)) : [];
+    const commands = [...stops, ...starting.map((placement) => this.start(placement))];
+    if (commands.length > 0) this.call(machine, session, commands, starting.map(startKeyOf));
+  }
+
+  private start(placement: Placement): Command {
+    placement.phase = 'sent';
+    placement.sentInReplyTo = null;
+    placement.machine.unconfirmedStarts.add(startKeyOf(placement));
+    return { op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt };
+  }
+
+  private call(machine: Machine, session: Session, commands: readonly Command[], starts: readonly StartKey[]): void {
+    machine.commandInFlight = true;
+    this.ctx.worker({ addr: machine.addr, token: this.token, session, commands }, (result) => {
+      machine.commandInFlight = false;
+      if (result.ok) for (const start of starts) machine.unconfirmedStarts.delete(start);
+      else machine.nextCommandAt = this.ctx.after(UNANSWERED_PAUSE_MS);
+      if (this.stopped || !result.ok || result.value.report.machine !== machine.id) return;
+      if (!this.cluster.isKnown(machine)) return;
+      this.reconciliation.take(machine, result.value.report, 'commandAnswer');
+      if (result.value.executed) this.reconciliation.onReachable(machine);
+    });
+  }
+}
--- /dev/null
+++ b/src/core/workers/commands.ts
@@ -0,0 +1,41 @@
+import type { Placement } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
+import { type Machine, startKey } from '../machines/machine.js';
+import type { Command } from '../types.js';
+
+/** An answer has 64 KiB at most. */
+const MAX_COMMANDS = 400;
+
+/** What to tell a worker in the answer to its report: results to drop first, then stops, then starts. */
+export function compileCommands(cluster: Cluster, machine: Machine): Command[] {
+  const commands = [...forgetCommands(cluster, machine), ...stopCommands(machine)];
+  for (const { job, index, attempt, phase, stop } of machine.placements.values()) {
+    if (commands.length >= MAX_COMMANDS) break;
+    const toStart = stop === null && (phase === 'planned' || phase === 'sent');
+    if (toStart) commands.push({ op: 'start', job: job.id, index, attempt });
+  }
+  return commands;
+}
+
+/** Ended tasks whose results are on record, or that have none. */
+function forgetCommands(cluster: Cluster, machine: Machine): Command[] {
+  const commands: Command[] = [];
+  for (const { job: id, index, attempt, done } of machine.exitedTasks) {
+    // Once forgotten, a start of the same attempt that is still on its way would run it again.
+    if (machine.unconfirmedStarts.has(startKey(id, index, attempt))) continue;
+    const job = cluster.jobs.get(id);
+    if (!done || !job || job.isResultDurable(index)) commands.push({ op: 'forget', job: id, index, attempt });
+  }
+  return commands;
+}
+
+/** Stops of all tasks that were told to stop, and for which `isDue` holds. */
+export function stopCommands(machine: Machine, isDue: (placement: Placement) => boolean = () => true): Command[] {
+  const commands: Command[] = [];
+  for (const placement of machine.placements.values()) {
+    const { job, index, attempt, phase, stop } = placement;
+    if (stop === null || phase === 'planned' || !isDue(placement)) continue;
+    commands.push({ op: 'stop', job: job.id, index, attempt, graceS: stop.graceS });
+  }
+  return commands;
+}
--- /dev/null
+++ b/src/core/workers/reconciliation.ts
@@ -0,0 +1,123 @@
+import type { Context } from '../context.js';
+import type { Cluster } from '../leadership/cluster.js';
+import type { LeaderState } from '../leadership/leader.js';
+import { type Machine, UNRESPONSIVE_AFTER_IGNORED } from '../machines/machine.js';
+import type { Session, Token, WorkerReport } from '../types.js';
+import { applyReport, type ReportSource } from './report_processing.js';
+
+const MAX_CONCURRENT = 24;
+/** When many machines fall silent together, calls to them must not take all sockets, nor keep the others from theirs. */
+export const MAX_OPEN_COMMANDS = 64;
+const PROBE_PERIOD_MS = 3000;
+/** Reports come a quarter early or late: after so many periods without one it is missed. */
+const REPORT_MISSED_AFTER = 1.4;
+/** The first answer may name another session; the second call then carries it. */
+const MAX_TRIES = 3;
+/** The session of a worker whose session isn't known. */
+const FIRST_SESSION = 1n as Session;
+
+/**
+ * Brings what is known of machines in line with what is on them. An empty direct command raises a worker's token, so that
+ * nothing an earlier leader sent can still be carried out, and its answer is a list of tasks and a proof that the machine
+ * is reached.
+ */
+export class Reconciliation {
+  private readonly ctx: Context;
+  private inFlight = 0;
+  private waiting: Machine[] = [];
+  private stopped = false;
+
+  constructor(
+    private readonly cluster: Cluster,
+    private readonly token: Token,
+    private readonly leader: LeaderState,
+  ) {
+    this.ctx = cluster.ctx;
+  }
+
+  stop(): void {
+    this.stopped = true;
+    this.waiting = [];
+  }
+
+  /** Asks every registered machine for its list. A few at a time: their own reports raise most tokens meanwhile. */
+  reconcileAll(): void {
+    for (const machine of this.cluster.machines.values()) {
+      if (!machine.reconciled && machine.addr) this.waiting.push(machine);
+    }
+    this.reconcileNext();
+  }
+
+  private reconcileNext(): void {
+    while (this.inFlight < MAX_CONCURRENT) {
+      const machine = this.waiting.shift();
+      if (!machine) return;
+      if (machine.reconciled || !this.cluster.isKnown(machine)) continue;
+      this.inFlight += 1;
+      this.ask(machine, FIRST_SESSION, MAX_TRIES, () => {
+        this.inFlight -= 1;
+        if (!this.stopped) this.reconcileNext();
+      });
+    }
+  }
+
+  private ask(machine: Machine, session: Session, tries: number, done: () => void): void {
+    machine.commandInFlight = true;
+    this.ctx.worker({ addr: machine.addr, token: this.token, session, commands: [] }, (result) => {
+      machine.commandInFlight = false;
+      if (this.stopped || !this.cluster.isKnown(machine)) return done();
+      if (!result.ok || result.value.report.machine !== machine.id) return done();
+      const { executed, report } = result.value;
+      this.take(machine, report, 'commandAnswer');
+      if (!executed && tries > 1) return this.ask(machine, report.session, tries - 1, done);
+      if (executed) this.onReachable(machine);
+      done();
+    });
+  }
+
+  /** Asks machines for an answer that are unresponsive, not confirmed, or overdue while they hold a replica. */
+  probe(): void {
+    const now = this.ctx.now.steady;
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.phase !== 'up' || machine.nextProbeAt > now || !this.needsProbe(machine)) continue;
+      if (machine.commandInFlight || !machine.addr || machine.deletionInFlight) continue;
+      if (this.ctx.openWorkerCalls >= MAX_OPEN_COMMANDS) return;
+      machine.nextProbeAt = this.ctx.after(PROBE_PERIOD_MS);
+      this.ask(machine, machine.session ?? FIRST_SESSION, MAX_TRIES, () => {});
+    }
+  }
+
+  private needsProbe(machine: Machine): boolean {
+    if (machine.unresponsiveSince !== null || !machine.confirmed) return true;
+    // Whether the machine of a replica is gone decides when the replica runs elsewhere.
+    const overdueMs = REPORT_MISSED_AFTER * this.ctx.settings.workers.reportMs;
+    return this.ctx.now.steady - machine.lastSeenAt >= overdueMs && machine.hasReplica();
+  }
+
+  /** Takes in a list of tasks, from a report or from the answer to a direct command. Returns whether room came free. */
+  take(machine: Machine, report: WorkerReport, source: ReportSource): boolean {
+    if (report.token === this.token && machine.tokenSeen < this.token) this.onReachable(machine);
+    const freed = applyReport(this.cluster, machine, report, this.token, source);
+    if (source === 'commandAnswer') machine.lastSeenAt = this.ctx.now.steady;
+    if (freed) this.leader.scheduleRoundSoon();
+    const ignores = machine.ignoredAnswers >= UNRESPONSIVE_AFTER_IGNORED;
+    if (ignores && machine.unresponsiveSince === null) this.markUnresponsive(machine);
+    return freed;
+  }
+
+  /** Something sent has reached the machine. */
+  onReachable(machine: Machine): void {
+    if (!machine.confirmReachable()) return;
+    this.ctx.log('info', 'machine answers commands again', { machine: machine.id });
+    this.leader.scheduleRoundSoon();
+  }
+
+  /** What is sent doesn't reach it, whatever is heard of it: no new work, until an answer to a command proves otherwise. */
+  private markUnresponsive(machine: Machine): void {
+    machine.unresponsiveSince = this.ctx.now.steady;
+    machine.nextProbeAt = this.ctx.after(PROBE_PERIOD_MS);
+    this.ctx.log('info', 'machine reports but does not react to answers: unresponsive', { machine: machine.id });
+    this.cluster.releasePlanned(machine);
+    this.leader.scheduleRoundSoon();
+  }
+}
--- a/src/core/workers/report_handler.ts
+++ b/src/core/workers/report_handler.ts
@@ -1,27 +1,22 @@
 import type { Context } from '../context.js';
-import type { Job, Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
-import type { Leadership } from '../leadership/election.js';
-import { Machine, startKey, UNRESPONSIVE_AFTER_IGNORED } from '../machines/machine.js';
+import type { LeaderState } from '../leadership/leader.js';
+import { Machine, UNRESPONSIVE_AFTER_IGNORED } from '../machines/machine.js';
 import type { WorkerAnswer } from '../messages.js';
-import { type Command, type Seq, type Session, type Steady, steadyPlus, type WorkerReport } from '../types.js';
-import { applyReport, compileCommands, isNewer } from './report_processing.js';
+import type { Command, Seq, Steady, Token, WorkerReport } from '../types.js';
+import { compileCommands } from './commands.js';
+import type { Reconciliation } from './reconciliation.js';
+import { isNewer } from './report_processing.js';
+import { mayStart } from './start_checks.js';
 
+/** A report is held for so long at most for records and rounds that its answer waits for. */
 const HOLD_MS = 600;
-/** Workers drop an answer that comes after 4 s: an idle one is kept waiting for well less. */
+/** Workers drop an answer that comes after 4 s: the report of an empty machine is held for well less. */
 const IDLE_HOLD_SHARE = 0.8;
-const IDLE_HOLD_MOST_MS = 2500;
-/** A start is based on what was known of jobs at most so long ago: a cancellation may be on record since. */
-const WATCH_FRESH_MS = 4000;
+const MAX_IDLE_HOLD_MS = 2500;
+const ROUND_SOON_MS = 20;
 /** A worker shows a new token with its next report or the one after; what goes on without it isn't listening. */
-const OLD_TOKEN_ANSWERS = 4;
-const PROBE_MS = 3000;
-/** Reports come a quarter early or late: after so many periods without one it is missed. */
-const MISSED_REPORTS = 1.4;
-const FENCES_AT_ONCE = 24;
-/** When many machines fall silent together, calls to them must not take all sockets, nor keep the others from theirs. */
-const DIRECTS_AT_ONCE = 64;
-const SILENT_PAUSE_MS = 5000;
+const MAX_STALE_TOKEN_REPORTS = 4;
 
 export type ReportReply = (answer: WorkerAnswer) => void;
 
@@ -34,228 +29,138 @@
   readonly idle: boolean;
 }
 
-export interface ReportHandlerDependencies {
-  isLeaseValid(): boolean;
-  /** Whether what is known of jobs is fresh enough to renew workers' leases on. */
-  hasRecentJobView(): boolean;
-  isLoaded(): boolean;
-  /** Whether records are being written that a start may wait for. */
-  writesInFlight(): boolean;
-  /** When what the store holds of jobs was last known to be current. */
-  jobsCurrentAsOf(): Steady;
-  registerMachine(m: Machine): void;
-  scheduleRoundSoon(): void;
-}
+const UNAVAILABLE: WorkerAnswer = { status: 503 };
 
-/** Reports taken in and answered, whichever node they reached; commands sent directly; fencing. */
+/** Takes in workers' reports, whichever node they reached, and answers them: at once, or when what they wait for is there. */
 export class ReportHandler {
   private readonly ctx: Context;
   private held: HeldReport[] = [];
-  private stopped = false;
-  private fencing = 0;
-  private toFence: Machine[] = [];
-  private duplicateCount = 0;
+  private duplicates = 0;
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly leadership: Leadership,
-    private readonly dependencies: ReportHandlerDependencies,
+    private readonly token: Token,
+    private readonly reconciliation: Reconciliation,
+    private readonly leader: LeaderState,
   ) {
     this.ctx = cluster.ctx;
   }
 
   stop(): void {
-    this.stopped = true;
-    for (const h of this.held) h.reply({ status: 503 });
+    for (const { reply } of this.held) reply(UNAVAILABLE);
     this.held = [];
-    this.toFence = [];
-  }
-
-  private at(ms: number): Steady {
-    return steadyPlus(this.ctx.now.steady, ms);
-  }
-
-  // ---- fencing
-
-  /** Raises every registered worker's token, so that nothing an earlier leader sent can still be carried out. */
-  fence(): void {
-    for (const m of this.cluster.machines.values()) if (!m.reconciled && m.addr) this.toFence.push(m);
-    this.fenceNext();
-  }
-
-  /** A few at a time: their own reports raise most tokens meanwhile, and cost nothing more. */
-  private fenceNext(): void {
-    while (this.fencing < FENCES_AT_ONCE) {
-      const machine = this.toFence.shift();
-      if (!machine) return;
-      if (machine.reconciled || this.cluster.machines.get(machine.id) !== machine) continue;
-      this.fencing += 1;
-      this.reconcile(machine, 1n as Session, 0, () => {
-        this.fencing -= 1;
-        if (!this.stopped) this.fenceNext();
-      });
-    }
-  }
-
-  /** An empty direct command: it raises the token, and its answer is a list and a proof that the machine is reached. */
-  private reconcile(machine: Machine, session: Session, tries: number, done: () => void): void {
-    const { token } = this.leadership;
-    machine.commandInFlight = true;
-    this.ctx.worker({ addr: machine.addr, token, session, commands: [] }, (result) => {
-      machine.commandInFlight = false;
-      if (this.stopped || this.cluster.machines.get(machine.id) !== machine) return done();
-      if (!result.ok || result.value.report.machine !== machine.id) return done();
-      this.takeReport(machine, result.value.report, false);
-      // The session was another: its number is in the answer.
-      if (!result.value.executed && tries < 2)
-        return this.reconcile(machine, result.value.report.session, tries + 1, done);
-      if (result.value.executed) this.onReachable(machine);
-      done();
-    });
-  }
-
-  private onReachable(machine: Machine): void {
-    if (!machine.confirmReachable()) return;
-    this.ctx.log('info', 'machine heeds commands again', { machine: machine.id });
-    this.dependencies.scheduleRoundSoon();
   }
 
-  /** What we say doesn't reach it, whatever we hear of it: no new work, until an answer to a direct call proves otherwise. */
-  private markUnresponsive(machine: Machine): void {
-    machine.unresponsiveSince = this.ctx.now.steady;
-    machine.nextProbeAt = this.at(PROBE_MS);
-    this.ctx.log('info', 'machine reports but does not heed answers: set aside', { machine: machine.id });
-    for (const p of [...machine.placements.values()]) if (p.phase === 'planned') this.cluster.release(p);
-    this.dependencies.scheduleRoundSoon();
+  /** Whether answers may renew workers' leases. */
+  private mayAnswer(): boolean {
+    return this.leader.isLeaseValid() && this.leader.hasRecentJobView();
   }
 
-  /** Asks machines that were set aside, and such as have yet to show that they are there, for an answer. */
-  probe(): void {
-    const now = this.ctx.now.steady;
-    for (const machine of this.cluster.machines.values()) {
-      const asks = machine.unresponsiveSince !== null || !machine.confirmed || this.hasMissedReport(machine);
-      if (!asks || machine.phase !== 'up' || machine.nextProbeAt > now) continue;
-      if (machine.commandInFlight || !machine.addr || machine.deletionInFlight) continue;
-      if (this.ctx.workerCallsOpen >= DIRECTS_AT_ONCE) return;
-      machine.nextProbeAt = this.at(PROBE_MS);
-      this.reconcile(machine, machine.session ?? (1n as Session), 0, () => {});
-    }
-  }
-
-  /** A replica's machine that is overdue is asked at once: whether it is gone decides when the replica runs elsewhere. */
-  private hasMissedReport(machine: Machine): boolean {
-    if (this.ctx.now.steady - machine.lastSeenAt < MISSED_REPORTS * this.ctx.settings.workers.reportMs) return false;
-    for (const { job } of machine.placements.values()) if (job.spec.shape === 'service') return true;
-    return false;
-  }
-
-  // ---- reports
-
-  take(report: WorkerReport, reply: ReportReply): void {
-    if (!this.dependencies.isLeaseValid() || !this.dependencies.hasRecentJobView()) return reply({ status: 503 });
-    if (report.token > this.leadership.token) return reply({ status: 503 });
-    const answer = (): void => reply({ status: 200, token: this.leadership.token, commands: [] });
-    if (!this.dependencies.isLoaded()) return answer();
-    if (this.cluster.removedMachines.has(report.machine)) return reply({ status: 503 });
-    const machine = this.cluster.machines.get(report.machine) ?? this.addUnlistedMachine(report);
-    if (!machine) return answer();
-    if (this.isDuplicate(machine, report)) return this.dropDuplicate(machine, report, reply);
-    const old = report.token < this.leadership.token;
-    if (old && !machine.confirmed && ++machine.staleTokenReports > OLD_TOKEN_ANSWERS) return reply({ status: 503 });
-    this.noteIgnoredAnswer(machine, report, old);
-    this.recordSignOfLife(machine, report);
-    const first = machine.firstReportAt === null;
-    if (first) {
-      machine.firstReportAt = this.ctx.now.steady;
-      machine.idleSince = this.ctx.now.steady;
-    }
-    if (!machine.registered) this.dependencies.registerMachine(machine);
+  onReport(report: WorkerReport, reply: ReportReply): void {
+    if (!this.mayAnswer() || report.token > this.token) return reply(UNAVAILABLE);
+    const emptyAnswer: WorkerAnswer = { status: 200, token: this.token, commands: [] };
+    if (!this.leader.isLoaded()) return reply(emptyAnswer);
+    if (this.cluster.removedMachines.has(report.machine)) return reply(UNAVAILABLE);
+    const machine = this.cluster.machines.get(report.machine) ?? this.addUnlisted(report);
+    if (!machine) return reply(emptyAnswer);
+    if (isDuplicate(machine, report)) return this.dropDuplicate(machine, report, reply);
+    if (this.isNotListening(machine, report)) return reply(UNAVAILABLE);
+    this.noteIgnoredAnswer(machine, report);
+    const isFirst = this.recordSignOfLife(machine, report);
+    if (!machine.registered) this.leader.registerMachine(machine);
     const newer = isNewer(machine, report);
-    const freed = this.takeReport(machine, report, true);
+    const freed = this.reconciliation.take(machine, report, 'report');
     machine.lastReportSeq = report.seq;
-    if (!newer || machine.seq !== report.seq || machine.session !== report.session) return answer();
-    const beat: HeldReport = { reply, machine: machine, seq: report.seq, until: this.at(HOLD_MS), idle: false };
-    if (freed || first) {
-      // Room came free: plan at once, so that the answer already carries what starts in it.
-      this.dependencies.scheduleRoundSoon();
-      this.hold(beat);
-    } else if (this.waitsForStore(machine)) this.hold(beat);
-    else if (this.mayHoldIdle(machine, report)) this.hold({ ...beat, until: this.at(this.idleHoldMs()), idle: true });
-    else this.answer(beat);
-  }
-
-  /** One report is in flight at a time, and numbers rise: whatever isn't newer than the last is a copy or came too late. */
-  private isDuplicate(machine: Machine, report: WorkerReport): boolean {
-    if (machine.session === null) return false;
-    return (
-      report.session < machine.session ||
-      (report.session === machine.session && machine.lastReportSeq !== null && report.seq <= machine.lastReportSeq)
-    );
+    const taken = newer && machine.seq === report.seq && machine.session === report.session;
+    if (!taken) return reply(emptyAnswer);
+    this.answerOrHold(machine, report, reply, freed || isFirst);
+  }
+
+  private answerOrHold(machine: Machine, report: WorkerReport, reply: ReportReply, roomCameFree: boolean): void {
+    const held = { reply, machine, seq: report.seq, until: this.ctx.after(HOLD_MS), idle: false };
+    if (roomCameFree) {
+      // Planned at once, so that the answer already carries what starts in the room.
+      this.leader.scheduleRoundSoon();
+      this.hold(held);
+    } else if (this.waitsForRecords(machine)) {
+      this.hold(held);
+    } else if (this.mayHoldIdle(machine, report)) {
+      this.hold({ ...held, until: this.ctx.after(this.idleHoldMs()), idle: true });
+    } else {
+      this.answer(held);
+    }
   }
 
-  /** Nobody waits for its answer; it is no sign of life and moves no lease. */
+  /** Nobody waits for the answer to a duplicate; it is no sign of life and moves no lease. */
   private dropDuplicate(machine: Machine, report: WorkerReport, reply: ReportReply): void {
-    this.duplicateCount += 1;
-    this.ctx.log('debug', 'late copy of a report', {
+    this.duplicates += 1;
+    this.ctx.log('debug', 'duplicate of a report', {
       machine: machine.id,
       seq: report.seq,
-      copies: this.duplicateCount,
+      duplicates: this.duplicates,
     });
-    reply({ status: 503 });
+    reply(UNAVAILABLE);
+  }
+
+  private isStale(report: WorkerReport): boolean {
+    return report.token < this.token;
   }
 
-  /** Signs that our last answers have not arrived: an old token after one, or a lease that ran out all the same. */
-  private noteIgnoredAnswer(machine: Machine, report: WorkerReport, old: boolean): void {
+  /** A machine that may be long gone, and goes on to show an old token, is not answered any more. */
+  private isNotListening(machine: Machine, report: WorkerReport): boolean {
+    if (!this.isStale(report) || machine.confirmed) return false;
+    machine.staleTokenReports += 1;
+    return machine.staleTokenReports > MAX_STALE_TOKEN_REPORTS;
+  }
+
+  /** Signs that the last answers have not arrived: an old token after one, or a lease that ran out all the same. */
+  private noteIgnoredAnswer(machine: Machine, report: WorkerReport): void {
     if (machine.firstReportAt === null) return;
     const answeredLately = this.ctx.now.steady - machine.leaseRenewedAt < this.ctx.settings.workers.leaseMs / 2;
-    if (machine.session !== null && report.session > machine.session && answeredLately)
-      machine.ignoredAnswers = UNRESPONSIVE_AFTER_IGNORED;
-    else if (old) machine.ignoredAnswers += 1;
+    const isNewSession = machine.session !== null && report.session > machine.session;
+    if (isNewSession && answeredLately) machine.ignoredAnswers = UNRESPONSIVE_AFTER_IGNORED;
+    else if (this.isStale(report)) machine.ignoredAnswers += 1;
   }
 
-  private recordSignOfLife(machine: Machine, report: WorkerReport): void {
+  /** Returns whether it is the machine's first report to this leader. */
+  private recordSignOfLife(machine: Machine, report: WorkerReport): boolean {
     const { steady } = this.ctx.now;
     machine.lastSeenAt = steady;
     machine.leaseRenewedAt = steady;
     machine.lastReportAt = steady;
     if (report.addr) machine.addr = report.addr;
-    if (machine.phase !== 'booting') return;
+    if (machine.phase === 'booting') this.onUp(machine);
+    if (machine.firstReportAt !== null) return false;
+    machine.firstReportAt = steady;
+    machine.idleSince = steady;
+    return true;
+  }
+
+  private onUp(machine: Machine): void {
     machine.phase = 'up';
     this.ctx.log('info', 'machine is up', {
       machine: machine.id,
       type: machine.typeName,
       zone: machine.zone,
       spot: machine.spot,
-      afterS: Math.round((steady - machine.rentedAt) / 1000),
+      afterS: Math.round((this.ctx.now.steady - machine.rentedAt) / 1000),
     });
   }
 
   /**
    * Not in the registry, so nobody has ever sent it a command: its list can hold nothing of ours. But the report may be a
-   * late copy from a machine that is long gone: it gets no work before it has shown that it hears us.
+   * late copy from a machine that is long gone: it gets no work before it has shown that it hears this node.
    */
-  private addUnlistedMachine(report: WorkerReport): Machine | null {
-    const type = this.cluster.types.get(report.type);
+  private addUnlisted({ machine: id, type: typeName, zone, spot, addr }: WorkerReport): Machine | null {
+    const type = this.cluster.types.get(typeName);
     if (!type) return null;
     const now = this.ctx.now.steady;
-    const machine = new Machine(report.machine, type, report.zone, report.spot, report.addr, true, 'up', now);
-    this.cluster.machines.set(machine.id, machine);
-    this.ctx.log('info', 'machine reported that nobody had listed', { machine: machine.id });
+    const machine = new Machine({ id, type, zone, spot, addr, reconciled: true, phase: 'up', now });
+    this.cluster.machines.set(id, machine);
+    this.ctx.log('info', 'report of a machine that was not listed', { machine: id });
     return machine;
   }
 
-  private takeReport(machine: Machine, report: WorkerReport, beat: boolean): boolean {
-    const { token } = this.leadership;
-    const before = machine.tokenSeen;
-    if (report.token === token && before < token) this.onReachable(machine);
-    const freed = applyReport(this.cluster, machine, report, token, beat);
-    if (!beat) machine.lastSeenAt = this.ctx.now.steady;
-    if (freed) this.dependencies.scheduleRoundSoon();
-    if (machine.ignoredAnswers >= UNRESPONSIVE_AFTER_IGNORED && machine.unresponsiveSince === null)
-      this.markUnresponsive(machine);
-    return freed;
-  }
-
   // ---- answers
 
   /**
@@ -263,164 +168,78 @@
    * its next report. Nothing can change on an empty machine that the delay would hide, except a notice.
    */
   private mayHoldIdle(machine: Machine, report: WorkerReport): boolean {
-    return (
-      machine.placements.size === 0 &&
-      machine.exitedTasks.length === 0 &&
-      report.token === this.leadership.token &&
-      machine.draining === null
-    );
+    const isEmpty = machine.placements.size === 0 && machine.exitedTasks.length === 0;
+    return isEmpty && report.token === this.token && machine.draining === null;
   }
 
   private idleHoldMs(): number {
-    return Math.min(IDLE_HOLD_MOST_MS, this.ctx.settings.workers.reportMs * IDLE_HOLD_SHARE);
+    return Math.min(MAX_IDLE_HOLD_MS, this.ctx.settings.workers.reportMs * IDLE_HOLD_SHARE);
   }
 
-  private hold(beat: HeldReport): void {
-    this.held.push(beat);
+  private hold(report: HeldReport): void {
+    this.held.push(report);
     const due = this.ctx.timers.at('heldReports');
-    if (due === null || beat.until < due) this.ctx.timers.set('heldReports', beat.until);
+    if (due === null || report.until < due) this.ctx.timers.set('heldReports', report.until);
   }
 
-  private waitsForStore(machine: Machine): boolean {
+  private waitsForRecords(machine: Machine): boolean {
     if (!machine.registered) return true;
-    for (const p of machine.placements.values()) if (p.phase === 'planned' && p.job.durableStartTerm === 0) return true;
+    for (const { phase, job } of machine.placements.values()) {
+      if (phase === 'planned' && job.durableStartTerm === 0) return true;
+    }
     return false;
   }
 
   /** Answers held reports that have nothing left to wait for. */
-  release(): void {
+  releaseHeld(): void {
     if (this.held.length === 0) return;
-    const now = this.ctx.now.steady;
-    const pendingRound = this.ctx.timers.has('round', this.at(this.ctx.tuning.scheduler.spacing_ms + 20));
+    const roundSoonMs = this.ctx.tuning.scheduler.spacing_ms + ROUND_SOON_MS;
+    const isRoundSoon = this.ctx.timers.has('round', this.ctx.after(roundSoonMs));
     const kept: HeldReport[] = [];
-    let next = Number.POSITIVE_INFINITY;
-    for (const held of this.held) {
-      const idle = held.idle && held.machine.placements.size === 0;
-      const wait =
-        held.until > now &&
-        (idle ||
-          (pendingRound && !held.idle) ||
-          (this.dependencies.writesInFlight() && this.waitsForStore(held.machine)));
-      if (wait) {
-        kept.push(held);
-        if (held.until < next) next = held.until;
-      } else this.answer(held);
-    }
-    this.held = kept;
-    if (kept.length > 0) this.ctx.timers.set('heldReports', next as Steady);
-  }
-
-  private answer(held: HeldReport): void {
-    if (!this.dependencies.isLeaseValid() || !this.dependencies.hasRecentJobView()) return held.reply({ status: 503 });
-    const machine = held.machine;
-    const hasFreshJobView = this.fresh();
-    const all = machine.reconciled ? compileCommands(this.cluster, machine, true) : [];
-    const commands: typeof all = [];
-    for (const command of all) {
-      if (command.op !== 'start') {
-        commands.push(command);
+    let next: Steady | null = null;
+    for (const report of this.held) {
+      if (!this.mustWait(report, isRoundSoon)) {
+        this.answer(report);
         continue;
       }
-      const placement = this.cluster.findPlacement(machine, command.job, command.index);
-      if (!placement || !hasFreshJobView || machine.seq !== held.seq || !this.mayStart(placement.job, machine))
-        continue;
-      placement.phase = 'sent';
-      placement.sentInReplyTo = held.seq;
-      commands.push(command);
-    }
-    held.reply({ status: 200, token: this.leadership.token, commands });
-  }
-
-  /** The last look before a start goes out. */
-  private mayStart(job: Job, machine: Machine): boolean {
-    return (
-      job.state === 'accepted' &&
-      job.durableState === 'accepted' &&
-      job.durableStartTerm > 0 &&
-      !job.gangBroken &&
-      machine.registered &&
-      machine.unresponsiveSince === null
-    );
-  }
-
-  private fresh(): boolean {
-    return this.ctx.now.steady - this.dependencies.jobsCurrentAsOf() < WATCH_FRESH_MS;
-  }
-
-  /**
-   * Stops go to the workers at once, and so do starts of replicas; all others only ever in answers to reports. A direct
-   * command can arrive late: a start sent this way counts as possibly there until the call is answered, the session ends
-   * or the machine is gone.
-   */
-  sendDirect(): void {
-    if (!this.dependencies.isLeaseValid()) return;
-    let again = false;
-    for (const machine of new Set([...this.cluster.machinesWithStops, ...this.cluster.machinesWithStarts])) {
-      const stops = this.directStops(machine);
-      const starts = this.directStarts(machine);
-      if (stops === 'none') this.cluster.machinesWithStops.delete(machine);
-      if (starts === 'none') this.cluster.machinesWithStarts.delete(machine);
-      if (stops === 'none' && starts === 'none') continue;
-      again = true;
-      if (!machine.reconciled || !machine.addr || machine.session === null || machine.deletionInFlight) continue;
-      if (machine.commandInFlight || machine.nextCommandAt > this.ctx.now.steady) continue;
-      if (this.ctx.workerCallsOpen >= DIRECTS_AT_ONCE) break;
-      const begun = starts === 'none' ? [] : starts;
-      const commands = [...(stops === 'none' ? [] : stops), ...begun.map((p) => this.startOf(p, machine))];
-      if (commands.length > 0) this.command(machine, machine.session, commands, begun.map(startKey));
+      kept.push(report);
+      if (next === null || report.until < next) next = report.until;
     }
-    if (again) this.ctx.timers.set('workerCommands', this.at(1000));
+    this.held = kept;
+    if (next !== null) this.ctx.timers.set('heldReports', next);
   }
 
-  private command(machine: Machine, session: Session, commands: readonly Command[], starts: readonly string[]): void {
-    machine.commandInFlight = true;
-    this.ctx.worker({ addr: machine.addr, token: this.leadership.token, session, commands }, (result) => {
-      machine.commandInFlight = false;
-      if (!result.ok) machine.nextCommandAt = this.at(SILENT_PAUSE_MS);
-      else for (const key of starts) machine.unconfirmedStarts.delete(key);
-      if (this.stopped || !result.ok || result.value.report.machine !== machine.id) return;
-      if (this.cluster.machines.get(machine.id) !== machine) return;
-      this.takeReport(machine, result.value.report, false);
-      if (result.value.executed) this.onReachable(machine);
-    });
+  private mustWait({ until, idle, machine }: HeldReport, isRoundSoon: boolean): boolean {
+    if (until <= this.ctx.now.steady) return false;
+    if (idle && machine.placements.size === 0) return true;
+    if (isRoundSoon && !idle) return true;
+    return this.leader.writesInFlight() && this.waitsForRecords(machine);
   }
 
-  private directStops(machine: Machine): Command[] | 'none' {
-    if (
-      !this.cluster.machinesWithStops.has(machine) ||
-      this.cluster.machines.get(machine.id) !== machine ||
-      machine.placements.size === 0
-    )
-      return 'none';
-    const commands = compileCommands(this.cluster, machine, false).filter((command) => {
-      const placement =
-        command.op === 'stop' ? this.cluster.findPlacement(machine, command.job, command.index) : undefined;
-      return (
-        placement?.stop !== null &&
-        placement !== undefined &&
-        (placement.phase !== 'saving' || placement.stop?.graceS === 0)
-      );
+  private answer({ reply, machine, seq }: HeldReport): void {
+    if (!this.mayAnswer()) return reply(UNAVAILABLE);
+    const all = machine.reconciled ? compileCommands(this.cluster, machine) : [];
+    const mayStartTasks = this.leader.mayStartTasks() && machine.seq === seq;
+    const commands = all.filter((command) => {
+      if (command.op !== 'start') return true;
+      return mayStartTasks && this.markSent(machine, command, seq);
     });
-    return commands.length > 0 ? commands : 'none';
+    reply({ status: 200, token: this.token, commands });
   }
 
-  /** Replicas that may be started there now; 'none' once none waits to be. */
-  private directStarts(machine: Machine): Placement[] | 'none' {
-    if (!this.cluster.machinesWithStarts.has(machine) || this.cluster.machines.get(machine.id) !== machine)
-      return 'none';
-    const waiting = [...machine.placements.values()].filter(
-      (p) => p.job.spec.shape === 'service' && p.phase === 'planned',
-    );
-    if (waiting.length === 0) return 'none';
-    return this.fresh() && this.dependencies.hasRecentJobView()
-      ? waiting.filter((p) => this.mayStart(p.job, machine))
-      : [];
-  }
-
-  private startOf(placement: Placement, machine: Machine): Command {
+  /** Notes that a start goes out; returns false where it must not. */
+  private markSent(machine: Machine, command: Command, seq: Seq): boolean {
+    const placement = this.cluster.findPlacement(machine, command.job, command.index);
+    if (!placement || !mayStart(placement.job, machine)) return false;
     placement.phase = 'sent';
-    placement.sentInReplyTo = null;
-    machine.unconfirmedStarts.add(startKey(placement));
-    return { op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt };
+    placement.sentInReplyTo = seq;
+    return true;
   }
 }
+
+/** One report is in flight at a time, and numbers rise: whatever isn't newer than the last is a copy or came too late. */
+function isDuplicate({ session, lastReportSeq }: Machine, report: WorkerReport): boolean {
+  if (session === null) return false;
+  if (report.session !== session) return report.session < session;
+  return lastReportSeq !== null && report.seq <= lastReportSeq;
+}
--- /dev/null
+++ b/src/core/workers/report_router.ts
@@ -0,0 +1,153 @@
+import type { Context } from '../context.js';
+import type { Election } from '../leadership/election.js';
+import type { Leader } from '../leadership/leader.js';
+import type { RequestId, WorkerAnswer } from '../messages.js';
+import type { Peer, PeerTable } from '../peers/peer_table.js';
+import type { ReportForwarding } from '../peers/report_forwarding.js';
+import type { MachineId, NodeName, Steady, WorkerReport } from '../types.js';
+
+/** A leader sends workers to other nodes down to this part of their mean load. */
+const LEADER_REPORT_SHARE = 0.4;
+const LEADER_MIN_REPORTS_PER_S = 4;
+/** One report in so many may be redirected: the rates that decide are a second old. */
+const REDIRECT_ONE_IN = 4;
+/** A leader takes reports itself only while workers reach it: after taking the lead, and as long as ... */
+const TAKES_REPORTS_GRACE_MS = 4000;
+const DIRECT_REPORT_FRESH_MS = 1500;
+/** A worker that comes back from the leader within this time couldn't reach it, and is served through this node. */
+const REDIRECT_AGAIN_MS = 30_000;
+const MAX_REDIRECTS_KEPT = 5000;
+/** The part of its sockets that a leader gives to workers. */
+const WORKER_SOCKET_SHARE = 0.5;
+const RATE_WINDOW_S = 0.9;
+const RATE_SMOOTHING = 0.5;
+
+/**
+ * Decides who takes a worker's report: the leader, by itself or through this node, or another node that the worker is sent
+ * to. Any node takes reports, as a leader's own sockets are too dear for all of them.
+ */
+export class ReportRouter {
+  private reportsCounted = 0;
+  private countedSince: Steady;
+  private smoothedRate = 0;
+  private redirectsConsidered = 0;
+  /** When a worker was last heard, by whatever way; null: never. */
+  private workersHeardAt: Steady | null = null;
+  /** The last report that came from the worker itself. */
+  private lastDirectReportAt = 0 as Steady;
+  private readonly redirectedAt = new Map<MachineId, Steady>();
+
+  constructor(
+    private readonly ctx: Context,
+    private readonly election: Election,
+    private readonly peers: PeerTable,
+    private readonly forwarding: ReportForwarding,
+    private readonly currentLeader: () => Leader | null,
+  ) {
+    this.countedSince = ctx.now.steady;
+  }
+
+  /** Workers' reports a second that reach this node itself. */
+  get reportsPerS(): number {
+    return this.smoothedRate;
+  }
+
+  /** Milliseconds since a worker last reached this node; null: never. */
+  get workersHeardMs(): number | null {
+    return this.workersHeardAt === null ? null : this.ctx.now.steady - this.workersHeardAt;
+  }
+
+  /** A report from the worker itself. */
+  onReport(req: RequestId, report: WorkerReport): void {
+    this.workersHeardAt = this.ctx.now.steady;
+    this.lastDirectReportAt = this.ctx.now.steady;
+    this.reportsCounted += 1;
+    const answer = (given: WorkerAnswer): void => this.ctx.answerWorker(req, given);
+    const leader = this.currentLeader();
+    if (!leader) return this.passOn(report, answer);
+    const other = this.redirectTarget();
+    if (other !== null) answer({ status: 421, reportTo: other });
+    else leader.onReport(report, answer);
+  }
+
+  /** A report that a peer passed on. */
+  onForwardedReport(report: WorkerReport, answer: (answer: WorkerAnswer) => void): void {
+    const leader = this.currentLeader();
+    if (!leader) return answer({ status: 503 });
+    this.workersHeardAt = this.ctx.now.steady;
+    leader.onReport(report, answer);
+  }
+
+  private passOn(report: WorkerReport, answer: (answer: WorkerAnswer) => void): void {
+    const holder = this.election.holderName();
+    if (holder === null || holder === this.ctx.settings.node) return answer({ status: 503 });
+    const peer = this.peers.get(holder);
+    if (peer && this.mayForwardTo(peer)) {
+      if (peer.status.takesReports && this.mayRedirect(report.machine)) {
+        return answer({ status: 421, reportTo: holder });
+      }
+      return this.forwarding.forward(holder, report, answer);
+    }
+    // The way to the leader may be open to the worker: but only one known to lead now is named, so that no worker is
+    // kept going round.
+    answer(this.election.knowsHolder() ? { status: 421, reportTo: holder } : { status: 503 });
+  }
+
+  private mayForwardTo(peer: Peer): boolean {
+    return peer.status.leading && this.peers.isLinkFresh(peer) && peer.reportsPausedUntil <= this.ctx.now.steady;
+  }
+
+  /**
+   * Whether this leader would rather hear workers itself: passing a report on costs as much again as taking it. Not
+   * while none reaches it, so that a leader cut off from workers isn't named to them.
+   */
+  takesReports(): boolean {
+    const { settings, tuning, now } = this.ctx;
+    const leader = this.currentLeader();
+    if (!leader || !this.election.isValid()) return false;
+    if (settings.limits.cpuShare < tuning.leadership.reports_cpu_share) return false;
+    if (leader.machineCount > settings.limits.connections * WORKER_SOCKET_SHARE) return false;
+    return (
+      now.steady - this.election.electedAt < TAKES_REPORTS_GRACE_MS ||
+      now.steady - this.lastDirectReportAt < DIRECT_REPORT_FRESH_MS
+    );
+  }
+
+  private mayRedirect(machine: MachineId): boolean {
+    const { steady } = this.ctx.now;
+    const before = this.redirectedAt.get(machine);
+    if (before !== undefined && steady - before < REDIRECT_AGAIN_MS) return false;
+    if (this.redirectedAt.size >= MAX_REDIRECTS_KEPT) this.redirectedAt.clear();
+    this.redirectedAt.set(machine, steady);
+    return true;
+  }
+
+  /** A node to which this leader sends a worker, to have its own share of the core for what only it can do. */
+  private redirectTarget(): NodeName | null {
+    if (this.takesReports()) return null;
+    let leastLoaded: Peer | null = null;
+    let totalRate = 0;
+    let candidates = 0;
+    for (const peer of this.peers.all()) {
+      const { status } = peer;
+      if (!this.peers.isLinkFresh(peer) || status.workersHeardMs < 0 || !status.storeOk) continue;
+      candidates += 1;
+      totalRate += status.reportsPerS;
+      if (leastLoaded === null || status.reportsPerS < leastLoaded.status.reportsPerS) leastLoaded = peer;
+    }
+    if (leastLoaded === null || this.smoothedRate < LEADER_MIN_REPORTS_PER_S) return null;
+    if (this.smoothedRate < LEADER_REPORT_SHARE * (totalRate / candidates) + 1) return null;
+    this.redirectsConsidered += 1;
+    return this.redirectsConsidered % REDIRECT_ONE_IN === 0 ? leastLoaded.name : null;
+  }
+
+  /** Called about once a second. */
+  updateRate(): void {
+    const seconds = (this.ctx.now.steady - this.countedSince) / 1000;
+    if (seconds < RATE_WINDOW_S) return;
+    const rate = this.reportsCounted / seconds;
+    this.smoothedRate = (1 - RATE_SMOOTHING) * this.smoothedRate + RATE_SMOOTHING * rate;
+    this.reportsCounted = 0;
+    this.countedSince = this.ctx.now.steady;
+  }
+}
--- /dev/null
+++ b/src/core/workers/task_exits.ts
@@ -0,0 +1,138 @@
+import { FAULTY_AFTER_MACHINES, type Job, type Placement } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
+import { type Machine, taskKey } from '../machines/machine.js';
+import { SLOW_FACTOR } from '../machines/slowness.js';
+import type { Steady, TaskReport } from '../types.js';
+
+const FLUSH_RESULTS_MS = 30;
+/** A job that runs long on so many machines was estimated wrongly, and is no evidence against any of them. */
+const WRONG_ESTIMATE_MACHINES = 2;
+/** A replica that ran for so long has shown that its service and its machine are well. */
+const STEADY_RUN_MS = 30_000;
+/** So many short runs are followed by no pause; then it doubles with each. */
+const SHORT_RUNS_WITHOUT_PAUSE = 2;
+const FIRST_RESTART_PAUSE_MS = 500;
+const MAX_RESTART_DOUBLINGS = 6;
+const MAX_RESTART_PAUSE_MS = 30_000;
+/** After a start that the worker refused. */
+const REFUSED_START_PAUSE_MS = 1000;
+/** Between starts of a job that fails on every machine; doubles with each failure. */
+const FAULTY_JOB_PAUSE_MS = 2000;
+const MAX_FAULTY_JOB_DOUBLINGS = 5;
+const MAX_FAULTY_JOB_PAUSE_MS = 60_000;
+/** After a failure a machine gets nothing new for a moment. */
+const SUSPECT_MS = 3000;
+
+/** Takes in that a task ended. Returns whether room came free. */
+export function processExit(cluster: Cluster, machine: Machine, task: TaskReport): boolean {
+  const job = cluster.jobs.get(task.job);
+  const { index, attempt } = task;
+  const hasResult = task.reason === 'done' && !job?.isService;
+  machine.exitedTasks.push({ job: task.job, index, attempt, done: hasResult });
+  if (!job) return false;
+  const found = cluster.findPlacement(machine, task.job, index);
+  const placement = found?.attempt === attempt ? found : null;
+  if (hasResult) recordResult(cluster, machine, job, task, placement);
+  if (!placement) return false;
+  if (job.isService) recordReplicaEnd(cluster, placement, task);
+  else if (!hasResult) recordFailure(cluster, placement, task);
+  cluster.release(placement);
+  return true;
+}
+
+function recordResult(
+  cluster: Cluster,
+  machine: Machine,
+  job: Job,
+  task: TaskReport,
+  placement: Placement | null,
+): void {
+  if (job.state !== 'accepted' || job.isDone(task.index)) return;
+  const { ctx } = cluster;
+  job.markDone(task.index);
+  machine.consecutiveErrors = 0;
+  if (placement) recordRunTime(cluster, placement);
+  if (ctx.timers.at('recordFlush') === null) ctx.timers.set('recordFlush', ctx.after(FLUSH_RESULTS_MS));
+}
+
+/** Learns from how long a task took, unless it ran in several parts. */
+function recordRunTime(cluster: Cluster, { job, machine, runningSince }: Placement): void {
+  if (runningSince === null || job.failures > 0) return;
+  const { estimates, ctx } = cluster;
+  const spread = estimates.spread(job.spec);
+  const surprise = estimates.observe(job.spec, (ctx.now.steady - runningSince) / 1000);
+  // A gang is as slow as its slowest machine: only a gang of one says which that is.
+  if (job.isGang && job.spec.tasks > 1) return;
+  if (surprise > SLOW_FACTOR) job.slowOn.add(machine.id);
+  if (job.slowOn.size < WRONG_ESTIMATE_MACHINES) machine.slowness.note(job.id, { surprise, spread });
+}
+
+/**
+ * A replica that ends runs again elsewhere, whatever it ended with. One that ends soon after its start does so after a pause
+ * that doubles: a service that can't stay up must not take the cluster's time.
+ */
+function recordReplicaEnd(cluster: Cluster, placement: Placement, task: TaskReport): void {
+  if (task.reason === 'stopped') return;
+  const { job, runningSince } = placement;
+  const now = cluster.ctx.now.steady;
+  const ranSteadily = runningSince !== null && now - runningSince >= STEADY_RUN_MS;
+  if (ranSteadily) {
+    job.failedOn.clear();
+    job.shortRuns = 0;
+  } else if (task.reason === 'done' || task.reason === 'error') {
+    recordShortRun(cluster, placement);
+  }
+  const pausedUntil = job.notBefore;
+  if (task.reason !== 'done') recordFailure(cluster, placement, task);
+  job.notBefore = Math.max(pausedUntil, job.notBefore) as Steady;
+  cluster.scheduleServicePlacement(job.notBefore);
+}
+
+function recordShortRun({ ctx }: Cluster, { job, machine, since }: Placement): void {
+  job.failedOn.add(machine.id);
+  // Replicas that began together and end together have failed once.
+  if (since >= job.lastShortRunAt) {
+    job.shortRuns += 1;
+    job.lastShortRunAt = ctx.now.steady;
+  }
+  const doublings = Math.min(MAX_RESTART_DOUBLINGS, job.shortRuns - SHORT_RUNS_WITHOUT_PAUSE);
+  const pauseMs = doublings <= 0 ? 0 : FIRST_RESTART_PAUSE_MS * 2 ** doublings;
+  job.notBefore = ctx.after(Math.min(MAX_RESTART_PAUSE_MS, pauseMs));
+}
+
+function recordFailure(cluster: Cluster, { job, machine, runningSince }: Placement, task: TaskReport): void {
+  const { ctx } = cluster;
+  const { reason } = task;
+  if (reason === 'stopped' || reason === 'peers_gone') {
+    if (runningSince !== null) job.failures += 1;
+    return;
+  }
+  ctx.log('info', 'task ended early', { task: taskKey(task.job, task.index), machine: machine.id, reason });
+  job.failures += 1;
+  if (reason === 'no_room' || reason === 'busy' || reason === 'unknown') {
+    job.notBefore = ctx.after(REFUSED_START_PAUSE_MS);
+    return;
+  }
+  if (reason !== 'error') return;
+  job.failedOn.add(machine.id);
+  if (job.isFaulty) job.notBefore = ctx.after(faultyJobPauseMs(job));
+  else recordMachineError(cluster, machine);
+}
+
+/** A job that failed on several machines is more likely at fault than they, and is tried ever more rarely. */
+function faultyJobPauseMs(job: Job): number {
+  const doublings = Math.min(MAX_FAULTY_JOB_DOUBLINGS, job.failedOn.size - FAULTY_AFTER_MACHINES);
+  return Math.min(MAX_FAULTY_JOB_PAUSE_MS, FAULTY_JOB_PAUSE_MS * 2 ** doublings);
+}
+
+function recordMachineError(cluster: Cluster, machine: Machine): void {
+  const { ctx } = cluster;
+  machine.consecutiveErrors += 1;
+  machine.suspectUntil = ctx.after(SUSPECT_MS);
+  if (machine.consecutiveErrors < ctx.tuning.machines.error_limit || machine.draining !== null) return;
+  machine.draining = 'fails its tasks';
+  ctx.log('info', 'machine fails what it starts: taking it out of use', {
+    machine: machine.id,
+    errors: machine.consecutiveErrors,
+  });
+}
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -1,14 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { xoroshiro128plus } from 'pure-rand';
-import { CallQueue, TokenBucket } from '../src/core/calls/call_queue.js';
+import { CallQueue } from '../src/core/calls/call_queue.js';
+import { TokenBucket } from '../src/core/calls/token_bucket.js';
 import { Estimates } from '../src/core/jobs/estimates.js';
 import { RangeSet } from '../src/core/jobs/range_set.js';
 import { Machine } from '../src/core/machines/machine.js';
 import { type Evidence, Slowness } from '../src/core/machines/slowness.js';
 import { SpotInterruptionRate, spotDelayS } from '../src/core/machines/spot_interruptions.js';
 import { Evolution } from '../src/core/scheduler/evolution.js';
-import { type PlanJob, type PlanMachine, Planner } from '../src/core/scheduler/planner.js';
+import type { PlanJob, PlanMachine } from '../src/core/scheduler/plan_types.js';
+import { Planner } from '../src/core/scheduler/planner.js';
 import { rankValue } from '../src/core/scheduler/priority.js';
 import type { ImageName, JobId, MachineId, MachineType, Steady, TypeName, ZoneName } from '../src/core/types.js';
 import { makeSpec } from './sim/scenario.js';
@@ -30,14 +32,12 @@
 
 test('token buckets: renewals pass an empty bucket, the rest goes by priority, nothing waits for ever', () => {
   const bucket = new TokenBucket(10, 10, 0 as Steady);
-  const queue = new CallQueue<string>(bucket, null);
+  const queue = new CallQueue(bucket, null);
   const sent: string[] = [];
   const add = (p: 0 | 1 | 2 | 3 | 4, name: string, expires = 10_000): void =>
     queue.add(p, {
-      op: name,
-      cost: 1,
       writes: 0,
-      expires: expires as Steady,
+      expiresAt: expires as Steady,
       send: () => sent.push(name),
       giveUp: () => sent.push(`${name} given up`),
     });
@@ -173,14 +173,26 @@
 const a = 'a' as ZoneName;
 const b = 'b' as ZoneName;
 
-test('fleet: a machine known only from a report or a list gets no work before it has shown that it hears us', () => {
+const rentedMachine = (id: string, addr: string, phase: 'booting' | 'up', now: Steady): Machine =>
+  new Machine({
+    id: id as MachineId,
+    type: type('g4', 24, 4),
+    zone: a,
+    spot: false,
+    addr,
+    reconciled: true,
+    phase,
+    now,
+  });
+
+test('machines: a machine known only from a report or a list gets no work before it has shown that it hears us', () => {
   const now = 1000 as Steady;
-  const reported = new Machine('i-1' as MachineId, type('g4', 24, 4), a, false, 'i-1', true, 'up', now);
+  const reported = rentedMachine('i-1', 'i-1', 'up', now);
   assert.equal(reported.isSchedulable(now, 2000), false);
   reported.confirmReachable();
   assert.equal(reported.isSchedulable(now, 2000), true);
   // What we rented ourselves can't be a late copy of something gone.
-  const rented = new Machine('i-2' as MachineId, type('g4', 24, 4), a, false, '', true, 'booting', now);
+  const rented = rentedMachine('i-2', '', 'booting', now);
   rented.phase = 'up';
   assert.equal(rented.isSchedulable(now, 2000), true);
 });
