--- a/src/config/load.ts
+++ b/src/config/load.ts
@@ -5,26 +5,31 @@
 /** A settings problem: one line, naming file and field. */
 export class SettingsError extends Error {}
 
-/** Reads a TOML file and checks it; fields the schema doesn't name are ignored. */
-export function loadToml<S extends v.GenericSchema>(file: string, schema: S): v.InferOutput<S> {
+/** Reads a TOML file; throws `SettingsError` where it can't be read or isn't TOML. */
+export function readToml(file: string): unknown {
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
-  } catch (e) {
-    throw new SettingsError(`${file}: cannot be read (${(e as NodeJS.ErrnoException).code ?? 'error'})`);
+  } catch (error) {
+    throw new SettingsError(`${file}: cannot be read (${(error as NodeJS.ErrnoException).code ?? 'error'})`);
   }
-  let raw: unknown;
   try {
-    raw = parse(text);
-  } catch (e) {
-    throw new SettingsError(`${file}: not TOML: ${(e as Error).message.split('\n')[0]}`);
+    return parse(text);
+  } catch (error) {
+    throw new SettingsError(`${file}: not TOML: ${(error as Error).message.split('\n')[0]}`);
   }
+}
+
+/** Checks what was read from a file; fields that the schema doesn't name are ignored. */
+export function checkSettings<S extends v.GenericSchema>(file: string, raw: unknown, schema: S): v.InferOutput<S> {
   const result = v.safeParse(schema, raw);
   if (result.success) return result.output;
   const issue = result.issues[0];
   throw new SettingsError(`${file}: ${v.getDotPath(issue) ?? '(top level)'}: ${issue.message}`);
 }
 
+// ---- kinds of value
+
 export const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
 export const notNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
 export const count = v.pipe(v.number(), v.integer(), v.minValue(1));
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
 import type { Settings } from '../core/settings.js';
 import type { NodeName, TeamName, ZoneName } from '../core/types.js';
-import { address, count, loadToml, name, notNegative, positive } from './load.js';
+import { address, checkSettings, count, name, notNegative, positive, readToml } from './load.js';
 
 const team = v.object({
   name,
@@ -74,7 +74,7 @@
 }
 
 export function loadPlatform(file: string): Platform {
-  const raw = loadToml(file, schema);
+  const raw = checkSettings(file, readToml(file), schema);
   const d = raw.deployment;
   return {
     listen: raw.listen,
--- a/src/config/tuning.ts
+++ b/src/config/tuning.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 import type { Tuning } from '../core/settings.js';
-import { count, loadToml, notNegative, positive, share } from './load.js';
+import { checkSettings, count, notNegative, positive, readToml, SettingsError, share } from './load.js';
 
 const within = (least: number, most: number) => v.pipe(v.number(), v.minValue(least), v.maxValue(most));
 
@@ -48,6 +48,28 @@
   }),
 });
 
+/** Keys that were renamed: a file with an old one is refused, so that its value isn't passed over unseen. */
+const RENAMED_KEYS: Readonly<Record<string, string>> = {
+  gpu_reluctance_s: 'gpu_penalty_s',
+  ordinary_reluctance_s: 'on_demand_penalty_s',
+  wanted_reluctance_s: 'reserved_type_penalty_s',
+  warm_reluctance_s: 'cached_image_penalty_s',
+  future_doubt: 'future_discount',
+};
+
+/** Throws where a section holds a key under its old name. */
+function refuseRenamedKeys(file: string, raw: unknown): void {
+  for (const [section, values] of Object.entries(raw as Record<string, object>)) {
+    for (const [oldKey, newKey] of Object.entries(RENAMED_KEYS)) {
+      const hasOldKey = typeof values === 'object' && values !== null && Object.hasOwn(values, oldKey);
+      if (hasOldKey) throw new SettingsError(`${file}: ${section}.${oldKey}: is now named ${newKey}`);
+    }
+  }
+}
+
+/** Reads and checks the operators' own tuning; throws `SettingsError`, naming the field. */
 export function loadTuning(file: string): Tuning {
-  return loadToml(file, schema);
+  const raw = readToml(file);
+  refuseRenamedKeys(file, raw);
+  return checkSettings(file, raw, schema);
 }
--- /dev/null
+++ b/src/core/scheduler/fill_checks.ts
@@ -0,0 +1,35 @@
+import type { Resources } from '../types.js';
+import type { PlanJob } from './plan_types.js';
+
+/** For jobs with and without GPUs, the least that any of them asks for of each resource. */
+export function leastDemands(jobs: readonly PlanJob[]): Resources[] {
+  const demands: Resources[] = [];
+  for (const withGpus of [true, false]) {
+    const alike = jobs.filter(({ gpus }) => gpus > 0 === withGpus);
+    if (alike.length === 0) continue;
+    const least = (demand: (job: PlanJob) => number): number =>
+      alike.reduce((smallest, job) => Math.min(smallest, demand(job)), Number.POSITIVE_INFINITY);
+    demands.push({
+      cpus: least(({ cpus }) => cpus),
+      gpus: least(({ gpus }) => gpus),
+      memGb: least(({ memGb }) => memGb),
+    });
+  }
+  return demands;
+}
+
+/** Whether a job can begin only where the other could: it asks for no less, for no shorter, and may go to no more places. */
+export function asksNoLess(job: PlanJob, other: PlanJob): boolean {
+  return (
+    job.cpus >= other.cpus &&
+    job.gpus >= other.gpus &&
+    job.gpus > 0 === other.gpus > 0 &&
+    job.memGb >= other.memGb &&
+    job.durationS >= other.durationS &&
+    (other.spotOk || !job.spotOk) &&
+    (other.types === null || (job.types?.every((type) => other.types?.includes(type)) ?? false)) &&
+    job.zones.every((zone) => other.zones.includes(zone)) &&
+    other.avoid === null &&
+    (!other.gang || (job.gang && job.tasks >= other.tasks && (job.sameZone || !other.sameZone)))
+  );
+}
--- a/src/core/scheduler/planner.ts
+++ b/src/core/scheduler/planner.ts
@@ -1,5 +1,7 @@
 import type { Resources, ZoneName } from '../types.js';
-import { type Candidate, CandidateHeap, findCandidates, isBefore, offer, rankOf } from './candidates.js';
+import { type Candidate, CandidateHeap, findCandidates, isBefore, offer } from './candidates.js';
+import { asksNoLess, leastDemands } from './fill_checks.js';
+import { type GangPlacement, GangSearch } from './gang_search.js';
 import {
   allowedCount,
   at,
@@ -7,8 +9,6 @@
   fitCount,
   fitsNow,
   reserveRoom,
-  slackAfter,
-  stepBefore,
   TOLERANCE,
   utilization,
 } from './plan_machine.js';
@@ -24,35 +24,12 @@
 
 /** What the fitness takes a task to wait that no machine of the plan can take. */
 const UNPLACED_S = 600;
-/** Instants at which a gang's start is tried, from the first at which there is room for all of it. */
-const GANG_TRIES = 10;
-/** A later start must be sooner by so much, fetches included, to be preferred. */
-const GANG_GAIN_S = 0.5;
 /** A machine that comes free later counts so much less, per second, where zones are compared by their room. */
 const LATER_ROOM_FACTOR = 1e-3;
 /** An array takes at most so many turns over its candidates. */
 const TURNS_PER_CANDIDATE = 2;
 const EXTRA_TURNS = 4;
 
-/** So many tasks of a gang on a machine. */
-interface GangPart {
-  readonly candidate: Candidate;
-  readonly tasks: number;
-}
-
-/** The machines that take a whole gang, and from when on. */
-interface GangPlacement {
-  readonly roomAtS: number;
-  readonly startS: number;
-  readonly parts: readonly GangPart[];
-}
-
-/** Room for some tasks of a gang that comes free at a time. */
-interface FreedRoom {
-  readonly atS: number;
-  readonly tasks: number;
-}
-
 /** What the plan in progress has decided so far. */
 interface Draft {
   readonly starts: PlannedStart[];
@@ -225,7 +202,9 @@
   private planGang(job: PlanJob, zone: ZoneName, draft: Draft): number {
     const zones = job.sameZone ? [zone] : [zone, ...job.zones.filter((other) => other !== zone)];
     const candidates = this.candidates(job, this.slotsIn(zones));
-    const best = this.bestGangPlacement(job, zone, candidates);
+    const search = new GangSearch(job, zone, candidates);
+    const best = search.earliest(this.penalties.futureDiscount);
+    this.steps += search.steps;
     if (best === null) {
       draft.unplaced.set(job.slot, job.tasks);
       return UNPLACED_S;
@@ -234,57 +213,6 @@
     return best.startS;
   }
 
-  /** Tries the instants at which room comes free, from the first at which there may be enough for all of it. */
-  private bestGangPlacement(job: PlanJob, zone: ZoneName, candidates: readonly Candidate[]): GangPlacement | null {
-    const discounted = (roomAtS: number, startS: number): number => startS + this.penalties.futureDiscount * roomAtS;
-    const freed = freedRoom(job, candidates);
-    let best: GangPlacement | null = null;
-    let room = 0;
-    let tried = 0;
-    for (let i = 0; i < freed.length && tried < GANG_TRIES; i++) {
-      const { atS, tasks } = freed[i] as FreedRoom;
-      room += tasks;
-      const next = freed[i + 1];
-      const moreAtOnce = next !== undefined && next.atS <= atS + TOLERANCE;
-      if (room < job.tasks || moreAtOnce) continue;
-      if (best !== null && discounted(atS, atS) >= discounted(best.roomAtS, best.startS)) break;
-      tried += 1;
-      const placement = this.placeGang(job, zone, candidates, atS);
-      if (!placement) continue;
-      const gained =
-        best === null || discounted(atS, placement.startS) < discounted(best.roomAtS, best.startS) - GANG_GAIN_S;
-      if (gained) best = placement;
-    }
-    return best;
-  }
-
-  /** The machines that take the whole gang from a time on, those of the zone first; null if there are not enough. */
-  private placeGang(
-    job: PlanJob,
-    zone: ZoneName,
-    candidates: readonly Candidate[],
-    roomAtS: number,
-  ): GangPlacement | null {
-    const options = gangOptions(job, zone, candidates, roomAtS);
-    this.steps += options.length;
-    const zoneRoom = job.zoneRoom ? new Map(job.zoneRoom) : null;
-    const parts: GangPart[] = [];
-    let left = job.tasks;
-    let fetchS = 0;
-    for (const { candidate, count } of options) {
-      if (left === 0) break;
-      const candidateZone = candidate.machine.zone;
-      const inZone = zoneRoom ? (zoneRoom.get(candidateZone) ?? 0) : left;
-      const tasks = Math.min(left, count, inZone);
-      if (tasks <= 0) continue;
-      zoneRoom?.set(candidateZone, inZone - tasks);
-      parts.push({ candidate, tasks });
-      fetchS = Math.max(fetchS, candidate.fetchS);
-      left -= tasks;
-    }
-    return left === 0 ? { roomAtS, startS: roomAtS + fetchS, parts } : null;
-  }
-
   private startGang(job: PlanJob, { roomAtS, startS, parts }: GangPlacement, starts: PlannedStart[]): void {
     for (const { candidate, tasks } of parts) {
       starts.push({ job: job.slot, machine: candidate.slot, tasks, roomAtS, startAtS: startS });
@@ -329,7 +257,9 @@
     const starts: PlannedStart[] = [];
     for (const zone of job.sameZone ? job.zones : [null]) {
       const inZone = zone === null ? candidates : candidates.filter(({ machine }) => machine.zone === zone);
-      const placement = this.placeGang(job, zone ?? (job.zones[0] as ZoneName), inZone, 0);
+      const search = new GangSearch(job, zone ?? (job.zones[0] as ZoneName), inZone);
+      const placement = search.at(0);
+      this.steps += search.steps;
       if (!placement) continue;
       this.startGang(job, placement, starts);
       break;
@@ -359,84 +289,3 @@
     return starts;
   }
 }
-
-/** When room for how many more tasks of a gang comes free on the candidates, soonest first. */
-function freedRoom(job: PlanJob, candidates: readonly Candidate[]): FreedRoom[] {
-  const freed: FreedRoom[] = [];
-  for (const { machine, fetchS } of candidates) {
-    let counted = 0;
-    for (let step = 0; step < machine.times.length && counted < job.tasks; step++) {
-      const count = allowedCount(machine, step, fetchS + job.durationS, job);
-      if (count <= counted) continue;
-      freed.push({ atS: at(machine.times, step), tasks: count - counted });
-      counted = count;
-    }
-  }
-  return freed.sort((a, b) => a.atS - b.atS);
-}
-
-/** A machine that takes some tasks of a gang at one time. */
-interface GangOption {
-  readonly candidate: Candidate;
-  readonly count: number;
-  /** 0 in the zone asked for, 1 elsewhere. */
-  readonly distance: number;
-  readonly rank: number;
-  readonly slack: number;
-}
-
-/** What the candidates offer a gang from a time on, the best first. */
-function gangOptions(job: PlanJob, zone: ZoneName, candidates: readonly Candidate[], roomAtS: number): GangOption[] {
-  const options: GangOption[] = [];
-  for (const candidate of candidates) {
-    const { machine, fetchS, penaltyS } = candidate;
-    if (at(machine.times, 0) > roomAtS + TOLERANCE) continue;
-    const step = stepBefore(machine, roomAtS);
-    const durationS = roomAtS - at(machine.times, step) + fetchS + job.durationS;
-    const count = allowedCount(machine, step, durationS, job);
-    if (count === 0) continue;
-    options.push({
-      candidate,
-      count,
-      distance: machine.zone === zone ? 0 : 1,
-      rank: rankOf(fetchS + penaltyS),
-      slack: slackAfter(machine, step, job),
-    });
-  }
-  return options.sort(
-    (a, b) => a.distance - b.distance || a.rank - b.rank || a.slack - b.slack || a.candidate.slot - b.candidate.slot,
-  );
-}
-
-/** For jobs with and without GPUs, the least that any of them asks for of each resource. */
-function leastDemands(jobs: readonly PlanJob[]): Resources[] {
-  const demands: Resources[] = [];
-  for (const withGpus of [true, false]) {
-    const alike = jobs.filter(({ gpus }) => gpus > 0 === withGpus);
-    if (alike.length === 0) continue;
-    const least = (demand: (job: PlanJob) => number): number =>
-      alike.reduce((smallest, job) => Math.min(smallest, demand(job)), Number.POSITIVE_INFINITY);
-    demands.push({
-      cpus: least(({ cpus }) => cpus),
-      gpus: least(({ gpus }) => gpus),
-      memGb: least(({ memGb }) => memGb),
-    });
-  }
-  return demands;
-}
-
-/** Whether a job can begin only where the other could: it asks for no less, for no shorter, and may go to no more places. */
-function asksNoLess(job: PlanJob, other: PlanJob): boolean {
-  return (
-    job.cpus >= other.cpus &&
-    job.gpus >= other.gpus &&
-    job.gpus > 0 === other.gpus > 0 &&
-    job.memGb >= other.memGb &&
-    job.durationS >= other.durationS &&
-    (other.spotOk || !job.spotOk) &&
-    (other.types === null || (job.types?.every((type) => other.types?.includes(type)) ?? false)) &&
-    job.zones.every((zone) => other.zones.includes(zone)) &&
-    other.avoid === null &&
-    (!other.gang || (job.gang && job.tasks >= other.tasks && (job.sameZone || !other.sameZone)))
-  );
-}
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -216,6 +216,19 @@
   assert.match(r.err, /scheduler\.mutation/);
 });
 
+test('command line: a tuning key under its old name is refused with the new one', () => {
+  const file = join(mkdtempSync(join(tmpdir(), 'magpielift-')), 'tuning.toml');
+  const text = readFileSync(join(root, 'deploy/tuning.toml'), 'utf8');
+  const renamed = { gpu_penalty_s: 'gpu_reluctance_s', future_discount: 'future_doubt' };
+  for (const [newKey, oldKey] of Object.entries(renamed)) {
+    writeFileSync(file, text.replace(newKey, oldKey));
+    const refused = cli('check', '--config', settings(), '--tuning', file);
+    assert.equal(refused.status, 2);
+    assert.match(refused.err, new RegExp(`tuning\\.toml: scheduler\\.${oldKey}: is now named ${newKey}`));
+    assert.equal(refused.err.trim().split('\n').length, 1);
+  }
+});
+
 test('a node alone starts, says it is healthy, and answers 503 while it can’t reach the state service', async () => {
   const child = spawn(process.execPath, [main, '--config', settings()], {
     cwd: root,
