--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -137,7 +137,7 @@
 
   /**
    * A leader whose lease is renewed while it hears nothing of jobs would keep cancelled tasks alive for ever: its answers
-   * count for nothing then, and it lets go of the lead (uninformed-leader.txt).
+   * count for nothing then, and it lets go of the lead (no-job-news.txt).
    */
   hasRecentJobView(): boolean {
     const knownAt = this.loaded ? this.jobCache.currentAsOf : this.leadingSince;
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -166,7 +166,7 @@
 
   /**
    * Whether new work may be given to it. One whose reports don't come may never take what it is given, and its lease ends
-   * whatever it answers to direct commands (mute-machine.txt, property): those don't count here.
+   * whatever it answers to direct commands (no-reports-machine.txt, property): those don't count here.
    */
   isSchedulable(now: Steady, reportMs: number): boolean {
     return (
--- a/src/core/peers/cancellation_notices.ts
+++ b/src/core/peers/cancellation_notices.ts
@@ -15,7 +15,7 @@
 
 /**
  * Tells whoever leads of a cancellation that this node has put on record. The state service may not tell the leader: one
- * that it refuses is entitled to start work until its validity ends (gap.txt).
+ * that it refuses is entitled to start work until its validity ends (refusal-then-outage.txt).
  */
 export class CancellationNotices {
   private readonly pending = new Map<number, PendingNotice>();
--- a/src/core/requests/request_handler.ts
+++ b/src/core/requests/request_handler.ts
@@ -97,7 +97,7 @@
 
   /**
    * A submission that must be refused is only looked up at the other node, as a repeat of an accepted one is answered with
-   * its state: an earlier version there may accept what can never run (upgrade-odd-requests.txt).
+   * its state: an earlier version there may accept what can never run (upgrade-invalid-requests.txt).
    */
   private passOn(request: UserRequest, refusal: UserAnswer | null, answer: OnAnswer): boolean {
     if (refusal === null) return this.dependencies.relay(request, answer);
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -13,7 +13,7 @@
 import { Planner } from '../src/core/scheduler/planner.js';
 import { rankValue } from '../src/core/scheduler/priority.js';
 import type { ImageName, JobId, MachineId, MachineType, Steady, TypeName, ZoneName } from '../src/core/types.js';
-import { makeSpec } from './sim/scenario.js';
+import { makeSpec } from './sim/job_options.js';
 
 test('range sets: any order of additions gives the same few ranges', () => {
   const set = new RangeSet();
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -2,9 +2,12 @@
 import { test } from 'node:test';
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand';
 import type { ImageName, JobId, MachineId, Team, TeamName, TypeName, ZoneName } from '../src/core/types.js';
+import type { Build } from './sim/build.js';
+import { makeSpec } from './sim/job_options.js';
 import { loadOldVersions } from './sim/old_versions.js';
-import { events, makeSpec, tuning } from './sim/scenario.js';
-import { type Build, LIMITS, World } from './sim/world.js';
+import { tuning } from './sim/scenario.js';
+import { events } from './sim/scenario_events.js';
+import { LIMITS, World } from './sim/world.js';
 
 const DAY_S = 260;
 const QUIET_S = 420;
@@ -147,25 +150,28 @@
     ['refuse', () => [node, secs(3, 30)]],
     ['cut', () => [node, clock.pick(['state', 'workers', 'cloud', '*', 'users', 'perch-0']), secs(2, 30), mode]],
     ['cut', () => [node, 'control', secs(2, 30), clock.pick(['drop', 'hold', 'refuse'])]],
-    ['deaf', () => [machine(), secs(5, 40)]],
-    ['deaf-from', () => [node, secs(5, 30)]],
-    ['copies', () => [secs(5, 60)]],
+    ['one-way', () => [machine(), secs(5, 40)]],
+    ['one-way-from', () => [node, secs(5, 30)]],
+    ['duplicate-reports', () => [secs(5, 60)]],
     ['crash', () => [node, secs(0.02, 0.4)]],
     ['crash', () => ['followers', secs(0.02, 0.4)]],
-    ['trip', () => [clock.pick(['before-grant', 'after-grant', 'before-take', 'after-take']), '2', secs(0.02, 0.4)]],
+    [
+      'crash-at',
+      () => [clock.pick(['before-grant', 'after-grant', 'before-take', 'after-take']), '2', secs(0.02, 0.4)],
+    ],
     ['freeze', () => [node, secs(1, 30)]],
     ['freeze', () => ['all', secs(1, 20)]],
     ['cut', () => [machine(), '*', secs(2, 30), mode]],
     ['hang', () => [machine(), secs(2, 30)]],
-    ['sick', () => [machine()]],
+    ['fail-tasks', () => [machine()]],
     ['slow', () => [machine(), '4']],
     ['notice', () => [machine(), secs(4, 12)]],
     ['take', () => [machine()]],
     ['fail', () => [machine()]],
     ['cloud-outage', () => [secs(3, 20)]],
     ['never-boot', () => ['1']],
-    ['mute', () => [machine(), secs(5, 40)]],
-    ['mute', () => ['all', secs(5, 40)]],
+    ['no-reports', () => [machine(), secs(5, 40)]],
+    ['no-reports', () => ['all', secs(5, 40)]],
     ['hold-reports', () => [clock.pick([machine(), 'all']), secs(2, 25)]],
     ['slow-links', () => [clock.pick([machine(), node, 'all']), String(clock.pick([300, 2000, 6000])), secs(5, 40)]],
     ['slow-state', () => [String(clock.pick([20, 100, 400])), secs(5, 40)]],
@@ -173,8 +179,8 @@
     ['flap', () => ['10', secs(2, 12), secs(0.1, 4)]],
     ['cancel-now', () => ['4', clock.pick(['', secs(5, 30)])]],
     ['cancel-at-end', () => ['0.5', secs(20, 60)]],
-    ['odd-requests', () => [secs(10, 60)]],
-    ['gap', () => [secs(0.5, 3), secs(20, 60)]],
+    ['invalid-requests', () => [secs(10, 60)]],
+    ['refusal-then-outage', () => [secs(0.5, 3), secs(20, 60)]],
   ];
   const [name, words] = clock.pick(choices);
   clock.in(atS * 1000, () => events[name]?.(world, words()));
--- /dev/null
+++ b/test/sim/build.ts
@@ -0,0 +1,31 @@
+import { fileURLToPath } from 'node:url';
+import { loadTuning } from '../../src/config/tuning.js';
+import type { Input, Output } from '../../src/core/messages.js';
+import { Node } from '../../src/core/node.js';
+import * as records from '../../src/core/records.js';
+import type { Tuning } from '../../src/core/settings.js';
+import { encodeFrame, FrameSplitter } from '../../src/io/peer/peer_codec.js';
+
+/** The parts of a build that a world needs: this one's, or an earlier one's. */
+export interface Build {
+  readonly name: string;
+  readonly Node: typeof Node;
+  readonly encodeFrame: typeof encodeFrame;
+  readonly FrameSplitter: typeof FrameSplitter;
+  readonly records: typeof records;
+  readonly tuning: Tuning;
+  /** Whether it keeps to the limits that the settings announce for later. */
+  readonly readsAnnouncedLimits: boolean;
+  /** Between the names that the present core uses and its own. */
+  readonly translate: { input(input: Input): Input; output(output: Output): Output };
+}
+export const PRESENT: Build = {
+  name: 'present',
+  Node,
+  encodeFrame,
+  FrameSplitter,
+  records,
+  tuning: loadTuning(fileURLToPath(new URL('../../../../deploy/tuning.toml', import.meta.url))),
+  readsAnnouncedLimits: true,
+  translate: { input: (input) => input, output: (output) => output },
+};
--- /dev/null
+++ b/test/sim/controller.ts
@@ -0,0 +1,229 @@
+import type {
+  Input,
+  Output,
+  PeerMessage,
+  Result,
+  StoreValue,
+  UserAnswer,
+  UserRequest,
+  WorkerAnswer,
+  WorkerValue,
+} from '../../src/core/messages.js';
+import type { Node } from '../../src/core/node.js';
+import type { Settings } from '../../src/core/settings.js';
+import type { MachineId, NodeName, Now, Steady, Wall, WorkerReport } from '../../src/core/types.js';
+import type { FrameSplitter, PeerFrame } from '../../src/io/peer/peer_codec.js';
+import { type Build, PRESENT } from './build.js';
+import type { Cloud } from './cloud.js';
+import type { World } from './world.js';
+
+/** A controller process as the world runs it: killed without a word, started again with nothing. */
+export class Controller {
+  private node: Node | null = null;
+  /** One for each peer that speaks to it over bytes. */
+  private splitters = new Map<NodeName, FrameSplitter>();
+  private callbacks = new Map<number, (a: never) => void>();
+  private requests = 0;
+  private timerSeq = 0;
+  private starts = 0;
+  private epoch = 0;
+  private frozenUntil = 0;
+  private inputsWhileFrozen: Input[] = [];
+
+  constructor(
+    private readonly world: World,
+    readonly name: NodeName,
+    private readonly settings: (build: Build) => Settings,
+    public build: Build,
+  ) {}
+
+  /** From its next start on it runs another build. */
+  become(build: Build): void {
+    this.build = build;
+  }
+
+  get up(): boolean {
+    return this.node !== null;
+  }
+
+  get healthy(): boolean {
+    if (this.world.clock.now < this.frozenUntil) return false;
+    return this.node?.healthy(this.now().steady) ?? false;
+  }
+
+  start(): void {
+    if (this.node) return;
+    this.starts += 1;
+    this.epoch += 1;
+    const { world } = this;
+    this.node = new this.build.Node(
+      this.settings(this.build),
+      this.build === PRESENT ? world.options.tuning : this.build.tuning,
+      `${this.name}-${this.starts}`,
+      world.options.seed + this.starts,
+      this.now(),
+    );
+    this.step({ kind: 'start' });
+  }
+
+  crash(): void {
+    this.node = null;
+    this.splitters.clear();
+    this.frozenUntil = 0;
+    this.inputsWhileFrozen = [];
+    this.callbacks.clear();
+    this.epoch += 1;
+  }
+
+  private now(): Now {
+    const t = this.world.clock.now;
+    return { steady: t as Steady, wall: (1_790_000_000_000 + t) as Wall };
+  }
+
+  /** The process stands still while its clocks run on; what comes meanwhile waits in its sockets. */
+  freeze(ms: number): void {
+    if (!this.node) return;
+    const { epoch, world } = this;
+    this.frozenUntil = world.clock.now + ms;
+    world.clock.in(ms, () => {
+      if (epoch !== this.epoch) return;
+      const waited = this.inputsWhileFrozen;
+      this.inputsWhileFrozen = [];
+      // Either comes first on waking: timers that are due, or what was read from the sockets.
+      const timerFirst = world.clock.between(0, 1) < 0.5;
+      if (timerFirst) this.step({ kind: 'timer' });
+      for (const input of waited) this.step(input);
+      if (!timerFirst) this.step({ kind: 'timer' });
+    });
+  }
+
+  step(input: Input): void {
+    const { node } = this;
+    if (!node) return;
+    if (this.world.clock.now < this.frozenUntil) {
+      if (input.kind !== 'timer') this.inputsWhileFrozen.push(input);
+      return;
+    }
+    const { translate } = this.build;
+    const outputs = node.step(this.now(), translate.input(input));
+    for (const o of outputs) this.carryOut(translate.output(o));
+    const next = node.nextTimer();
+    if (next === null) return;
+    const ifAlive = ++this.timerSeq;
+    this.world.clock.in(Math.max(1, next - this.world.clock.now), () => {
+      if (ifAlive === this.timerSeq && this.node === node) this.step({ kind: 'timer' });
+    });
+  }
+
+  /** Runs `then` only if the same process still lives. */
+  private mine<T extends unknown[]>(then: (...a: T) => void): (...a: T) => void {
+    const { epoch } = this;
+    return (...a) => {
+      if (epoch === this.epoch && this.node) then(...a);
+    };
+  }
+
+  private carryOut(output: Output): void {
+    const { world } = this;
+    const { network } = world;
+    switch (output.kind) {
+      case 'answerUser':
+      case 'answerWorker': {
+        const wait = this.callbacks.get(output.req);
+        this.callbacks.delete(output.req);
+        wait?.(output.answer as never);
+        break;
+      }
+      case 'store': {
+        const done = this.mine((result: Result<StoreValue> | null) =>
+          this.step({ kind: 'storeReply', call: output.call, result: result ?? { ok: false, why: 'unknown' } }),
+        );
+        world.meters.storeOp(output.op);
+        network.call(
+          this.name,
+          'state',
+          output.timeoutMs,
+          (reply) => world.state.serve(this.name, output.op, reply),
+          done,
+        );
+        break;
+      }
+      case 'cloud': {
+        const done = this.mine((result: Parameters<Parameters<Cloud['serve']>[1]>[0] | null) =>
+          this.step({ kind: 'cloudReply', call: output.call, result: result ?? { ok: false, why: 'unknown' } }),
+        );
+        world.meters.cloudOp();
+        network.call(this.name, 'cloud', 4000, (reply) => world.cloud.serve(output.op, reply), done);
+        break;
+      }
+      case 'worker': {
+        const carriedOut = this.mine((r: WorkerValue | null) =>
+          this.step({
+            kind: 'workerReply',
+            call: output.call,
+            result: r ? { ok: true, value: r } : { ok: false, why: 'unknown' },
+          }),
+        );
+        world.meters.commandsOpened(1);
+        const done = (r: WorkerValue | null): void => {
+          world.meters.commandsOpened(-1);
+          carriedOut(r);
+        };
+        const worker = world.workers.get(output.op.addr as MachineId);
+        network.call(this.name, output.op.addr, 2500, (reply) => worker?.takeCommands(output.op, reply), done);
+        break;
+      }
+      case 'peer': {
+        const to = world.nodes.find((n) => n.name === output.to);
+        if (world.bytes) {
+          const frame = this.build.encodeFrame(output.message);
+          network.send(this.name, output.to, () => to?.fromPeerBytes(this.name, frame));
+          break;
+        }
+        world.meters.frame(output.message);
+        network.send(this.name, output.to, () => to?.fromPeer(this.name, output.message));
+        break;
+      }
+      case 'log':
+        if (output.text === 'round') world.meters.round(output.fields);
+        if (world.verbose)
+          console.error((world.clock.now / 1000).toFixed(2), this.name, output.level, output.text, output.fields);
+        if (output.level === 'error') world.errors.push(`${output.text} ${JSON.stringify(output.fields)}`);
+        break;
+    }
+  }
+
+  fromPeer(from: NodeName, message: PeerMessage): void {
+    this.step({ kind: 'peer', from, message });
+  }
+
+  /** As the link does it: a frame that the build can't take ends the connection. */
+  fromPeerBytes(from: NodeName, frame: Buffer): void {
+    if (!this.node) return;
+    const splitter = this.splitters.get(from) ?? new this.build.FrameSplitter();
+    this.splitters.set(from, splitter);
+    let frames: PeerFrame[];
+    try {
+      frames = splitter.push(frame);
+    } catch (e) {
+      this.splitters.delete(from);
+      this.world.errors.push(`${this.name} ended the link from ${from}: ${(e as Error).message}`);
+      return;
+    }
+    for (const f of frames) if (f.kind !== 'hello') this.fromPeer(from, f);
+  }
+
+  report(report: WorkerReport, reply: (a: WorkerAnswer) => void): void {
+    if (!this.node) return;
+    const req = ++this.requests;
+    this.callbacks.set(req, reply as (a: never) => void);
+    this.step({ kind: 'report', req, report });
+  }
+
+  user(request: UserRequest, reply: (a: UserAnswer) => void): void {
+    if (!this.node) return;
+    const req = ++this.requests;
+    this.callbacks.set(req, reply as (a: never) => void);
+    this.step({ kind: 'user', req, request });
+  }
+}
--- a/test/sim/idle_room.ts
+++ b/test/sim/idle_room.ts
@@ -66,7 +66,7 @@
   }
 
   private takes(worker: Worker, spec: JobSpec): number {
-    if (!worker.alive || worker.hung || worker.sick || worker.speed < 1 || worker.noticeAt !== null) return 0;
+    if (!worker.alive || worker.hung || worker.failsTasks || worker.speed < 1 || worker.noticeAt !== null) return 0;
     if ((worker.spot && !spec.spotOk) || (spec.zone !== null && spec.zone !== worker.zone)) return 0;
     if (spec.types !== null && !spec.types.includes(worker.type.name)) return 0;
     let { cpus, gpus, memGb } = worker.type;
--- a/test/sim/meters.ts
+++ b/test/sim/meters.ts
@@ -22,10 +22,10 @@
   private readonly storeCalls = new PerSecond();
   private readonly storeChanges = new PerSecond();
   private readonly cloudCalls = new PerSecond();
-  private directNow = 0;
+  private openCommands = 0;
   /** Plan steps of the dearest round. */
-  steps = 0;
-  directs = 0;
+  maxRoundSteps = 0;
+  maxOpenCommands = 0;
   frameBytes = 0;
 
   constructor(private readonly clock: Clock) {}
@@ -51,9 +51,9 @@
     this.cloudCalls.add(this.clock.now, 1);
   }
 
-  direct(n: number): void {
-    this.directNow += n;
-    this.directs = Math.max(this.directs, this.directNow);
+  commandsOpened(n: number): void {
+    this.openCommands += n;
+    this.maxOpenCommands = Math.max(this.maxOpenCommands, this.openCommands);
   }
 
   frame(message: PeerMessage): void {
@@ -61,6 +61,6 @@
   }
 
   round(fields: Record<string, unknown>): void {
-    this.steps = Math.max(this.steps, Number(fields.steps));
+    this.maxRoundSteps = Math.max(this.maxRoundSteps, Number(fields.steps));
   }
 }
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -7,7 +7,7 @@
   readonly b: string;
   readonly mode: CutMode;
   /** Only what goes to `a` is cut: it is heard but doesn't hear. */
-  readonly deaf: boolean;
+  readonly oneWay: boolean;
   readonly held: (() => void)[];
 }
 
@@ -19,8 +19,8 @@
   constructor(private readonly clock: Clock) {}
 
   /** Cuts `a` from `b` ("*": from everybody) for a while. */
-  cut(a: string, b: string, ms: number, mode: CutMode, deaf = false): void {
-    const cut: Cut = { a, b, mode, deaf, held: [] };
+  cut(a: string, b: string, ms: number, mode: CutMode, oneWay = false): void {
+    const cut: Cut = { a, b, mode, oneWay, held: [] };
     this.cuts.add(cut);
     this.clock.in(ms, () => {
       this.cuts.delete(cut);
@@ -37,7 +37,7 @@
   send(from: string, to: string, deliver: () => void): void {
     for (const cut of this.cuts) {
       const hits = (x: string, y: string): boolean => cut.a === x && (cut.b === y || (cut.b === '*' && x !== y));
-      if (!hits(to, from) && (cut.deaf || !hits(from, to))) continue;
+      if (!hits(to, from) && (cut.oneWay || !hits(from, to))) continue;
       if (cut.mode === 'hold') cut.held.push(deliver);
       return;
     }
--- a/test/sim/old_versions.ts
+++ b/test/sim/old_versions.ts
@@ -3,7 +3,7 @@
 import type { Input, JobStatus, Output, UserAnswer } from '../../src/core/messages.js';
 import type { Tuning } from '../../src/core/settings.js';
 import type { PeerFrame } from '../../src/io/peer/peer_codec.js';
-import type { Build } from './world.js';
+import type { Build } from './build.js';
 
 const repositoryFile = (path: string): URL => new URL(`../../../../${path}`, import.meta.url);
 const readText = (path: string): string => readFileSync(repositoryFile(path), 'utf8');
--- a/test/sim/rules.ts
+++ b/test/sim/rules.ts
@@ -15,10 +15,10 @@
   readonly broken: string[] = [];
   readonly submitted = new Map<JobId, JobSpec>();
   /** Tasks on machines: by job, then task number. */
-  readonly on = new Map<JobId, Map<number, OnMachine[]>>();
+  readonly tasksOnMachines = new Map<JobId, Map<number, OnMachine[]>>();
   readonly done = new Map<JobId, Set<number>>();
   private readonly accepted = new Set<JobId>();
-  private readonly finals = new Map<JobId, 'done' | 'cancelled'>();
+  private readonly finalStates = new Map<JobId, 'done' | 'cancelled'>();
   readonly cancelAsked = new Set<JobId>();
   private readonly cancelledAt = new Map<JobId, number>();
   private readonly goneAt = new Map<JobId, number>();
@@ -64,10 +64,10 @@
   }
 
   /** A question about a job got no answer: after all troubles, 75 s of that is a job forgotten, however others fare. */
-  unanswered(job: JobId): void {
+  onNoAnswer(job: JobId): void {
     if (!this.accepted.has(job)) return;
     const since = Math.max(this.answeredAt.get(job) ?? 0, this.troublesUntil);
-    if (this.clock.now - since > FORGOTTEN_MS) this.breaks('forgotten', `${job}: no answer for 75 s`);
+    if (this.clock.now - since > FORGOTTEN_MS) this.breakRule('forgotten', `${job}: no answer for 75 s`);
   }
 
   /** Of accepted jobs that nobody cancelled, the shares that were served: by class, by team, and of each class's largest. */
@@ -112,15 +112,15 @@
   }
 
   unregistered(machine: string): void {
-    this.breaks('unregistered', `${machine} is rented and no longer on record`);
+    this.breakRule('unregistered', `${machine} is rented and no longer on record`);
   }
 
   /** A job has waited beside room for it, long after all troubles. */
   idleRoom(job: JobId, machine: MachineId): void {
-    this.breaks('idle_room', `${job} waits while ${machine} has room`);
+    this.breakRule('idle_room', `${job} waits while ${machine} has room`);
   }
 
-  private breaks(rule: string, what: string): void {
+  private breakRule(rule: string, what: string): void {
     this.broken.push(`${(this.clock.now / 1000).toFixed(2)} ${rule}: ${what}`);
   }
 
@@ -130,22 +130,22 @@
     if (!this.begunAt.has(job)) this.begunAt.set(job, this.clock.now);
     this.lastStart.set(job, this.clock.now);
     const spec = this.submitted.get(job);
-    if (!spec) return this.breaks('invented', `${job}/${index} started`);
-    let tasks = this.on.get(job);
+    if (!spec) return this.breakRule('invented', `${job}/${index} started`);
+    let tasks = this.tasksOnMachines.get(job);
     if (!tasks) {
       tasks = new Map();
-      this.on.set(job, tasks);
+      this.tasksOnMachines.set(job, tasks);
     }
     const places = tasks.get(index) ?? [];
-    if (places.length > 0) this.breaks('ran_twice', `${job}/${index} on ${machine} and ${places[0]?.machine}`);
+    if (places.length > 0) this.breakRule('ran_twice', `${job}/${index} on ${machine} and ${places[0]?.machine}`);
     if (spec.types !== null && !spec.types.includes(type.name))
-      this.breaks('wrong_place', `${job} on type ${type.name}`);
-    if (spec.zone !== null && spec.zone !== zone) this.breaks('wrong_place', `${job} in zone ${zone}`);
-    if (spot && !spec.spotOk) this.breaks('wrong_place', `${job} on a spot machine`);
+      this.breakRule('wrong_place', `${job} on type ${type.name}`);
+    if (spec.zone !== null && spec.zone !== zone) this.breakRule('wrong_place', `${job} in zone ${zone}`);
+    if (spot && !spec.spotOk) this.breakRule('wrong_place', `${job} on a spot machine`);
     const zones = [...tasks.values()].flat().map((p) => p.zone);
-    if (spec.sameZone && zones.some((z) => z !== zone)) this.breaks('wrong_place', `${job} in two zones`);
+    if (spec.sameZone && zones.some((z) => z !== zone)) this.breakRule('wrong_place', `${job} in two zones`);
     if (spec.spread && zones.filter((z) => z === zone).length + 1 > Math.ceil(spec.tasks / 2)) {
-      this.breaks('wrong_place', `${job} has too many tasks in zone ${zone}`);
+      this.breakRule('wrong_place', `${job} has too many tasks in zone ${zone}`);
     }
     tasks.set(index, [...places, { machine, zone }]);
     if (this.cancelledAt.has(job)) this.lateStarts += 1;
@@ -154,7 +154,7 @@
   }
 
   ended(job: JobId, index: number, machine: MachineId): void {
-    const tasks = this.on.get(job);
+    const tasks = this.tasksOnMachines.get(job);
     const places = tasks?.get(index)?.filter((p) => p.machine !== machine) ?? [];
     if (places.length === 0) tasks?.delete(index);
     else tasks?.set(index, places);
@@ -163,7 +163,7 @@
 
   /** How long after the word of its cancellation the last task of a job was gone; until now if some are there. */
   goneMs(job: JobId): number {
-    const there = (this.on.get(job)?.size ?? 0) > 0;
+    const there = (this.tasksOnMachines.get(job)?.size ?? 0) > 0;
     return (there ? this.clock.now : (this.goneAt.get(job) ?? 0)) - (this.cancelledAt.get(job) ?? 0);
   }
 
@@ -183,7 +183,7 @@
   }
 
   finalOf(job: JobId): string | undefined {
-    return this.finals.get(job);
+    return this.finalStates.get(job);
   }
 
   isAccepted(job: JobId): boolean {
@@ -192,7 +192,7 @@
 
   private checkCancelled(job: JobId, index: number): void {
     const at = this.cancelledAt.get(job);
-    if (at !== undefined && this.clock.now > at + this.cancelMs) this.breaks('ran_cancelled', `${job}/${index}`);
+    if (at !== undefined && this.clock.now > at + this.cancelMs) this.breakRule('ran_cancelled', `${job}/${index}`);
   }
 
   private checkQuota(spec: JobSpec): void {
@@ -200,41 +200,41 @@
     if (!team) return;
     let cpus = 0;
     let gpus = 0;
-    for (const [id, tasks] of this.on) {
+    for (const [id, tasks] of this.tasksOnMachines) {
       const other = this.submitted.get(id);
       if (!other || other.team !== spec.team) continue;
       const n = [...tasks.values()].reduce((sum, p) => sum + p.length, 0);
       cpus += n * other.cpus;
       gpus += n * other.gpus;
     }
-    if (team.cpusMax > 0 && cpus > team.cpusMax + 1e-6) this.breaks('quota', `${team.name}: ${cpus} cpus`);
-    if (team.gpusMax > 0 && gpus > team.gpusMax + 1e-6) this.breaks('quota', `${team.name}: ${gpus} gpus`);
+    if (team.cpusMax > 0 && cpus > team.cpusMax + 1e-6) this.breakRule('quota', `${team.name}: ${cpus} cpus`);
+    if (team.gpusMax > 0 && gpus > team.gpusMax + 1e-6) this.breakRule('quota', `${team.name}: ${gpus} gpus`);
   }
 
   /** An answer that reached a user. */
-  told(job: JobId, answer: UserAnswer): void {
+  onAnswer(job: JobId, answer: UserAnswer): void {
     if (!('jobStatus' in answer)) {
       if (answer.status === 422) this.refused.add(job);
       const known = this.accepted.has(job);
-      if (known && answer.status === 404) this.breaks('forgotten', `${job} answered 404`);
-      if (known && (answer.status === 400 || answer.status === 422)) this.breaks('forgotten', `${job} refused`);
+      if (known && answer.status === 404) this.breakRule('forgotten', `${job} answered 404`);
+      if (known && (answer.status === 400 || answer.status === 422)) this.breakRule('forgotten', `${job} refused`);
       return;
     }
-    if (this.neverRuns.has(job)) return this.breaks('taken', `${job} can't run or lacks a field`);
-    if (!this.submitted.has(job)) this.breaks('invented', job);
+    if (this.neverRuns.has(job)) return this.breakRule('taken', `${job} can't run or lacks a field`);
+    if (!this.submitted.has(job)) this.breakRule('invented', job);
     this.accepted.add(job);
     this.answeredAt.set(job, this.clock.now);
-    const before = this.finals.get(job);
+    const before = this.finalStates.get(job);
     if (before !== undefined && answer.jobStatus !== before)
-      this.breaks('went_back', `${job}: ${before}, then ${answer.jobStatus}`);
+      this.breakRule('went_back', `${job}: ${before}, then ${answer.jobStatus}`);
     if (answer.jobStatus === 'done') {
-      if (!this.isDone(job)) this.breaks('not_done', job);
-      this.finals.set(job, 'done');
+      if (!this.isDone(job)) this.breakRule('not_done', job);
+      this.finalStates.set(job, 'done');
       if (!this.toldDoneAt.has(job)) this.toldDoneAt.set(job, this.clock.now);
     }
     if (answer.jobStatus === 'cancelled') {
-      if (!this.cancelAsked.has(job)) this.breaks('went_back', `${job} cancelled by nobody`);
-      this.finals.set(job, 'cancelled');
+      if (!this.cancelAsked.has(job)) this.breakRule('went_back', `${job} cancelled by nobody`);
+      this.finalStates.set(job, 'cancelled');
       if (!this.cancelledAt.has(job)) this.watchCancelled(job);
     }
   }
@@ -242,7 +242,8 @@
   private watchCancelled(job: JobId): void {
     this.cancelledAt.set(job, this.clock.now);
     this.clock.in(this.cancelMs, () => {
-      for (const index of this.on.get(job)?.keys() ?? []) this.breaks('ran_cancelled', `${job}/${index} still there`);
+      for (const index of this.tasksOnMachines.get(job)?.keys() ?? [])
+        this.breakRule('ran_cancelled', `${job}/${index} still there`);
     });
   }
 }
--- /dev/null
+++ b/test/sim/scenario_checks.ts
@@ -0,0 +1,148 @@
+import type { JobId } from '../../src/core/types.js';
+import type { World } from './world.js';
+
+/** What `expect most` can ask for. Calls and changes are of the busiest second, of all nodes together. */
+const METERS: Readonly<Record<string, (world: World) => number>> = {
+  'steps-a-round': (w) => w.meters.maxRoundSteps,
+  'state-calls': (w) => w.meters.calls,
+  'state-changes': (w) => w.meters.changes,
+  'cloud-calls': (w) => w.meters.cloud,
+  'direct-calls-open': (w) => w.meters.maxOpenCommands,
+  'value-bytes': (w) => w.state.longest,
+  'frame-bytes': (w) => w.meters.frameBytes,
+};
+
+export type Check = (world: World, words: string[]) => string | null;
+
+export const checks: Readonly<Record<string, Check>> = {
+  /** expect done JOB ... */
+  done(world, ids) {
+    const open = ids.filter((id) => world.rules.finalOf(id as JobId) !== 'done');
+    return open.length === 0 ? null : `not told done: ${open.join(' ')}`;
+  },
+  cancelled(world, ids) {
+    const open = ids.filter((id) => world.rules.finalOf(id as JobId) !== 'cancelled');
+    return open.length === 0 ? null : `not told cancelled: ${open.join(' ')}`;
+  },
+  /** expect starts at-most N */
+  starts(world, [, n]) {
+    return world.rules.starts <= Number(n) ? null : `${world.rules.starts} starts, more than ${n}`;
+  },
+  /** expect leader: somebody holds the lead at the end */
+  leader(world) {
+    return world.leader() ? null : 'nobody leads';
+  },
+  /** expect begun-within S JOB ... */
+  'begun-within'(world, [s, ...ids]) {
+    const late = ids.filter(
+      (id) => !world.rules.hasBegun(id as JobId) || world.rules.beginMs(id as JobId) > Number(s) * 1000,
+    );
+    const told = late.map((id) => `${id} after ${(world.rules.beginMs(id as JobId) / 1000).toFixed(0)} s`);
+    return late.length === 0 ? null : `not begun in time: ${told.join(', ')}`;
+  },
+  /** expect done-within S JOB ...: told so, that long after it was submitted */
+  'done-within'(world, [s, ...ids]) {
+    const late = ids.filter((id) => world.rules.doneMs(id as JobId) > Number(s) * 1000);
+    const told = late.map((id) => `${id} after ${(world.rules.doneMs(id as JobId) / 1000).toFixed(0)} s`);
+    return late.length === 0 ? null : `not done in time: ${told.join(', ')}`;
+  },
+  /** expect served SHARE: of every class, every team and every class's largest jobs */
+  served(world, [share]) {
+    const low = [...world.rules.servedShares()].filter(([, part]) => part < Number(share));
+    return low.length === 0 ? null : low.map(([key, part]) => `${key}: ${part.toFixed(2)} served`).join(', ');
+  },
+  /** expect used MACHINE ...: some task ran there */
+  used(world, ids) {
+    const idle = ids.filter((id) => !world.rules.usedMachines.has(id));
+    return idle.length === 0 ? null : `nothing ran on ${idle.join(' ')}`;
+  },
+  accepted(world, ids) {
+    const open = ids.filter((id) => !world.rules.isAccepted(id as JobId));
+    return open.length === 0 ? null : `not accepted: ${open.join(' ')}`;
+  },
+  /** expect gone MACHINE ... */
+  gone(world, ids) {
+    const there = ids.filter((id) => world.cloud.machines.has(id as never));
+    return there.length === 0 ? null : `still rented: ${there.join(' ')}`;
+  },
+  /** expect leases-lost at-most N: workers whose lease ended under their tasks */
+  'leases-lost'(world, [, n]) {
+    return world.leasesLost <= Number(n) ? null : `${world.leasesLost} leases ran out under tasks, more than ${n}`;
+  },
+  /** expect late-writes at-least N: so many transactions were carried out late */
+  'late-writes'(world, [, n]) {
+    return world.state.lateDone >= Number(n) ? null : `only ${world.state.lateDone} transactions carried out late`;
+  },
+  /** expect late-starts at-most N: starts after the user was told that the job is cancelled */
+  'late-starts'(world, [, n]) {
+    const late = world.rules.lateStarts;
+    return late <= Number(n) ? null : `${late} starts after a confirmed cancellation, more than ${n}`;
+  },
+  /** expect refused-sizes at-most N: transactions of the present build that the state service called too large */
+  'refused-sizes'(world, [, n]) {
+    return world.refusedSizes <= Number(n) ? null : `${world.refusedSizes} transactions too large, more than ${n}`;
+  },
+  /** expect terms at-most N: so often the lead was taken */
+  terms(world, [, n]) {
+    const term = (world.state.item('term')?.value as { n?: number } | undefined)?.n ?? 0;
+    return term <= Number(n) ? null : `the lead was taken ${term} times, more than ${n}`;
+  },
+  /** expect throttled at-most N: calls that the state service refused for coming too often */
+  throttled(world, [, n]) {
+    return world.state.throttled <= Number(n) ? null : `${world.state.throttled} calls throttled, more than ${n}`;
+  },
+  /** expect cancelled-of N JOB ...: at least so many of them were cancelled */
+  'cancelled-of'(world, [n, ...ids]) {
+    const gone = ids.filter((id) => world.rules.finalOf(id as JobId) === 'cancelled');
+    return gone.length >= Number(n) ? null : `only ${gone.length} cancelled`;
+  },
+  /** expect gone-within S JOB ...: no task on any machine, that long after its user was told that it is cancelled */
+  'gone-within'(world, [s, ...ids]) {
+    const late = ids.filter((id) => world.rules.goneMs(id as JobId) > Number(s) * 1000);
+    return late.length === 0 ? null : `not gone in time: ${late.join(' ')}`;
+  },
+  /** expect up SHARE AFTER JOB ...: of the replica time from so many seconds on, that share was served */
+  up(world, [share, after, ...ids]) {
+    const low = ids.filter((id) => world.uptime.share(id as JobId, Number(after) * 1000) < Number(share));
+    const told = low.map((id) => `${id} ${world.uptime.share(id as JobId, Number(after) * 1000).toFixed(3)}`);
+    return low.length === 0 ? null : `not up enough: ${told.join(', ')}`;
+  },
+  /** expect up-now SHARE JOB ...: that part of the replicas runs at the end */
+  'up-now'(world, [share, ...ids]) {
+    const low = ids.filter((id) => world.uptime.last(id as JobId) < Number(share));
+    return low.length === 0 ? null : `not up at the end: ${low.join(' ')}`;
+  },
+  /** expect running JOB ...: accepted and never told to be over */
+  running(world, ids) {
+    const over = ids.filter((id) => !world.rules.isAccepted(id as JobId) || world.rules.finalOf(id as JobId));
+    return over.length === 0 ? null : `over: ${over.join(' ')}`;
+  },
+  /** expect refused JOB ...: answered that they can never run */
+  refused(world, ids) {
+    const taken = ids.filter((id) => !world.rules.refused.has(id as JobId));
+    return taken.length === 0 ? null : `not refused: ${taken.join(' ')}`;
+  },
+  /** expect largest-page BYTES: no page of the registry is longer at the end */
+  'largest-page'(world, [n]) {
+    const longest = Math.max(...world.state.keys('m/').map((k) => JSON.stringify(world.state.item(k)?.value).length));
+    return longest <= Number(n) ? null : `a page of ${longest} bytes`;
+  },
+  rented(world, [, n]) {
+    return world.cloud.rentals <= Number(n) ? null : `${world.cloud.rentals} machines rented, more than ${n}`;
+  },
+  /** expect machines at-most N: rented at the end */
+  machines(world, [, n]) {
+    return world.cloud.machines.size <= Number(n) ? null : `${world.cloud.machines.size} machines, more than ${n}`;
+  },
+  /** expect most WHAT N: what the controllers used of what is scarce, see `METERS` */
+  most(world, [what, n]) {
+    const meter = METERS[what ?? ''];
+    if (!meter) return `no meter ${what}`;
+    const used = meter(world);
+    return used <= Number(n) ? null : `${what}: ${used}, more than ${n}`;
+  },
+  empty(world) {
+    const left = [...world.rules.tasksOnMachines.values()].reduce((sum, tasks) => sum + tasks.size, 0);
+    return left === 0 ? null : `${left} tasks still on machines`;
+  },
+};
--- /dev/null
+++ b/test/sim/scenario_events.ts
@@ -0,0 +1,298 @@
+import type { StoreOp } from '../../src/core/messages.js';
+import type { JobId } from '../../src/core/types.js';
+import { type Build, PRESENT } from './build.js';
+import { sendInvalidRequest } from './invalid_requests.js';
+import { makeSpec, num, readOptions } from './job_options.js';
+import type { World } from './world.js';
+
+/** Where a scenario names no old versions. */
+export const NO_VERSIONS: ReadonlyMap<string, Build> = new Map();
+
+export function buildNamed(oldVersions: ReadonlyMap<string, Build>, name: string): Build {
+  const build = name === PRESENT.name ? PRESENT : oldVersions.get(name);
+  if (!build) throw new Error(`no version ${name}`);
+  return build;
+}
+
+function nodesNamed(world: World, which: string | undefined): World['nodes'] {
+  if (which === 'all') return world.nodes.slice();
+  if (which === 'leader') return [world.leader() ?? world.nodes[0]].filter((n) => n !== undefined);
+  if (which === 'followers') return world.nodes.filter((n) => n !== world.leader());
+  return world.nodes.filter((n) => n.name === which);
+}
+
+function workersNamed(
+  world: World,
+  which: string | undefined,
+): World['workers'] extends Map<unknown, infer W> ? W[] : never {
+  const all = [...world.workers.values()];
+  if (which === 'all') return all;
+  if (which?.startsWith('zone:')) return all.filter((w) => w.zone === which.slice(5));
+  if (which === 'busy') return all.filter((w) => w.tasks.size > 0).slice(0, 1);
+  if (which?.startsWith('some:')) {
+    // So many of them, spread over all.
+    const step = Math.max(1, Math.floor(all.length / Number(which.slice(5))));
+    const from = Math.floor(world.clock.between(0, step));
+    return all.filter((_, i) => i % step === from % step).slice(0, Number(which.slice(5)));
+  }
+  return all.filter((w) => w.id === which);
+}
+
+export type Event = (world: World, words: string[]) => void;
+
+/** Notes when a trouble is over, so that the rules know when all is quiet. */
+function lasts(world: World, s: string | undefined): number {
+  const ms = Number(s) * 1000;
+  world.rules.troublesUntil = Math.max(world.rules.troublesUntil, world.clock.now + ms);
+  return ms;
+}
+
+/** At which step of an election a node ends: before or after its lease is granted, or its transaction carried out. */
+const TRIPS: Readonly<Record<string, (op: StoreOp, carriedOut: boolean) => boolean>> = {
+  'before-grant': (op, after) => op.op === 'grant' && !after,
+  'after-grant': (op, after) => op.op === 'grant' && after,
+  'before-take': (op, after) => takesLead(op) && !after,
+  'after-take': (op, after) => takesLead(op) && after,
+};
+const takesLead = (op: StoreOp): boolean => op.op === 'txn' && op.changes.some((c) => 'put' in c && c.put === 'leader');
+
+export const events: Readonly<Record<string, Event>> = {
+  submit(world, [id, shape, ...rest]) {
+    const o = readOptions(rest);
+    const spec = makeSpec(id ?? '', shape === 'gang' || shape === 'service' ? shape : 'array', o);
+    if (o.faulty) world.faulty.add(spec.id);
+    world.submit(spec, num(o, 'run', 10) * 1000);
+  },
+  cancel(world, [id]) {
+    world.cancel(id as JobId);
+  },
+  /** crash NODE|leader|all [back after S seconds, default 3] */
+  crash(world, [which, back]) {
+    for (const node of nodesNamed(world, which)) {
+      node.crash();
+      world.clock.in(lasts(world, back ?? '3'), () => node.start());
+    }
+  },
+  /** freeze NODE|leader|all S: it stands still while its clocks run on */
+  freeze(world, [which, s]) {
+    for (const n of nodesNamed(world, which)) n.freeze(lasts(world, s));
+  },
+  outage(world, [s]) {
+    world.state.outage(lasts(world, s));
+  },
+  /** refuse NODE S: the state service answers 503 to this node alone */
+  refuse(world, [which, s]) {
+    for (const node of nodesNamed(world, which)) {
+      world.state.refused.add(node.name);
+      world.clock.in(lasts(world, s), () => world.state.refused.delete(node.name));
+    }
+  },
+  /** cut NODE|MACHINE state|cloud|workers|users|control|* S drop|hold|refuse; control: state service and other nodes */
+  cut(world, [which, from, s, mode]) {
+    const hosts = [
+      ...nodesNamed(world, which).map((n) => n.name as string),
+      ...workersNamed(world, which).map((w) => w.id),
+    ];
+    const peers = world.nodes.map((n) => n.name as string);
+    const others =
+      from === 'workers' ? [...world.workers.keys()] : from === 'control' ? ['state', ...peers] : [from ?? '*'];
+    const ms = lasts(world, s);
+    for (const h of hosts) {
+      if (mode === 'refuse') {
+        world.state.refused.add(h);
+        world.clock.in(ms, () => world.state.refused.delete(h));
+      }
+      for (const o of others) {
+        if (o === h || (mode === 'refuse' && o === 'state')) continue;
+        world.network.cut(h, o, ms, mode === 'hold' ? 'hold' : 'drop');
+      }
+    }
+  },
+  /** one-way MACHINE|all S: its reports arrive, answers and commands don't reach it */
+  'one-way'(world, [which, s]) {
+    for (const w of workersNamed(world, which)) world.network.cut(w.id, '*', lasts(world, s), 'drop', true);
+  },
+  /** one-way-from NODE S: nothing that this node says reaches any machine, by whatever way it goes */
+  'one-way-from'(world, [which, s]) {
+    const ms = lasts(world, s);
+    for (const node of nodesNamed(world, which)) {
+      for (const id of world.workers.keys()) world.network.cut(id, node.name, ms, 'drop', true);
+    }
+  },
+  /** unanswered NODE S: what it says reaches the machines, and nothing that they say reaches it */
+  unanswered(world, [which, s]) {
+    const ms = lasts(world, s);
+    for (const node of nodesNamed(world, which)) {
+      for (const id of world.workers.keys()) world.network.cut(node.name, id, ms, 'drop', true);
+    }
+  },
+  /** duplicate-reports S: reports sent in this time come once more, 1 to 60 s late, to any node */
+  'duplicate-reports'(world, [s]) {
+    world.duplicatesUntil = world.clock.now + lasts(world, s);
+    world.rules.troublesUntil += 60_000;
+  },
+  /** no-reports MACHINE|all S: it reaches no controller, while direct commands reach it */
+  'no-reports'(world, [which, s]) {
+    const ms = lasts(world, s);
+    for (const w of workersNamed(world, which)) w.noReportsUntil = world.clock.now + ms;
+  },
+  /** hold-reports MACHINE|all S: what they report meanwhile reaches whoever leads afterwards */
+  'hold-reports'(world, [which, s]) {
+    const ms = lasts(world, s);
+    for (const w of workersNamed(world, which)) w.reportsHeldUntil = world.clock.now + ms;
+  },
+  /** slow-links NODE|MACHINE|all MS S: each message to and from it takes up to MS longer */
+  'slow-links'(world, [which, delay, s]) {
+    const ms = lasts(world, s);
+    const hosts = [
+      ...nodesNamed(world, which).map((n) => n.name as string),
+      ...workersNamed(world, which).map((w) => w.id),
+    ];
+    for (const h of hosts) world.network.slow(h, Number(delay), ms);
+  },
+  /** slow-state FACTOR S: the state service takes so many times as long */
+  'slow-state'(world, [factor, s]) {
+    world.state.slow(Number(factor), lasts(world, s));
+  },
+  /** late-writes SHARE S: transactions without an answer, carried out 2 to 12 s later, after newer ones */
+  'late-writes'(world, [share, s]) {
+    world.state.lateWrites(Number(share), lasts(world, s));
+    world.rules.troublesUntil += 12_000;
+  },
+  /** lower-limits valueBytes=N txnOps=N rps=N writeRps=N: the state service takes less from now on */
+  'lower-limits'(world, words) {
+    const o = readOptions(words);
+    const { valueBytes, txnOps } = world.limits;
+    world.state.lower({
+      valueBytes: num(o, 'valueBytes', valueBytes),
+      txnOps: num(o, 'txnOps', txnOps),
+      rps: num(o, 'rps', Number.POSITIVE_INFINITY),
+      writeRps: num(o, 'writeRps', Number.POSITIVE_INFINITY),
+    });
+  },
+  /** upgrade NODE|all BACK [EVERY]: it ends and comes back with the present build, one after the other with EVERY */
+  upgrade(world, [which, back, every]) {
+    nodesNamed(world, which).forEach((node, i) => {
+      const at = i * Number(every ?? 0) * 1000;
+      lasts(world, String(at / 1000 + Number(back ?? 3)));
+      world.clock.in(at, () => {
+        node.become(PRESENT);
+        events.crash?.(world, [node.name, back ?? '3']);
+      });
+    });
+  },
+  /** downgrade NODE VERSION BACK: it ends and comes back with an old version, as a process found old after a roll */
+  downgrade(world, [which, version, back]) {
+    for (const node of nodesNamed(world, which)) {
+      node.become(buildNamed(world.options.oldVersions ?? NO_VERSIONS, version ?? ''));
+      events.crash?.(world, [node.name, back ?? '3']);
+    }
+  },
+  /** refusal-then-outage AFTER S: the leader alone is refused, jobs are called off, and AFTER seconds later the state service is out */
+  'refusal-then-outage'(world, [after, s]) {
+    events.refuse?.(world, ['leader', '14']);
+    world.clock.in(Number(after) * 500, () => events['cancel-now']?.(world, ['3']));
+    world.clock.in(Number(after) * 1000, () => events.outage?.(world, [s ?? '45']));
+    lasts(world, String(Number(after) + Number(s ?? 45)));
+  },
+  /** zone-cut ZONE NODE S drop|hold: the machines of a zone and a node are cut off from all others, not from each other */
+  'zone-cut'(world, [zone, which, s, mode]) {
+    const ms = lasts(world, s);
+    const names = nodesNamed(world, which).map((n) => n.name as string);
+    const inside = [...world.workers.values()].filter((w) => w.zone === zone).map((w) => w.id as string);
+    const outside = [
+      ...world.nodes.map((n) => n.name as string).filter((n) => !names.includes(n)),
+      ...[...world.workers.values()].filter((w) => w.zone !== zone).map((w) => w.id as string),
+      'state',
+      'cloud',
+      'users',
+    ];
+    for (const a of [...names, ...inside]) {
+      for (const b of outside) world.network.cut(a, b, ms, mode === 'hold' ? 'hold' : 'drop');
+    }
+  },
+  /** no-job-news NODE S: the state service tells it nothing of jobs, while its lease is renewed */
+  'no-job-news'(world, [which, s]) {
+    for (const node of nodesNamed(world, which)) {
+      world.state.toldNothingOfJobs.add(node.name);
+      world.clock.in(lasts(world, s), () => world.state.toldNothingOfJobs.delete(node.name));
+    }
+  },
+  /** flap N STEP BACK: whoever leads ends, so many times, every STEP seconds, and is back after BACK seconds */
+  flap(world, [times, step, back]) {
+    lasts(world, String(Number(times) * Number(step)));
+    for (let i = 0; i < Number(times); i++) {
+      world.clock.in(i * Number(step) * 1000, () => events.crash?.(world, ['leader', back ?? '1']));
+    }
+  },
+  /** cancel-now N [HANG]: so many jobs that run are called off within a fifth of a second; eight of their machines hang */
+  'cancel-now'(world, [n, hang]) {
+    const running = [...world.rules.tasksOnMachines].filter(
+      ([id, tasks]) => tasks.size > 0 && !world.rules.cancelAsked.has(id),
+    );
+    const machines = new Set<string>();
+    for (const [id, tasks] of running.slice(0, Number(n))) {
+      for (const places of tasks.values()) for (const p of places) machines.add(p.machine);
+      world.clock.in(world.clock.between(0, 200), () => world.cancel(id));
+    }
+    if (hang) for (const m of [...machines].slice(0, 8)) events.hang?.(world, [m, hang]);
+  },
+  /** cancel-at-end SHARE S: that share of the jobs that end is called off at the moment of the end */
+  'cancel-at-end'(world, [share, s]) {
+    world.cancelAtEnd = { share: Number(share), until: world.clock.now + lasts(world, s) };
+  },
+  /** invalid-requests S: repeats of submissions, cancellations of what is done, jobs that fit no machine or lack a field */
+  'invalid-requests'(world, [s]) {
+    const until = world.clock.now + lasts(world, s);
+    const next = (n: number): void => {
+      if (world.clock.now > until) return;
+      sendInvalidRequest(world, n);
+      world.clock.in(world.clock.between(300, 900), () => next(n + 1));
+    };
+    next(0);
+  },
+  /** crash-at STEP TIMES BACK: whoever next gets to this step of an election ends there, and is back after BACK seconds */
+  'crash-at'(world, [step, times, back]) {
+    const hits = TRIPS[step ?? ''];
+    if (!hits) throw new Error(`no step ${step}`);
+    let left = Number(times ?? 1);
+    const before = world.state.onOp;
+    world.state.onOp = (from, op, carriedOut) => {
+      before(from, op, carriedOut);
+      if (left <= 0 || !hits(op, carriedOut)) return;
+      left -= 1;
+      events.crash?.(world, [from, back ?? '0.1']);
+    };
+  },
+  hang(world, [which, s]) {
+    for (const w of workersNamed(world, which)) w.hungUntil = world.clock.now + lasts(world, s);
+  },
+  'fail-tasks'(world, [which]) {
+    for (const w of workersNamed(world, which)) w.failsTasks = true;
+  },
+  slow(world, [which, factor]) {
+    for (const w of workersNamed(world, which)) w.speed = 1 / Number(factor ?? 4);
+  },
+  /** notice MACHINE S: the cloud takes it after S seconds */
+  notice(world, [which, s]) {
+    for (const worker of workersNamed(world, which)) {
+      worker.noticeAt = world.clock.now + Number(s) * 1000;
+      world.clock.in(Number(s) * 1000, () => world.cloud.take(worker.id));
+    }
+  },
+  take(world, [which]) {
+    for (const w of workersNamed(world, which)) world.cloud.take(w.id);
+  },
+  fail(world, [which]) {
+    for (const w of workersNamed(world, which)) world.cloud.fail(w.id);
+  },
+  'cloud-outage'(world, [s]) {
+    world.cloud.down = true;
+    world.clock.in(lasts(world, s), () => {
+      world.cloud.down = false;
+    });
+  },
+  'never-boot'(world, [n]) {
+    world.cloud.neverBoot = Number(n);
+  },
+};
--- a/test/sim/state_service.ts
+++ b/test/sim/state_service.ts
@@ -37,7 +37,7 @@
   onTooLarge: (from: string) => void = () => {};
   readonly refused = new Set<string>();
   /** Nodes that are told nothing of jobs. */
-  readonly blind = new Set<string>();
+  readonly toldNothingOfJobs = new Set<string>();
   writes = 0;
   /** The longest value that was written, as text. */
   longest = 0;
@@ -110,7 +110,7 @@
     this.clock.in(latency, () => {
       if (this.down || this.refused.has(from)) return reply(no('refused'));
       if (!this.withinRates(op)) return reply({ ok: false, why: 'refused', throttled: true });
-      if (this.blind.has(from) && tellsOfJobs(op)) return reply(no('refused'));
+      if (this.toldNothingOfJobs.has(from) && tellsOfJobs(op)) return reply(no('refused'));
       if (this.lateShare > 0 && op.op === 'txn' && op.changes.length > 0) {
         if (this.clock.between(0, 1) < this.lateShare) {
           return this.clock.in(this.clock.between(2000, 12_000), () => this.carryOutLate(op));
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -14,6 +14,7 @@
   WorkerReport,
   ZoneName,
 } from '../../src/core/types.js';
+import { advanceTask } from './task_execution.js';
 import type { World } from './world.js';
 
 export interface Task {
@@ -41,19 +42,20 @@
   private nodeIndex: number;
   private nextReportAt: number;
   private reporting = false;
-  private changed = true;
+  /** Something has changed that the next report should tell soon. */
+  changed = true;
   private lastReportAt = Number.NEGATIVE_INFINITY;
   private tokenChangeAt = Number.NEGATIVE_INFINITY;
   noticeAt: number | null = null;
   hungUntil = 0;
   /** Until then it reaches no controller, while direct commands reach it. */
-  muteUntil = 0;
+  noReportsUntil = 0;
   /** Reports sent before then are held, and reach whoever leads afterwards; nobody waits for those answers. */
-  heldUntil = 0;
-  sick = false;
+  reportsHeldUntil = 0;
+  failsTasks = false;
   speed = 1;
   alive = true;
-  private readonly images = new Set<string>();
+  readonly images = new Set<string>();
 
   constructor(
     private readonly world: World,
@@ -89,7 +91,7 @@
   private clear(): void {
     for (const task of this.tasks.values()) {
       if (task.phase !== 'exited') this.leave(task);
-      this.world.forgetMate(this, task);
+      this.world.removeGangMember(this, task);
     }
     this.tasks.clear();
   }
@@ -98,7 +100,7 @@
     if (task.phase !== 'fetching') this.world.rules.ended(task.job, task.index, this.id);
   }
 
-  private exit(task: Task, reason: ExitReason, saved = false): void {
+  exit(task: Task, reason: ExitReason, saved = false): void {
     this.leave(task);
     task.phase = 'exited';
     task.reason = reason;
@@ -121,61 +123,11 @@
       this.changed = true;
     }
     if (this.hung) return;
-    for (const t of this.tasks.values()) this.advance(t);
+    for (const task of this.tasks.values()) advanceTask(this.world, this, task, TICK_MS);
     const early = this.changed && this.now - this.lastReportAt >= 500;
     if (!this.reporting && (this.now >= this.nextReportAt || early)) this.report();
   }
 
-  private advance(task: Task): void {
-    const spec = this.world.rules.submitted.get(task.job);
-    if (!spec || task.phase === 'exited') return;
-    if (task.phase === 'fetching') {
-      if (this.now < task.imageAt) return;
-      this.images.add(spec.image);
-      this.world.rules.started(task.job, task.index, this.id, this.type, this.zone, this.spot);
-      task.phase = spec.shape === 'gang' ? 'waiting' : 'running';
-      task.waitingSince = this.now;
-      this.changed = true;
-      if (this.world.rules.done.get(task.job)?.has(task.index)) return this.exit(task, 'done');
-      if (this.sick || this.world.faulty.has(task.job)) return this.exit(task, 'error');
-    }
-    if (task.phase === 'saving') {
-      if (task.savedAt !== null && this.now >= task.savedAt) {
-        this.world.saveProgress(task.job, task.index, task.workMs);
-        this.exit(task, 'stopped', true);
-      }
-      return;
-    }
-    if (spec.shape === 'gang') {
-      const mates = this.world.mates(task.job, task.attempt);
-      const present = mates.filter((m) => m.task.phase !== 'exited');
-      if (task.phase === 'waiting') {
-        const ready = present.filter((m) => m.task.phase === 'waiting' || m.task.phase === 'running');
-        if (ready.length === spec.tasks) for (const m of ready) m.task.phase = 'running';
-        else if (this.now - (task.waitingSince ?? this.now) > this.world.settings.gangWait) this.exit(task, 'alone');
-        return;
-      }
-      if (present.length < spec.tasks || present.some((m) => m.worker.hung)) {
-        task.waitingSince ??= this.now;
-        if (task.savedAt === null) task.savedAt = this.now;
-        if (this.now - task.savedAt > this.world.settings.gangPeer) this.exit(task, 'peers_gone');
-        return;
-      }
-      task.savedAt = null;
-    }
-    const before = task.workMs;
-    task.workMs += TICK_MS * this.speed;
-    const every = spec.checkpointS * 1000;
-    if (every > 0 && Math.floor(before / every) < Math.floor(task.workMs / every)) {
-      this.world.saveProgress(task.job, task.index, Math.floor(task.workMs / every) * every);
-    }
-    if (task.workMs < this.world.runMs(task.job)) return;
-    if (spec.shape === 'gang') {
-      for (const m of this.world.mates(task.job, task.attempt))
-        if (m.task.phase === 'running') m.worker.exit(m.task, 'done');
-    } else this.exit(task, 'done');
-  }
-
   private makeReport(): WorkerReport {
     this.seq += 1n;
     return {
@@ -208,13 +160,13 @@
     const session = this.session;
     const report = this.makeReport();
     const node = world.nodes[this.nodeIndex % world.nodes.length] as World['nodes'][number];
-    if (this.now < this.muteUntil) {
+    if (this.now < this.noReportsUntil) {
       this.reporting = false;
       return this.nextNode();
     }
-    if (this.now < this.heldUntil) {
-      world.clock.in(this.heldUntil - this.now + world.clock.between(1, 500), () => {
-        (world.leader() ?? node).beat(report, () => {});
+    if (this.now < this.reportsHeldUntil) {
+      world.clock.in(this.reportsHeldUntil - this.now + world.clock.between(1, 500), () => {
+        (world.leader() ?? node).report(report, () => {});
       });
       world.clock.in(4000, () => {
         this.reporting = false;
@@ -222,16 +174,16 @@
       });
       return;
     }
-    if (this.now < world.copiesUntil) {
+    if (this.now < world.duplicatesUntil) {
       // The network delivers it once more, long after, to whatever node; nobody waits for that answer.
       const other = world.clock.pick(world.nodes);
-      world.clock.in(world.clock.between(1000, 60_000), () => other.beat(report, () => {}));
+      world.clock.in(world.clock.between(1000, 60_000), () => other.report(report, () => {}));
     }
     world.network.call<WorkerAnswer>(
       this.id,
       node.name,
       4000,
-      (reply) => node.beat(report, reply),
+      (reply) => node.report(report, reply),
       (answer) => {
         if (!this.alive) return;
         this.reporting = false;
@@ -271,10 +223,10 @@
   }
 
   /** A direct command; a hanging machine takes it when it goes on. */
-  direct(op: WorkerOp, reply: (v: WorkerValue) => void): void {
+  takeCommands(op: WorkerOp, reply: (v: WorkerValue) => void): void {
     if (!this.alive) return;
     if (this.hung) {
-      this.world.clock.in(this.hungUntil - this.now + 1, () => this.direct(op, reply));
+      this.world.clock.in(this.hungUntil - this.now + 1, () => this.takeCommands(op, reply));
       return;
     }
     const executed = op.token >= this.token && op.session === this.session;
@@ -291,7 +243,7 @@
     if (command.op === 'forget') {
       if (task && task.attempt === command.attempt && task.phase === 'exited') {
         this.tasks.delete(key);
-        this.world.forgetMate(this, task);
+        this.world.removeGangMember(this, task);
       }
     } else if (command.op === 'stop') {
       if (task && task.attempt === command.attempt) this.stop(task, command.graceS);
@@ -336,9 +288,9 @@
       cpus += other.cpus;
       gpus += other.gpus;
     }
-    if (old) this.world.forgetMate(this, old);
+    if (old) this.world.removeGangMember(this, old);
     this.tasks.set(`${job}/${index}`, task);
-    this.world.addMate(this, task);
+    this.world.addGangMember(this, task);
     this.changed = true;
     if (cpus > this.type.cpus || gpus > this.type.gpus) {
       task.phase = 'exited';
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -1,17 +1,4 @@
-import { fileURLToPath } from 'node:url';
-import { loadTuning } from '../../src/config/tuning.js';
-import type {
-  Input,
-  Output,
-  PeerMessage,
-  Result,
-  StoreValue,
-  UserAnswer,
-  UserRequest,
-  WorkerAnswer,
-  WorkerValue,
-} from '../../src/core/messages.js';
-import { Node } from '../../src/core/node.js';
+import type { UserAnswer, UserRequest } from '../../src/core/messages.js';
 import * as records from '../../src/core/records.js';
 import type { Settings, Tuning } from '../../src/core/settings.js';
 import type {
@@ -21,16 +8,13 @@
   MachineId,
   MachineType,
   NodeName,
-  Now,
-  Steady,
   Team,
-  Wall,
-  WorkerReport,
   ZoneName,
 } from '../../src/core/types.js';
-import { encodeFrame, FrameSplitter, type PeerFrame } from '../../src/io/peer/peer_codec.js';
+import { type Build, PRESENT } from './build.js';
 import { Clock } from './clock.js';
 import { Cloud } from './cloud.js';
+import { Controller } from './controller.js';
 import { IdleRoom } from './idle_room.js';
 import { Meters } from './meters.js';
 import { Network } from './network.js';
@@ -73,7 +57,7 @@
   cpuShare: 0.3,
 };
 
-interface Mate {
+interface GangMember {
   readonly worker: Worker;
   readonly task: Task;
 }
@@ -93,241 +77,6 @@
   readonly oldVersions?: ReadonlyMap<string, Build>;
 }
 
-/** The parts of a build that a world needs: this one's, or an earlier one's. */
-export interface Build {
-  readonly name: string;
-  readonly Node: typeof Node;
-  readonly encodeFrame: typeof encodeFrame;
-  readonly FrameSplitter: typeof FrameSplitter;
-  readonly records: typeof records;
-  readonly tuning: Tuning;
-  /** Whether it keeps to the limits that the settings announce for later. */
-  readonly readsAnnouncedLimits: boolean;
-  /** Between the names that the present core uses and its own. */
-  readonly translate: { input(input: Input): Input; output(output: Output): Output };
-}
-export const PRESENT: Build = {
-  name: 'present',
-  Node,
-  encodeFrame,
-  FrameSplitter,
-  records,
-  tuning: loadTuning(fileURLToPath(new URL('../../../../deploy/tuning.toml', import.meta.url))),
-  readsAnnouncedLimits: true,
-  translate: { input: (input) => input, output: (output) => output },
-};
-
-/** A controller process as the world runs it: killed without a word, started again with nothing. */
-class Controller {
-  private node: Node | null = null;
-  /** One for each peer that speaks to it over bytes. */
-  private splitters = new Map<NodeName, FrameSplitter>();
-  private waits = new Map<number, (a: never) => void>();
-  private requests = 0;
-  private timerSeq = 0;
-  private starts = 0;
-  private epoch = 0;
-  private frozenUntil = 0;
-  private waiting: Input[] = [];
-
-  constructor(
-    private readonly world: World,
-    readonly name: NodeName,
-    private readonly settings: (build: Build) => Settings,
-    public build: Build,
-  ) {}
-
-  /** From its next start on it runs another build. */
-  become(build: Build): void {
-    this.build = build;
-  }
-
-  get up(): boolean {
-    return this.node !== null;
-  }
-
-  get healthy(): boolean {
-    if (this.world.clock.now < this.frozenUntil) return false;
-    return this.node?.healthy(this.now().steady) ?? false;
-  }
-
-  start(): void {
-    if (this.node) return;
-    this.starts += 1;
-    this.epoch += 1;
-    const { world } = this;
-    this.node = new this.build.Node(
-      this.settings(this.build),
-      this.build === PRESENT ? world.options.tuning : this.build.tuning,
-      `${this.name}-${this.starts}`,
-      world.options.seed + this.starts,
-      this.now(),
-    );
-    this.step({ kind: 'start' });
-  }
-
-  crash(): void {
-    this.node = null;
-    this.splitters.clear();
-    this.frozenUntil = 0;
-    this.waiting = [];
-    this.waits.clear();
-    this.epoch += 1;
-  }
-
-  private now(): Now {
-    const t = this.world.clock.now;
-    return { steady: t as Steady, wall: (1_790_000_000_000 + t) as Wall };
-  }
-
-  /** The process stands still while its clocks run on; what comes meanwhile waits in its sockets. */
-  freeze(ms: number): void {
-    if (!this.node) return;
-    const { epoch, world } = this;
-    this.frozenUntil = world.clock.now + ms;
-    world.clock.in(ms, () => {
-      if (epoch !== this.epoch) return;
-      const waited = this.waiting;
-      this.waiting = [];
-      // Either comes first on waking: timers that are due, or what was read from the sockets.
-      const timerFirst = world.clock.between(0, 1) < 0.5;
-      if (timerFirst) this.step({ kind: 'timer' });
-      for (const input of waited) this.step(input);
-      if (!timerFirst) this.step({ kind: 'timer' });
-    });
-  }
-
-  step(input: Input): void {
-    const { node } = this;
-    if (!node) return;
-    if (this.world.clock.now < this.frozenUntil) {
-      if (input.kind !== 'timer') this.waiting.push(input);
-      return;
-    }
-    const { translate } = this.build;
-    const outputs = node.step(this.now(), translate.input(input));
-    for (const o of outputs) this.carryOut(translate.output(o));
-    const next = node.nextTimer();
-    if (next === null) return;
-    const mine = ++this.timerSeq;
-    this.world.clock.in(Math.max(1, next - this.world.clock.now), () => {
-      if (mine === this.timerSeq && this.node === node) this.step({ kind: 'timer' });
-    });
-  }
-
-  /** Runs `then` only if the same process still lives. */
-  private mine<T extends unknown[]>(then: (...a: T) => void): (...a: T) => void {
-    const { epoch } = this;
-    return (...a) => {
-      if (epoch === this.epoch && this.node) then(...a);
-    };
-  }
-
-  private carryOut(output: Output): void {
-    const { world } = this;
-    const { network } = world;
-    switch (output.kind) {
-      case 'answerUser':
-      case 'answerWorker': {
-        const wait = this.waits.get(output.req);
-        this.waits.delete(output.req);
-        wait?.(output.answer as never);
-        break;
-      }
-      case 'store': {
-        const done = this.mine((result: Result<StoreValue> | null) =>
-          this.step({ kind: 'storeReply', call: output.call, result: result ?? { ok: false, why: 'unknown' } }),
-        );
-        world.meters.storeOp(output.op);
-        network.call(
-          this.name,
-          'state',
-          output.timeoutMs,
-          (reply) => world.state.serve(this.name, output.op, reply),
-          done,
-        );
-        break;
-      }
-      case 'cloud': {
-        const done = this.mine((result: Parameters<Parameters<Cloud['serve']>[1]>[0] | null) =>
-          this.step({ kind: 'cloudReply', call: output.call, result: result ?? { ok: false, why: 'unknown' } }),
-        );
-        world.meters.cloudOp();
-        network.call(this.name, 'cloud', 4000, (reply) => world.cloud.serve(output.op, reply), done);
-        break;
-      }
-      case 'worker': {
-        const carriedOut = this.mine((r: WorkerValue | null) =>
-          this.step({
-            kind: 'workerReply',
-            call: output.call,
-            result: r ? { ok: true, value: r } : { ok: false, why: 'unknown' },
-          }),
-        );
-        world.meters.direct(1);
-        const done = (r: WorkerValue | null): void => {
-          world.meters.direct(-1);
-          carriedOut(r);
-        };
-        const worker = world.workers.get(output.op.addr as MachineId);
-        network.call(this.name, output.op.addr, 2500, (reply) => worker?.direct(output.op, reply), done);
-        break;
-      }
-      case 'peer': {
-        const to = world.nodes.find((n) => n.name === output.to);
-        if (world.bytes) {
-          const frame = this.build.encodeFrame(output.message);
-          network.send(this.name, output.to, () => to?.fromPeerBytes(this.name, frame));
-          break;
-        }
-        world.meters.frame(output.message);
-        network.send(this.name, output.to, () => to?.fromPeer(this.name, output.message));
-        break;
-      }
-      case 'log':
-        if (output.text === 'round') world.meters.round(output.fields);
-        if (world.verbose)
-          console.error((world.clock.now / 1000).toFixed(2), this.name, output.level, output.text, output.fields);
-        if (output.level === 'error') world.errors.push(`${output.text} ${JSON.stringify(output.fields)}`);
-        break;
-    }
-  }
-
-  fromPeer(from: NodeName, message: PeerMessage): void {
-    this.step({ kind: 'peer', from, message });
-  }
-
-  /** As the link does it: a frame that the build can't take ends the connection. */
-  fromPeerBytes(from: NodeName, frame: Buffer): void {
-    if (!this.node) return;
-    const splitter = this.splitters.get(from) ?? new this.build.FrameSplitter();
-    this.splitters.set(from, splitter);
-    let frames: PeerFrame[];
-    try {
-      frames = splitter.push(frame);
-    } catch (e) {
-      this.splitters.delete(from);
-      this.world.errors.push(`${this.name} ended the link from ${from}: ${(e as Error).message}`);
-      return;
-    }
-    for (const f of frames) if (f.kind !== 'hello') this.fromPeer(from, f);
-  }
-
-  beat(report: WorkerReport, reply: (a: WorkerAnswer) => void): void {
-    if (!this.node) return;
-    const req = ++this.requests;
-    this.waits.set(req, reply as (a: never) => void);
-    this.step({ kind: 'report', req, report });
-  }
-
-  user(request: UserRequest, reply: (a: UserAnswer) => void): void {
-    if (!this.node) return;
-    const req = ++this.requests;
-    this.waits.set(req, reply as (a: never) => void);
-    this.step({ kind: 'user', req, request });
-  }
-}
-
 interface UserJob {
   readonly spec: JobSpec;
   readonly runMs: number;
@@ -349,7 +98,7 @@
   readonly meters: Meters;
   private readonly onRecord = new Set<string>();
   /** Until then every report is delivered once more, late. */
-  copiesUntil = 0;
+  duplicatesUntil = 0;
   /** Transactions of the present build that were refused for their size: earlier builds don't know of announced limits. */
   refusedSizes = 0;
   /** Leases that ran out on workers with tasks. */
@@ -362,7 +111,7 @@
   /** Of the jobs that end before then this share is called off just then. */
   cancelAtEnd = { share: 0, until: 0 };
   private readonly saved = new Map<string, number>();
-  private readonly mateIndex = new Map<string, Mate[]>();
+  private readonly gangIndex = new Map<string, GangMember[]>();
 
   constructor(readonly options: WorldOptions) {
     this.clock = new Clock(options.seed);
@@ -432,20 +181,20 @@
   // ---- what workers ask of the world
 
   /** Where the tasks of one attempt of a job are. */
-  mates(job: JobId, attempt: Attempt): Mate[] {
-    return this.mateIndex.get(`${job}#${attempt}`) ?? [];
+  gangMembers(job: JobId, attempt: Attempt): GangMember[] {
+    return this.gangIndex.get(`${job}#${attempt}`) ?? [];
   }
 
-  addMate(worker: Worker, task: Task): void {
+  addGangMember(worker: Worker, task: Task): void {
     const key = `${task.job}#${task.attempt}`;
-    this.mateIndex.set(key, [...(this.mateIndex.get(key) ?? []), { worker, task }]);
+    this.gangIndex.set(key, [...(this.gangIndex.get(key) ?? []), { worker, task }]);
   }
 
-  forgetMate(worker: Worker, task: Task): void {
+  removeGangMember(worker: Worker, task: Task): void {
     const key = `${task.job}#${task.attempt}`;
-    const left = this.mates(task.job, task.attempt).filter((m) => m.worker !== worker || m.task !== task);
-    if (left.length > 0) this.mateIndex.set(key, left);
-    else this.mateIndex.delete(key);
+    const left = this.gangMembers(task.job, task.attempt).filter((m) => m.worker !== worker || m.task !== task);
+    if (left.length > 0) this.gangIndex.set(key, left);
+    else this.gangIndex.delete(key);
   }
 
   runMs(job: JobId): number {
@@ -482,7 +231,7 @@
 
   private submitAgain(spec: JobSpec, until: number): void {
     this.ask({ op: 'submit', id: spec.id, spec, problem: '' }, (answer) => {
-      if (answer) this.rules.told(spec.id, answer);
+      if (answer) this.rules.onAnswer(spec.id, answer);
       if (answer && 'jobStatus' in answer) return this.poll(spec.id);
       if ((answer === null || answer.status === 503) && this.clock.now < until) {
         this.clock.in(1000, () => this.submitAgain(spec, until));
@@ -493,12 +242,13 @@
   private poll(id: JobId): void {
     this.clock.in(this.clock.between(4000, 6000), () => {
       this.ask({ op: 'poll', id }, (answer) => {
-        if (answer) this.rules.told(id, answer);
-        if (!answer || !('jobStatus' in answer)) this.rules.unanswered(id);
+        if (answer) this.rules.onAnswer(id, answer);
+        if (!answer || !('jobStatus' in answer)) this.rules.onNoAnswer(id);
         const job = this.jobs.get(id);
         if (job && this.rules.finalOf(id)) job.settled = true;
         // Users may ask again at any later time: every final state is asked for twice more.
-        if (job?.settled) this.clock.in(10_000, () => this.ask({ op: 'poll', id }, (b) => b && this.rules.told(id, b)));
+        if (job?.settled)
+          this.clock.in(10_000, () => this.ask({ op: 'poll', id }, (b) => b && this.rules.onAnswer(id, b)));
         else this.poll(id);
       });
     });
@@ -508,7 +258,7 @@
     this.rules.cancelAsked.add(id);
     const again = (until: number): void => {
       this.ask({ op: 'cancel', id }, (answer) => {
-        if (answer) this.rules.told(id, answer);
+        if (answer) this.rules.onAnswer(id, answer);
         if ((answer === null || answer.status === 503) && this.clock.now < until)
           this.clock.in(1000, () => again(until));
       });
@@ -519,13 +269,13 @@
   /** Any node may be asked; what it says is judged by the rules, unless `excused` says that its build knows no better. */
   request(request: UserRequest, excused: (asked: Build) => boolean = () => false): void {
     this.ask(request, (answer, asked) => {
-      if (answer && asked && !excused(asked)) this.rules.told(request.id, answer);
+      if (answer && asked && !excused(asked)) this.rules.onAnswer(request.id, answer);
     });
   }
 
   pollUnknown(id: JobId, seen: (a: UserAnswer | null) => void): void {
     this.ask({ op: 'poll', id }, (answer) => {
-      if (answer) this.rules.told(id, answer);
+      if (answer) this.rules.onAnswer(id, answer);
       seen(answer);
     });
   }
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -5,9 +5,9 @@
 import type { ImageName, MachineId, TypeName, Wall, ZoneName } from '../src/core/types.js';
 import { decode, encode } from '../src/io/codecs/cbor.js';
 import { encodeFrame, FrameSplitter, type PeerFrame } from '../src/io/peer/peer_codec.js';
+import type { Build } from './sim/build.js';
 import { loadOldVersions, oldFrame } from './sim/old_versions.js';
 import { frames, spec } from './sim/sample_messages.js';
-import type { Build } from './sim/world.js';
 
 /** What the state service gives back of a value: it passes through CBOR twice. */
 const stored = (value: unknown): unknown => decode(encode(value));
