--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -3,6 +3,9 @@
 import type { NodeName, TeamName, ZoneName } from '../core/types.js';
 import { address, checkSettings, count, name, notNegative, positive, readToml } from './load.js';
 
+const MS_PER_S = 1000;
+const BYTES_PER_KB = 1024;
+
 const team = v.object({
   name,
   cpus: v.optional(notNegative, 0),
@@ -73,52 +76,71 @@
   readonly storeAddr: string;
 }
 
+type RawDeployment = v.InferOutput<typeof schema>['deployment'];
+
+/** Sizes fit both limits from the start: one that doesn't would be refused from one moment to the next. */
+function storeSettings({ rps, write_rps, value_kb, txn_ops, next }: RawDeployment['state']): Settings['store'] {
+  return {
+    rps,
+    writeRps: write_rps,
+    nextRps: Math.min(rps, next.rps ?? rps),
+    nextWriteRps: Math.min(write_rps, next.write_rps ?? write_rps),
+    valueBytes: Math.min(value_kb, next.value_kb ?? value_kb) * BYTES_PER_KB,
+    txnOps: Math.min(txn_ops, next.txn_ops ?? txn_ops),
+  };
+}
+
+function workerSettings(workers: RawDeployment['workers']): Settings['workers'] {
+  return {
+    reportMs: workers.report_s * MS_PER_S,
+    leaseMs: workers.lease_s * MS_PER_S,
+    gangWaitMs: workers.gang_wait_s * MS_PER_S,
+    gangPeerMs: workers.gang_peer_s * MS_PER_S,
+    cancelMs: workers.cancel_s * MS_PER_S,
+  };
+}
+
+function teamSettings(teams: RawDeployment['teams']): Settings['teams'] {
+  return teams.map(({ name: teamName, cpus, gpus, cpus_max: cpusMax, gpus_max: gpusMax }) => ({
+    name: teamName as TeamName,
+    cpus,
+    gpus,
+    cpusMax,
+    gpusMax,
+  }));
+}
+
+/** Only the objectives that bear on the order of jobs. */
+function objectiveSettings(objectives: RawDeployment['objectives']): Settings['objectives'] {
+  return objectives.flatMap(({ kind, class: jobClass, within_s: withinS, times }) =>
+    kind === 'wait' || kind === 'finished' || kind === 'deadline' ? [{ kind, jobClass, withinS, times }] : [],
+  );
+}
+
+/** Reads and checks the platform's file; throws `SettingsError`, naming the field. */
 export function loadPlatform(file: string): Platform {
-  const raw = checkSettings(file, readToml(file), schema);
-  const d = raw.deployment;
+  const { deployment, siblings, endpoints, ...own } = checkSettings(file, readToml(file), schema);
+  const { machine_limits, cloud } = deployment;
+  const settings: Settings = {
+    node: own.host_name as NodeName,
+    zone: own.area as ZoneName,
+    peers: siblings.map(({ host_name, area }) => ({ name: host_name as NodeName, zone: area as ZoneName })),
+    nodes: Math.max(deployment.initial_size, siblings.length + 1),
+    limits: { cpuShare: machine_limits.cpu_share, connections: machine_limits.max_connections },
+    zones: deployment.zones as ZoneName[],
+    skewMs: deployment.skew_ms,
+    teams: teamSettings(deployment.teams),
+    objectives: objectiveSettings(deployment.objectives),
+    workers: workerSettings(deployment.workers),
+    store: storeSettings(deployment.state),
+    cloud: { rps: cloud.rps, listLagMs: cloud.list_lag_s * MS_PER_S },
+  };
   return {
-    listen: raw.listen,
-    peerListen: raw.peer_bind,
-    peers: raw.siblings.map((s) => ({ name: s.host_name as NodeName, addr: s.address })),
-    cloudAddr: raw.endpoints.cloud,
-    storeAddr: raw.endpoints.state,
-    settings: {
-      node: raw.host_name as NodeName,
-      zone: raw.area as ZoneName,
-      peers: raw.siblings.map((s) => ({ name: s.host_name as NodeName, zone: s.area as ZoneName })),
-      limits: { cpuShare: d.machine_limits.cpu_share, connections: d.machine_limits.max_connections },
-      nodes: Math.max(d.initial_size, raw.siblings.length + 1),
-      zones: d.zones as ZoneName[],
-      skewMs: d.skew_ms,
-      teams: d.teams.map((t) => ({
-        name: t.name as TeamName,
-        cpus: t.cpus,
-        gpus: t.gpus,
-        cpusMax: t.cpus_max,
-        gpusMax: t.gpus_max,
-      })),
-      objectives: d.objectives.flatMap((o) =>
-        o.kind === 'wait' || o.kind === 'finished' || o.kind === 'deadline'
-          ? [{ kind: o.kind, jobClass: o.class, withinS: o.within_s, times: o.times }]
-          : [],
-      ),
-      workers: {
-        reportMs: d.workers.report_s * 1000,
-        leaseMs: d.workers.lease_s * 1000,
-        gangWaitMs: d.workers.gang_wait_s * 1000,
-        gangPeerMs: d.workers.gang_peer_s * 1000,
-        cancelMs: d.workers.cancel_s * 1000,
-      },
-      store: {
-        rps: d.state.rps,
-        writeRps: d.state.write_rps,
-        // Sizes fit both limits from the start: one that doesn't would be refused from one moment to the next.
-        valueBytes: Math.min(d.state.value_kb, d.state.next.value_kb ?? Number.POSITIVE_INFINITY) * 1024,
-        txnOps: Math.min(d.state.txn_ops, d.state.next.txn_ops ?? Number.POSITIVE_INFINITY),
-        nextRps: Math.min(d.state.rps, d.state.next.rps ?? d.state.rps),
-        nextWriteRps: Math.min(d.state.write_rps, d.state.next.write_rps ?? d.state.write_rps),
-      },
-      cloud: { rps: d.cloud.rps, listLagMs: d.cloud.list_lag_s * 1000 },
-    },
+    settings,
+    listen: own.listen,
+    peerListen: own.peer_bind,
+    peers: siblings.map(({ host_name, address: addr }) => ({ name: host_name as NodeName, addr })),
+    cloudAddr: endpoints.cloud,
+    storeAddr: endpoints.state,
   };
 }
--- /dev/null
+++ b/src/core/calls/store_reads.ts
@@ -0,0 +1,33 @@
+import type { Context } from '../context.js';
+import type { StoredItem } from '../messages.js';
+import type { Revision } from '../types.js';
+
+const PAGE_SIZE = 500;
+const READ_PRIORITY = 1;
+
+/** All values under a prefix, read page by page. */
+export interface PrefixRead {
+  readonly items: readonly StoredItem[];
+  /** Of the first page: changes made while later pages were read come again through a watch from here. */
+  readonly revision: Revision | null;
+}
+
+/** Reads all values under a prefix; null where the state service gave no answer. */
+export function readPrefix(ctx: Context, prefix: string, done: (read: PrefixRead | null) => void): void {
+  const items: StoredItem[] = [];
+  let revision: Revision | null = null;
+  const readPage = (after: string | null): void => {
+    ctx.store({ op: 'list', prefix, after, limit: PAGE_SIZE }, READ_PRIORITY, (result) => {
+      if (!result.ok) {
+        done(null);
+        return;
+      }
+      items.push(...(result.value.items ?? []));
+      revision ??= result.value.revision ?? null;
+      const last = items[items.length - 1];
+      if (result.value.more && last) readPage(last.key);
+      else done({ items, revision });
+    });
+  };
+  readPage(null);
+}
--- a/src/core/jobs/job_cache.ts
+++ b/src/core/jobs/job_cache.ts
@@ -1,3 +1,4 @@
+import { type PrefixRead, readPrefix } from '../calls/store_reads.js';
 import type { Context } from '../context.js';
 import { CLOCK_DRIFT, maxJobViewAgeMs } from '../leadership/lease_bounds.js';
 import type { Result, StoredItem, StoreEvent, StoreValue } from '../messages.js';
@@ -16,7 +17,6 @@
 const WATCH_QUEUE_MS = 5000;
 const WATCH_RETRY_MS = 250;
 const READ_RETRY_MS = 300;
-const PAGE_SIZE = 500;
 
 export interface CachedJob {
   readonly record: JobRecord;
@@ -85,27 +85,16 @@
     this.reading = true;
     this.readAgain = false;
     const sentAt = this.ctx.now.steady;
-    let firstRevision: Revision | null = null;
-    const items: StoredItem[] = [];
-    const readPage = (after: string | null): void => {
-      this.ctx.store({ op: 'list', prefix: JOB_PREFIX, after, limit: PAGE_SIZE }, 1, (result) => {
-        if (!result.ok) return this.onReadDone(false);
-        items.push(...(result.value.items ?? []));
-        // Changes made while later pages are read come again through the watch.
-        firstRevision ??= result.value.revision ?? null;
-        const last = items[items.length - 1];
-        if (result.value.more && last) return readPage(last.key);
-        this.onAllRead(items, firstRevision, sentAt);
-      });
-    };
-    readPage(null);
+    readPrefix(this.ctx, JOB_PREFIX, (read) => {
+      if (read) this.onAllRead(read, sentAt);
+      this.onReadDone(read !== null);
+    });
   }
 
-  private onAllRead(items: readonly StoredItem[], revision: Revision | null, sentAt: Steady): void {
+  private onAllRead({ items, revision }: PrefixRead, sentAt: Steady): void {
     for (const item of items) this.update(item);
     if (revision !== null && (this.watchFrom === null || revision > this.watchFrom)) this.watchFrom = revision;
     if (sentAt > this.currentAsOf) this.currentAsOf = sentAt;
-    this.onReadDone(true);
   }
 
   private onReadDone(ok: boolean): void {
--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -149,6 +149,7 @@
     }
     this.noteRevision(item.version);
     this.holder = decodeLeader(item.value);
+    if (!this.holder) this.ctx.log('error', 'leader key not understood: left as it is', { key: LEADER_KEY });
     const own = this.holder && this.leaseOfEarlierProcess(this.holder);
     if (!own) {
       this.watchLeaderKey();
--- a/src/core/leadership/state_loader.ts
+++ b/src/core/leadership/state_loader.ts
@@ -1,11 +1,10 @@
+import { readPrefix } from '../calls/store_reads.js';
 import type { Context } from '../context.js';
 import type { JobCache } from '../jobs/job_cache.js';
 import type { StoredItem } from '../messages.js';
 import { MACHINE_PREFIX } from '../records.js';
 
 const RETRY_MS = 300;
-const PAGE_SIZE = 500;
-const LOAD_PRIORITY = 1;
 
 /** Reads what earlier leaders left: machines and jobs as they stand after the leader key was taken. */
 export class StateLoader {
@@ -34,9 +33,9 @@
       if (!ok) this.retry();
       else if (pages !== null && jobsRead) this.finish(pages);
     };
-    this.readPages((items) => {
-      pages = items;
-      onPart(items !== null);
+    readPrefix(this.ctx, MACHINE_PREFIX, (read) => {
+      pages = read?.items ?? null;
+      onPart(read !== null);
     });
     this.jobCache.read((ok) => {
       jobsRead = ok;
@@ -54,18 +53,4 @@
     this.stopped = true;
     this.onLoaded(pages);
   }
-
-  private readPages(done: (items: readonly StoredItem[] | null) => void): void {
-    const all: StoredItem[] = [];
-    const readPage = (after: string | null): void => {
-      this.ctx.store({ op: 'list', prefix: MACHINE_PREFIX, after, limit: PAGE_SIZE }, LOAD_PRIORITY, (result) => {
-        if (!result.ok) return done(null);
-        all.push(...(result.value.items ?? []));
-        const last = all[all.length - 1];
-        if (result.value.more && last) readPage(last.key);
-        else done(all);
-      });
-    };
-    readPage(null);
-  }
 }
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,3 +1,4 @@
+import { AMOUNT_TOLERANCE } from '../amounts.js';
 import type { Placement } from '../jobs/job.js';
 import type {
   Attempt,
@@ -58,8 +59,6 @@
 export const SILENT_AFTER_REPORTS = 2.5;
 /** After so many answers in a row that had no effect a machine counts as unresponsive. */
 export const UNRESPONSIVE_AFTER_IGNORED = 2;
-/** Sums of decimal amounts differ from what they should be by less than this. */
-const AMOUNT_TOLERANCE = 1e-6;
 
 /** A rented machine and its worker, as the leader knows them. */
 export class Machine {
--- a/src/core/machines/rental_need.ts
+++ b/src/core/machines/rental_need.ts
@@ -1,3 +1,4 @@
+import { sharesIn } from '../amounts.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { PlanJob } from '../scheduler/plan_types.js';
 import type { RoundResult } from '../scheduler/round.js';
@@ -10,8 +11,8 @@
 const SPOT_PRICE_FACTOR = 1.1;
 /** Of equal prices the zone with fewer machines of the type is taken. */
 const CROWDED_ZONE_FACTOR = 0.01;
-const UNBOUNDED_SLOTS = 1000;
-const TOLERANCE = 1e-6;
+/** What a machine takes of tasks that ask for nothing. */
+const UNBOUNDED_TASKS = 1000;
 
 /** Waiting tasks for which machines may have to be rented. */
 interface LateTasks {
@@ -181,9 +182,7 @@
 
 /** How many of the job's tasks one machine of the type takes at once. */
 function tasksPerMachine(job: PlanJob, type: MachineType): number {
-  let count = Number.POSITIVE_INFINITY;
-  if (job.cpus > 0) count = Math.min(count, Math.floor(type.cpus / job.cpus + TOLERANCE));
-  if (job.gpus > 0) count = Math.min(count, Math.floor(type.gpus / job.gpus + TOLERANCE));
-  if (job.memGb > 0) count = Math.min(count, Math.floor(type.memGb / job.memGb + TOLERANCE));
-  return Number.isFinite(count) ? count : UNBOUNDED_SLOTS;
+  const { cpus, gpus, memGb } = type;
+  const tasks = Math.min(sharesIn(cpus, job.cpus), sharesIn(gpus, job.gpus), sharesIn(memGb, job.memGb));
+  return Number.isFinite(tasks) ? tasks : UNBOUNDED_TASKS;
 }
--- a/src/core/scheduler/evolution.ts
+++ b/src/core/scheduler/evolution.ts
@@ -106,9 +106,9 @@
     const { zones } = jobs[index] as PlanJob;
     const zone = genes[index] as ZoneName;
     const partners: number[] = [];
-    genes.forEach((other, k) => {
-      const feasible = zones.includes(other) && (jobs[k] as PlanJob).zones.includes(zone);
-      if (k !== index && other !== zone && feasible) partners.push(k);
+    genes.forEach((other, candidate) => {
+      const feasible = zones.includes(other) && (jobs[candidate] as PlanJob).zones.includes(zone);
+      if (candidate !== index && other !== zone && feasible) partners.push(candidate);
     });
     if (partners.length === 0) return;
     const partner = this.pick(partners);
--- a/src/core/scheduler/gang_search.ts
+++ b/src/core/scheduler/gang_search.ts
@@ -1,6 +1,7 @@
+import { AMOUNT_TOLERANCE } from '../amounts.js';
 import type { ZoneName } from '../types.js';
 import { type Candidate, rankOf } from './candidates.js';
-import { allowedCount, at, slackAfter, stepBefore, TOLERANCE } from './plan_machine.js';
+import { allowedCount, at, slackAfter, stepBefore } from './plan_machine.js';
 import type { PlanJob } from './plan_types.js';
 
 /** Instants at which a gang's start is tried, from the first at which there is room for all of it. */
@@ -63,7 +64,7 @@
     freed.forEach(({ atS, tasks }, i) => {
       room += tasks;
       const next = freed[i + 1];
-      const moreAtOnce = next !== undefined && next.atS <= atS + TOLERANCE;
+      const moreAtOnce = next !== undefined && next.atS <= atS + AMOUNT_TOLERANCE;
       if (room >= this.job.tasks && !moreAtOnce) instants.push(atS);
     });
     return instants;
@@ -123,7 +124,7 @@
   const options: GangOption[] = [];
   for (const candidate of candidates) {
     const { machine, fetchS, penaltyS } = candidate;
-    if (at(machine.times, 0) > roomAtS + TOLERANCE) continue;
+    if (at(machine.times, 0) > roomAtS + AMOUNT_TOLERANCE) continue;
     const step = stepBefore(machine, roomAtS);
     const durationS = roomAtS - at(machine.times, step) + fetchS + job.durationS;
     const count = allowedCount(machine, step, durationS, job);
--- a/src/core/scheduler/plan_machine.ts
+++ b/src/core/scheduler/plan_machine.ts
@@ -1,3 +1,4 @@
+import { sharesIn, AMOUNT_TOLERANCE as TOLERANCE } from '../amounts.js';
 import type { MachineType, Resources } from '../types.js';
 import type { PlanJob, PlanMachine } from './plan_types.js';
 
@@ -6,8 +7,6 @@
  * times a round: they make no objects.
  */
 
-/** Amounts and times that differ by less than this are the same. */
-export const TOLERANCE = 1e-6;
 /** The fitness looks at utilization this far ahead. */
 const UTILIZATION_HORIZON_S = 60;
 
@@ -61,11 +60,7 @@
     if (at(machine.memGb, i) < memGb) memGb = at(machine.memGb, i);
     if (cpus + TOLERANCE < task.cpus || gpus + TOLERANCE < task.gpus || memGb + TOLERANCE < task.memGb) return 0;
   }
-  let count = Number.POSITIVE_INFINITY;
-  if (task.cpus > 0) count = Math.min(count, Math.floor(cpus / task.cpus + TOLERANCE));
-  if (task.gpus > 0) count = Math.min(count, Math.floor(gpus / task.gpus + TOLERANCE));
-  if (task.memGb > 0) count = Math.min(count, Math.floor(memGb / task.memGb + TOLERANCE));
-  return count;
+  return Math.min(sharesIn(cpus, task.cpus), sharesIn(gpus, task.gpus), sharesIn(memGb, task.memGb));
 }
 
 /** Whether a job is held to the cores and memory that GPU work has no use for. */
--- a/src/core/scheduler/planner.ts
+++ b/src/core/scheduler/planner.ts
@@ -1,17 +1,9 @@
+import { AMOUNT_TOLERANCE } from '../amounts.js';
 import type { Resources, ZoneName } from '../types.js';
 import { type Candidate, CandidateHeap, findCandidates, isBefore, offer } from './candidates.js';
 import { asksNoLess, leastDemands } from './fill_checks.js';
 import { type GangPlacement, GangSearch } from './gang_search.js';
-import {
-  allowedCount,
-  at,
-  cloneMachine,
-  fitCount,
-  fitsNow,
-  reserveRoom,
-  TOLERANCE,
-  utilization,
-} from './plan_machine.js';
+import { allowedCount, at, cloneMachine, fitCount, fitsNow, reserveRoom, utilization } from './plan_machine.js';
 import {
   type FitnessWeights,
   NO_PENALTIES,
@@ -235,7 +227,7 @@
     const stepLimit = this.steps + maxSteps;
     const least = leastDemands(jobs);
     const hasRoom = (machine: PlanMachine): boolean =>
-      at(machine.times, 0) <= TOLERANCE && least.some((demand) => fitsNow(machine, demand));
+      at(machine.times, 0) <= AMOUNT_TOLERANCE && least.some((demand) => fitsNow(machine, demand));
     const free = new Set(this.machines.filter(hasRoom).map(({ slot }) => slot));
     const failed: PlanJob[] = [];
     const starts: PlannedStart[] = [];
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -1,3 +1,4 @@
+import { AMOUNT_TOLERANCE } from '../amounts.js';
 import type { Job, Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
@@ -14,7 +15,6 @@
 const RESERVATION_MS = 6000;
 /** What work without GPUs counts, in GPUs. */
 const CPU_WORK_WEIGHT = 0.1;
-const TOLERANCE = 1e-6;
 
 /** What would have to be stopped on a machine for one task of a job. */
 export interface EvictionOption {
@@ -113,7 +113,9 @@
   let gpus = type.gpus - machine.usedGpus;
   let memGb = type.memGb - machine.usedMemGb;
   const hasRoom = (): boolean =>
-    cpus + TOLERANCE >= spec.cpus && gpus + TOLERANCE >= spec.gpus && memGb + TOLERANCE >= spec.memGb;
+    cpus + AMOUNT_TOLERANCE >= spec.cpus &&
+    gpus + AMOUNT_TOLERANCE >= spec.gpus &&
+    memGb + AMOUNT_TOLERANCE >= spec.memGb;
   const fetchS = machine.images.fetchSeconds(spec.image, spec.imageGb, now);
   let cost = fetchS * Math.max(spec.gpus, CPU_WORK_WEIGHT);
   const victims: Placement[] = [];
--- a/src/core/scheduler/spare_room.ts
+++ b/src/core/scheduler/spare_room.ts
@@ -1,3 +1,4 @@
+import { sharesIn } from '../amounts.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
 import type { MachineType, Resources, TypeName } from '../types.js';
@@ -11,7 +12,6 @@
 /** For each type with GPUs, what the GPU work there is now could use beside them if it had all of them. */
 export type GpuDemand = ReadonlyMap<TypeName, BesideGpus>;
 
-const TOLERANCE = 1e-6;
 const UNLIMITED: BesideGpus = { cpus: Number.POSITIVE_INFINITY, memGb: Number.POSITIVE_INFINITY };
 const NOTHING: BesideGpus = { cpus: 0, memGb: 0 };
 
@@ -38,7 +38,7 @@
   let memGb = 0;
   for (const task of shapes) {
     if (task.gpus > type.gpus) continue;
-    const tasks = Math.floor(type.gpus / task.gpus + TOLERANCE);
+    const tasks = sharesIn(type.gpus, task.gpus);
     cpus = Math.max(cpus, Math.min(type.cpus, tasks * task.cpus));
     memGb = Math.max(memGb, Math.min(type.memGb, tasks * task.memGb));
   }
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -6,13 +6,16 @@
 import { Estimates } from '../src/core/jobs/estimates.js';
 import { RangeSet } from '../src/core/jobs/range_set.js';
 import { Machine } from '../src/core/machines/machine.js';
+import { Registry } from '../src/core/machines/registry.js';
 import { type Evidence, Slowness } from '../src/core/machines/slowness.js';
 import { SpotInterruptionRate, spotDelayS } from '../src/core/machines/spot_interruptions.js';
+import { encodePage, type MachineRecord } from '../src/core/records.js';
 import { Evolution } from '../src/core/scheduler/evolution.js';
 import type { PlanJob, PlanMachine } from '../src/core/scheduler/plan_types.js';
 import { Planner } from '../src/core/scheduler/planner.js';
 import { rankValue } from '../src/core/scheduler/priority.js';
 import type { ImageName, JobId, MachineId, MachineType, Steady, TypeName, ZoneName } from '../src/core/types.js';
+import { revision } from '../src/core/types.js';
 import { makeSpec } from './sim/job_options.js';
 
 test('range sets: any order of additions gives the same few ranges', () => {
@@ -271,3 +274,28 @@
   assert.equal(search(1).cost, best.cost);
   assert.ok(search(2, 50).starts.length > 0);
 });
+
+test('registry: a page that is understood only in part is never written over; its machines are known and need no other', () => {
+  const registry = new Registry(8192);
+  const known = { id: 'i-1', addr: 'i-1', type: 'c8', zone: 'a', spot: false, images: [], fetchSpeed: 1 };
+  const value = encodePage([known as unknown as MachineRecord], 0) as { machines: unknown[] };
+  const odd = { key: 'm/0', value: { ...value, machines: [...value.machines, { later: 1 }] }, version: revision(7) };
+  const page = registry.load(odd);
+  assert.equal(page.complete, false);
+  assert.deepEqual(
+    page.machines.map(({ id }) => id),
+    ['i-1'],
+  );
+  const restored = rentedMachine('i-1', 'i-1', 'up', 0 as Steady);
+  registry.restore(restored, 'm/0');
+  assert.equal(restored.registered, true);
+  registry.add(restored);
+  registry.add(rentedMachine('i-2', 'i-2', 'up', 0 as Steady));
+  const due = registry.duePages(0 as Steady, true);
+  assert.deepEqual(
+    due.map(({ no }) => no),
+    [1],
+  );
+  registry.remove(restored.id);
+  assert.equal(registry.duePages(0 as Steady, true).length, 1);
+});
