--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -180,6 +180,7 @@
     ['cancel-now', () => ['4', clock.pick(['', secs(5, 30)])]],
     ['cancel-at-end', () => ['0.5', secs(20, 60)]],
     ['invalid-requests', () => [secs(10, 60)]],
+    ['close-looks', () => [secs(20, 80)]],
     ['refusal-then-outage', () => [secs(0.5, 3), secs(20, 60)]],
   ];
   const [name, words] = clock.pick(choices);
--- a/test/sim/scenario_events.ts
+++ b/test/sim/scenario_events.ts
@@ -246,6 +246,10 @@
   'cancel-at-end'(world, [share, s]) {
     world.cancelAtEnd = { share: Number(share), until: world.clock.now + lasts(world, s) };
   },
+  /** close-looks S: users ask all nodes within milliseconds after a job was accepted, ended or cancelled */
+  'close-looks'(world, [s]) {
+    world.closeLooksUntil = world.clock.now + lasts(world, s);
+  },
   /** invalid-requests S: repeats of submissions, cancellations of what is done, jobs that fit no machine or lack a field */
   'invalid-requests'(world, [s]) {
     const until = world.clock.now + lasts(world, s);
