--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -31,6 +31,7 @@
   run(): void {
     const now = this.cluster.ctx.now.steady;
     this.checkSilence(now);
+    this.breakIncompleteGangs();
     this.drainOneSlowMachine(now);
     this.moveWorkOffLeavingMachines(now);
   }
@@ -46,6 +47,19 @@
     }
   }
 
+  /**
+   * An earlier leader may have started only a part of a gang. Once every machine's list is known, the rest is certain not to
+   * be anywhere, and that part would wait in vain (gang-half-placed.txt).
+   */
+  private breakIncompleteGangs(): void {
+    if (this.cluster.updateUnreconciled() > 0) return;
+    for (const job of this.cluster.activeJobs) {
+      const { size } = job.placements;
+      const isIncomplete = job.isGang && size > 0 && size < job.spec.tasks;
+      if (isIncomplete && job.state === 'accepted') this.cluster.breakGang(job);
+    }
+  }
+
   /**
    * Nobody has answered it for longer than its lease, not even an earlier leader: whatever it held is gone. It comes back
    * with a new session, and nothing of the old one counts.
--- a/src/core/workers/report_handler.ts
+++ b/src/core/workers/report_handler.ts
@@ -7,7 +7,7 @@
 import { compileCommands } from './commands.js';
 import type { Reconciliation } from './reconciliation.js';
 import { isNewer } from './report_processing.js';
-import { mayStart } from './start_checks.js';
+import { isGangStartDue, mayStart } from './start_checks.js';
 
 /** A report is held for so long at most for records and rounds that its answer waits for. */
 const HOLD_MS = 600;
@@ -255,6 +255,7 @@
   private markSent(machine: Machine, command: Command, seq: Seq): boolean {
     const placement = this.cluster.findPlacement(machine, command.job, command.index);
     if (!placement || !mayStart(placement.job, machine)) return false;
+    if (placement.job.isGang && placement.phase === 'planned' && !isGangStartDue(this.cluster, placement)) return false;
     placement.phase = 'sent';
     placement.sentInReplyTo = seq;
     return true;
--- a/src/core/workers/start_checks.ts
+++ b/src/core/workers/start_checks.ts
@@ -1,4 +1,5 @@
-import type { Job } from '../jobs/job.js';
+import type { Job, Placement } from '../jobs/job.js';
+import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
 
 /** The last look before a start goes out: the job's first start and the machine are on record, and neither is in doubt. */
@@ -12,3 +13,19 @@
     machine.unresponsiveSince === null
   );
 }
+
+/** A gang's tasks are started so that they gather within this part of the time that they wait for each other. */
+const GATHER_SHARE = 0.4;
+
+/**
+ * Whether a task of a gang should be started now. One that has its image long before the others would give up waiting for
+ * them, the gang would be started anew, and the others would fetch from the beginning (gang-far-apart-fetches.txt).
+ */
+export function isGangStartDue({ ctx }: Cluster, { job, machine }: Placement): boolean {
+  const { image, imageGb } = job.spec;
+  const fetchLeftS = (on: Machine): number => on.images.fetchSeconds(image, imageGb, ctx.now.steady);
+  const toleranceS = (GATHER_SHARE * ctx.settings.workers.gangWaitMs) / 1000;
+  const latestS = fetchLeftS(machine) + toleranceS;
+  for (const other of job.placements.values()) if (fetchLeftS(other.machine) > latestS) return false;
+  return true;
+}
