--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -6,6 +6,8 @@
 import { VERSION } from '../version.js';
 
 const DEFAULT_TUNING = 'deploy/tuning.toml';
+/** Of a wrong setting or option. */
+const SETTINGS_EXIT_CODE = 2;
 
 interface Files {
   config?: string;
@@ -21,10 +23,10 @@
 function checked(action: () => void): void {
   try {
     action();
-  } catch (e) {
-    if (!(e instanceof SettingsError)) throw e;
-    process.stderr.write(`magpielift: ${e.message}\n`);
-    process.exitCode = 2;
+  } catch (error) {
+    if (!(error instanceof SettingsError)) throw error;
+    process.stderr.write(`magpielift: ${error.message}\n`);
+    process.exitCode = SETTINGS_EXIT_CODE;
   }
 }
 
@@ -39,7 +41,7 @@
     .description('a small cluster scheduler: runs a controller node until it is killed')
     .version(VERSION)
     .enablePositionalOptions()
-    .exitOverride((e) => process.exit(e.exitCode === 0 ? 0 : 2))
+    .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : SETTINGS_EXIT_CODE))
     .action((files: Files) =>
       checked(() => {
         const { platform, tuning } = load(files);
--- a/src/core/machines/machine_returns.ts
+++ b/src/core/machines/machine_returns.ts
@@ -175,7 +175,7 @@
 const keepsResults = (machine: Machine): boolean =>
   machine.exitedTasks.some(({ job, index, attempt }) => !machine.unconfirmedStarts.has(startKey(job, index, attempt)));
 
-/** Nothing is there but starts of replicas no longer wanted, whose direct commands were never answered. */
+/** Nothing is there but starts of replicas that are no longer needed, whose direct commands were never answered. */
 function holdsOnlyUnconfirmedStarts(machine: Machine): boolean {
   if (machine.unconfirmedStarts.size === 0 || machine.commandInFlight) return false;
   for (const placement of machine.placements.values()) {
--- a/src/core/machines/rental_need.ts
+++ b/src/core/machines/rental_need.ts
@@ -48,8 +48,8 @@
     this.addUnplanned();
     const { rent_round_up } = this.cluster.ctx.tuning.machines;
     for (const { kind, machines, minimum } of this.needs.values()) {
-      const wanted = Math.max(minimum, Math.floor(machines + rent_round_up));
-      const missing = wanted - this.rentals.countUnderWay(kind.type.name);
+      const needed = Math.max(minimum, Math.floor(machines + rent_round_up));
+      const missing = needed - this.rentals.countUnderWay(kind.type.name);
       if (missing > 0) this.rentals.rent(kind, missing);
     }
   }
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -97,15 +97,15 @@
 });
 
 test('spot losses: long work without checkpoints is the dearer to start there the more machines are lost', () => {
-  const hazard = new SpotInterruptionRate();
-  hazard.pass(4, 60);
-  const calm = hazard.perS;
-  for (let i = 0; i < 3; i++) hazard.lost();
-  assert.ok(hazard.perS > 5 * calm);
-  assert.ok(spotDelayS(hazard.perS, 100, 0) > spotDelayS(hazard.perS, 100, 10));
-  assert.ok(spotDelayS(hazard.perS, 100, 0) > 4 * spotDelayS(hazard.perS, 30, 0));
-  for (let i = 0; i < 100; i++) hazard.pass(4, 10);
-  assert.ok(hazard.perS < 2 * calm);
+  const interruptions = new SpotInterruptionRate();
+  interruptions.pass(4, 60);
+  const calm = interruptions.perS;
+  for (let i = 0; i < 3; i++) interruptions.lost();
+  assert.ok(interruptions.perS > 5 * calm);
+  assert.ok(spotDelayS(interruptions.perS, 100, 0) > spotDelayS(interruptions.perS, 100, 10));
+  assert.ok(spotDelayS(interruptions.perS, 100, 0) > 4 * spotDelayS(interruptions.perS, 30, 0));
+  for (let i = 0; i < 100; i++) interruptions.pass(4, 10);
+  assert.ok(interruptions.perS < 2 * calm);
 });
 
 test('ranking: small and short first, and waiting makes up for size', () => {
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -110,7 +110,7 @@
   assert.equal((await ask('GET', '/up')).status, 200);
 });
 
-test('users: a busy answer says when to come back; a malformed repeat still reaches the desk by its id', async () => {
+test('users: a busy answer says when to come back; a malformed repeat still reaches the request handler by its id', async () => {
   const busy = await ask('GET', '/v2/runs/job-1');
   assert.equal(busy.status, 503);
   assert.equal(busy.headers['retry-after'], '1');
--- a/test/sim/rules.ts
+++ b/test/sim/rules.ts
@@ -180,7 +180,7 @@
     if (tasks?.size === 0) this.goneAt.set(job, this.clock.now);
   }
 
-  /** How long after the word of its cancellation the last task of a job was gone; until now if some are there. */
+  /** How long after its user was told of the cancellation the last task of a job was gone; until now if some are there. */
   goneMs(job: JobId): number {
     const there = (this.tasksOnMachines.get(job)?.size ?? 0) > 0;
     return (there ? this.clock.now : (this.goneAt.get(job) ?? 0)) - (this.cancelledAt.get(job) ?? 0);
--- a/test/sim/uptime.ts
+++ b/test/sim/uptime.ts
@@ -22,8 +22,8 @@
     const running = new Map<JobId, number>();
     for (const worker of workers.values()) {
       if (worker.hung) continue;
-      for (const t of worker.tasks.values())
-        if (t.phase === 'running') running.set(t.job, (running.get(t.job) ?? 0) + 1);
+      for (const task of worker.tasks.values())
+        if (task.phase === 'running') running.set(task.job, (running.get(task.job) ?? 0) + 1);
     }
     for (const spec of rules.submitted.values()) {
       if (spec.shape !== 'service' || !rules.isAccepted(spec.id) || rules.cancelAsked.has(spec.id)) continue;
