--- a/src/config/tuning.ts
+++ b/src/config/tuning.ts
@@ -28,6 +28,7 @@
     reserved_type_penalty_s: notNegative,
     cached_image_penalty_s: notNegative,
     future_discount: within(0, 10),
+    gang_future_discount: within(0, 10),
     overdue_share: within(0, 10),
     overdue_after_s: positive,
     priority_base: within(1, 100),
--- a/src/core/scheduler/plan_types.ts
+++ b/src/core/scheduler/plan_types.ts
@@ -89,6 +89,8 @@
   readonly cachedImageS: number;
   /** Room in the future counts this much more than its time: what is expected to end often doesn't. */
   readonly futureDiscount: number;
+  /** The same for gangs, which lose nothing by beginning to fetch at once: they move if better room comes free. */
+  readonly gangFutureDiscount: number;
 }
 
 export const NO_PENALTIES: PlacementPenalties = {
@@ -97,6 +99,7 @@
   reservedS: 0,
   cachedImageS: 0,
   futureDiscount: 0,
+  gangFutureDiscount: 0,
 };
 
 /** Weights of the fitness: mean weighted wait, longest weighted wait, idle share. */
--- a/src/core/scheduler/planner.ts
+++ b/src/core/scheduler/planner.ts
@@ -198,7 +198,7 @@
     const zones = job.sameZone ? [zone] : [zone, ...job.zones.filter((other) => other !== zone)];
     const candidates = this.candidates(job, this.slotsIn(zones));
     const search = new GangSearch(job, zone, candidates);
-    const best = search.earliest(this.penalties.futureDiscount);
+    const best = search.earliest(this.penalties.gangFutureDiscount);
     this.steps += search.steps;
     if (best === null) {
       draft.unplaced.set(job.slot, job.tasks);
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -76,6 +76,7 @@
       reservedS: tuning.reserved_type_penalty_s,
       cachedImageS: tuning.cached_image_penalty_s,
       futureDiscount: tuning.future_discount,
+      gangFutureDiscount: tuning.gang_future_discount,
     },
   );
 }
--- a/src/core/settings.ts
+++ b/src/core/settings.ts
@@ -65,6 +65,7 @@
     readonly reserved_type_penalty_s: number;
     readonly cached_image_penalty_s: number;
     readonly future_discount: number;
+    readonly gang_future_discount: number;
     readonly overdue_share: number;
     readonly overdue_after_s: number;
     readonly priority_base: number;
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -11,7 +11,7 @@
 import { SpotInterruptionRate, spotDelayS } from '../src/core/machines/spot_interruptions.js';
 import { encodePage, type MachineRecord } from '../src/core/records.js';
 import { Evolution } from '../src/core/scheduler/evolution.js';
-import type { PlanJob, PlanMachine } from '../src/core/scheduler/plan_types.js';
+import { NO_PENALTIES, type PlanJob, type PlanMachine } from '../src/core/scheduler/plan_types.js';
 import { Planner } from '../src/core/scheduler/planner.js';
 import { rankValue } from '../src/core/scheduler/priority.js';
 import type { ImageName, JobId, MachineId, MachineType, Steady, TypeName, ZoneName } from '../src/core/types.js';
@@ -299,3 +299,19 @@
   registry.remove(restored.id);
   assert.equal(registry.duePages(0 as Steady, true).length, 1);
 });
+
+test('planner: a gang begins to fetch where there is room rather than wait for what is expected to end', () => {
+  const g4 = type('g4', 24, 4);
+  const fetching = { ...machine(0, 'a', g4, 24, 40), gpus: [4] };
+  const holding = { ...machine(1, 'a', g4, 0, 0), times: [0, 20], cpus: [0, 24], gpus: [0, 4], memGb: [0, 144] };
+  const gang = planJob(0, { gang: true, gpus: 4, cpus: 20 });
+  const penalties = { ...NO_PENALTIES, futureDiscount: 0.5 };
+  const chosen = (gangFutureDiscount: number): number | undefined =>
+    new Planner({ average: 1, maximum: 1, idle: 1 }, { ...penalties, gangFutureDiscount }).plan(
+      [fetching, holding],
+      [gang],
+      [a],
+    ).starts[0]?.machine;
+  assert.equal(chosen(0.5), 1);
+  assert.equal(chosen(2), 0);
+});
