--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -83,7 +83,7 @@
   storeFailingSince: Steady | null = null;
 
   private outputs: Output[] = [];
-  private isLeading = false;
+  private leading = false;
   /** Whether the lower rates that were announced have come into force, as far as this process has seen. */
   private loweredRates = false;
   private lastCall: CallId = 0;
@@ -127,6 +127,10 @@
     else this.timers.set(timer, next);
   }
 
+  get isLeading(): boolean {
+    return this.leading;
+  }
+
   /** The instant so many milliseconds from now. */
   after(ms: number): Steady {
     return steadyPlus(this.now.steady, ms);
@@ -137,7 +141,7 @@
    * leader, so it takes the larger part and the others share the rest; a refusal makes a node pause.
    */
   setLeading(leading: boolean): void {
-    this.isLeading = leading;
+    this.leading = leading;
     const { nodes, store } = this.settings;
     const followerPart = Math.min(LEADER_PART, FOLLOWERS_PART / (nodes - 1));
     const part = nodes === 1 ? 1 : leading ? LEADER_PART : followerPart;
@@ -245,7 +249,7 @@
       rps: store.nextRps,
       writeRps: store.nextWriteRps,
     });
-    this.setLeading(this.isLeading);
+    this.setLeading(this.leading);
   }
 
   onCloudReply(call: CallId, result: Result<CloudValue>): void {
--- a/src/core/node.ts
+++ b/src/core/node.ts
@@ -68,6 +68,7 @@
         this.setLeading(true);
         this.leader = new Leader(this.ctx, this.election, this.jobCache, leadership, this.catalog.types, this.seed);
         this.statusExchange.send();
+        this.catalog.refresh();
       },
       onLost: () => {
         this.leader?.stop();
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -6,6 +6,7 @@
 import type { ZoneName } from '../types.js';
 import { applyPlan } from './apply_plan.js';
 import { Evolution } from './evolution.js';
+import { reserveForOverdueGangs } from './gang_reservation.js';
 import { allows } from './hosting.js';
 import { PlanInput } from './plan_input.js';
 import type { Plan, PlanJob, PlanMachine, PlannedStart } from './plan_types.js';
@@ -55,6 +56,7 @@
   const filled = others.length > 0 ? planner.fillNow(plan, others, tuning.plan_steps) : [];
   const capacityWithServices = addWaitingReplicas(cluster, input, capacity, unreconciled);
   const started = applyPlan(cluster, [...plan.starts, ...filled], jobs, machines);
+  reserveForOverdueGangs(cluster, plan.starts, jobs, machines);
   cluster.ctx.log('debug', 'round', {
     waiting: ranked.length,
     planned: plannedInFull.length,
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -3,20 +3,36 @@
 import { xoroshiro128plus } from 'pure-rand';
 import { CallQueue } from '../src/core/calls/call_queue.js';
 import { TokenBucket } from '../src/core/calls/token_bucket.js';
+import { Context } from '../src/core/context.js';
 import { Estimates } from '../src/core/jobs/estimates.js';
+import { Job } from '../src/core/jobs/job.js';
 import { RangeSet } from '../src/core/jobs/range_set.js';
+import { Cluster } from '../src/core/leadership/cluster.js';
 import { Machine } from '../src/core/machines/machine.js';
 import { Registry } from '../src/core/machines/registry.js';
 import { type Evidence, Slowness } from '../src/core/machines/slowness.js';
 import { SpotInterruptionRate, spotDelayS } from '../src/core/machines/spot_interruptions.js';
 import { encodePage, type MachineRecord } from '../src/core/records.js';
 import { Evolution } from '../src/core/scheduler/evolution.js';
+import { reserveForOverdueGangs } from '../src/core/scheduler/gang_reservation.js';
 import { NO_PENALTIES, type PlanJob, type PlanMachine } from '../src/core/scheduler/plan_types.js';
 import { Planner } from '../src/core/scheduler/planner.js';
 import { rankValue } from '../src/core/scheduler/priority.js';
-import type { ImageName, JobId, MachineId, MachineType, Steady, TypeName, ZoneName } from '../src/core/types.js';
+import type { Settings } from '../src/core/settings.js';
+import type {
+  ImageName,
+  JobId,
+  MachineId,
+  MachineType,
+  Now,
+  Steady,
+  TypeName,
+  Wall,
+  ZoneName,
+} from '../src/core/types.js';
 import { revision } from '../src/core/types.js';
 import { makeSpec } from './sim/job_options.js';
+import { tuning } from './sim/scenario.js';
 
 test('range sets: any order of additions gives the same few ranges', () => {
   const set = new RangeSet();
@@ -315,3 +331,32 @@
   assert.equal(chosen(0.5), 1);
   assert.equal(chosen(2), 0);
 });
+
+test('scheduler: the machines planned for a zone’s longest overdue gang are kept for it, and for no other gang of the zone', () => {
+  const now: Now = { steady: 500_000 as Steady, wall: 1_790_000_000_000 as Wall };
+  const store = { rps: 10, writeRps: 10, nextRps: 10, nextWriteRps: 10, valueBytes: 8192, txnOps: 8 };
+  const settings = { nodes: 1, teams: [], store, cloud: { rps: 5, listLagMs: 0 } } as unknown as Settings;
+  const cluster = new Cluster(new Context(settings, tuning, now), 1);
+  const gang = (id: string, waitedS: number): Job => {
+    const spec = { ...makeSpec(id, 'gang', { tasks: '2', gpus: '4' }) };
+    const submittedAt = (now.wall - waitedS * 1000) as Wall;
+    return new Job(
+      { spec, submittedAt, state: 'accepted', startTerm: 0, startZone: null, done: new RangeSet() },
+      revision(1),
+    );
+  };
+  const jobs = [gang('job-1', 130), gang('job-2', 200), gang('job-3', 20)];
+  const machines = [0, 1, 2, 3, 4, 5].map((i) => rentedMachine(`i-${i}`, '', 'up', now.steady));
+  const starts = machines.map((_, slot) => ({
+    job: Math.floor(slot / 2),
+    machine: slot,
+    tasks: 1,
+    roomAtS: 20,
+    startAtS: 30,
+  }));
+  reserveForOverdueGangs(cluster, starts, jobs, machines);
+  const keptFor = machines.map((kept) => kept.reservedFor(now.steady));
+  assert.deepEqual(keptFor, [null, null, 'job-2', 'job-2', null, null]);
+  assert.equal(machines[2]?.isReservedForOther('job-1' as JobId, now.steady), true);
+  assert.equal(machines[2]?.reservedFor((now.steady + 5000) as Steady), null);
+});
