--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -32,9 +32,9 @@
   assert.equal(spec.rank, 2);
   assert.equal(spec.deadlineS, 900);
   assert.deepEqual(spec.types, ['g8']);
-  const r = decodeReport({ ...report, mystery: [1, 2] });
-  assert.equal(r.tasks.length, 2);
-  assert.deepEqual([r.tasks[0]?.index, r.tasks[0]?.attempt, r.tasks[1]?.reason], [3, 2n, 'done']);
+  const decoded = decodeReport({ ...report, mystery: [1, 2] });
+  assert.equal(decoded.tasks.length, 2);
+  assert.deepEqual([decoded.tasks[0]?.index, decoded.tasks[0]?.attempt, decoded.tasks[1]?.reason], [3, 2n, 'done']);
   const { breeds: _, grove: __, due_s: ___, ...without } = job;
   assert.equal(decodeJob(without).types, null);
   assert.equal(decodeJob(without).deadlineS, null);
@@ -57,14 +57,14 @@
     { same_place: 'yes' },
     { crew: undefined },
   ];
-  for (const b of bad) assert.throws(() => decodeJob({ ...job, ...b }), WireError, JSON.stringify(b));
-  for (const b of [
+  for (const wrong of bad) assert.throws(() => decodeJob({ ...job, ...wrong }), WireError, JSON.stringify(wrong));
+  for (const wrong of [
     { chicks: {} },
     { chicks: [{ chick: 'job-1', hop: 1, mood: 'running' }] },
     { crest: -1 },
     { chirp: 'x' },
   ]) {
-    assert.throws(() => decodeReport({ ...report, ...b }), WireError, JSON.stringify(b));
+    assert.throws(() => decodeReport({ ...report, ...wrong }), WireError, JSON.stringify(wrong));
   }
   assert.throws(() => decodeReport(null), WireError);
 });
@@ -141,10 +141,10 @@
   const short = Buffer.from(good);
   short.writeUInt32BE(5, 6);
   short.writeUInt32BE(0xffff, 6);
-  for (const b of [long, short]) assert.throws(() => new FrameSplitter().push(b));
-  for (const b of [other, kind]) {
+  for (const frame of [long, short]) assert.throws(() => new FrameSplitter().push(frame));
+  for (const frame of [other, kind]) {
     const splitter = new FrameSplitter();
-    assert.deepEqual(splitter.push(Buffer.concat([good, b, good])), [frames[0], frames[0]]);
+    assert.deepEqual(splitter.push(Buffer.concat([good, frame, good])), [frames[0], frames[0]]);
     assert.equal(splitter.skipped, 1);
   }
   // What a later build adds at the end of a payload is not read, and not an error.
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -53,8 +53,8 @@
   const bucket = new TokenBucket(10, 10, 0 as Steady);
   const queue = new CallQueue(bucket, null);
   const sent: string[] = [];
-  const add = (p: 0 | 1 | 2 | 3 | 4, name: string, expires = 10_000): void =>
-    queue.add(p, {
+  const add = (priority: 0 | 1 | 2 | 3 | 4, name: string, expires = 10_000): void =>
+    queue.add(priority, {
       writes: 0,
       expiresAt: expires as Steady,
       send: () => sent.push(name),
@@ -77,14 +77,14 @@
 });
 
 test('estimates: a class that runs long is expected to, with care while little was seen', () => {
-  const e = new Estimates();
+  const estimates = new Estimates();
   const spec = makeSpec('job-1', 'array', { estimate: '10' });
-  assert.equal(e.expectS(spec), 10);
-  e.observe(spec, 40);
-  const once = e.expectS(spec);
+  assert.equal(estimates.expectS(spec), 10);
+  estimates.observe(spec, 40);
+  const once = estimates.expectS(spec);
   assert.ok(once > 10 && once < 15);
-  for (let i = 0; i < 100; i++) e.observe(spec, 40);
-  assert.ok(Math.abs(e.expectS(spec) - 40) < 5);
+  for (let i = 0; i < 100; i++) estimates.observe(spec, 40);
+  assert.ok(Math.abs(estimates.expectS(spec) - 40) < 5);
 });
 
 test('ranking: at the same wait a step of priority makes up for four times the size', () => {
@@ -189,14 +189,14 @@
 }
 
 const planner = (): Planner => new Planner({ average: 1, maximum: 1, idle: 1 });
-const a = 'a' as ZoneName;
-const b = 'b' as ZoneName;
+const zoneA = 'a' as ZoneName;
+const zoneB = 'b' as ZoneName;
 
 const rentedMachine = (id: string, addr: string, phase: 'booting' | 'up', now: Steady): Machine =>
   new Machine({
     id: id as MachineId,
     type: type('g4', 24, 4),
-    zone: a,
+    zone: zoneA,
     spot: false,
     addr,
     reconciled: true,
@@ -220,73 +220,81 @@
   const machines = Array.from({ length: 300 }, (_, i) => machine(i, 'a', type('g4', 24, 4), 24));
   const jobs = Array.from({ length: 200 }, (_, i) => planJob(i, { cpus: 2, gpus: 4 }));
   const fill = (steps: number): { steps: number; starts: number } => {
-    const p = planner();
-    const plan = p.plan(machines, [], null);
-    const starts = p.fillNow(plan, jobs, steps).length;
-    return { steps: p.steps, starts };
+    const evolution = planner();
+    const plan = evolution.plan(machines, [], null);
+    const starts = evolution.fillNow(plan, jobs, steps).length;
+    return { steps: evolution.steps, starts };
   };
   const free = fill(1_000_000);
   assert.equal(free.starts, 200);
   const bounded = fill(1500);
   assert.ok(bounded.steps < 1500 + 300 && bounded.starts > 0 && bounded.starts < 200, JSON.stringify(bounded));
   // With nothing free for any of them, none of the 200 looks over the 300 machines.
-  for (const m of machines) m.gpus[0] = 3;
+  for (const machine of machines) machine.gpus[0] = 3;
   assert.deepEqual(fill(1_000_000), { steps: 0, starts: 0 });
 });
 
 test('planner: earliest start counts the image fetch; ties go to the machine with least room', () => {
-  const c8 = type('c8', 8, 0);
-  const cached = planner().plan([machine(0, 'a', c8, 8, 30), machine(1, 'a', c8, 8, 0)], [planJob(0, {})], [a]);
+  const eightCores = type('c8', 8, 0);
+  const cached = planner().plan(
+    [machine(0, 'a', eightCores, 8, 30), machine(1, 'a', eightCores, 8, 0)],
+    [planJob(0, {})],
+    [zoneA],
+  );
   assert.equal(cached.starts[0]?.machine, 1);
-  const tight = planner().plan([machine(0, 'a', c8, 8), machine(1, 'a', c8, 3)], [planJob(0, {})], [a]);
+  const tight = planner().plan(
+    [machine(0, 'a', eightCores, 8), machine(1, 'a', eightCores, 3)],
+    [planJob(0, {})],
+    [zoneA],
+  );
   assert.equal(tight.starts[0]?.machine, 1);
 });
 
 test('planner: work without GPUs takes of a GPU machine only what GPU work cannot use', () => {
-  const g4 = type('g4', 24, 4);
-  const tight = { ...machine(0, 'a', g4, 24), spareCpus: 3 };
-  const plan = planner().plan([tight], [planJob(0, { tasks: 8 })], [a]);
+  const fourGpus = type('g4', 24, 4);
+  const tight = { ...machine(0, 'a', fourGpus, 24), spareCpus: 3 };
+  const plan = planner().plan([tight], [planJob(0, { tasks: 8 })], [zoneA]);
   assert.equal(
-    plan.starts.reduce((n, s) => n + s.tasks, 0),
+    plan.starts.reduce((n, start) => n + start.tasks, 0),
     3,
   );
-  const gpus = planner().plan([tight], [planJob(0, { tasks: 4, gpus: 1, cpus: 6 })], [a]);
+  const gpus = planner().plan([tight], [planJob(0, { tasks: 4, gpus: 1, cpus: 6 })], [zoneA]);
   assert.equal(gpus.starts[0]?.tasks, 4);
 });
 
 test('planner: a gang waits for room for all of it, and later jobs don’t take that room', () => {
-  const c8 = type('c8', 8, 0);
+  const eightCores = type('c8', 8, 0);
   const jobs = [planJob(0, { gang: true, tasks: 2, cpus: 8 }), planJob(1, { cpus: 8, durationS: 60 })];
-  const plan = planner().plan([machine(0, 'a', c8, 8), machine(1, 'a', c8, 2)], jobs, [a, a]);
-  const gang = plan.starts.filter((s) => s.job === 0);
+  const plan = planner().plan([machine(0, 'a', eightCores, 8), machine(1, 'a', eightCores, 2)], jobs, [zoneA, zoneA]);
+  const gang = plan.starts.filter((start) => start.job === 0);
   assert.deepEqual(
-    gang.map((s) => s.startAtS),
+    gang.map((start) => start.startAtS),
     [20, 20],
   );
-  assert.ok((plan.starts.find((s) => s.job === 1)?.startAtS ?? 0) >= 30);
+  assert.ok((plan.starts.find((start) => start.job === 1)?.startAtS ?? 0) >= 30);
 });
 
 test('planner: a spread job keeps to its zones’ limits', () => {
-  const c8 = type('c8', 8, 0);
+  const eightCores = type('c8', 8, 0);
   const zoneRoom = new Map([
-    [a, 3],
-    [b, 3],
+    [zoneA, 3],
+    [zoneB, 3],
   ]);
-  const job = planJob(0, { tasks: 5, zones: [a, b], zoneRoom });
-  const plan = planner().plan([machine(0, 'a', c8, 8), machine(1, 'b', c8, 8)], [job], [a]);
-  const inA = plan.starts.filter((s) => s.machine === 0).reduce((n, s) => n + s.tasks, 0);
+  const job = planJob(0, { tasks: 5, zones: [zoneA, zoneB], zoneRoom });
+  const plan = planner().plan([machine(0, 'a', eightCores, 8), machine(1, 'b', eightCores, 8)], [job], [zoneA]);
+  const inA = plan.starts.filter((start) => start.machine === 0).reduce((n, start) => n + start.tasks, 0);
   assert.equal(inA, 3);
 });
 
 test('evolution: finds the zones that end waits, the same way for the same seed, within its plan steps', () => {
-  const c8 = type('c8', 8, 0);
-  const machines = [machine(0, 'a', c8, 8), machine(1, 'b', c8, 8)];
-  const jobs = Array.from({ length: 8 }, (_, i) => planJob(i, { cpus: 2, durationS: 30, zones: [a, b] }));
+  const eightCores = type('c8', 8, 0);
+  const machines = [machine(0, 'a', eightCores, 8), machine(1, 'b', eightCores, 8)];
+  const jobs = Array.from({ length: 8 }, (_, i) => planJob(i, { cpus: 2, durationS: 30, zones: [zoneA, zoneB] }));
   const settings = { individuals: 20, generations: 15, mutation: 0.1, planSteps: 1_000_000 };
   const search = (seed: number, steps = 1_000_000) =>
     new Evolution(planner(), xoroshiro128plus(seed), { ...settings, planSteps: steps }).search(machines, jobs);
   const best = search(1);
-  assert.ok(best.starts.every((s) => s.startAtS === 0));
+  assert.ok(best.starts.every((start) => start.startAtS === 0));
   assert.equal(search(1).cost, best.cost);
   assert.ok(search(2, 50).starts.length > 0);
 });
@@ -317,16 +325,16 @@
 });
 
 test('planner: a gang begins to fetch where there is room rather than wait for what is expected to end', () => {
-  const g4 = type('g4', 24, 4);
-  const fetching = { ...machine(0, 'a', g4, 24, 40), gpus: [4] };
-  const holding = { ...machine(1, 'a', g4, 0, 0), times: [0, 20], cpus: [0, 24], gpus: [0, 4], memGb: [0, 144] };
+  const fourGpus = type('g4', 24, 4);
+  const fetching = { ...machine(0, 'a', fourGpus, 24, 40), gpus: [4] };
+  const holding = { ...machine(1, 'a', fourGpus, 0, 0), times: [0, 20], cpus: [0, 24], gpus: [0, 4], memGb: [0, 144] };
   const gang = planJob(0, { gang: true, gpus: 4, cpus: 20 });
   const penalties = { ...NO_PENALTIES, futureDiscount: 0.5 };
   const chosen = (gangFutureDiscount: number): number | undefined =>
     new Planner({ average: 1, maximum: 1, idle: 1 }, { ...penalties, gangFutureDiscount }).plan(
       [fetching, holding],
       [gang],
-      [a],
+      [zoneA],
     ).starts[0]?.machine;
   assert.equal(chosen(0.5), 1);
   assert.equal(chosen(2), 0);
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -140,7 +140,7 @@
 function addTrouble(world: World, atS: number): void {
   const { clock } = world;
   const node = clock.pick(['perch-0', 'perch-1', 'perch-2', 'perch-4', 'leader', 'leader']);
-  const secs = (lo: number, hi: number): string => String(clock.between(lo, hi));
+  const secs = (low: number, high: number): string => String(clock.between(low, high));
   const mode = clock.pick(['drop', 'hold']);
   const machine = (): string => clock.pick([...world.workers.keys(), 'none' as MachineId]);
   const choices: [string, () => string[]][] = [
@@ -196,7 +196,7 @@
     const world = randomDay(seed);
     assert.deepEqual(world.rules.broken, [], `seed ${seed} broke a rule`);
     assert.deepEqual(world.errors, [], `seed ${seed} logged an error`);
-    const down = (lowAtEnd.get(world) ?? []).filter((s) => !s.endsWith(' 1'));
+    const down = (lowAtEnd.get(world) ?? []).filter((line) => !line.endsWith(' 1'));
     assert.deepEqual(down, [], `seed ${seed} left services without all of their replicas`);
     const open = [...world.rules.submitted.keys()].filter(
       (id: JobId) => world.rules.isAccepted(id) && !world.rules.finalOf(id),
@@ -210,7 +210,7 @@
 
 test('a day with the same seed is the same day', () => {
   const world = randomDay(7);
-  const b = randomDay(7);
-  assert.equal(world.rules.starts, b.rules.starts);
-  assert.equal(world.state.writes, b.state.writes);
+  const second = randomDay(7);
+  assert.equal(world.rules.starts, second.rules.starts);
+  assert.equal(world.state.writes, second.state.writes);
 });
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -56,7 +56,7 @@
   return new Promise((resolve, reject) => {
     const req = request({ port, host: '127.0.0.1', method, path }, (res) => {
       const parts: Buffer[] = [];
-      res.on('data', (p: Buffer) => parts.push(p));
+      res.on('data', (part: Buffer) => parts.push(part));
       res.on('end', () => {
         const bytes = Buffer.concat(parts);
         const value = bytes.length > 0 ? decode(bytes) : {};
@@ -154,15 +154,15 @@
   idle[0]?.write('POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Le');
   idle[1]?.write('not http at all\r\n\r\n');
   assert.equal((await ask('GET', '/up')).status, 200);
-  for (const s of idle) s.destroy();
+  for (const socket of idle) socket.destroy();
 });
 
 function cli(...args: string[]): { status: number | null; out: string; err: string } {
-  const r = spawnSync(process.execPath, [main, ...args], { cwd: root, encoding: 'utf8', timeout: 20_000 });
-  return { status: r.status, out: r.stdout, err: r.stderr };
+  const run = spawnSync(process.execPath, [main, ...args], { cwd: root, encoding: 'utf8', timeout: 20_000 });
+  return { status: run.status, out: run.stdout, err: run.stderr };
 }
 
-function settings(change: (text: string) => string = (t) => t): string {
+function settings(change: (text: string) => string = (text) => text): string {
   const file = join(mkdtempSync(join(tmpdir(), 'magpielift-')), 'settings.toml');
   writeFileSync(file, change(readFileSync(join(root, 'test/settings.toml'), 'utf8')));
   return file;
@@ -176,13 +176,13 @@
     cli(
       'check',
       '--config',
-      settings((t) => `future = 1\n${t}`),
+      settings((text) => `future = 1\n${text}`),
     ).status,
     0,
   );
   const missing = cli(
     '--config',
-    settings((t) => t.replace(/^lease_s.*$/m, '')),
+    settings((text) => text.replace(/^lease_s.*$/m, '')),
   );
   assert.equal(missing.status, 2);
   assert.match(missing.err, /settings\.toml: deployment\.workers\.lease_s: /);
@@ -190,12 +190,12 @@
   assert.equal(
     cli(
       '--config',
-      settings((t) => t.replace('rps = 200.0', 'rps = "many"')),
+      settings((text) => text.replace('rps = 200.0', 'rps = "many"')),
     ).status,
     2,
   );
   const limits = '[deployment.state.next]\nvalue_kb = 2.0\n\n[deployment.cloud]';
-  const withNext = (text: string): string => settings((t) => t.replace('[deployment.cloud]', text));
+  const withNext = (limits: string): string => settings((text) => text.replace('[deployment.cloud]', limits));
   assert.equal(cli('check', '--config', withNext(limits)).status, 0);
   assert.equal(cli('check', '--config', withNext(limits.replace('value_kb = 2.0', 'other = "x"'))).status, 0);
   const wrong = cli('--config', withNext(limits.replace('2.0', '-2.0')));
@@ -211,9 +211,9 @@
   const file = join(dir, 'tuning.toml');
   const text = readFileSync(join(root, 'deploy/tuning.toml'), 'utf8');
   writeFileSync(file, text.replace(/^mutation.*$/m, 'mutation = 3'));
-  const r = cli('check', '--config', settings(), '--tuning', file);
-  assert.equal(r.status, 2);
-  assert.match(r.err, /scheduler\.mutation/);
+  const run = cli('check', '--config', settings(), '--tuning', file);
+  assert.equal(run.status, 2);
+  assert.match(run.err, /scheduler\.mutation/);
 });
 
 test('command line: a tuning key under its old name is refused with the new one', () => {
@@ -236,7 +236,7 @@
   });
   try {
     await new Promise<void>((resolve, reject) => {
-      child.stderr.on('data', (d: Buffer) => d.toString().includes('started') && resolve());
+      child.stderr.on('data', (part: Buffer) => part.toString().includes('started') && resolve());
       child.on('exit', () => reject(new Error('ended by itself')));
     });
     const own = port;
--- a/test/sim/clock.ts
+++ b/test/sim/clock.ts
@@ -18,8 +18,8 @@
   }
 
   /** A number from `lo` up to `hi`. */
-  between(lo: number, hi: number): number {
-    return lo + (unsafeUniformIntDistribution(0, 1_000_000, this.random) / 1_000_000) * (hi - lo);
+  between(low: number, high: number): number {
+    return low + (unsafeUniformIntDistribution(0, 1_000_000, this.random) / 1_000_000) * (high - low);
   }
 
   pick<T>(from: readonly T[]): T {
@@ -27,17 +27,17 @@
   }
 
   in(ms: number, run: () => void): void {
-    const e: Event = { at: this.now + Math.max(0, ms), order: this.order++, run };
+    const event: Event = { at: this.now + Math.max(0, ms), order: this.order++, run };
     const heap = this.heap;
-    heap.push(e);
+    heap.push(event);
     let i = heap.length - 1;
     while (i > 0) {
       const up = (i - 1) >> 1;
-      if (!before(e, heap[up] as Event)) break;
+      if (!before(event, heap[up] as Event)) break;
       heap[i] = heap[up] as Event;
       i = up;
     }
-    heap[i] = e;
+    heap[i] = event;
   }
 
   private pop(): Event | undefined {
@@ -60,9 +60,9 @@
 
   runUntil(end: number): void {
     while (this.heap.length > 0 && (this.heap[0] as Event).at <= end) {
-      const e = this.pop() as Event;
-      this.now = e.at;
-      e.run();
+      const event = this.pop() as Event;
+      this.now = event.at;
+      event.run();
     }
     this.now = end;
   }
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -43,26 +43,26 @@
 
   private list(): ListedMachine[] {
     return [...this.machines.values()]
-      .map((m) => ({
-        id: m.id,
-        addr: m.phase === 'booting' ? '' : m.id,
-        type: m.type.name,
-        zone: m.zone,
-        spot: m.spot,
-        phase: m.phase,
-        ageS: (this.clock.now - m.since) / 1000,
+      .map((machine) => ({
+        id: machine.id,
+        addr: machine.phase === 'booting' ? '' : machine.id,
+        type: machine.type.name,
+        zone: machine.zone,
+        spot: machine.spot,
+        phase: machine.phase,
+        ageS: (this.clock.now - machine.since) / 1000,
       }))
       .sort((a, b) => (a.id < b.id ? -1 : 1));
   }
 
   add(type: MachineType, zone: ZoneName, spot: boolean, bootMs: number | null): MachineId {
     const id = `i-${String(this.count++).padStart(6, '0')}` as MachineId;
-    const m: Rented = { id, type, zone, spot, since: this.clock.now, phase: 'booting' };
-    this.machines.set(id, m);
+    const machine: Rented = { id, type, zone, spot, since: this.clock.now, phase: 'booting' };
+    this.machines.set(id, machine);
     if (bootMs !== null) {
       this.clock.in(bootMs, () => {
-        if (this.machines.get(id) !== m || m.phase !== 'booting') return;
-        m.phase = 'running';
+        if (this.machines.get(id) !== machine || machine.phase !== 'booting') return;
+        machine.phase = 'running';
         this.events.boot(id, type, zone, spot);
       });
     }
@@ -74,13 +74,13 @@
   }
 
   fail(id: MachineId): void {
-    const m = this.machines.get(id);
-    if (!m) return;
-    m.phase = 'failed';
+    const machine = this.machines.get(id);
+    if (!machine) return;
+    machine.phase = 'failed';
     this.events.gone(id);
   }
 
-  serve(op: CloudOp, reply: (r: Result<CloudValue>) => void): void {
+  serve(op: CloudOp, reply: (result: Result<CloudValue>) => void): void {
     this.clock.in(this.clock.between(50, 250), () => reply(this.run(op)));
   }
 
@@ -113,7 +113,7 @@
     if (this.down) return { ok: false, why: 'refused' };
     switch (op.op) {
       case 'types':
-        return { ok: true, value: { types: this.types.map((t) => ({ ...t })) } };
+        return { ok: true, value: { types: this.types.map((type) => ({ ...type })) } };
       case 'list':
         return this.lateList(op.after);
       case 'rent':
--- a/test/sim/controller.ts
+++ b/test/sim/controller.ts
@@ -22,7 +22,7 @@
   private node: Node | null = null;
   /** One for each peer that speaks to it over bytes. */
   private splitters = new Map<NodeName, FrameSplitter>();
-  private callbacks = new Map<number, (a: never) => void>();
+  private callbacks = new Map<number, (answer: never) => void>();
   private requests = 0;
   private timerSeq = 0;
   private starts = 0;
@@ -76,8 +76,8 @@
   }
 
   private now(): Now {
-    const t = this.world.clock.now;
-    return { steady: t as Steady, wall: (1_790_000_000_000 + t) as Wall };
+    const elapsed = this.world.clock.now;
+    return { steady: elapsed as Steady, wall: (1_790_000_000_000 + elapsed) as Wall };
   }
 
   /** The process stands still while its clocks run on; what comes meanwhile waits in its sockets. */
@@ -106,7 +106,7 @@
     }
     const { translate } = this.build;
     const outputs = node.step(this.now(), translate.input(input));
-    for (const o of outputs) this.carryOut(translate.output(o));
+    for (const output of outputs) this.carryOut(translate.output(output));
     const next = node.nextTimer();
     if (next === null) return;
     const ifAlive = ++this.timerSeq;
@@ -116,10 +116,10 @@
   }
 
   /** Runs `then` only if the same process still lives. */
-  private mine<T extends unknown[]>(then: (...a: T) => void): (...a: T) => void {
+  private mine<T extends unknown[]>(then: (...answer: T) => void): (...answer: T) => void {
     const { epoch } = this;
-    return (...a) => {
-      if (epoch === this.epoch && this.node) then(...a);
+    return (...answer) => {
+      if (epoch === this.epoch && this.node) then(...answer);
     };
   }
 
@@ -157,24 +157,24 @@
         break;
       }
       case 'worker': {
-        const carriedOut = this.mine((r: WorkerValue | null) =>
+        const carriedOut = this.mine((value: WorkerValue | null) =>
           this.step({
             kind: 'workerReply',
             call: output.call,
-            result: r ? { ok: true, value: r } : { ok: false, why: 'unknown' },
+            result: value ? { ok: true, value } : { ok: false, why: 'unknown' },
           }),
         );
         world.meters.commandsOpened(1);
-        const done = (r: WorkerValue | null): void => {
+        const done = (value: WorkerValue | null): void => {
           world.meters.commandsOpened(-1);
-          carriedOut(r);
+          carriedOut(value);
         };
         const worker = world.workers.get(output.op.addr as MachineId);
         network.call(this.name, output.op.addr, 2500, (reply) => worker?.takeCommands(output.op, reply), done);
         break;
       }
       case 'peer': {
-        const to = world.nodes.find((n) => n.name === output.to);
+        const to = world.nodes.find((node) => node.name === output.to);
         if (world.bytes) {
           const frame = this.build.encodeFrame(output.message);
           network.send(this.name, output.to, () => to?.fromPeerBytes(this.name, frame));
@@ -205,25 +205,25 @@
     let frames: PeerFrame[];
     try {
       frames = splitter.push(frame);
-    } catch (e) {
+    } catch (error) {
       this.splitters.delete(from);
-      this.world.errors.push(`${this.name} ended the link from ${from}: ${(e as Error).message}`);
+      this.world.errors.push(`${this.name} ended the link from ${from}: ${(error as Error).message}`);
       return;
     }
-    for (const f of frames) if (f.kind !== 'hello') this.fromPeer(from, f);
+    for (const frame of frames) if (frame.kind !== 'hello') this.fromPeer(from, frame);
   }
 
-  report(report: WorkerReport, reply: (a: WorkerAnswer) => void): void {
+  report(report: WorkerReport, reply: (answer: WorkerAnswer) => void): void {
     if (!this.node) return;
     const req = ++this.requests;
-    this.callbacks.set(req, reply as (a: never) => void);
+    this.callbacks.set(req, reply as (answer: never) => void);
     this.step({ kind: 'report', req, report });
   }
 
-  user(request: UserRequest, reply: (a: UserAnswer) => void): void {
+  user(request: UserRequest, reply: (answer: UserAnswer) => void): void {
     if (!this.node) return;
     const req = ++this.requests;
-    this.callbacks.set(req, reply as (a: never) => void);
+    this.callbacks.set(req, reply as (answer: never) => void);
     this.step({ kind: 'user', req, request });
   }
 }
--- a/test/sim/idle_room.ts
+++ b/test/sim/idle_room.ts
@@ -41,7 +41,8 @@
     const { rules, faulty, workers } = this.world;
     if (!rules.isAccepted(spec.id) || rules.cancelAsked.has(spec.id) || rules.isDone(spec.id)) return false;
     if (faulty.has(spec.id)) return false;
-    for (const w of workers.values()) for (const t of w.tasks.values()) if (t.job === spec.id) return false;
+    for (const worker of workers.values())
+      for (const task of worker.tasks.values()) if (task.job === spec.id) return false;
     return true;
   }
 
@@ -80,7 +81,7 @@
   }
 
   private underLimit(spec: JobSpec, tasks: number): boolean {
-    const team = this.world.options.teams.find((t) => t.name === spec.team);
+    const team = this.world.options.teams.find((each) => each.name === spec.team);
     if (!team) return false;
     let cpus = spec.cpus * tasks;
     let gpus = spec.gpus * tasks;
--- a/test/sim/invalid_requests.ts
+++ b/test/sim/invalid_requests.ts
@@ -9,20 +9,20 @@
  */
 function mayTakeSplitGangs(world: World, asked: Build): boolean {
   if (asked === PRESENT) return false;
-  return asked.name === 'production' || world.nodes.some((n) => n.build.name === 'production');
+  return asked.name === 'production' || world.nodes.some((node) => node.build.name === 'production');
 }
 
 /** One of the requests that users should not make, and some make. */
-export function sendInvalidRequest(world: World, n: number): void {
+export function sendInvalidRequest(world: World, turn: number): void {
   const { clock, rules } = world;
   const all = [...rules.submitted.values()].filter((spec) => rules.isAccepted(spec.id));
-  const id = `job-9${String(clock.now | 0)}${n}` as JobId;
-  const impossible = (shape: JobSpec['shape'], o: Options, excused?: (asked: Build) => boolean): void => {
-    const spec = makeSpec(id, shape, o);
+  const id = `job-9${String(clock.now | 0)}${turn}` as JobId;
+  const impossible = (shape: JobSpec['shape'], options: Options, excused?: (asked: Build) => boolean): void => {
+    const spec = makeSpec(id, shape, options);
     rules.neverRuns.add(id);
     world.request({ op: 'submit', id, spec, problem: '' }, excused);
   };
-  switch (n % 8) {
+  switch (turn % 8) {
     case 0:
       impossible('array', { cpus: '1000' });
       return;
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -3,14 +3,19 @@
 type CutMode = 'drop' | 'hold';
 
 interface Cut {
-  readonly a: string;
-  readonly b: string;
+  readonly host: string;
+  /** The other end; "*": everybody. */
+  readonly peer: string;
   readonly mode: CutMode;
-  /** Only what goes to `a` is cut: it is heard but doesn't hear. */
+  /** Only what goes to `host` is cut: it is heard but doesn't hear. */
   readonly oneWay: boolean;
   readonly held: (() => void)[];
 }
 
+/** Whether the cut is the one of `host` from `peer`. */
+const isCut = (cut: Cut, host: string, peer: string): boolean =>
+  cut.host === host && (cut.peer === peer || (cut.peer === '*' && host !== peer));
+
 /** Messages between hosts, with cuts that lose them or hold them back and deliver them late. */
 export class Network {
   private readonly cuts = new Set<Cut>();
@@ -18,9 +23,9 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Cuts `a` from `b` ("*": from everybody) for a while. */
-  cut(a: string, b: string, ms: number, mode: CutMode, oneWay = false): void {
-    const cut: Cut = { a, b, mode, oneWay, held: [] };
+  /** Cuts `host` from `peer` ("*": from everybody) for a while; one way: only what is sent to `host` is lost. */
+  cut(host: string, peer: string, ms: number, mode: CutMode, oneWay = false): void {
+    const cut: Cut = { host, peer, mode, oneWay, held: [] };
     this.cuts.add(cut);
     this.clock.in(ms, () => {
       this.cuts.delete(cut);
@@ -36,8 +41,7 @@
 
   send(from: string, to: string, deliver: () => void): void {
     for (const cut of this.cuts) {
-      const hits = (x: string, y: string): boolean => cut.a === x && (cut.b === y || (cut.b === '*' && x !== y));
-      if (!hits(to, from) && (cut.oneWay || !hits(from, to))) continue;
+      if (!isCut(cut, to, from) && (cut.oneWay || !isCut(cut, from, to))) continue;
       if (cut.mode === 'hold') cut.held.push(deliver);
       return;
     }
@@ -51,16 +55,16 @@
     from: string,
     to: string,
     timeoutMs: number,
-    serve: (reply: (v: T) => void) => void,
-    done: (v: T | null) => void,
+    serve: (reply: (value: T) => void) => void,
+    done: (value: T | null) => void,
   ): void {
     let open = true;
-    const finish = (v: T | null): void => {
+    const finish = (value: T | null): void => {
       if (!open) return;
       open = false;
-      done(v);
+      done(value);
     };
     this.clock.in(timeoutMs, () => finish(null));
-    this.send(from, to, () => serve((v) => this.send(to, from, () => finish(v))));
+    this.send(from, to, () => serve((value) => this.send(to, from, () => finish(value))));
   }
 }
--- a/test/sim/old_versions.ts
+++ b/test/sim/old_versions.ts
@@ -59,7 +59,9 @@
 
 /** Every earlier version that the tests run beside this one, by its name; fails where one could not be built. */
 export function loadOldVersions(): Promise<ReadonlyMap<string, Build>> {
-  loading ??= Promise.all(oldVersions().map(load)).then((builds) => new Map(builds.map((b) => [b.name, b])));
+  loading ??= Promise.all(oldVersions().map(load)).then(
+    (builds) => new Map(builds.map((build) => [build.name, build])),
+  );
   return loading;
 }
 
--- a/test/sim/rules.ts
+++ b/test/sim/rules.ts
@@ -12,6 +12,16 @@
 
 const isFinal = (status: JobStatus): boolean => status === 'done' || status === 'cancelled';
 
+/** The largest tenth of the jobs of each class, one at least. */
+function largestOfClasses(specs: readonly JobSpec[]): JobSpec[] {
+  const byClass = new Map<string, JobSpec[]>();
+  for (const spec of specs) byClass.set(spec.jobClass, [...(byClass.get(spec.jobClass) ?? []), spec]);
+  return [...byClass.values()].flatMap((jobs) => {
+    const largestFirst = jobs.sort((a, b) => b.tasks - a.tasks);
+    return largestFirst.slice(0, Math.ceil(largestFirst.length / 10));
+  });
+}
+
 /** Watches everything that happens and writes down every broken rule. */
 export class Rules {
   readonly broken: string[] = [];
@@ -77,43 +87,36 @@
 
   /** Of accepted jobs that nobody cancelled, the shares that were served: by class, by team, and of each class's largest. */
   servedShares(): Map<string, number> {
-    const counts = new Map<string, { n: number; served: number }>();
+    const counts = new Map<string, { asked: number; served: number }>();
     const count = (key: string, served: boolean): void => {
-      const c = counts.get(key) ?? { n: 0, served: 0 };
-      c.n += 1;
-      if (served) c.served += 1;
-      counts.set(key, c);
+      const tally = counts.get(key) ?? { asked: 0, served: 0 };
+      tally.asked += 1;
+      if (served) tally.served += 1;
+      counts.set(key, tally);
     };
-    const byClass = new Map<string, JobSpec[]>();
-    for (const spec of this.submitted.values()) {
-      if (!this.accepted.has(spec.id) || this.cancelAsked.has(spec.id) || spec.shape === 'service') continue;
+    const finite = this.wantedJobs().filter((spec) => spec.shape !== 'service');
+    for (const spec of finite) {
       count(`class ${spec.jobClass}`, this.isDone(spec.id));
       count(`team ${spec.team}`, this.isDone(spec.id));
-      byClass.set(spec.jobClass, [...(byClass.get(spec.jobClass) ?? []), spec]);
     }
-    for (const [name, specs] of byClass) {
-      specs.sort((a, b) => b.tasks - a.tasks);
-      for (const s of specs.slice(0, Math.ceil(specs.length / 10))) count(`largest of ${name}`, this.isDone(s.id));
-    }
-    return new Map([...counts].map(([key, { n, served }]) => [key, served / n]));
+    for (const spec of largestOfClasses(finite)) count(`largest of ${spec.jobClass}`, this.isDone(spec.id));
+    return new Map([...counts].map(([key, { asked, served }]) => [key, served / asked]));
   }
 
   /** Of each class's largest jobs those that waited over four minutes to begin, troubles not counted. */
   largestLate(): string[] {
-    const late: string[] = [];
-    const byClass = new Map<string, JobSpec[]>();
-    for (const spec of this.submitted.values()) {
-      if (!this.accepted.has(spec.id) || this.cancelAsked.has(spec.id)) continue;
-      byClass.set(spec.jobClass, [...(byClass.get(spec.jobClass) ?? []), spec]);
-    }
-    for (const specs of byClass.values()) {
-      specs.sort((a, b) => b.tasks - a.tasks);
-      for (const { id } of specs.slice(0, Math.ceil(specs.length / 10))) {
-        const from = Math.max(this.submittedAt.get(id) ?? 0, this.troublesUntil);
-        if ((this.begunAt.get(id) ?? this.clock.now) - from > LARGEST_MS) late.push(id);
-      }
-    }
-    return late;
+    const isLate = ({ id }: JobSpec): boolean => {
+      const from = Math.max(this.submittedAt.get(id) ?? 0, this.troublesUntil);
+      return (this.begunAt.get(id) ?? this.clock.now) - from > LARGEST_MS;
+    };
+    return largestOfClasses(this.wantedJobs())
+      .filter(isLate)
+      .map((spec) => spec.id);
+  }
+
+  /** The accepted jobs that nobody cancelled. */
+  private wantedJobs(): JobSpec[] {
+    return [...this.submitted.values()].filter((spec) => this.accepted.has(spec.id) && !this.cancelAsked.has(spec.id));
   }
 
   unregistered(machine: string): void {
@@ -174,7 +177,7 @@
 
   ended(job: JobId, index: number, machine: MachineId): void {
     const tasks = this.tasksOnMachines.get(job);
-    const places = tasks?.get(index)?.filter((p) => p.machine !== machine) ?? [];
+    const places = tasks?.get(index)?.filter((place) => place.machine !== machine) ?? [];
     if (places.length === 0) tasks?.delete(index);
     else tasks?.set(index, places);
     if (tasks?.size === 0) this.goneAt.set(job, this.clock.now);
@@ -215,16 +218,16 @@
   }
 
   private checkQuota(spec: JobSpec): void {
-    const team = this.teams.find((t) => t.name === spec.team);
+    const team = this.teams.find((each) => each.name === spec.team);
     if (!team) return;
     let cpus = 0;
     let gpus = 0;
     for (const [id, tasks] of this.tasksOnMachines) {
       const other = this.submitted.get(id);
       if (!other || other.team !== spec.team) continue;
-      const n = [...tasks.values()].reduce((sum, p) => sum + p.length, 0);
-      cpus += n * other.cpus;
-      gpus += n * other.gpus;
+      const count = [...tasks.values()].reduce((sum, places) => sum + places.length, 0);
+      cpus += count * other.cpus;
+      gpus += count * other.gpus;
     }
     if (team.cpusMax > 0 && cpus > team.cpusMax + 1e-6) this.breakRule('quota', `${team.name}: ${cpus} cpus`);
     if (team.gpusMax > 0 && gpus > team.gpusMax + 1e-6) this.breakRule('quota', `${team.name}: ${gpus} gpus`);
--- a/test/sim/scenario.ts
+++ b/test/sim/scenario.ts
@@ -25,7 +25,7 @@
 
 interface ScenarioLine {
   /** Its number in the file. */
-  readonly n: number;
+  readonly number: number;
   readonly words: readonly string[];
 }
 
@@ -54,7 +54,7 @@
       const words = line.replace(/#.*/, '').trim().split(/\s+/).filter(Boolean);
       if (words.length === 0) return;
       if (!STATEMENTS.has(words[0] as string)) throw new Error(`${file}:${i + 1}: no statement ${words[0]}`);
-      lines.push({ n: i + 1, words });
+      lines.push({ number: i + 1, words });
     });
   return { file, title, lines };
 }
@@ -90,14 +90,14 @@
 
 /** The old versions that its nodes run at first; none: all run the present one. */
 const versionNames = (scenario: Scenario): readonly string[] =>
-  scenario.lines.find((l) => l.words[0] === 'versions')?.words.slice(1) ?? [];
-export const usesOldVersions = (s: Scenario): boolean => versionNames(s).length > 0;
+  scenario.lines.find((line) => line.words[0] === 'versions')?.words.slice(1) ?? [];
+export const usesOldVersions = (scenario: Scenario): boolean => versionNames(scenario).length > 0;
 
 function readLimits(scenario: Scenario): Limits {
   const limits: Record<keyof Limits, number> = { ...LIMITS };
-  for (const { n, words } of scenario.lines.filter((l) => l.words[0] === 'limits')) {
+  for (const { number, words } of scenario.lines.filter((line) => line.words[0] === 'limits')) {
     for (const [key, value] of Object.entries(readOptions(words.slice(1)))) {
-      if (!(key in limits)) throw new Error(`${scenario.file}:${n}: no limit ${key}`);
+      if (!(key in limits)) throw new Error(`${scenario.file}:${number}: no limit ${key}`);
       limits[key as keyof Limits] = Number(value);
     }
   }
@@ -156,7 +156,7 @@
   word: string | undefined,
   found: T | undefined,
 ): T {
-  if (found === undefined) throw new Error(`${scenario.file}:${line.n}: no ${what} ${word}`);
+  if (found === undefined) throw new Error(`${scenario.file}:${line.number}: no ${what} ${word}`);
   return found;
 }
 
@@ -189,7 +189,7 @@
     const [, name, ...words] = line.words;
     const check = known(scenario, line, 'check', name, checks[name ?? '']);
     const problem = check(world, words);
-    return problem ? [`line ${line.n}: ${problem}`] : [];
+    return problem ? [`line ${line.number}: ${problem}`] : [];
   });
 }
 
--- a/test/sim/scenario_checks.ts
+++ b/test/sim/scenario_checks.ts
@@ -3,13 +3,13 @@
 
 /** What `expect most` can ask for. Calls and changes are of the busiest second, of all nodes together. */
 const METERS: Readonly<Record<string, (world: World) => number>> = {
-  'steps-a-round': (w) => w.meters.maxRoundSteps,
-  'state-calls': (w) => w.meters.calls,
-  'state-changes': (w) => w.meters.changes,
-  'cloud-calls': (w) => w.meters.cloud,
-  'direct-calls-open': (w) => w.meters.maxOpenCommands,
-  'value-bytes': (w) => w.state.longest,
-  'frame-bytes': (w) => w.meters.frameBytes,
+  'steps-a-round': (world) => world.meters.maxRoundSteps,
+  'state-calls': (world) => world.meters.calls,
+  'state-changes': (world) => world.meters.changes,
+  'cloud-calls': (world) => world.meters.cloud,
+  'direct-calls-open': (world) => world.meters.maxOpenCommands,
+  'value-bytes': (world) => world.state.longest,
+  'frame-bytes': (world) => world.meters.frameBytes,
 };
 
 export type Check = (world: World, words: string[]) => string | null;
@@ -25,24 +25,24 @@
     return open.length === 0 ? null : `not told cancelled: ${open.join(' ')}`;
   },
   /** expect starts at-most N */
-  starts(world, [, n]) {
-    return world.rules.starts <= Number(n) ? null : `${world.rules.starts} starts, more than ${n}`;
+  starts(world, [, wanted]) {
+    return world.rules.starts <= Number(wanted) ? null : `${world.rules.starts} starts, more than ${wanted}`;
   },
   /** expect leader: somebody holds the lead at the end */
   leader(world) {
     return world.leader() ? null : 'nobody leads';
   },
   /** expect begun-within S JOB ... */
-  'begun-within'(world, [s, ...ids]) {
+  'begun-within'(world, [seconds, ...ids]) {
     const late = ids.filter(
-      (id) => !world.rules.hasBegun(id as JobId) || world.rules.beginMs(id as JobId) > Number(s) * 1000,
+      (id) => !world.rules.hasBegun(id as JobId) || world.rules.beginMs(id as JobId) > Number(seconds) * 1000,
     );
     const told = late.map((id) => `${id} after ${(world.rules.beginMs(id as JobId) / 1000).toFixed(0)} s`);
     return late.length === 0 ? null : `not begun in time: ${told.join(', ')}`;
   },
   /** expect done-within S JOB ...: told so, that long after it was submitted */
-  'done-within'(world, [s, ...ids]) {
-    const late = ids.filter((id) => world.rules.doneMs(id as JobId) > Number(s) * 1000);
+  'done-within'(world, [seconds, ...ids]) {
+    const late = ids.filter((id) => world.rules.doneMs(id as JobId) > Number(seconds) * 1000);
     const told = late.map((id) => `${id} after ${(world.rules.doneMs(id as JobId) / 1000).toFixed(0)} s`);
     return late.length === 0 ? null : `not done in time: ${told.join(', ')}`;
   },
@@ -66,39 +66,45 @@
     return there.length === 0 ? null : `still rented: ${there.join(' ')}`;
   },
   /** expect leases-lost at-most N: workers whose lease ended under their tasks */
-  'leases-lost'(world, [, n]) {
-    return world.leasesLost <= Number(n) ? null : `${world.leasesLost} leases ran out under tasks, more than ${n}`;
+  'leases-lost'(world, [, wanted]) {
+    return world.leasesLost <= Number(wanted)
+      ? null
+      : `${world.leasesLost} leases ran out under tasks, more than ${wanted}`;
   },
   /** expect late-writes at-least N: so many transactions were carried out late */
-  'late-writes'(world, [, n]) {
-    return world.state.lateDone >= Number(n) ? null : `only ${world.state.lateDone} transactions carried out late`;
+  'late-writes'(world, [, wanted]) {
+    return world.state.lateDone >= Number(wanted) ? null : `only ${world.state.lateDone} transactions carried out late`;
   },
   /** expect late-starts at-most N: starts after the user was told that the job is cancelled */
-  'late-starts'(world, [, n]) {
+  'late-starts'(world, [, wanted]) {
     const late = world.rules.lateStarts;
-    return late <= Number(n) ? null : `${late} starts after a confirmed cancellation, more than ${n}`;
+    return late <= Number(wanted) ? null : `${late} starts after a confirmed cancellation, more than ${wanted}`;
   },
   /** expect refused-sizes at-most N: transactions of the present build that the state service called too large */
-  'refused-sizes'(world, [, n]) {
-    return world.refusedSizes <= Number(n) ? null : `${world.refusedSizes} transactions too large, more than ${n}`;
+  'refused-sizes'(world, [, wanted]) {
+    return world.refusedSizes <= Number(wanted)
+      ? null
+      : `${world.refusedSizes} transactions too large, more than ${wanted}`;
   },
   /** expect terms at-most N: so often the lead was taken */
-  terms(world, [, n]) {
+  terms(world, [, wanted]) {
     const term = (world.state.item('term')?.value as { n?: number } | undefined)?.n ?? 0;
-    return term <= Number(n) ? null : `the lead was taken ${term} times, more than ${n}`;
+    return term <= Number(wanted) ? null : `the lead was taken ${term} times, more than ${wanted}`;
   },
   /** expect throttled at-most N: calls that the state service refused for coming too often */
-  throttled(world, [, n]) {
-    return world.state.throttled <= Number(n) ? null : `${world.state.throttled} calls throttled, more than ${n}`;
+  throttled(world, [, wanted]) {
+    return world.state.throttled <= Number(wanted)
+      ? null
+      : `${world.state.throttled} calls throttled, more than ${wanted}`;
   },
   /** expect cancelled-of N JOB ...: at least so many of them were cancelled */
-  'cancelled-of'(world, [n, ...ids]) {
+  'cancelled-of'(world, [wanted, ...ids]) {
     const gone = ids.filter((id) => world.rules.finalOf(id as JobId) === 'cancelled');
-    return gone.length >= Number(n) ? null : `only ${gone.length} cancelled`;
+    return gone.length >= Number(wanted) ? null : `only ${gone.length} cancelled`;
   },
   /** expect gone-within S JOB ...: no task on any machine, that long after its user was told that it is cancelled */
-  'gone-within'(world, [s, ...ids]) {
-    const late = ids.filter((id) => world.rules.goneMs(id as JobId) > Number(s) * 1000);
+  'gone-within'(world, [seconds, ...ids]) {
+    const late = ids.filter((id) => world.rules.goneMs(id as JobId) > Number(seconds) * 1000);
     return late.length === 0 ? null : `not gone in time: ${late.join(' ')}`;
   },
   /** expect up SHARE AFTER JOB ...: of the replica time from so many seconds on, that share was served */
@@ -123,23 +129,27 @@
     return taken.length === 0 ? null : `not refused: ${taken.join(' ')}`;
   },
   /** expect largest-page BYTES: no page of the registry is longer at the end */
-  'largest-page'(world, [n]) {
-    const longest = Math.max(...world.state.keys('m/').map((k) => JSON.stringify(world.state.item(k)?.value).length));
-    return longest <= Number(n) ? null : `a page of ${longest} bytes`;
+  'largest-page'(world, [wanted]) {
+    const longest = Math.max(
+      ...world.state.keys('m/').map((key) => JSON.stringify(world.state.item(key)?.value).length),
+    );
+    return longest <= Number(wanted) ? null : `a page of ${longest} bytes`;
   },
-  rented(world, [, n]) {
-    return world.cloud.rentals <= Number(n) ? null : `${world.cloud.rentals} machines rented, more than ${n}`;
+  rented(world, [, wanted]) {
+    return world.cloud.rentals <= Number(wanted) ? null : `${world.cloud.rentals} machines rented, more than ${wanted}`;
   },
   /** expect machines at-most N: rented at the end */
-  machines(world, [, n]) {
-    return world.cloud.machines.size <= Number(n) ? null : `${world.cloud.machines.size} machines, more than ${n}`;
+  machines(world, [, wanted]) {
+    return world.cloud.machines.size <= Number(wanted)
+      ? null
+      : `${world.cloud.machines.size} machines, more than ${wanted}`;
   },
   /** expect most WHAT N: what the controllers used of what is scarce, see `METERS` */
-  most(world, [what, n]) {
+  most(world, [what, wanted]) {
     const meter = METERS[what ?? ''];
     if (!meter) return `no meter ${what}`;
     const used = meter(world);
-    return used <= Number(n) ? null : `${what}: ${used}, more than ${n}`;
+    return used <= Number(wanted) ? null : `${what}: ${used}, more than ${wanted}`;
   },
   empty(world) {
     const left = [...world.rules.tasksOnMachines.values()].reduce((sum, tasks) => sum + tasks.size, 0);
--- a/test/sim/scenario_events.ts
+++ b/test/sim/scenario_events.ts
@@ -16,9 +16,9 @@
 
 function nodesNamed(world: World, which: string | undefined): World['nodes'] {
   if (which === 'all') return world.nodes.slice();
-  if (which === 'leader') return [world.leader() ?? world.nodes[0]].filter((n) => n !== undefined);
-  if (which === 'followers') return world.nodes.filter((n) => n !== world.leader());
-  return world.nodes.filter((n) => n.name === which);
+  if (which === 'leader') return [world.leader() ?? world.nodes[0]].filter((node) => node !== undefined);
+  if (which === 'followers') return world.nodes.filter((node) => node !== world.leader());
+  return world.nodes.filter((node) => node.name === which);
 }
 
 function workersNamed(
@@ -27,15 +27,15 @@
 ): World['workers'] extends Map<unknown, infer W> ? W[] : never {
   const all = [...world.workers.values()];
   if (which === 'all') return all;
-  if (which?.startsWith('zone:')) return all.filter((w) => w.zone === which.slice(5));
-  if (which === 'busy') return all.filter((w) => w.tasks.size > 0).slice(0, 1);
+  if (which?.startsWith('zone:')) return all.filter((worker) => worker.zone === which.slice(5));
+  if (which === 'busy') return all.filter((worker) => worker.tasks.size > 0).slice(0, 1);
   if (which?.startsWith('some:')) {
     // So many of them, spread over all.
     const step = Math.max(1, Math.floor(all.length / Number(which.slice(5))));
     const from = Math.floor(world.clock.between(0, step));
     return all.filter((_, i) => i % step === from % step).slice(0, Number(which.slice(5)));
   }
-  return all.filter((w) => w.id === which);
+  return all.filter((worker) => worker.id === which);
 }
 
 /** Nodes and machines of that name. */
@@ -56,8 +56,8 @@
 export type Event = (world: World, words: string[]) => void;
 
 /** Notes when a trouble is over, so that the rules know when all is quiet. */
-function lasts(world: World, s: string | undefined): number {
-  const ms = Number(s) * 1000;
+function lasts(world: World, seconds: string | undefined): number {
+  const ms = Number(seconds) * 1000;
   world.rules.troublesUntil = Math.max(world.rules.troublesUntil, world.clock.now + ms);
   return ms;
 }
@@ -69,14 +69,15 @@
   'before-take': (op, after) => takesLead(op) && !after,
   'after-take': (op, after) => takesLead(op) && after,
 };
-const takesLead = (op: StoreOp): boolean => op.op === 'txn' && op.changes.some((c) => 'put' in c && c.put === 'leader');
+const takesLead = (op: StoreOp): boolean =>
+  op.op === 'txn' && op.changes.some((change) => 'put' in change && change.put === 'leader');
 
 export const events: Readonly<Record<string, Event>> = {
   submit(world, [id, shape, ...rest]) {
-    const o = readOptions(rest);
-    const spec = makeSpec(id ?? '', shape === 'gang' || shape === 'service' ? shape : 'array', o);
-    if (o.faulty) world.faulty.add(spec.id);
-    world.submit(spec, num(o, 'run', 10) * 1000);
+    const options = readOptions(rest);
+    const spec = makeSpec(id ?? '', shape === 'gang' || shape === 'service' ? shape : 'array', options);
+    if (options.faulty) world.faulty.add(spec.id);
+    world.submit(spec, num(options, 'run', 10) * 1000);
   },
   cancel(world, [id]) {
     world.cancel(id as JobId);
@@ -89,24 +90,24 @@
     }
   },
   /** freeze NODE|leader|all S: it stands still while its clocks run on */
-  freeze(world, [which, s]) {
-    for (const n of nodesNamed(world, which)) n.freeze(lasts(world, s));
+  freeze(world, [which, seconds]) {
+    for (const node of nodesNamed(world, which)) node.freeze(lasts(world, seconds));
   },
-  outage(world, [s]) {
-    world.state.outage(lasts(world, s));
+  outage(world, [seconds]) {
+    world.state.outage(lasts(world, seconds));
   },
   /** refuse NODE S: the state service answers 503 to this node alone */
-  refuse(world, [which, s]) {
+  refuse(world, [which, seconds]) {
     for (const node of nodesNamed(world, which)) {
       world.state.refused.add(node.name);
-      world.clock.in(lasts(world, s), () => world.state.refused.delete(node.name));
+      world.clock.in(lasts(world, seconds), () => world.state.refused.delete(node.name));
     }
   },
   /** cut NODE|MACHINE state|cloud|workers|users|control|* S drop|hold|refuse; control: state service and other nodes */
-  cut(world, [which, from, s, mode]) {
+  cut(world, [which, from, seconds, mode]) {
     const refused = mode === 'refuse';
     const others = otherSides(world, from).filter((other) => !refused || other !== 'state');
-    const ms = lasts(world, s);
+    const ms = lasts(world, seconds);
     for (const host of hostsNamed(world, which)) {
       if (refused) {
         world.state.refused.add(host);
@@ -118,61 +119,62 @@
     }
   },
   /** one-way MACHINE|all S: its reports arrive, answers and commands don't reach it */
-  'one-way'(world, [which, s]) {
-    for (const w of workersNamed(world, which)) world.network.cut(w.id, '*', lasts(world, s), 'drop', true);
+  'one-way'(world, [which, seconds]) {
+    for (const worker of workersNamed(world, which))
+      world.network.cut(worker.id, '*', lasts(world, seconds), 'drop', true);
   },
   /** one-way-from NODE S: nothing that this node says reaches any machine, by whatever way it goes */
-  'one-way-from'(world, [which, s]) {
-    const ms = lasts(world, s);
+  'one-way-from'(world, [which, seconds]) {
+    const ms = lasts(world, seconds);
     for (const node of nodesNamed(world, which)) {
       for (const id of world.workers.keys()) world.network.cut(id, node.name, ms, 'drop', true);
     }
   },
   /** unanswered NODE S: what it says reaches the machines, and nothing that they say reaches it */
-  unanswered(world, [which, s]) {
-    const ms = lasts(world, s);
+  unanswered(world, [which, seconds]) {
+    const ms = lasts(world, seconds);
     for (const node of nodesNamed(world, which)) {
       for (const id of world.workers.keys()) world.network.cut(node.name, id, ms, 'drop', true);
     }
   },
   /** duplicate-reports S: reports sent in this time come once more, 1 to 60 s late, to any node */
-  'duplicate-reports'(world, [s]) {
-    world.duplicatesUntil = world.clock.now + lasts(world, s);
+  'duplicate-reports'(world, [seconds]) {
+    world.duplicatesUntil = world.clock.now + lasts(world, seconds);
     world.rules.troublesUntil += 60_000;
   },
   /** no-reports MACHINE|all S: it reaches no controller, while direct commands reach it */
-  'no-reports'(world, [which, s]) {
-    const ms = lasts(world, s);
-    for (const w of workersNamed(world, which)) w.noReportsUntil = world.clock.now + ms;
+  'no-reports'(world, [which, seconds]) {
+    const ms = lasts(world, seconds);
+    for (const worker of workersNamed(world, which)) worker.noReportsUntil = world.clock.now + ms;
   },
   /** hold-reports MACHINE|all S: what they report meanwhile reaches whoever leads afterwards */
-  'hold-reports'(world, [which, s]) {
-    const ms = lasts(world, s);
-    for (const w of workersNamed(world, which)) w.reportsHeldUntil = world.clock.now + ms;
+  'hold-reports'(world, [which, seconds]) {
+    const ms = lasts(world, seconds);
+    for (const worker of workersNamed(world, which)) worker.reportsHeldUntil = world.clock.now + ms;
   },
   /** slow-links NODE|MACHINE|all MS S: each message to and from it takes up to MS longer */
-  'slow-links'(world, [which, delay, s]) {
-    const ms = lasts(world, s);
-    for (const h of hostsNamed(world, which)) world.network.slow(h, Number(delay), ms);
+  'slow-links'(world, [which, delay, seconds]) {
+    const ms = lasts(world, seconds);
+    for (const host of hostsNamed(world, which)) world.network.slow(host, Number(delay), ms);
   },
   /** slow-state FACTOR S: the state service takes so many times as long */
-  'slow-state'(world, [factor, s]) {
-    world.state.slow(Number(factor), lasts(world, s));
+  'slow-state'(world, [factor, seconds]) {
+    world.state.slow(Number(factor), lasts(world, seconds));
   },
   /** late-writes SHARE S: transactions without an answer, carried out 2 to 12 s later, after newer ones */
-  'late-writes'(world, [share, s]) {
-    world.state.lateWrites(Number(share), lasts(world, s));
+  'late-writes'(world, [share, seconds]) {
+    world.state.lateWrites(Number(share), lasts(world, seconds));
     world.rules.troublesUntil += 12_000;
   },
   /** lower-limits valueBytes=N txnOps=N rps=N writeRps=N: the state service takes less from now on */
   'lower-limits'(world, words) {
-    const o = readOptions(words);
+    const options = readOptions(words);
     const { valueBytes, txnOps } = world.limits;
     world.state.lower({
-      valueBytes: num(o, 'valueBytes', valueBytes),
-      txnOps: num(o, 'txnOps', txnOps),
-      rps: num(o, 'rps', Number.POSITIVE_INFINITY),
-      writeRps: num(o, 'writeRps', Number.POSITIVE_INFINITY),
+      valueBytes: num(options, 'valueBytes', valueBytes),
+      txnOps: num(options, 'txnOps', txnOps),
+      rps: num(options, 'rps', Number.POSITIVE_INFINITY),
+      writeRps: num(options, 'writeRps', Number.POSITIVE_INFINITY),
     });
   },
   /** upgrade NODE|all BACK [EVERY]: it ends and comes back with the present build, one after the other with EVERY */
@@ -194,33 +196,35 @@
     }
   },
   /** refusal-then-outage AFTER S: the leader alone is refused, jobs are called off, and AFTER seconds later the state service is out */
-  'refusal-then-outage'(world, [after, s]) {
+  'refusal-then-outage'(world, [after, seconds]) {
     events.refuse?.(world, ['leader', '14']);
     world.clock.in(Number(after) * 500, () => events['cancel-now']?.(world, ['3']));
-    world.clock.in(Number(after) * 1000, () => events.outage?.(world, [s ?? '45']));
-    lasts(world, String(Number(after) + Number(s ?? 45)));
+    world.clock.in(Number(after) * 1000, () => events.outage?.(world, [seconds ?? '45']));
+    lasts(world, String(Number(after) + Number(seconds ?? 45)));
   },
   /** zone-cut ZONE NODE S drop|hold: the machines of a zone and a node are cut off from all others, not from each other */
-  'zone-cut'(world, [zone, which, s, mode]) {
-    const ms = lasts(world, s);
-    const names = nodesNamed(world, which).map((n) => n.name as string);
-    const inside = [...world.workers.values()].filter((w) => w.zone === zone).map((w) => w.id as string);
+  'zone-cut'(world, [zone, which, seconds, mode]) {
+    const ms = lasts(world, seconds);
+    const names = nodesNamed(world, which).map((node) => node.name as string);
+    const inside = [...world.workers.values()]
+      .filter((worker) => worker.zone === zone)
+      .map((worker) => worker.id as string);
     const outside = [
-      ...world.nodes.map((n) => n.name as string).filter((n) => !names.includes(n)),
-      ...[...world.workers.values()].filter((w) => w.zone !== zone).map((w) => w.id as string),
+      ...world.nodes.map((node) => node.name as string).filter((name) => !names.includes(name)),
+      ...[...world.workers.values()].filter((worker) => worker.zone !== zone).map((worker) => worker.id as string),
       'state',
       'cloud',
       'users',
     ];
-    for (const a of [...names, ...inside]) {
-      for (const b of outside) world.network.cut(a, b, ms, mode === 'hold' ? 'hold' : 'drop');
+    for (const inner of [...names, ...inside]) {
+      for (const outer of outside) world.network.cut(inner, outer, ms, mode === 'hold' ? 'hold' : 'drop');
     }
   },
   /** no-job-news NODE S: the state service tells it nothing of jobs, while its lease is renewed */
-  'no-job-news'(world, [which, s]) {
+  'no-job-news'(world, [which, seconds]) {
     for (const node of nodesNamed(world, which)) {
       world.state.toldNothingOfJobs.add(node.name);
-      world.clock.in(lasts(world, s), () => world.state.toldNothingOfJobs.delete(node.name));
+      world.clock.in(lasts(world, seconds), () => world.state.toldNothingOfJobs.delete(node.name));
     }
   },
   /** flap N STEP BACK: whoever leads ends, so many times, every STEP seconds, and is back after BACK seconds */
@@ -231,32 +235,32 @@
     }
   },
   /** cancel-now N [HANG]: so many jobs that run are called off within a fifth of a second; eight of their machines hang */
-  'cancel-now'(world, [n, hang]) {
+  'cancel-now'(world, [count, hang]) {
     const running = [...world.rules.tasksOnMachines].filter(
       ([id, tasks]) => tasks.size > 0 && !world.rules.cancelAsked.has(id),
     );
     const machines = new Set<string>();
-    for (const [id, tasks] of running.slice(0, Number(n))) {
-      for (const places of tasks.values()) for (const p of places) machines.add(p.machine);
+    for (const [id, tasks] of running.slice(0, Number(count))) {
+      for (const places of tasks.values()) for (const place of places) machines.add(place.machine);
       world.clock.in(world.clock.between(0, 200), () => world.cancel(id));
     }
-    if (hang) for (const m of [...machines].slice(0, 8)) events.hang?.(world, [m, hang]);
+    if (hang) for (const machine of [...machines].slice(0, 8)) events.hang?.(world, [machine, hang]);
   },
   /** cancel-at-end SHARE S: that share of the jobs that end is called off at the moment of the end */
-  'cancel-at-end'(world, [share, s]) {
-    world.cancelAtEnd = { share: Number(share), until: world.clock.now + lasts(world, s) };
+  'cancel-at-end'(world, [share, seconds]) {
+    world.cancelAtEnd = { share: Number(share), until: world.clock.now + lasts(world, seconds) };
   },
   /** close-looks S: users ask all nodes within milliseconds after a job was accepted, ended or cancelled */
-  'close-looks'(world, [s]) {
-    world.closeLooksUntil = world.clock.now + lasts(world, s);
+  'close-looks'(world, [seconds]) {
+    world.closeLooksUntil = world.clock.now + lasts(world, seconds);
   },
   /** invalid-requests S: repeats of submissions, cancellations of what is done, jobs that fit no machine or lack a field */
-  'invalid-requests'(world, [s]) {
-    const until = world.clock.now + lasts(world, s);
-    const next = (n: number): void => {
+  'invalid-requests'(world, [seconds]) {
+    const until = world.clock.now + lasts(world, seconds);
+    const next = (turn: number): void => {
       if (world.clock.now > until) return;
-      sendInvalidRequest(world, n);
-      world.clock.in(world.clock.between(300, 900), () => next(n + 1));
+      sendInvalidRequest(world, turn);
+      world.clock.in(world.clock.between(300, 900), () => next(turn + 1));
     };
     next(0);
   },
@@ -273,35 +277,35 @@
       events.crash?.(world, [from, back ?? '0.1']);
     };
   },
-  hang(world, [which, s]) {
-    for (const w of workersNamed(world, which)) w.hungUntil = world.clock.now + lasts(world, s);
+  hang(world, [which, seconds]) {
+    for (const worker of workersNamed(world, which)) worker.hungUntil = world.clock.now + lasts(world, seconds);
   },
   'fail-tasks'(world, [which]) {
-    for (const w of workersNamed(world, which)) w.failsTasks = true;
+    for (const worker of workersNamed(world, which)) worker.failsTasks = true;
   },
   slow(world, [which, factor]) {
-    for (const w of workersNamed(world, which)) w.speed = 1 / Number(factor ?? 4);
+    for (const worker of workersNamed(world, which)) worker.speed = 1 / Number(factor ?? 4);
   },
   /** notice MACHINE S: the cloud takes it after S seconds */
-  notice(world, [which, s]) {
+  notice(world, [which, seconds]) {
     for (const worker of workersNamed(world, which)) {
-      worker.noticeAt = world.clock.now + Number(s) * 1000;
-      world.clock.in(Number(s) * 1000, () => world.cloud.take(worker.id));
+      worker.noticeAt = world.clock.now + Number(seconds) * 1000;
+      world.clock.in(Number(seconds) * 1000, () => world.cloud.take(worker.id));
     }
   },
   take(world, [which]) {
-    for (const w of workersNamed(world, which)) world.cloud.take(w.id);
+    for (const worker of workersNamed(world, which)) world.cloud.take(worker.id);
   },
   fail(world, [which]) {
-    for (const w of workersNamed(world, which)) world.cloud.fail(w.id);
+    for (const worker of workersNamed(world, which)) world.cloud.fail(worker.id);
   },
-  'cloud-outage'(world, [s]) {
+  'cloud-outage'(world, [seconds]) {
     world.cloud.down = true;
-    world.clock.in(lasts(world, s), () => {
+    world.clock.in(lasts(world, seconds), () => {
       world.cloud.down = false;
     });
   },
-  'never-boot'(world, [n]) {
-    world.cloud.neverBoot = Number(n);
+  'never-boot'(world, [count]) {
+    world.cloud.neverBoot = Number(count);
   },
 };
--- a/test/sim/state_service.ts
+++ b/test/sim/state_service.ts
@@ -10,7 +10,7 @@
 }
 
 type Transaction = Extract<StoreOp, { op: 'txn' }>;
-type Reply = (r: Result<StoreValue>) => void;
+type Reply = (result: Result<StoreValue>) => void;
 const no = (why: 'refused' | 'conflict' | 'gone' | 'rejected'): Result<StoreValue> => ({ ok: false, why });
 const yes = (value: StoreValue): Result<StoreValue> => ({ ok: true, value });
 
@@ -59,8 +59,8 @@
     this.down = true;
     this.clock.in(ms, () => {
       this.down = false;
-      for (const l of this.leases.values()) l.endsAt = this.clock.now + l.ttlMs;
-      for (const w of [...this.watchers]) w();
+      for (const lease of this.leases.values()) lease.endsAt = this.clock.now + lease.ttlMs;
+      for (const watcher of [...this.watchers]) watcher();
     });
   }
 
@@ -69,7 +69,7 @@
   }
 
   keys(prefix: string): string[] {
-    return [...this.items.keys()].filter((k) => k.startsWith(prefix)).sort();
+    return [...this.items.keys()].filter((key) => key.startsWith(prefix)).sort();
   }
 
   /** For a while this share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones. */
@@ -129,7 +129,7 @@
   }
 
   private expire(): void {
-    for (const [id, l] of [...this.leases]) if (!this.down && this.clock.now > l.endsAt) this.end(id);
+    for (const [id, lease] of [...this.leases]) if (!this.down && this.clock.now > lease.endsAt) this.end(id);
   }
 
   private end(id: bigint): void {
@@ -138,7 +138,7 @@
     this.leases.delete(id);
     if (lease.keys.size === 0) return;
     this.rev += 1n;
-    for (const k of lease.keys) this.drop(k);
+    for (const key of lease.keys) this.drop(key);
     this.notify();
   }
 
@@ -151,7 +151,7 @@
   }
 
   private notify(): void {
-    for (const w of [...this.watchers]) w();
+    for (const watcher of [...this.watchers]) watcher();
   }
 
   private run(from: string, op: StoreOp, reply: Reply): void {
@@ -163,8 +163,8 @@
         return;
       }
       case 'list': {
-        const keys = this.keys(op.prefix).filter((k) => op.after === null || k > op.after);
-        const items = keys.slice(0, op.limit).map((k) => this.items.get(k)?.item as StoredItem);
+        const keys = this.keys(op.prefix).filter((key) => op.after === null || key > op.after);
+        const items = keys.slice(0, op.limit).map((key) => this.items.get(key)?.item as StoredItem);
         reply(yes({ items, more: keys.length > op.limit, revision: revision(this.rev) }));
         return;
       }
@@ -244,7 +244,7 @@
     const news = (): StoreEvent[] => {
       let from = this.events.length;
       while (from > 0 && (this.events[from - 1] as StoreEvent).version > after) from -= 1;
-      return this.events.slice(from).filter((e) => ('drop' in e ? e.drop : e.put).startsWith(prefix));
+      return this.events.slice(from).filter((event) => ('drop' in event ? event.drop : event.put).startsWith(prefix));
     };
     let open = true;
     const answer = (): void => {
--- a/test/sim/uptime.ts
+++ b/test/sim/uptime.ts
@@ -37,8 +37,8 @@
   share(job: JobId, afterMs: number): number {
     const all = this.samples.get(job) ?? [];
     const from = (all[0]?.at ?? 0) + afterMs;
-    const counted = all.filter((s) => s.at >= from);
-    return counted.length === 0 ? 0 : counted.reduce((sum, s) => sum + s.up, 0) / counted.length;
+    const counted = all.filter((sample) => sample.at >= from);
+    return counted.length === 0 ? 0 : counted.reduce((sum, sample) => sum + sample.up, 0) / counted.length;
   }
 
   /** The part that is up at the last look. */
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -197,7 +197,7 @@
   }
 
   private moveTo(name: NodeName): void {
-    const index = this.world.nodes.findIndex((n) => n.name === name);
+    const index = this.world.nodes.findIndex((node) => node.name === name);
     if (index < 0 || index === this.nodeIndex) {
       this.nextNode();
       return;
@@ -215,7 +215,7 @@
     if (session !== this.session || answer.token < this.token) return;
     this.raise(answer.token);
     this.leaseFrom = Math.max(this.leaseFrom, sentAt);
-    for (const c of answer.commands) this.execute(c);
+    for (const command of answer.commands) this.execute(command);
   }
 
   private raise(token: bigint): void {
@@ -227,7 +227,7 @@
   }
 
   /** A direct command; a hanging machine takes it when it goes on. */
-  takeCommands(op: WorkerOp, reply: (v: WorkerValue) => void): void {
+  takeCommands(op: WorkerOp, reply: (value: WorkerValue) => void): void {
     if (!this.alive) return;
     if (this.hung) {
       this.world.clock.in(this.hungUntil - this.now + 1, () => this.takeCommands(op, reply));
@@ -236,7 +236,7 @@
     const executed = op.token >= this.token && op.session === this.session;
     if (executed) {
       this.raise(op.token);
-      for (const c of op.commands) this.execute(c);
+      for (const command of op.commands) this.execute(command);
     }
     reply({ executed, report: this.makeReport() });
   }
@@ -286,9 +286,9 @@
     if (old && old.phase !== 'exited') return;
     let cpus = spec.cpus;
     let gpus = spec.gpus;
-    for (const o of this.tasks.values()) {
-      const other = this.world.rules.submitted.get(o.job);
-      if (!other || o.phase === 'exited') continue;
+    for (const task of this.tasks.values()) {
+      const other = this.world.rules.submitted.get(task.job);
+      if (!other || task.phase === 'exited') continue;
       cpus += other.cpus;
       gpus += other.gpus;
     }
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -142,10 +142,10 @@
       this.clock.in(after, () => this.cancel(job));
     };
     this.state.onChanged = (keys) => {
-      if (keys.some((k) => k.startsWith(records.MACHINE_PREFIX))) this.checkRegistry();
+      if (keys.some((key) => key.startsWith(records.MACHINE_PREFIX))) this.checkRegistry();
     };
     this.state.onTooLarge = (from) => {
-      if (this.nodes.some((n) => n.name === from && n.build === PRESENT)) this.refusedSizes += 1;
+      if (this.nodes.some((node) => node.name === from && node.build === PRESENT)) this.refusedSizes += 1;
     };
     new IdleRoom(this);
     this.uptime.begin();
@@ -153,7 +153,7 @@
     const builds = options.builds ?? [PRESENT];
     names.forEach((name, i) => {
       const build = builds[i % builds.length] as Build;
-      this.nodes.push(new Controller(this, name, (b) => makeSettings(name, names, options, b), build));
+      this.nodes.push(new Controller(this, name, (build) => makeSettings(name, names, options, build), build));
     });
     this.cloud = new Cloud(this.clock, options.types, options.capacity, 3000, {
       boot: (id, type, zone, spot) => this.boot(id, type, zone, spot),
@@ -165,7 +165,7 @@
   }
 
   startNodes(): void {
-    for (const n of this.nodes) this.clock.in(this.clock.between(0, 300), () => n.start());
+    for (const node of this.nodes) this.clock.in(this.clock.between(0, 300), () => node.start());
   }
 
   boot(id: MachineId, type: MachineType, zone: ZoneName, spot: boolean): void {
@@ -176,7 +176,7 @@
   private checkRegistry(): void {
     const now = new Set<string>();
     for (const key of this.state.keys(records.MACHINE_PREFIX)) {
-      for (const m of records.decodePage(this.state.item(key)?.value)?.machines ?? []) now.add(m.id);
+      for (const machine of records.decodePage(this.state.item(key)?.value)?.machines ?? []) now.add(machine.id);
     }
     for (const id of this.onRecord) {
       if (!now.has(id) && this.cloud.machines.has(id as MachineId)) this.rules.unregistered(id);
@@ -188,7 +188,7 @@
   /** The leader as the store knows it. */
   leader(): Controller | undefined {
     const value = this.state.item('leader')?.value as { node?: string } | undefined;
-    return this.nodes.find((n) => n.name === value?.node);
+    return this.nodes.find((node) => node.name === value?.node);
   }
 
   // ---- what workers ask of the world
@@ -205,7 +205,9 @@
 
   removeGangMember(worker: Worker, task: Task): void {
     const key = `${task.job}#${task.attempt}`;
-    const left = this.gangMembers(task.job, task.attempt).filter((m) => m.worker !== worker || m.task !== task);
+    const left = this.gangMembers(task.job, task.attempt).filter(
+      (member) => member.worker !== worker || member.task !== task,
+    );
     if (left.length > 0) this.gangIndex.set(key, left);
     else this.gangIndex.delete(key);
   }
@@ -225,10 +227,10 @@
 
   // ---- users
 
-  private ask(request: UserRequest, done: (a: UserAnswer | null, asked?: Build, givenAt?: number) => void): void {
+  private ask(request: UserRequest, done: (answer: UserAnswer | null, asked?: Build, givenAt?: number) => void): void {
     // As the load balancer sees it: healthy nodes, else any that is up.
-    const up = this.nodes.filter((n) => n.up);
-    const healthy = up.filter((n) => n.healthy);
+    const up = this.nodes.filter((node) => node.up);
+    const healthy = up.filter((node) => node.healthy);
     const node = healthy.length > 0 ? this.clock.pick(healthy) : up.length > 0 ? this.clock.pick(up) : this.nodes[0];
     if (!node) {
       done(null);
@@ -327,7 +329,7 @@
     });
   }
 
-  pollUnknown(id: JobId, seen: (a: UserAnswer | null) => void): void {
+  pollUnknown(id: JobId, seen: (answer: UserAnswer | null) => void): void {
     this.ask({ op: 'poll', id }, (answer) => {
       if (answer) this.rules.onAnswer(id, answer);
       seen(answer);
@@ -343,7 +345,7 @@
   return {
     node: name,
     zone,
-    peers: names.filter((n) => n !== name).map((n) => ({ name: n, zone })),
+    peers: names.filter((peer) => peer !== name).map((peer) => ({ name: peer, zone })),
     nodes: names.length,
     zones: options.zones,
     skewMs: 25,
