--- a/src/core/leadership/cluster.ts
+++ b/src/core/leadership/cluster.ts
@@ -128,8 +128,7 @@
       this.lastServicePlacementAt + SERVICE_SPACING_MS,
       this.ctx.after(SERVICE_GATHER_MS),
     ) as Steady;
-    const due = this.ctx.timers.at('servicePlacement');
-    if (due === null || due > earliest) this.ctx.timers.set('servicePlacement', earliest);
+    this.ctx.timers.bringForward('servicePlacement', earliest);
   }
 
   /**
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -166,8 +166,7 @@
     const costMs = spacing_per_machine_ms * this.machineCount + spacing_per_step_ms * this.lastRoundSteps;
     const earliest = this.lastRoundAt + spacing_ms + costMs;
     const at = Math.max(earliest, this.ctx.after(ROUND_GATHER_MS)) as Steady;
-    const due = this.ctx.timers.at('round');
-    if (due === null || due > at) this.ctx.timers.set('round', at);
+    this.ctx.timers.bringForward('round', at);
   }
 
   // ---- rebuilding from the store
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -101,9 +101,7 @@
   }
 
   private scheduleFlush(): void {
-    const due = this.ctx.timers.at('recordFlush');
-    const at = this.ctx.after(GATHER_MS);
-    if (due === null || due > at) this.ctx.timers.set('recordFlush', at);
+    this.ctx.timers.bringForward('recordFlush', this.ctx.after(GATHER_MS));
   }
 
   private flushIn(ms: number): void {
--- a/src/core/machines/guarantees.ts
+++ b/src/core/machines/guarantees.ts
@@ -5,8 +5,8 @@
 
 /** Capacity for guarantees is given back when there has been no work at all for so long. */
 const KEEP_WITHOUT_WORK_MS = 30_000;
-/** Less than this is a rest that comes of decimal amounts. */
-const TOLERANCE = 0.5;
+/** Guarantees are met up to a rest that comes of decimal amounts. */
+export const GUARANTEE_TOLERANCE = 0.5;
 /** A guarantee is not left to spot machines while others can be had. */
 const SPOT_PENALTY = 1000;
 
@@ -64,8 +64,8 @@
   /** Rents what is missing, of the kind that brings most for its price. */
   rentMissing(): void {
     const missing = this.missing();
-    const lacksGpus = missing.gpus >= TOLERANCE;
-    if (!lacksGpus && missing.cpus < TOLERANCE) return;
+    const lacksGpus = missing.gpus >= GUARANTEE_TOLERANCE;
+    if (!lacksGpus && missing.cpus < GUARANTEE_TOLERANCE) return;
     if (this.rentals.anyUnderWay()) return;
     const gain = (type: MachineType): number => (lacksGpus ? type.gpus : type.cpus);
     const kind = this.cheapestKind(gain);
--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -4,13 +4,11 @@
 import { moveReplica } from '../scheduler/services.js';
 import { type JobId, type Seq, type Session, type Steady, steadyPlus } from '../types.js';
 import type { Machine } from './machine.js';
-import { type Evidence, SLOW_FACTOR } from './slowness.js';
+import { type Evidence, SLOW_FACTOR, WRONG_ESTIMATE_MACHINES } from './slowness.js';
 
 /** One suspicion at a time: if everything seems slow, it isn't the machines. Of more machines, more may be replaced. */
 const SLOW_PAUSE_MS = 30_000;
 const MACHINES_A_SLOW_PAUSE = 30;
-/** A job that is slow on so many machines was estimated wrongly. */
-const WRONG_ESTIMATE_MACHINES = 2;
 /** So many machines must have reported before what they don't hear says anything of this node. */
 const MIN_MACHINES_FOR_SELF_CHECK = 3;
 /** Work on a draining machine without a notice may take so long to end; work not yet begun is reckoned so much longer. */
--- a/src/core/machines/image_cache.ts
+++ b/src/core/machines/image_cache.ts
@@ -19,6 +19,9 @@
   fetchObserved: boolean;
 }
 
+/** Seconds that a whole fetch takes at a rate. */
+export const fetchTimeS = (gb: number, gbPerS: number): number => gb / Math.max(MIN_RATE_GB_PER_S, gbPerS);
+
 /** The images that a machine holds or fetches, as far as its reports tell, and how fast it fetches. */
 export class ImageCache {
   /** Whether the images held have changed since they were last written down. */
@@ -35,7 +38,7 @@
 
   /** Seconds until the image would be there if a task asked for it now. */
   fetchSeconds(image: ImageName, gb: number, now: Steady): number {
-    const full = gb / Math.max(MIN_RATE_GB_PER_S, this.type.fetchGbPerS * this.speed);
+    const full = fetchTimeS(gb, this.type.fetchGbPerS * this.speed);
     const cached = this.images.get(image);
     if (!cached) return full;
     if (cached.fetchingSince === null) return 0;
--- a/src/core/machines/machine_returns.ts
+++ b/src/core/machines/machine_returns.ts
@@ -1,6 +1,6 @@
 import type { Cluster } from '../leadership/cluster.js';
 import type { Steady } from '../types.js';
-import type { Capacity } from './guarantees.js';
+import { type Capacity, GUARANTEE_TOLERANCE } from './guarantees.js';
 import { type DrainReason, type Machine, SILENT_AFTER_REPORTS, startKey, startKeyOf } from './machine.js';
 
 /** What the cloud takes in one request, and how many requests are under way at once. */
@@ -19,8 +19,6 @@
 const MIN_BOOT_S = 30;
 /** A machine is charged for a minute whatever happens: it is not returned much sooner. */
 const MIN_CHARGED_S = 55;
-/** Guarantees are met up to a rest that comes of decimal amounts. */
-const GUARANTEE_TOLERANCE = 0.5;
 
 /** What one look at all machines needs to judge each of them. */
 interface Overview {
--- a/src/core/machines/rental_need.ts
+++ b/src/core/machines/rental_need.ts
@@ -3,10 +3,10 @@
 import type { PlanJob } from '../scheduler/plan_types.js';
 import type { RoundResult } from '../scheduler/round.js';
 import type { MachineType, TypeName, ZoneName } from '../types.js';
+import { fetchTimeS } from './image_cache.js';
 import { kindKey, type MachineKind } from './machine_kind.js';
 import type { Rentals } from './rentals.js';
 
-const MIN_FETCH_GB_PER_S = 0.01;
 /** Spot machines are lost now and then: their price counts so much more. */
 const SPOT_PRICE_FACTOR = 1.1;
 /** Of equal prices the zone with fewer machines of the type is taken. */
@@ -116,8 +116,7 @@
     let soonest = Number.POSITIVE_INFINITY;
     for (const type of this.cluster.types.values()) {
       if (!canRun(job, type)) continue;
-      const fetchS = job.imageGb / Math.max(MIN_FETCH_GB_PER_S, type.fetchGbPerS);
-      soonest = Math.min(soonest, type.bootS + fetchS);
+      soonest = Math.min(soonest, type.bootS + fetchTimeS(job.imageGb, type.fetchGbPerS));
     }
     return soonest;
   }
--- a/src/core/peers/cancellation_notices.ts
+++ b/src/core/peers/cancellation_notices.ts
@@ -41,9 +41,7 @@
       return;
     }
     this.pending.set(id, { done, awaited, until: this.ctx.after(ACKNOWLEDGEMENT_TIMEOUT_MS) });
-    if (this.ctx.timers.at('cancellationNotices') === null) {
-      this.ctx.timers.set('cancellationNotices', this.ctx.after(ACKNOWLEDGEMENT_TIMEOUT_MS));
-    }
+    this.ctx.timers.setIfUnset('cancellationNotices', this.ctx.after(ACKNOWLEDGEMENT_TIMEOUT_MS));
   }
 
   onAcknowledged(from: NodeName, id: number): void {
--- a/src/core/requests/poll_confirmation.ts
+++ b/src/core/requests/poll_confirmation.ts
@@ -47,7 +47,7 @@
   }
 
   private schedule(ms: number): void {
-    if (this.ctx.timers.at('pollConfirmation') === null) this.ctx.timers.set('pollConfirmation', this.ctx.after(ms));
+    this.ctx.timers.setIfUnset('pollConfirmation', this.ctx.after(ms));
   }
 
   /** Confirms what was gathered. */
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -1,6 +1,7 @@
 import type { Job, Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
+import { kindKey } from '../machines/machine_kind.js';
 import { spotDelayS } from '../machines/spot_interruptions.js';
 import type { JobId, MachineId, Steady, TypeName, ZoneName } from '../types.js';
 import { couldHost } from './hosting.js';
@@ -226,7 +227,7 @@
 function oneOfEachKind(machines: readonly PlanMachine[]): PlanMachine[] {
   const kinds = new Map<string, PlanMachine>();
   for (const machine of machines) {
-    const key = `${machine.type.name}|${machine.zone}|${machine.spot}`;
+    const key = kindKey(machine);
     if (!kinds.has(key)) kinds.set(key, machine);
   }
   return [...kinds.values()];
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -4,6 +4,7 @@
 import type { Machine } from '../machines/machine.js';
 import type { Steady, ZoneName } from '../types.js';
 import { allows } from './hosting.js';
+import { waitedS } from './ranking.js';
 import type { RoundResult } from './round.js';
 
 /** A gang whose room the plan sees no sooner than this, and that has waited so long, may stop lower work. */
@@ -12,6 +13,7 @@
 /** So often for one job, and for so many jobs in one round: what is stopped has to be done again. */
 const MAX_PREEMPTIONS = 2;
 const MAX_GANGS_A_ROUND = 4;
+/** The room that is made is kept for so long. */
 const RESERVATION_MS = 6000;
 /** What work without GPUs counts, in GPUs. */
 const CPU_WORK_WEIGHT = 0.1;
@@ -51,7 +53,8 @@
   return roomAt;
 }
 
-function evictFor(cluster: Cluster, job: Job, { machine, victims }: EvictionOption): void {
+/** Stops what is in the way on a machine, and keeps the room for the job. */
+export function evictFor(cluster: Cluster, job: Job, { machine, victims }: EvictionOption): void {
   machine.reserve(job.id, cluster.ctx.after(RESERVATION_MS));
   for (const victim of victims) cluster.evict(victim, 0);
 }
@@ -65,7 +68,7 @@
     job.placements.size === 0 &&
     !job.gangBroken &&
     job.preemptions < MAX_PREEMPTIONS &&
-    (cluster.ctx.now.wall - job.submittedAt) / 1000 >= MIN_WAITED_S &&
+    waitedS(cluster, job) >= MIN_WAITED_S &&
     cluster.quotas.room(spec) >= spec.tasks
   );
 }
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -1,5 +1,6 @@
 import type { Job } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
+import { fetchTimeS } from '../machines/image_cache.js';
 import type { TeamName } from '../types.js';
 import { couldHost } from './hosting.js';
 import { rankValue, urgency } from './priority.js';
@@ -25,7 +26,6 @@
 const FEW_TASKS = 4;
 /** Placement penalties count in full for so long, and not at all after twice that. */
 const FULL_PENALTY_S = 35;
-const MIN_FETCH_GB_PER_S = 0.01;
 
 /** Seconds since the job was submitted. */
 export const waitedS = ({ ctx }: Cluster, job: Job): number => Math.max(0, (ctx.now.wall - job.submittedAt) / 1000);
@@ -73,7 +73,7 @@
   for (const type of cluster.types.values()) {
     if (type.zones.some((zone) => couldHost(job, type, zone))) slowest = Math.min(slowest, type.fetchGbPerS);
   }
-  return Number.isFinite(slowest) ? job.spec.imageGb / Math.max(MIN_FETCH_GB_PER_S, slowest) : 0;
+  return Number.isFinite(slowest) ? fetchTimeS(job.spec.imageGb, slowest) : 0;
 }
 
 /** The design's ranking, sooner where an aim or deadline comes near; smallest goes first. */
--- a/src/core/scheduler/services.ts
+++ b/src/core/scheduler/services.ts
@@ -3,7 +3,7 @@
 import type { Machine } from '../machines/machine.js';
 import type { ZoneName } from '../types.js';
 import { couldHost, isOnlyIn, mayHost, mayHostInstead, placeTask } from './hosting.js';
-import { type EvictionOption, evictionOption } from './preemption.js';
+import { type EvictionOption, evictFor, evictionOption } from './preemption.js';
 import { type GpuDemand, gpuDemand, spareRoom } from './spare_room.js';
 
 /** Seconds of start time that a replica would rather lose than share its machine with another of its service ... */
@@ -17,7 +17,7 @@
 const RANKS_PER_S = 2;
 /** A replica leaves alone what is kept for GPU work for so long. */
 const AVOID_GPU_MS = 20_000;
-/** Room that is made or found for a replica is kept for it so long. */
+/** Room that is found for a replica is kept for it so long. */
 const RESERVATION_MS = 6000;
 /** At most this part of a service is on its way to other machines at once. */
 const MAX_MOVING_SHARE = 0.5;
@@ -60,10 +60,12 @@
 }
 
 function placeReplicas(cluster: Cluster, job: Job, zoneRoom: ZoneRoom): number {
+  const mayTakeGpuCores = gpuCoreCheck(cluster, job);
+  const mayTake = (machine: Machine): boolean => mayHost(cluster, job, machine) && mayTakeGpuCores(machine);
   let placed = 0;
   for (const index of job.pendingTasks(job.spec.tasks)) {
     if (cluster.quotas.room(job.spec) < 1) break;
-    const machine = bestMachine(cluster, job, zoneRoom, (candidate) => mayHost(cluster, job, candidate));
+    const machine = bestMachine(cluster, job, zoneRoom, mayTake);
     if (!machine) break;
     placeTask(cluster, job, index, machine, cluster.nextAttempt());
     cluster.machinesWithStarts.add(machine);
@@ -101,13 +103,11 @@
   zoneRoom: ZoneRoom,
   mayTake: (machine: Machine) => boolean,
 ): Machine | null {
-  const mayTakeGpuCores = gpuCoreCheck(cluster, job);
   let best: Machine | null = null;
   let bestRank = Number.POSITIVE_INFINITY;
   let bestSlack = Number.POSITIVE_INFINITY;
   for (const machine of cluster.machines.values()) {
-    if (!mayTake(machine) || !isOpenTo(cluster, job, machine, zoneRoom)) continue;
-    if (needsNoGpuOf(job, machine) && !mayTakeGpuCores(machine)) continue;
+    if (!isOpenTo(cluster, job, machine, zoneRoom) || !mayTake(machine)) continue;
     const rank = Math.round(RANKS_PER_S * startDelayS(cluster, job, machine));
     const slack = scarcestFreeShare(machine);
     if (rank > bestRank || (rank === bestRank && slack >= bestSlack)) continue;
@@ -128,6 +128,7 @@
   if (replicaPendingSince !== null && now - replicaPendingSince >= AVOID_GPU_MS) return () => true;
   let demand: GpuDemand | null = null;
   return (machine) => {
+    if (!needsNoGpuOf(job, machine)) return true;
     demand ??= gpuDemand(cluster);
     const spare = spareRoom(machine, demand);
     return spare.cpus >= spec.cpus && spare.memGb >= spec.memGb;
@@ -159,9 +160,8 @@
   if (reservedMachines(cluster, job) >= job.pendingCount) return false;
   const option = cheapestEviction(cluster, job, zoneRoom);
   if (!option) return false;
-  const { machine, victims } = option;
-  machine.reserve(job.id, cluster.ctx.after(RESERVATION_MS));
-  for (const victim of victims) cluster.evict(victim, 0);
+  const { machine } = option;
+  evictFor(cluster, job, option);
   takeZoneRoom(zoneRoom, machine.zone, job);
   cluster.ctx.log('debug', 'lower work makes room for a service', { job: job.id, machine: machine.id });
   return true;
@@ -208,12 +208,10 @@
   const zoneRoom = zoneRoomOf(job);
   // Its own place comes free with the move.
   zoneRoom?.set(from.zone, (zoneRoom.get(from.zone) ?? job.zoneLimit) + 1);
-  const to = bestMachine(
-    cluster,
-    job,
-    zoneRoom,
-    (candidate) => candidate !== from && mayHostInstead(cluster, job, candidate),
-  );
+  const mayTakeGpuCores = gpuCoreCheck(cluster, job);
+  const mayTake = (machine: Machine): boolean =>
+    machine !== from && mayHostInstead(cluster, job, machine) && mayTakeGpuCores(machine);
+  const to = bestMachine(cluster, job, zoneRoom, mayTake);
   if (!to || (job.spec.sameZone && to.zone !== from.zone)) return;
   to.reserve(job.id, cluster.ctx.after(RESERVATION_MS));
   cluster.ctx.log('info', 'moving a replica', { job: job.id, from: from.id, to: to.id });
--- a/src/core/timers.ts
+++ b/src/core/timers.ts
@@ -9,13 +9,19 @@
     this.dueAt.set(name, at);
   }
 
-  clear(name: Name): void {
-    this.dueAt.delete(name);
+  /** Sets a timer, or moves one that is due later; one that is due sooner stays. */
+  bringForward(name: Name, at: Steady): void {
+    const due = this.dueAt.get(name);
+    if (due === undefined || due > at) this.set(name, at);
+  }
+
+  /** Sets a timer that isn't set. */
+  setIfUnset(name: Name, at: Steady): void {
+    if (!this.dueAt.has(name)) this.set(name, at);
   }
 
-  /** When a timer is due; null if it isn't set. */
-  at(name: Name): Steady | null {
-    return this.dueAt.get(name) ?? null;
+  clear(name: Name): void {
+    this.dueAt.delete(name);
   }
 
   /** Whether a timer is due by a time. */
--- a/src/core/workers/report_handler.ts
+++ b/src/core/workers/report_handler.ts
@@ -199,8 +199,7 @@
 
   private hold(report: HeldReport): void {
     this.held.push(report);
-    const due = this.ctx.timers.at('heldReports');
-    if (due === null || report.until < due) this.ctx.timers.set('heldReports', report.until);
+    this.ctx.timers.bringForward('heldReports', report.until);
   }
 
   private waitsForRecords(machine: Machine): boolean {
--- a/src/core/workers/report_processing.ts
+++ b/src/core/workers/report_processing.ts
@@ -1,12 +1,17 @@
 import type { Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
 import { type Machine, startKeyOf, type TaskKey, taskKey } from '../machines/machine.js';
-import { steadyPlus, type TaskReport, type Token, type WorkerReport } from '../types.js';
+import { steadyPlus, type TaskPhase, type TaskReport, type Token, type WorkerReport } from '../types.js';
 import { processExit } from './task_exits.js';
 
 /** Reports are sent one after the other; answers to direct commands overtake them. */
 export type ReportSource = 'report' | 'commandAnswer';
 
+/** A task that a report shows as fetching, waiting, running or saving. */
+type LiveTask = TaskReport & { readonly phase: Exclude<TaskPhase, 'exited'> };
+
+const isLive = (task: TaskReport): task is LiveTask => task.phase !== 'exited';
+
 /** Whether a report is newer than anything seen of this machine. */
 export function isNewer({ session, seq }: Machine, report: WorkerReport): boolean {
   if (session === null || seq === null) return true;
@@ -79,11 +84,11 @@
   const live = new Set<TaskKey>();
   machine.exitedTasks = [];
   for (const task of report.tasks) {
-    if (task.phase === 'exited') {
-      if (processExit(cluster, machine, task)) freed = true;
-    } else {
+    if (isLive(task)) {
       live.add(taskKey(task.job, task.index));
       processLiveTask(cluster, machine, task);
+    } else if (processExit(cluster, machine, task)) {
+      freed = true;
     }
   }
   return applyAbsences(cluster, machine, live, report, source) || freed;
@@ -135,9 +140,8 @@
   return unwanted;
 }
 
-/** A task that a report shows as fetching, waiting, running or saving. */
-function processLiveTask(cluster: Cluster, machine: Machine, task: TaskReport): void {
-  if (task.phase === 'exited') return;
+/** Takes in what a report shows of a task that has not ended. */
+function processLiveTask(cluster: Cluster, machine: Machine, task: LiveTask): void {
   const placement = placementOf(cluster, machine, task);
   if (!placement) return;
   const now = cluster.ctx.now.steady;
@@ -153,7 +157,7 @@
 }
 
 /** The placement that a live task belongs to, made where there is none; null where the task can't be accounted for. */
-function placementOf(cluster: Cluster, machine: Machine, task: TaskReport): Placement | null {
+function placementOf(cluster: Cluster, machine: Machine, task: LiveTask): Placement | null {
   const job = cluster.jobs.get(task.job);
   if (!job) return null;
   const known = cluster.findPlacement(machine, task.job, task.index);
@@ -173,8 +177,7 @@
     return null;
   }
   if (elsewhere) cluster.release(elsewhere);
-  const phase = task.phase === 'exited' ? 'running' : task.phase;
-  const placement = cluster.place(job, task.index, machine, task.attempt, phase);
+  const placement = cluster.place(job, task.index, machine, task.attempt, task.phase);
   const unwanted = job.state === 'cancelled' || (!job.isGang && job.isDone(task.index));
   if (unwanted) cluster.stop(placement, 0);
   return placement;
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -1,12 +1,10 @@
 import { FAULTY_AFTER_MACHINES, type Job, type Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
 import { type Machine, taskKey } from '../machines/machine.js';
-import { SLOW_FACTOR } from '../machines/slowness.js';
+import { SLOW_FACTOR, WRONG_ESTIMATE_MACHINES } from '../machines/slowness.js';
 import type { Steady, TaskReport } from '../types.js';
 
 const FLUSH_RESULTS_MS = 30;
-/** A job that runs long on so many machines was estimated wrongly, and is no evidence against any of them. */
-const WRONG_ESTIMATE_MACHINES = 2;
 /** A replica that ran for so long has shown that its service and its machine are well. */
 const STEADY_RUN_MS = 30_000;
 /** So many short runs are followed by no pause; then it doubles with each. */
@@ -52,7 +50,7 @@
   job.markDone(task.index);
   machine.consecutiveErrors = 0;
   if (placement) recordRunTime(cluster, placement);
-  if (ctx.timers.at('recordFlush') === null) ctx.timers.set('recordFlush', ctx.after(FLUSH_RESULTS_MS));
+  ctx.timers.setIfUnset('recordFlush', ctx.after(FLUSH_RESULTS_MS));
 }
 
 /** Learns from how long a task took, unless it ran in several parts. */
