--- /dev/null
+++ b/test/golden/leader_records.ts
@@ -0,0 +1,79 @@
+import type { Input, Result, StoreOp, StoreValue } from '../../src/core/messages.js';
+import { Node } from '../../src/core/node.js';
+import { LEADER_KEY, TERM_KEY } from '../../src/core/records.js';
+import { type LeaseId, type NodeName, type Now, revision, type Steady, type Wall } from '../../src/core/types.js';
+import { encode } from '../../src/io/codecs/cbor.js';
+import { encodeStoreCall } from '../../src/io/codecs/store_codec.js';
+import { PRESENT } from '../sim/build.js';
+import { makeSettings } from '../sim/world.js';
+import { cborEntry, type Golden } from './golden_file.js';
+
+interface WrittenCall {
+  readonly path: string;
+  readonly body: Golden;
+}
+
+const ELECTION_MS = 2000;
+const STEP_MS = 20;
+
+/** The state service as a candidate finds it: nobody leads. */
+function answer(op: StoreOp, term: unknown): Result<StoreValue> {
+  const at = revision(700);
+  switch (op.op) {
+    case 'get':
+      if (op.key === TERM_KEY && term !== null) {
+        return { ok: true, value: { item: { key: TERM_KEY, value: term, version: revision(55) }, revision: at } };
+      }
+      return { ok: true, value: { item: null, revision: at } };
+    case 'grant':
+      return { ok: true, value: { lease: ((1n << 53n) + 9n) as LeaseId } };
+    case 'txn':
+      return { ok: true, value: { revision: revision(701) } };
+    case 'list':
+      return { ok: true, value: { items: [], more: false, revision: at } };
+    default:
+      return { ok: false, why: 'refused' };
+  }
+}
+
+const isElection = (op: StoreOp): boolean =>
+  op.op === 'grant' ||
+  (op.op === 'get' && [LEADER_KEY, TERM_KEY].includes(op.key)) ||
+  (op.op === 'txn' && op.changes.some((change) => 'put' in change && change.put === LEADER_KEY));
+
+/** The calls with which a node takes the lead, as they go out, with such a term on record. */
+export function leaderRecordsOf(term: unknown, keepsZones: boolean): readonly WrittenCall[] {
+  const node = makeNode(keepsZones);
+  const calls: WrittenCall[] = [];
+  let inputs: Input[] = [{ kind: 'start' }];
+  for (let ms = 0; ms < ELECTION_MS; ms += STEP_MS) {
+    const outputs = [...inputs, { kind: 'timer' } as const].flatMap((input) => node.step(at(ms), input));
+    const sent = outputs.filter((output) => output.kind === 'store');
+    for (const { op } of sent) if (isElection(op)) calls.push(written(op));
+    inputs = sent.map(({ call, op }) => ({ kind: 'storeReply', call, result: answer(op, term) }));
+  }
+  return calls;
+}
+
+const at = (ms: number): Now => ({ steady: ms as Steady, wall: (1_790_000_000_000 + ms) as Wall });
+
+function makeNode(keepsZones: boolean): Node {
+  const settings = makeSettings('perch-1' as NodeName, ['perch-1', 'perch-2'] as NodeName[], PRESENT_OPTIONS, PRESENT);
+  const features = { recovery: { ...PRESENT.features.recovery, enabled: keepsZones, record_zones: keepsZones } };
+  return new Node(settings, PRESENT.tuning, '0f3a', 1, at(0), features);
+}
+
+function written(op: StoreOp): WrittenCall {
+  const { method, path, body } = encodeStoreCall(op);
+  return { path: `${method} ${path}`, body: body ? cborEntry(encode(body)) : null };
+}
+
+const PRESENT_OPTIONS = {
+  seed: 1,
+  nodes: 2,
+  zones: ['a' as never],
+  teams: [],
+  types: [],
+  capacity: 0,
+  tuning: PRESENT.tuning,
+};
--- /dev/null
+++ b/test/golden/peer_cases.ts
@@ -0,0 +1,128 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { JobStatus, PeerStatus, UserAnswer, WorkerAnswer } from '../../src/core/messages.js';
+import type { Attempt, Command, JobId, MachineId, NodeName, Token } from '../../src/core/types.js';
+import { encodeFrame, FrameSplitter, type PeerFrame } from '../../src/io/peer/peer_codec.js';
+import { frames as sampleFrames } from '../sim/sample_messages.js';
+import { GoldenFile, hex, thrownBy, unhex } from './golden_file.js';
+import { emptyReport, fullReport, gangSpec, specs } from './samples.js';
+
+const { id: job } = gangSpec;
+const machine = 'i-000231' as MachineId;
+const statuses: JobStatus[] = ['queued', 'running', 'done', 'cancelled'];
+const flags = [false, true];
+
+const status = (leading: boolean, storeOk: boolean, takesReports: boolean, acknowledges: boolean): PeerStatus => ({
+  workersHeardMs: 1234.5,
+  reportsPerS: 12.25,
+  leading,
+  storeOk,
+  takesReports,
+  acknowledgesCancellations: acknowledges,
+});
+const statusFrames: PeerFrame[] = flags.flatMap((leading) =>
+  flags.flatMap((storeOk) =>
+    flags.flatMap((takes) =>
+      flags.map((acknowledges): PeerFrame => {
+        return { kind: 'status', status: status(leading, storeOk, takes, acknowledges) };
+      }),
+    ),
+  ),
+);
+
+const requestFrames: PeerFrame[] = [
+  { kind: 'request', id: 1, request: { op: 'poll', id: job } },
+  { kind: 'request', id: 2 ** 50 + 1, request: { op: 'cancel', id: job } },
+  { kind: 'request', id: 3, request: { op: 'submit', id: job, spec: null, problem: 'crew is not a text' } },
+  ...Object.values(specs).map(
+    (spec): PeerFrame => ({ kind: 'request', id: 4, request: { op: 'submit', id: spec.id, spec, problem: '' } }),
+  ),
+];
+
+const userAnswers: UserAnswer[] = [
+  ...statuses.map((jobStatus): UserAnswer => ({ status: 200, id: job, jobStatus, done: 3, running: 2 ** 32 - 1 })),
+  { status: 201, id: job, jobStatus: 'queued', done: 0, running: 0 },
+  { status: 400, problem: '' },
+  { status: 404, problem: 'no such job' },
+  { status: 422, problem: 'unknown team' },
+  { status: 503, problem: 'später' },
+  { status: 503, problem: 'later', retryAfterS: 7 },
+];
+
+const commands: Command[] = [
+  { op: 'start', job, index: 3, attempt: 5n as Attempt },
+  { op: 'stop', job, index: 4, attempt: ((1n << 64n) - 1n) as Attempt, graceS: 2.5 },
+  { op: 'forget', job, index: 99_999, attempt: 7n as Attempt },
+];
+const workerAnswers: WorkerAnswer[] = [
+  { status: 200, token: 41n as Token, commands: [] },
+  { status: 200, token: ((1n << 63n) + 1n) as Token, commands },
+  { status: 421, reportTo: 'perch-2' as NodeName },
+  { status: 421, reportTo: null },
+  { status: 503 },
+];
+
+const frames: readonly PeerFrame[] = [
+  { kind: 'hello', node: 'perch-1' as NodeName },
+  ...statusFrames,
+  ...requestFrames,
+  ...userAnswers.map((answer, i): PeerFrame => ({ kind: 'requestAnswer', id: 20 + i, answer })),
+  { kind: 'report', id: 40, report: fullReport },
+  { kind: 'report', id: 41, report: emptyReport },
+  ...workerAnswers.map((answer, i): PeerFrame => ({ kind: 'reportAnswer', id: 50 + i, machine, answer })),
+  { kind: 'cancellation', id: 60, job: 'job-00007' as JobId },
+  { kind: 'cancellationAck', id: 60 },
+  ...sampleFrames,
+];
+
+/** Frames with one byte changed, and with bytes missing or added. */
+function spoiled(frame: Buffer): Buffer[] {
+  const changed = Array.from({ length: Math.min(frame.length, 140) }, (_, i) => {
+    const copy = Buffer.from(frame);
+    copy.writeUInt8(0xff - copy.readUInt8(i), i);
+    return copy;
+  });
+  const resized = [-1, -3, 1, 5].map((by) => {
+    const copy = Buffer.concat([frame, Buffer.alloc(5)]).subarray(0, frame.length + by);
+    copy.writeUInt32BE(copy.length - 4, 0);
+    return copy;
+  });
+  return [...changed, ...resized];
+}
+
+/** What a receiver makes of bytes: the frames that it reads, written again; what it skips; why it ends the connection. */
+function readAs(bytes: Buffer): string {
+  const splitter = new FrameSplitter();
+  try {
+    const read = splitter.push(bytes).map((frame) => hex(encodeFrame(frame)));
+    return read.length > 0 ? read.join(' ') : `nothing, skipped: ${splitter.skipped}`;
+  } catch (error) {
+    return `refused: ${(error as Error).message}`;
+  }
+}
+
+/** Every kind of frame between nodes, and what becomes of frames that are wrong. */
+export function peerTests(): void {
+  const golden = new GoldenFile('peer_frames');
+
+  test('golden: frames between nodes are written as they were, and read back', () => {
+    frames.forEach((frame, i) => {
+      const bytes = encodeFrame(frame);
+      golden.check(`frame ${i}`, hex(bytes));
+      assert.deepEqual(new FrameSplitter().push(unhex(hex(bytes))), [frame]);
+    });
+  });
+
+  test('golden: frames that are wrong are read, skipped or refused as they were', () => {
+    const last = new Map(frames.map((frame) => [encodeFrame(frame).readUInt8(5), frame]));
+    for (const [kind, frame] of last) {
+      golden.check(`spoiled frames of kind ${kind}`, spoiled(encodeFrame(frame)).map(readAs));
+    }
+    golden.check('frame of a length out of bounds', [
+      thrownBy(() => new FrameSplitter().push(unhex('000400010300'))),
+      thrownBy(() => new FrameSplitter().push(unhex('000000010300'))),
+    ]);
+  });
+
+  golden.checkComplete();
+}
--- /dev/null
+++ b/test/golden/problem_cases.ts
@@ -0,0 +1,160 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { Output, UserAnswer, UserRequest } from '../../src/core/messages.js';
+import type {
+  JobId,
+  JobSpec,
+  MachineId,
+  MachineType,
+  NodeName,
+  Steady,
+  Team,
+  TeamName,
+  TypeName,
+  ZoneName,
+} from '../../src/core/types.js';
+import { encode } from '../../src/io/codecs/cbor.js';
+import { encodeUserAnswer } from '../../src/io/codecs/user_codec.js';
+import { checkExpiry } from '../../src/io/expired_outputs.js';
+import { encodeFrame } from '../../src/io/peer/peer_codec.js';
+import { makeSpec, type Options } from '../sim/job_options.js';
+import { tuning } from '../sim/scenario.js';
+import { LIMITS, World } from '../sim/world.js';
+import { cborEntry, type Golden, GoldenFile, hex } from './golden_file.js';
+
+const zones = ['a', 'b'] as ZoneName[];
+const SETTLE_MS = 30_000;
+const ANSWER_MS = 6000;
+
+function teamOf(name: string, cpusMax: number, gpusMax: number): Team {
+  return { name: name as TeamName, cpus: 0, gpus: 0, cpusMax, gpusMax };
+}
+
+function makeWorld(nodes: number): World {
+  const types: MachineType[] = [
+    {
+      name: 'c8' as TypeName,
+      cpus: 8,
+      gpus: 0,
+      memGb: 32,
+      cacheGb: 50,
+      fetchGbPerS: 0.5,
+      price: 0.4,
+      spotPrice: 0.1,
+      bootS: 20,
+      zones,
+    },
+  ];
+  const teams = [teamOf('crew', 0, 0), teamOf('tight', 2, 0)];
+  const limits = { ...LIMITS, valueBytes: 1024 };
+  return new World({ seed: 3, nodes, zones, teams, types, capacity: 2, tuning, limits });
+}
+
+const entryOf = (answer: UserAnswer | null): Golden =>
+  answer && {
+    status: answer.status,
+    retryAfter: 'retryAfterS' in answer ? (answer.retryAfterS ?? 0) : 0,
+    body: cborEntry(encode(encodeUserAnswer(answer))),
+  };
+
+/** What a node answers, and how long that takes at most; null: nothing. */
+function ask(world: World, node: number, request: UserRequest): UserAnswer | null {
+  let answer: UserAnswer | null = null;
+  world.nodes[node]?.user(request, (given) => {
+    answer = given;
+  });
+  world.clock.runUntil(world.clock.now + ANSWER_MS);
+  return answer;
+}
+
+const submit = (spec: JobSpec): UserRequest => ({ op: 'submit', id: spec.id, spec, problem: '' });
+const plain = makeSpec('job-1', 'array', { tasks: '2' });
+
+const refusedOptions: Readonly<Record<string, readonly [JobSpec['shape'], Options]>> = {
+  'team not known': ['array', { team: 'nobody' }],
+  'more processors than any machine': ['array', { cpus: '9' }],
+  'more memory than any machine': ['array', { mem: '33' }],
+  'graphics processors that no machine has': ['array', { gpus: '1' }],
+  'type not known': ['array', { types: 'nosuch' }],
+  'zone not known': ['array', { zone: 'c' }],
+  'beyond the limit of its team': ['array', { team: 'tight', cpus: '3' }],
+  'whole beyond the limit of its team': ['gang', { team: 'tight', cpus: '1', tasks: '3' }],
+  'together and apart': ['gang', { tasks: '2', sameZone: 'yes', spread: 'yes' }],
+  'apart in one zone': ['service', { tasks: '2', zone: 'a', spread: 'yes' }],
+  'longer than a value': ['array', { class: 'x'.repeat(700) }],
+};
+
+/** The words with which users' requests are refused, whatever part of the core refuses them. */
+export function problemTests(): void {
+  const golden = new GoldenFile('problems');
+
+  test('golden: requests are refused with the words that they were refused with', () => {
+    const world = makeWorld(3);
+    world.startNodes();
+    world.clock.runUntil(SETTLE_MS);
+    const check = (entry: string, request: UserRequest): void => golden.check(entry, entryOf(ask(world, 0, request)));
+    for (const [name, [shape, options]] of Object.entries(refusedOptions)) {
+      check(name, submit(makeSpec('job-9', shape, options)));
+    }
+    check('malformed', { op: 'submit', id: 'job-9' as JobId, spec: null, problem: 'crew is not a text' });
+    check('asked for, not known', { op: 'poll', id: 'job-9' as JobId });
+    check('called off, not known', { op: 'cancel', id: 'job-9' as JobId });
+    check('taken', submit(plain));
+    check('taken before', submit(plain));
+    check('taken before, now malformed', { op: 'submit', id: plain.id, spec: null, problem: 'crew is not a text' });
+    check('called off', { op: 'cancel', id: plain.id });
+    check('called off before', { op: 'cancel', id: plain.id });
+    check('taken before and called off', submit(plain));
+  });
+
+  test('golden: requests in an outage are refused with the words that they were refused with', () => {
+    const world = makeWorld(2);
+    world.startNodes();
+    world.clock.runUntil(SETTLE_MS);
+    world.state.outage(60_000);
+    const check = (entry: string, request: UserRequest): void => golden.check(entry, entryOf(ask(world, 0, request)));
+    check('outage: submission', submit(plain));
+    check('outage: question', { op: 'poll', id: plain.id });
+    check('outage: calling off', { op: 'cancel', id: plain.id });
+  });
+
+  test('golden: a request that no peer answers is refused with the words that it was refused with', () => {
+    const world = makeWorld(2);
+    world.startNodes();
+    world.clock.runUntil(SETTLE_MS);
+    world.state.refused.add('perch-0');
+    world.clock.runUntil(SETTLE_MS + 1500);
+    world.network.cut('perch-0', 'perch-1', 10_000, 'drop');
+    golden.check('no peer answers', entryOf(ask(world, 0, submit(plain))));
+  });
+
+  test('golden: a node that knows no machine types says so as it did', () => {
+    const world = makeWorld(1);
+    world.network.cut('cloud', '*', 60_000, 'drop');
+    world.startNodes();
+    world.clock.runUntil(SETTLE_MS);
+    golden.check('no machine types', entryOf(ask(world, 0, submit(plain))));
+  });
+
+  test('golden: answers that come too late are replaced as they were', () => {
+    const late = { notAfter: 5 as Steady };
+    const answer: UserAnswer = { status: 200, id: plain.id, jobStatus: 'queued', done: 0, running: 0 };
+    const machine = 'i-1' as MachineId;
+    const to = 'perch-1' as NodeName;
+    const expired = (output: Output): Output | null => checkExpiry(output, 5 as Steady).output;
+    const user = expired({ kind: 'answerUser', req: 1, answer, ...late });
+    assert.ok(user?.kind === 'answerUser');
+    golden.check('late answer', entryOf(user.answer));
+    const passedOn = expired({ kind: 'peer', to, message: { kind: 'requestAnswer', id: 1, answer }, ...late });
+    const report = { kind: 'reportAnswer', id: 2, machine, answer: { status: 421, reportTo: null } } as const;
+    for (const [entry, output] of [
+      ['late answer of a peer', passedOn],
+      ['late answer of a peer to a report', expired({ kind: 'peer', to, message: report, ...late })],
+    ] as const) {
+      assert.ok(output?.kind === 'peer');
+      golden.check(entry, hex(encodeFrame(output.message)));
+    }
+  });
+
+  golden.checkComplete();
+}
--- /dev/null
+++ b/test/golden/samples.ts
@@ -0,0 +1,199 @@
+import { RangeSet } from '../../src/core/jobs/range_set.js';
+import type { JobRecord, MachineRecord } from '../../src/core/records.js';
+import type {
+  Attempt,
+  ExitReason,
+  ImageName,
+  JobId,
+  JobSpec,
+  MachineId,
+  Rank,
+  Seq,
+  Session,
+  Shape,
+  TaskPhase,
+  TaskReport,
+  TeamName,
+  Token,
+  TypeName,
+  Wall,
+  WorkerReport,
+  ZoneName,
+} from '../../src/core/types.js';
+import { decodeJob } from '../../src/io/codecs/user_codec.js';
+import { job as submission } from '../sim/sample_messages.js';
+
+/** Values of the domain's own types, each field told apart from the others, from which the golden files are made. */
+export const gangSpec: JobSpec = {
+  id: 'job-17' as JobId,
+  jobClass: 'train',
+  team: 'vision' as TeamName,
+  shape: 'gang',
+  rank: 2,
+  tasks: 16,
+  cpus: 8.5,
+  gpus: 1,
+  memGb: 64.25,
+  image: 'img-07' as ImageName,
+  imageGb: 6.2,
+  types: ['g8', 'g4'] as TypeName[],
+  zone: 'a' as ZoneName,
+  sameZone: true,
+  spread: false,
+  spotOk: true,
+  estimateS: 240,
+  checkpointS: 30,
+  saveS: 4,
+  deadlineS: 900,
+};
+export const arraySpec: JobSpec = {
+  ...gangSpec,
+  id: 'job-18' as JobId,
+  shape: 'array',
+  rank: 0,
+  tasks: 100_000,
+  types: null,
+  zone: null,
+  sameZone: false,
+  spread: true,
+  spotOk: false,
+  deadlineS: null,
+};
+export const serviceSpec: JobSpec = {
+  ...arraySpec,
+  id: 'job-00019' as JobId,
+  shape: 'service',
+  rank: 3,
+  tasks: 3,
+  types: [],
+  estimateS: 0,
+  checkpointS: 0,
+};
+/** As submissions are read: its fields are in another order. */
+export const submittedSpec: JobSpec = decodeJob(submission);
+
+const shapes: Shape[] = ['array', 'gang', 'service'];
+const ranks: Rank[] = [0, 1, 2, 3];
+const flags = [false, true];
+
+// The types of results are written out so that fields renamed by the compiler are renamed here too.
+const ranked = (shape: Shape, rank: Rank): JobSpec => ({ ...gangSpec, shape, rank });
+const flagged = (sameZone: boolean, spread: boolean, spotOk: boolean): JobSpec => ({
+  ...arraySpec,
+  sameZone,
+  spread,
+  spotOk,
+});
+
+/** Descriptions with every value of each enumeration and flag. */
+export const specs: Readonly<Record<string, JobSpec>> = {
+  gang: gangSpec,
+  array: arraySpec,
+  service: serviceSpec,
+  submitted: submittedSpec,
+  ...Object.fromEntries(
+    shapes.flatMap((shape) => ranks.map((rank) => [`${shape} of rank ${rank}`, ranked(shape, rank)])),
+  ),
+  ...Object.fromEntries(
+    [0, 1, 2, 3, 4, 5, 6, 7].map((bits) => [
+      `flags ${bits}`,
+      flagged((bits & 4) !== 0, (bits & 2) !== 0, (bits & 1) !== 0),
+    ]),
+  ),
+};
+
+const ranges = (...pairs: [number, number][]): RangeSet => RangeSet.from(pairs);
+const freshRecord: Omit<JobRecord, 'spec'> = {
+  submittedAt: 1_790_000_000_123 as Wall,
+  state: 'accepted',
+  startTerm: 0,
+  startZone: null,
+  startZones: null,
+  done: ranges(),
+};
+const fresh = (spec: JobSpec): JobRecord => ({ ...freshRecord, spec });
+const zones = ['a', 'b'] as ZoneName[];
+
+/** Records of jobs in every state. */
+export const jobRecords: Readonly<Record<string, JobRecord>> = {
+  ...Object.fromEntries(Object.entries(specs).map(([name, spec]) => [name, fresh(spec)])),
+  started: { ...freshRecord, spec: arraySpec, startTerm: 7, startZone: 'a' as ZoneName },
+  'started in zones': {
+    ...freshRecord,
+    spec: gangSpec,
+    startTerm: 7,
+    startZone: 'b' as ZoneName,
+    startZones: zones,
+  },
+  'started in no zone yet': { ...freshRecord, spec: gangSpec, startTerm: 7, startZones: [] },
+  'partly done': { ...freshRecord, spec: arraySpec, startTerm: 2, done: ranges([0, 3], [8, 8], [20, 99_999]) },
+  done: { ...freshRecord, spec: { ...arraySpec, tasks: 100 }, state: 'done', startTerm: 3, done: ranges([0, 99]) },
+  cancelled: { ...freshRecord, spec: submittedSpec, state: 'cancelled', startTerm: 3, done: ranges([1, 1]) },
+  'cancelled service': { ...freshRecord, spec: serviceSpec, state: 'cancelled', startTerm: 4, startZones: zones },
+};
+
+/** An array of which every other task is done: more ranges than fit into most values. */
+export const scatteredRecord: JobRecord = {
+  ...freshRecord,
+  spec: arraySpec,
+  startTerm: 12,
+  startZone: 'a' as ZoneName,
+  startZones: zones,
+  done: RangeSet.from(Array.from({ length: 400 }, (_, i) => [i * 3, i * 3 + (i % 2)])),
+};
+
+export const machineRecords: readonly MachineRecord[] = [
+  {
+    id: 'i-000231' as MachineId,
+    addr: '10.1.0.232:9000',
+    type: 'g8' as TypeName,
+    zone: 'a' as ZoneName,
+    spot: true,
+    images: ['img-1', 'img-2', 'img-3'] as ImageName[],
+    fetchSpeed: 0.83,
+  },
+  {
+    id: 'i-000232' as MachineId,
+    addr: '',
+    type: 'c8' as TypeName,
+    zone: 'b' as ZoneName,
+    spot: false,
+    images: [],
+    fetchSpeed: 1,
+  },
+];
+
+const phases: TaskPhase[] = ['fetching', 'waiting', 'running', 'saving'];
+const reasons: ExitReason[] = ['done', 'stopped', 'peers_gone', 'alone', 'error', 'no_room', 'busy', 'unknown'];
+
+function task(index: number, saved: boolean, phase: TaskPhase, reason: ExitReason | null): TaskReport {
+  return { job: gangSpec.id, index, attempt: BigInt(saved ? 5 : 6) as Attempt, phase, reason, saved };
+}
+
+/** Tasks in every phase, ended for every reason, with and without saved progress. */
+export const taskReports: readonly TaskReport[] = flags.flatMap((saved) => [
+  ...phases.map((phase, i) => task(i, saved, phase, null)),
+  ...reasons.map((reason, i) => task(10 + i, saved, 'exited', reason)),
+]);
+
+export const fullReport: WorkerReport = {
+  machine: 'i-000231' as MachineId,
+  addr: '10.1.0.232:9000',
+  type: 'g8' as TypeName,
+  zone: 'a' as ZoneName,
+  spot: true,
+  session: 3n as Session,
+  seq: ((1n << 53n) + 1n) as Seq,
+  token: ((1n << 64n) - 1n) as Token,
+  noticeS: 7.5,
+  tasks: taskReports,
+};
+export const emptyReport: WorkerReport = {
+  ...fullReport,
+  spot: false,
+  session: 0n as Session,
+  seq: 1n as Seq,
+  token: 41n as Token,
+  noticeS: null,
+  tasks: [],
+};
--- /dev/null
+++ b/test/golden/service_cases.ts
@@ -0,0 +1,344 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type {
+  CloudOp,
+  CloudValue,
+  Result,
+  StoreOp,
+  StoreValue,
+  WorkerOp,
+  WorkerValue,
+} from '../../src/core/messages.js';
+import {
+  type Attempt,
+  type LeaseId,
+  type ListedMachine,
+  type MachineId,
+  type MachineType,
+  revision,
+  type Session,
+  type Token,
+  type TypeName,
+  type ZoneName,
+} from '../../src/core/types.js';
+import { decode, encode } from '../../src/io/codecs/cbor.js';
+import { decodeCloudAnswer, encodeCloudCall } from '../../src/io/codecs/cloud_codec.js';
+import type { HttpCall } from '../../src/io/codecs/http_call.js';
+import { decodeStoreAnswer, encodeStoreCall } from '../../src/io/codecs/store_codec.js';
+import { COMMANDS_PATH, decodeCommandsAnswer, encodeCommands } from '../../src/io/codecs/worker_codec.js';
+import { report as wireReport } from '../sim/sample_messages.js';
+import { cborEntry, type Golden, GoldenFile, thrownBy } from './golden_file.js';
+import { gangSpec } from './samples.js';
+
+const MAX = (1n << 64n) - 1n;
+
+/** A call as it goes out; a body is bytes. */
+export const callEntry = ({ method, path, body }: HttpCall): Golden =>
+  body === undefined ? { line: `${method} ${path}` } : { line: `${method} ${path}`, body: cborEntry(encode(body)) };
+
+/** A body as it comes in. */
+const received = (body: unknown): unknown => (body === null ? null : decode(encode(body)));
+
+const storeCalls: Readonly<Record<string, StoreOp>> = {
+  get: { op: 'get', key: 'j/job-17' },
+  'list from the start': { op: 'list', prefix: 'j/', after: null, limit: 100 },
+  'list from a key on': { op: 'list', prefix: 'm/', after: 'm/3', limit: 7 },
+  'transaction that compares only': {
+    op: 'txn',
+    conditions: [
+      { key: 'leader', version: revision(MAX) },
+      { key: 'j/job-17', version: revision(0) },
+    ],
+    changes: [],
+  },
+  'transaction with changes': {
+    op: 'txn',
+    conditions: [{ key: 'leader', version: revision(41) }],
+    changes: [
+      { put: 'a', value: { x: [1, null, true, 0.5] } },
+      { put: 'b', value: 'text', lease: MAX as LeaseId },
+      { drop: 'c' },
+    ],
+  },
+  grant: { op: 'grant', ttlMs: 4200 },
+  renew: { op: 'renew', lease: MAX as LeaseId },
+  revoke: { op: 'revoke', lease: 7n as LeaseId },
+  watch: { op: 'watch', prefix: 'j/', after: revision(MAX), waitMs: 1000 },
+};
+
+const storeAnswers: readonly (readonly [keyof typeof storeCalls, unknown, StoreValue])[] = [
+  [
+    'get',
+    { k: 'a/b', data: { x: 1 }, feather: 412, tether: 7 },
+    { item: { key: 'a/b', value: { x: 1 }, version: revision(412) } },
+  ],
+  [
+    'list from the start',
+    { entries: [{ k: 'j/1', data: null, feather: MAX }], has_next: true, molt: 9 },
+    { items: [{ key: 'j/1', value: null, version: revision(MAX) }], more: true, revision: revision(9) },
+  ],
+  ['list from a key on', { entries: [], molt: 9 }, { items: [], more: false, revision: revision(9) }],
+  ['transaction with changes', { molt: 433 }, { revision: revision(433) }],
+  ['grant', { tether: MAX, life_ms: 4200 }, { lease: MAX as LeaseId }],
+  ['renew', {}, {}],
+  ['revoke', null, {}],
+  [
+    'watch',
+    {
+      news: [
+        { put: 'a', data: 7, feather: 5 },
+        { drop: 'b', feather: 6 },
+      ],
+      molt: 6,
+    },
+    {
+      events: [
+        { put: 'a', value: 7, version: revision(5) },
+        { drop: 'b', version: revision(6) },
+      ],
+      revision: revision(6),
+    },
+  ],
+];
+
+const malformedStoreAnswers: readonly (readonly [keyof typeof storeCalls, number, unknown])[] = [
+  ['get', 200, null],
+  ['get', 200, { k: 7 }],
+  ['get', 200, { k: 'a', data: 1, feather: -1 }],
+  ['get', 404, null],
+  ['get', 404, {}],
+  ['list from the start', 200, {}],
+  ['list from the start', 200, { entries: [7], molt: 1 }],
+  ['list from the start', 200, { entries: [] }],
+  ['transaction with changes', 200, { molt: 1.5 }],
+  ['grant', 200, { tether: 'x' }],
+  ['watch', 200, { news: {}, molt: 1 }],
+  ['watch', 200, { news: [7], molt: 1 }],
+  ['watch', 200, { news: [{ feather: 1 }], molt: 1 }],
+];
+
+/** What the state service is asked, and what its answers mean. */
+export function storeTests(): void {
+  const golden = new GoldenFile('state_service');
+  const callNamed = (name: string): StoreOp => storeCalls[name] as StoreOp;
+
+  test('golden: calls to the state service go out as they did', () => {
+    for (const [name, op] of Object.entries(storeCalls)) golden.check(`call: ${name}`, callEntry(encodeStoreCall(op)));
+  });
+
+  test('golden: answers of the state service are read as they were', () => {
+    for (const [name, body, value] of storeAnswers) {
+      golden.check(`answer: ${name}`, cborEntry(encode(body)));
+      assert.deepEqual(decodeStoreAnswer(callNamed(name), 200, received(body)), { ok: true, value });
+    }
+    assert.deepEqual(decodeStoreAnswer(callNamed('get'), 404, received({ molt: 431 })), {
+      ok: true,
+      value: { item: null, revision: revision(431) },
+    });
+    const conflict = { failed: ['j/1', 7, 'leader'], molt: 3 };
+    assert.deepEqual(decodeStoreAnswer(callNamed('transaction with changes'), 409, received(conflict)), {
+      ok: false,
+      why: 'conflict',
+      keys: ['j/1', 'leader'],
+    });
+    const failures: readonly (readonly [number, Result<StoreValue>])[] = [
+      [400, { ok: false, why: 'rejected' }],
+      [404, { ok: false, why: 'gone' }],
+      [409, { ok: false, why: 'conflict', keys: [] }],
+      [410, { ok: false, why: 'gone' }],
+      [429, { ok: false, why: 'refused', throttled: true }],
+      [500, { ok: false, why: 'unknown' }],
+      [503, { ok: false, why: 'refused' }],
+    ];
+    for (const [name, op] of Object.entries(storeCalls)) {
+      for (const [status, failure] of failures) {
+        if (status === 404 && op.op === 'get') continue;
+        assert.deepEqual(decodeStoreAnswer(op, status, null), failure, `${name} ${status}`);
+      }
+    }
+  });
+
+  test('golden: malformed answers of the state service are refused with the same words', () => {
+    malformedStoreAnswers.forEach(([name, status, body], i) => {
+      const said = thrownBy(() => decodeStoreAnswer(callNamed(name), status, received(body)));
+      golden.check(`malformed answer ${i}`, [name, status, cborEntry(encode(body)), said]);
+    });
+  });
+
+  golden.checkComplete();
+}
+
+const cloudCalls: Readonly<Record<string, CloudOp>> = {
+  types: { op: 'types' },
+  'list from the start': { op: 'list', after: null },
+  'list from a machine on': { op: 'list', after: 'i/00 7' as MachineId },
+  rent: {
+    op: 'rent',
+    request: '0f3a-41-7',
+    type: 'g8' as TypeName,
+    zone: 'a' as ZoneName,
+    spot: true,
+    count: 3,
+  },
+  delete: { op: 'delete', machines: ['i-1', 'i-2'] as MachineId[] },
+  'delete nothing': { op: 'delete', machines: [] },
+};
+
+const wireType = {
+  name: 'g8',
+  cpus: 96,
+  gpus: 8,
+  mem_gb: 768.5,
+  local_gb: 500,
+  fetch_gb_per_s: 0.5,
+  rate: 30.25,
+  spot_price: 9.5,
+  startup_s: 90,
+  groves: ['a', 'b'],
+};
+const machineType: MachineType = {
+  name: 'g8' as TypeName,
+  cpus: 96,
+  gpus: 8,
+  memGb: 768.5,
+  cacheGb: 500,
+  fetchGbPerS: 0.5,
+  price: 30.25,
+  spotPrice: 9.5,
+  bootS: 90,
+  zones: ['a', 'b'] as ZoneName[],
+};
+const wireMachine = { ref: 'i-1', addr: 'h:1', breed: 'g8', grove: 'a', loaners: true, mood: 'booting', held_s: 7.5 };
+const listedMachine: ListedMachine = {
+  id: 'i-1' as MachineId,
+  addr: 'h:1',
+  type: 'g8' as TypeName,
+  zone: 'a' as ZoneName,
+  spot: true,
+  phase: 'booting',
+  ageS: 7.5,
+};
+
+const cloudAnswers: readonly (readonly [keyof typeof cloudCalls, unknown, CloudValue])[] = [
+  ['types', { breeds: [{ ...wireType, more: 1 }] }, { types: [machineType] }],
+  [
+    'list from the start',
+    {
+      perches: [
+        wireMachine,
+        { ...wireMachine, mood: 'running', loaners: false },
+        { ...wireMachine, mood: 'failed', addr: null },
+      ],
+      has_next: true,
+    },
+    {
+      machines: [
+        listedMachine,
+        { ...listedMachine, phase: 'running', spot: false },
+        { ...listedMachine, phase: 'failed', addr: '' },
+      ],
+      more: true,
+    },
+  ],
+  ['list from a machine on', { perches: [] }, { machines: [], more: false }],
+  ['rent', { perches: ['i-8', 'i-9'] }, { rented: ['i-8', 'i-9'] as MachineId[] }],
+  ['delete', {}, {}],
+];
+
+const malformedCloudAnswers: readonly (readonly [keyof typeof cloudCalls, unknown])[] = [
+  ['types', null],
+  ['types', { breeds: {} }],
+  ['types', { breeds: [7] }],
+  ...Object.keys(wireType).map((key) => ['types', { breeds: [{ ...wireType, [key]: -1 }] }] as const),
+  ['list from the start', { perches: [7] }],
+  ...Object.keys(wireMachine)
+    .filter((key) => key !== 'addr')
+    .map((key) => ['list from the start', { perches: [{ ...wireMachine, [key]: -1 }] }] as const),
+  ['list from the start', { perches: [{ ...wireMachine, mood: 'lost' }] }],
+  ['rent', {}],
+  ['delete', []],
+];
+
+/** What the cloud is asked, and what its answers mean. */
+export function cloudTests(): void {
+  const golden = new GoldenFile('cloud');
+  const callNamed = (name: string): CloudOp => cloudCalls[name] as CloudOp;
+
+  test('golden: calls to the cloud go out as they did', () => {
+    for (const [name, op] of Object.entries(cloudCalls)) golden.check(`call: ${name}`, callEntry(encodeCloudCall(op)));
+  });
+
+  test('golden: answers of the cloud are read as they were', () => {
+    for (const [name, body, value] of cloudAnswers) {
+      golden.check(`answer: ${name}`, cborEntry(encode(body)));
+      assert.deepEqual(decodeCloudAnswer(callNamed(name), 200, received(body)), { ok: true, value });
+    }
+    const full = received({ error: 'no capacity' });
+    const failures: readonly (readonly [number, unknown, Result<CloudValue>, Result<CloudValue>])[] = [
+      [400, null, { ok: false, why: 'rejected' }, { ok: false, why: 'rejected' }],
+      [404, null, { ok: false, why: 'unknown' }, { ok: false, why: 'unknown' }],
+      [429, null, { ok: false, why: 'refused' }, { ok: false, why: 'refused' }],
+      [500, null, { ok: false, why: 'unknown' }, { ok: false, why: 'unknown' }],
+      [503, null, { ok: false, why: 'refused' }, { ok: false, why: 'refused' }],
+      [503, full, { ok: false, why: 'no_capacity' }, { ok: false, why: 'refused' }],
+    ];
+    for (const [name, op] of Object.entries(cloudCalls)) {
+      for (const [status, body, ofRent, ofOthers] of failures) {
+        const failure = op.op === 'rent' ? ofRent : ofOthers;
+        assert.deepEqual(decodeCloudAnswer(op, status, body), failure, `${name} ${status}`);
+      }
+    }
+  });
+
+  test('golden: malformed answers of the cloud are refused with the same words', () => {
+    malformedCloudAnswers.forEach(([name, body], i) => {
+      const said = thrownBy(() => decodeCloudAnswer(callNamed(name), 200, received(body)));
+      golden.check(`malformed answer ${i}`, [name, cborEntry(encode(body)), said]);
+    });
+  });
+
+  golden.checkComplete();
+}
+
+const { id: job } = gangSpec;
+const workerCalls: Readonly<Record<string, WorkerOp>> = {
+  'no commands': { addr: 'h:1', token: MAX as Token, session: 3n as Session, commands: [] },
+  'all commands': {
+    addr: 'h:1',
+    token: 41n as Token,
+    session: MAX as Session,
+    commands: [
+      { op: 'start', job, index: 3, attempt: 5n as Attempt },
+      { op: 'stop', job, index: 4, attempt: MAX as Attempt, graceS: 2.5 },
+      { op: 'forget', job, index: 5, attempt: 7n as Attempt },
+    ],
+  },
+};
+
+/** What workers are sent directly, and what their answers mean; reports are in http_cases.ts. */
+export function commandTests(): void {
+  const golden = new GoldenFile('worker_commands');
+
+  test('golden: commands to workers go out as they did', () => {
+    golden.check('path', COMMANDS_PATH);
+    for (const [name, op] of Object.entries(workerCalls)) golden.check(name, cborEntry(encode(encodeCommands(op))));
+  });
+
+  test('golden: answers of workers are read as they were', () => {
+    const body = received(wireReport);
+    const values = [200, 409].map((status) => decodeCommandsAnswer(status, body));
+    const [executed, notExecuted] = values as [Result<WorkerValue>, Result<WorkerValue>];
+    assert.ok(executed.ok && executed.value.executed);
+    assert.ok(notExecuted.ok && !notExecuted.value.executed);
+    assert.deepEqual(executed.value.report, notExecuted.value.report);
+    for (const status of [201, 400, 404, 421, 429, 500, 503]) {
+      assert.deepEqual(decodeCommandsAnswer(status, body), { ok: false, why: 'rejected' });
+    }
+    golden.check(
+      'malformed answer',
+      thrownBy(() => decodeCommandsAnswer(200, null)),
+    );
+  });
+
+  golden.checkComplete();
+}
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -364,7 +364,12 @@
   }
 }
 
-function makeSettings(name: NodeName, names: readonly NodeName[], options: WorldOptions, build: Build): Settings {
+export function makeSettings(
+  name: NodeName,
+  names: readonly NodeName[],
+  options: WorldOptions,
+  build: Build,
+): Settings {
   const zone = options.zones[0] as ZoneName;
   const limits = options.limits ?? LIMITS;
   const { rps, writeRps, nextRps, nextWriteRps, nextValueBytes, nextTxnOps, valueBytes, txnOps, cloudRps } = limits;
