--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -1,7 +1,7 @@
-import { nextTermValue, type TermValue, type ZonesKeptSince } from '../../recovery/index.js';
+import { encodeTerm, nextTermValue, type TermValue, type ZonesKeptSince } from '../../recovery/index.js';
 import type { Context } from '../context.js';
 import type { Change, Condition, Result, StoredItem, StoreValue } from '../messages.js';
-import { decodeLeader, LEADER_KEY, type LeaderRecord, TERM_KEY } from '../records.js';
+import { decodeLeader, encodeLeader, LEADER_KEY, type LeaderRecord, TERM_KEY } from '../records.js';
 import {
   ABSENT,
   type LeaseId,
@@ -223,8 +223,8 @@
       { key: TERM_KEY, version: termVersion },
     ];
     const changes: Change[] = [
-      { put: LEADER_KEY, value: this.leaderRecord(candidacy), lease },
-      { put: TERM_KEY, value: term },
+      { put: LEADER_KEY, value: encodeLeader(this.leaderRecord(candidacy)), lease },
+      { put: TERM_KEY, value: encodeTerm(term) },
     ];
     this.ctx.store({ op: 'txn', conditions, changes }, PRIORITY, (result) => {
       if (result.ok && result.value.revision !== undefined) return this.becomeLeader(candidacy, result.value.revision);
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -65,11 +65,64 @@
 const isFields = (value: unknown): value is StoredFields =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
+/** The names under which the fields of a job's description are stored, by their names in the code. */
+const STORED_SPEC_NAMES = {
+  id: 'id',
+  jobClass: 'jobClass',
+  team: 'team',
+  shape: 'shape',
+  rank: 'rank',
+  tasks: 'tasks',
+  cpus: 'cpus',
+  gpus: 'gpus',
+  memGb: 'memGb',
+  image: 'image',
+  imageGb: 'imageGb',
+  types: 'types',
+  zone: 'zone',
+  sameZone: 'sameZone',
+  spread: 'spread',
+  spotOk: 'spotOk',
+  estimateS: 'estimateS',
+  checkpointS: 'checkpointS',
+  saveS: 'saveS',
+  deadlineS: 'deadlineS',
+} as const satisfies { readonly [Name in keyof JobSpec]: string };
+
+/** Before the name of a stored field that this release doesn't know: it is kept, and never taken for a known one. */
+const UNKNOWN_FIELD_PREFIX = 'stored:';
+const toStoredName = new Map<string, string>(Object.entries(STORED_SPEC_NAMES));
+const fromStoredName = new Map<string, string>([...toStoredName].map(([name, stored]) => [stored, name]));
+
+function storedName(name: string): string {
+  const isUnknown = name.startsWith(UNKNOWN_FIELD_PREFIX);
+  return toStoredName.get(name) ?? (isUnknown ? name.slice(UNKNOWN_FIELD_PREFIX.length) : name);
+}
+
+/** A job's description as it is stored: the fields that it has, in their order, whatever a later release has added. */
+function encodeSpec(spec: JobSpec): StoredFields {
+  const stored: StoredFields = {};
+  for (const [name, value] of Object.entries(spec)) {
+    stored[storedName(name)] = value;
+  }
+  return stored;
+}
+
+/** Nothing is checked: a description is checked once, when the job is submitted. */
+function decodeSpec(stored: StoredFields): JobSpec {
+  const spec: StoredFields = {};
+  for (const [name, value] of Object.entries(stored)) {
+    spec[fromStoredName.get(name) ?? UNKNOWN_FIELD_PREFIX + name] = value;
+  }
+  return spec as StoredFields & JobSpec;
+}
+
 /** A job's record in `valueBytes` at most: results that find no room in it stay with the workers that have them. */
 export function encodeJob(record: JobRecord, valueBytes: number): StoredFields & { done: [number, number][] } {
   const { spec, submittedAt: at, state, startTerm: term, startZone: zone, startZones: zones, done } = record;
   const kept = zones === null ? {} : { zones };
-  const value = { v: JOB_RECORD_VERSION, spec, at, state, term, zone, ...kept, done: [] as [number, number][] };
+  const fields = { v: JOB_RECORD_VERSION, spec: encodeSpec(spec), at, state, term, zone, ...kept };
+  const value = { ...fields, done: [] as [number, number][] };
   if (done.count === 0) return value;
   const bytesLeft = valueBytes - SPARE_BYTES - Buffer.byteLength(JSON.stringify(value));
   return { ...value, done: done.pairs(bytesLeft) };
@@ -91,7 +144,7 @@
 export function decodeJob(value: unknown): JobRecord | null {
   if (!isFields(value) || value.v !== JOB_RECORD_VERSION) return null;
   if (!isFields(value.spec) || !Array.isArray(value.done) || !JOB_STATES.includes(value.state)) return null;
-  const spec = value.spec as unknown as JobSpec;
+  const spec = decodeSpec(value.spec);
   const state = value.state as JobState;
   // A service is never done. A leader of a release that knows no services may have put it on record as such when its
   // replicas ended (upgrade-service-old-leader.txt).
@@ -146,6 +199,10 @@
   };
 }
 
+export function encodeLeader({ node, incarnation, lease, term }: LeaderRecord): StoredFields {
+  return { node, incarnation, lease, term };
+}
+
 /** Null for a value that isn't a leader's record. */
 export function decodeLeader(value: unknown): LeaderRecord | null {
   if (!isFields(value)) return null;
--- a/src/recovery/index.ts
+++ b/src/recovery/index.ts
@@ -6,7 +6,7 @@
 export { LeaseRenewals } from './lease_renewals.js';
 export { Recovery, type RecoveryInit } from './recovery.js';
 export { ReportBacklog } from './report_backlog.js';
-export { believedZones, nextTermValue, type TermValue, type ZonesKeptSince } from './start_zones.js';
+export { believedZones, encodeTerm, nextTermValue, type TermValue, type ZonesKeptSince } from './start_zones.js';
 export { type RecoverySummary, summaryFields } from './summary.js';
 export type { TeamExposure } from './team_exposure.js';
 export type {
--- a/src/recovery/start_zones.ts
+++ b/src/recovery/start_zones.ts
@@ -8,7 +8,7 @@
  * out, and the next one that does begins anew.
  */
 
-/** The counter of terms as it is stored: `n` is the term, `zones` the first of an unbroken row of terms that kept zones. */
+/** The counter of terms: `n` is the term, `zones` the first of an unbroken row of terms that kept zones. */
 export interface TermValue {
   readonly n: number;
   readonly zones?: number;
@@ -24,6 +24,11 @@
   return { n: term, zones: isTerm(zones) && zones < term ? zones : term };
 }
 
+/** The counter as it is stored, under names that never change. */
+export function encodeTerm({ n, zones }: TermValue): Readonly<Record<string, number>> {
+  return zones === undefined ? { n } : { n, zones };
+}
+
 /** Since which term every leader has kept the zones of jobs; null: this leader doesn't believe any list. */
 export type ZonesKeptSince = number | null;
 
