--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -75,6 +75,7 @@
     if (clock.between(0, 1) < 0.4) addTrouble(world, at + clock.between(0, 8));
   }
   clock.runUntil((DAY_S + QUIET_S) * 1000);
+  world.trace?.end(`day-${seed}`);
   return world;
 }
 
--- a/test/sim/controller.ts
+++ b/test/sim/controller.ts
@@ -154,6 +154,7 @@
   private carryOut(output: Output): void {
     const { world } = this;
     const { network } = world;
+    world.trace?.add(world.clock.now, this.name, this.build, output);
     switch (output.kind) {
       case 'answerUser':
       case 'answerWorker': {
--- a/test/sim/scenario.ts
+++ b/test/sim/scenario.ts
@@ -1,4 +1,5 @@
 import { readFileSync } from 'node:fs';
+import { basename } from 'node:path';
 import type { MachineType, Team, TeamName, TypeName, ZoneName } from '../../src/core/types.js';
 import { type Build, PRESENT } from './build.js';
 import { num, readOptions } from './job_options.js';
@@ -203,5 +204,6 @@
   world.startNodes();
   scheduleEvents(scenario, world);
   world.clock.runUntil(numberOf(scenario, 'until', 60) * 1000);
+  world.trace?.end(basename(scenario.file));
   return { world, failures: [...world.rules.broken, ...failedChecks(scenario, world)] };
 }
--- /dev/null
+++ b/test/sim/wire_trace.ts
@@ -0,0 +1,77 @@
+import { createHash, type Hash } from 'node:crypto';
+import { appendFileSync } from 'node:fs';
+import type { Output } from '../../src/core/messages.js';
+import { encode } from '../../src/io/codecs/cbor.js';
+import { encodeCloudCall } from '../../src/io/codecs/cloud_codec.js';
+import type { HttpCall } from '../../src/io/codecs/http_call.js';
+import { encodeStoreCall } from '../../src/io/codecs/store_codec.js';
+import { encodeUserAnswer } from '../../src/io/codecs/user_codec.js';
+import { COMMANDS_PATH, encodeCommands, encodeWorkerAnswer } from '../../src/io/codecs/worker_codec.js';
+import type { Build } from './build.js';
+
+const NO_BODY = Buffer.alloc(0);
+
+/** A message as it leaves a node: to whom, the line that goes before the body, and the body. */
+interface Sent {
+  readonly to: string;
+  readonly line: string;
+  readonly body: Uint8Array;
+}
+
+function sentCall(to: string, { method, path, body }: HttpCall): Sent {
+  return { to, line: `${method} ${path}`, body: body === undefined ? NO_BODY : encode(body) };
+}
+
+/** Null for what doesn't leave the process. */
+function sentOutput(build: Build, output: Output): Sent | null {
+  switch (output.kind) {
+    case 'answerUser': {
+      const retryAfterS = 'retryAfterS' in output.answer ? (output.answer.retryAfterS ?? 0) : 0;
+      const line = `${output.answer.status} ${retryAfterS}`;
+      return { to: 'user', line, body: encode(encodeUserAnswer(output.answer)) };
+    }
+    case 'answerWorker':
+      return { to: 'worker', line: `${output.answer.status}`, body: encode(encodeWorkerAnswer(output.answer)) };
+    case 'store':
+      return sentCall('state', encodeStoreCall(output.op));
+    case 'cloud':
+      return sentCall('cloud', encodeCloudCall(output.op));
+    case 'worker':
+      return sentCall(output.op.addr, { method: 'POST', path: COMMANDS_PATH, body: encodeCommands(output.op) });
+    case 'peer':
+      return { to: output.to, line: 'frame', body: build.encodeFrame(output.message) };
+    case 'log':
+      return null;
+  }
+}
+
+/**
+ * A digest of all that the nodes of a world send out, as bytes on the wire with sender, receiver and simulated time: two
+ * builds with the same digest behave alike, whatever their code calls things. On with `SIM_TRACE=FILE`, to which each world
+ * adds a line: name, digest, number of messages.
+ */
+export class WireTrace {
+  private readonly hash: Hash = createHash('sha256');
+  private count = 0;
+
+  private constructor(private readonly file: string) {}
+
+  /** Null where `SIM_TRACE` names no file. */
+  static fromEnvironment(): WireTrace | null {
+    const file = process.env.SIM_TRACE;
+    return file ? new WireTrace(file) : null;
+  }
+
+  add(atMs: number, from: string, build: Build, output: Output): void {
+    const sent = sentOutput(build, output);
+    if (sent === null) return;
+    this.count += 1;
+    this.hash.update(`${atMs} ${from} ${sent.to} ${sent.line} ${sent.body.length}\n`);
+    this.hash.update(sent.body);
+  }
+
+  /** Writes the line of this world; nothing may be added afterwards. */
+  end(name: string): void {
+    appendFileSync(this.file, `${name} ${this.hash.digest('hex')} ${this.count}\n`);
+  }
+}
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -22,6 +22,7 @@
 import { Rules } from './rules.js';
 import { StateService } from './state_service.js';
 import { Uptime } from './uptime.js';
+import { WireTrace } from './wire_trace.js';
 import { type Task, Worker } from './worker.js';
 
 /** What a deployment allows and asks, as its settings say it. */
@@ -120,6 +121,8 @@
   readonly bytes: boolean;
   readonly uptime = new Uptime(this);
   verbose = process.env.SIM_LOG === '1';
+  /** Null: nothing is traced. */
+  readonly trace = WireTrace.fromEnvironment();
   private readonly jobs = new Map<JobId, UserJob>();
   /** Of the jobs that end before then this share is called off just then. */
   cancelAtEnd = { share: 0, until: 0 };
