--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -61,7 +61,9 @@
     .action((files: Files) =>
       checked(() => {
         const { platform } = load(files);
-        process.stdout.write(`settings are good: node ${platform.settings.node}, ${platform.settings.nodes} nodes\n`);
+        process.stdout.write(
+          `settings are good: node ${platform.settings.controller}, ${platform.settings.controllerCount} nodes\n`,
+        );
       }),
     );
   return program;
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 import type { Settings } from '../core/settings.js';
-import type { NodeName, TeamName, ZoneName } from '../core/types.js';
+import type { ControllerName, TeamName, ZoneName } from '../core/types.js';
 import { address, checkSettings, count, name, notNegative, positive, readToml } from './load.js';
 
 const MS_PER_S = 1000;
@@ -71,7 +71,7 @@
   readonly settings: Settings;
   readonly listen: string;
   readonly peerListen: string;
-  readonly peers: readonly { readonly name: NodeName; readonly addr: string }[];
+  readonly peers: readonly { readonly name: ControllerName; readonly addr: string }[];
   readonly cloudAddr: string;
   readonly storeAddr: string;
 }
@@ -79,41 +79,49 @@
 type RawDeployment = v.InferOutput<typeof schema>['deployment'];
 
 /** Sizes fit both limits from the start: one that doesn't would be refused from one moment to the next. */
-function storeSettings({ rps, write_rps, value_kb, txn_ops, next }: RawDeployment['state']): Settings['store'] {
+function storeSettings({
+  rps: requestsPerSecond,
+  write_rps,
+  value_kb,
+  txn_ops,
+  next,
+}: RawDeployment['state']): Settings['stateStore'] {
   return {
-    rps,
-    writeRps: write_rps,
-    nextRps: Math.min(rps, next.rps ?? rps),
-    nextWriteRps: Math.min(write_rps, next.write_rps ?? write_rps),
-    valueBytes: Math.min(value_kb, next.value_kb ?? value_kb) * BYTES_PER_KB,
-    txnOps: Math.min(txn_ops, next.txn_ops ?? txn_ops),
+    requestsPerSecond,
+    writesPerSecond: write_rps,
+    announcedRequestsPerSecond: Math.min(requestsPerSecond, next.rps ?? requestsPerSecond),
+    announcedWritesPerSecond: Math.min(write_rps, next.write_rps ?? write_rps),
+    maxValueBytes: Math.min(value_kb, next.value_kb ?? value_kb) * BYTES_PER_KB,
+    maxChangesPerTransaction: Math.min(txn_ops, next.txn_ops ?? txn_ops),
   };
 }
 
 function workerSettings(workers: RawDeployment['workers']): Settings['workers'] {
   return {
-    reportMs: workers.report_s * MS_PER_S,
+    heartbeatIntervalMs: workers.report_s * MS_PER_S,
     leaseMs: workers.lease_s * MS_PER_S,
-    gangWaitMs: workers.gang_wait_s * MS_PER_S,
-    gangPeerMs: workers.gang_peer_s * MS_PER_S,
-    cancelMs: workers.cancel_s * MS_PER_S,
+    gangBarrierTimeoutMs: workers.gang_wait_s * MS_PER_S,
+    gangPeerTimeoutMs: workers.gang_peer_s * MS_PER_S,
+    cancellationTimeoutMs: workers.cancel_s * MS_PER_S,
   };
 }
 
-function teamSettings(teams: RawDeployment['teams']): Settings['teams'] {
-  return teams.map(({ name: teamName, cpus, gpus, cpus_max: cpusMax, gpus_max: gpusMax }) => ({
+function teamSettings(teams: RawDeployment['teams']): Settings['teamQuotas'] {
+  return teams.map(({ name: teamName, cpus, gpus, cpus_max, gpus_max }) => ({
     name: teamName as TeamName,
-    cpus,
-    gpus,
-    cpusMax,
-    gpusMax,
+    guaranteedCpus: cpus,
+    guaranteedGpus: gpus,
+    cpuLimit: cpus_max,
+    gpuLimit: gpus_max,
   }));
 }
 
 /** Only the objectives that bear on the order of jobs. */
 function objectiveSettings(objectives: RawDeployment['objectives']): Settings['objectives'] {
-  return objectives.flatMap(({ kind, class: jobClass, within_s: withinS, times }) =>
-    kind === 'wait' || kind === 'finished' || kind === 'deadline' ? [{ kind, jobClass, withinS, times }] : [],
+  return objectives.flatMap(({ kind, class: jobClass, within_s: withinSeconds, times: deadlineFactor }) =>
+    kind === 'wait' || kind === 'finished' || kind === 'deadline'
+      ? [{ kind, jobClass, withinSeconds, deadlineFactor }]
+      : [],
   );
 }
 
@@ -122,24 +130,24 @@
   const { deployment, siblings, endpoints, ...own } = checkSettings(file, readToml(file), schema);
   const { machine_limits, cloud } = deployment;
   const settings: Settings = {
-    node: own.host_name as NodeName,
+    controller: own.host_name as ControllerName,
     zone: own.area as ZoneName,
-    peers: siblings.map(({ host_name, area }) => ({ name: host_name as NodeName, zone: area as ZoneName })),
-    nodes: Math.max(deployment.initial_size, siblings.length + 1),
-    limits: { cpuShare: machine_limits.cpu_share, connections: machine_limits.max_connections },
+    peers: siblings.map(({ host_name, area }) => ({ name: host_name as ControllerName, zone: area as ZoneName })),
+    controllerCount: Math.max(deployment.initial_size, siblings.length + 1),
+    limits: { cpuShare: machine_limits.cpu_share, maxConnections: machine_limits.max_connections },
     zones: deployment.zones as ZoneName[],
-    skewMs: deployment.skew_ms,
-    teams: teamSettings(deployment.teams),
+    clockSkewMs: deployment.skew_ms,
+    teamQuotas: teamSettings(deployment.teams),
     objectives: objectiveSettings(deployment.objectives),
     workers: workerSettings(deployment.workers),
-    store: storeSettings(deployment.state),
-    cloud: { rps: cloud.rps, listLagMs: cloud.list_lag_s * MS_PER_S },
+    stateStore: storeSettings(deployment.state),
+    cloud: { requestsPerSecond: cloud.rps, listStalenessMs: cloud.list_lag_s * MS_PER_S },
   };
   return {
     settings,
     listen: own.listen,
     peerListen: own.peer_bind,
-    peers: siblings.map(({ host_name, address: addr }) => ({ name: host_name as NodeName, addr })),
+    peers: siblings.map(({ host_name, address: addr }) => ({ name: host_name as ControllerName, addr })),
     cloudAddr: endpoints.cloud,
     storeAddr: endpoints.state,
   };
--- a/src/core/calls/store_reads.ts
+++ b/src/core/calls/state_store_reads.ts
@@ -1,5 +1,5 @@
-import type { Context } from '../context.js';
-import type { StoredItem } from '../messages.js';
+import type { StoredEntry } from '../messages.js';
+import type { StepContext } from '../step_context.js';
 import type { Revision } from '../types.js';
 
 const PAGE_SIZE = 500;
@@ -7,17 +7,17 @@
 
 /** All values under a prefix, read page by page. */
 export interface PrefixRead {
-  readonly items: readonly StoredItem[];
+  readonly items: readonly StoredEntry[];
   /** Of the first page: changes made while later pages were read come again through a watch from here. */
   readonly revision: Revision | null;
 }
 
 /** Reads all values under a prefix; null where the state service gave no answer. */
-export function readPrefix(ctx: Context, prefix: string, done: (read: PrefixRead | null) => void): void {
-  const items: StoredItem[] = [];
+export function readPrefix(context: StepContext, prefix: string, done: (read: PrefixRead | null) => void): void {
+  const items: StoredEntry[] = [];
   let revision: Revision | null = null;
   const readPage = (after: string | null): void => {
-    ctx.store({ op: 'list', prefix, after, limit: PAGE_SIZE }, READ_PRIORITY, (result) => {
+    context.callStateStore({ op: 'list', prefix, after, limit: PAGE_SIZE }, READ_PRIORITY, (result) => {
       if (!result.ok) {
         done(null);
         return;
--- a/src/core/calls/token_bucket.ts
+++ b/src/core/calls/token_bucket.ts
@@ -1,65 +1,65 @@
-import type { Steady } from '../types.js';
+import type { MonotonicTime } from '../types.js';
 
 /** A token bucket on the steady clock that it is given. */
 export class TokenBucket {
-  private level: number;
-  private refilledAt: Steady;
+  private available: number;
+  private refilledAt: MonotonicTime;
 
   constructor(
-    private ratePerS: number,
+    private ratePerSecond: number,
     private burst: number,
-    now: Steady,
+    now: MonotonicTime,
   ) {
-    this.level = burst;
+    this.available = burst;
     this.refilledAt = now;
   }
 
   /** A node's part of a shared limit changes with what it does: what is in the bucket stays, up to the new burst. */
-  resize(ratePerS: number, burst: number, now: Steady): void {
+  resize(ratePerS: number, burst: number, now: MonotonicTime): void {
     this.refill(now);
-    this.ratePerS = ratePerS;
+    this.ratePerSecond = ratePerS;
     this.burst = burst;
-    this.level = Math.min(this.level, burst);
+    this.available = Math.min(this.available, burst);
   }
 
   /** The part of the burst that is there now, 0 to 1; negative while in debt. */
-  fullness(now: Steady): number {
+  fillRatio(now: MonotonicTime): number {
     this.refill(now);
-    return this.level / this.burst;
+    return this.available / this.burst;
   }
 
-  has(tokens: number, now: Steady): boolean {
+  hasTokens(tokens: number, now: MonotonicTime): boolean {
     if (tokens <= 0) return true;
     this.refill(now);
-    return this.level >= this.payable(tokens);
+    return this.available >= this.cappedCost(tokens);
   }
 
-  take(tokens: number, now: Steady): void {
+  take(tokens: number, now: MonotonicTime): void {
     this.refill(now);
-    this.level -= tokens;
+    this.available -= tokens;
   }
 
   /** How many tokens can be paid until then, one after the other. */
-  payableBy(deadline: Steady, now: Steady): number {
+  availableBy(deadline: MonotonicTime, now: MonotonicTime): number {
     this.refill(now);
-    return this.level + (Math.max(0, deadline - now) / 1000) * this.ratePerS;
+    return this.available + (Math.max(0, deadline - now) / 1000) * this.ratePerSecond;
   }
 
   /** Milliseconds until so many tokens are there. */
-  waitMs(tokens: number, now: Steady): number {
+  waitMs(tokens: number, now: MonotonicTime): number {
     this.refill(now);
-    return Math.max(0, ((this.payable(tokens) - this.level) / this.ratePerS) * 1000);
+    return Math.max(0, ((this.cappedCost(tokens) - this.available) / this.ratePerSecond) * 1000);
   }
 
   /** A charge above the burst could never be met: it waits for a full bucket and runs it into debt. */
-  private payable(tokens: number): number {
+  private cappedCost(tokens: number): number {
     return Math.min(tokens, this.burst);
   }
 
-  private refill(now: Steady): void {
+  private refill(now: MonotonicTime): void {
     if (now <= this.refilledAt) return;
     const elapsedS = (now - this.refilledAt) / 1000;
-    this.level = Math.min(this.burst, this.level + elapsedS * this.ratePerS);
+    this.available = Math.min(this.burst, this.available + elapsedS * this.ratePerSecond);
     this.refilledAt = now;
   }
 }
--- a/src/core/node.ts
+++ b/src/core/controller.ts
@@ -1,46 +1,46 @@
 import type { RecoverySummary } from '../recovery/index.js';
-import { Context, type TimerName } from './context.js';
 import { ALL_OFF, type Features } from './features.js';
 import { JobCache } from './jobs/job_cache.js';
 import { Election } from './leadership/election.js';
 import { Leader } from './leadership/leader.js';
 import { Catalog } from './machines/catalog.js';
 import type { Input, Output, PeerMessage, RequestId, UserRequest } from './messages.js';
-import { CancellationNotices } from './peers/cancellation_notices.js';
+import { CancellationBroadcasts } from './peers/cancellation_broadcasts.js';
+import { HeartbeatForwarding } from './peers/heartbeat_forwarding.js';
 import { MessageIds } from './peers/message_ids.js';
 import { PeerTable } from './peers/peer_table.js';
-import { ReportForwarding } from './peers/report_forwarding.js';
-import { RequestRelay } from './peers/request_relay.js';
+import { RequestForwarding } from './peers/request_forwarding.js';
 import { StatusExchange } from './peers/status_exchange.js';
 import { RequestHandler } from './requests/request_handler.js';
 import type { Settings, Tuning } from './settings.js';
-import type { NodeName, Now, Steady } from './types.js';
+import { StepContext, type TimerName } from './step_context.js';
+import type { ClockReading, ControllerName, MonotonicTime } from './types.js';
 import { ReportRouter } from './workers/report_router.js';
 
-const STATUS_MS = 1000;
-const FIRST_STATUS_MS = 100;
+const STATUS_INTERVAL_MS = 1000;
+const FIRST_STATUS_DELAY_MS = 100;
 /** The state service may fail for so long before load balancers hear of it. */
 const UNHEALTHY_AFTER_MS = 3000;
 
 /** Users wait 2 s for the answer to a poll, and 5 s for others: what isn't final is not said after that. */
-const POLL_ANSWER_MS = 1900;
-const ANSWER_MS = 4900;
+const STATUS_QUERY_TIMEOUT_MS = 1900;
+const REQUEST_TIMEOUT_MS = 4900;
 
 /**
  * One controller node as a state machine: inputs in, outputs out; no clock, no sockets, no chance of its own. It hands each
  * input and each timer that is due to the part that deals with it.
  */
-export class Node {
-  private readonly ctx: Context;
+export class Controller {
+  private readonly context: StepContext;
   private readonly election: Election;
   private readonly requestHandler: RequestHandler;
   private readonly jobCache: JobCache;
   private readonly catalog: Catalog;
   private readonly peers: PeerTable;
-  private readonly relay: RequestRelay;
-  private readonly forwarding: ReportForwarding;
-  private readonly notices: CancellationNotices;
-  private readonly router: ReportRouter;
+  private readonly requestForwarding: RequestForwarding;
+  private readonly heartbeatForwarding: HeartbeatForwarding;
+  private readonly cancellationBroadcasts: CancellationBroadcasts;
+  private readonly heartbeatRouter: ReportRouter;
   private readonly statusExchange: StatusExchange;
   /** While this node leads. */
   private leader: Leader | null = null;
@@ -53,55 +53,61 @@
     tuning: Tuning,
     incarnation: string,
     private readonly seed: number,
-    start: Now,
+    start: ClockReading,
     features: Features = ALL_OFF,
   ) {
-    const ctx = new Context(settings, tuning, start, features);
+    const context = new StepContext(settings, tuning, start, features);
     const ids = new MessageIds(seed);
-    this.ctx = ctx;
-    this.peers = new PeerTable(ctx);
-    this.relay = new RequestRelay(ctx, this.peers, ids);
-    this.forwarding = new ReportForwarding(ctx, this.peers, ids);
-    this.notices = new CancellationNotices(ctx, this.peers, ids);
-    this.jobCache = new JobCache(ctx, (job) => this.leader?.onJobRecord(job));
-    this.catalog = new Catalog(ctx, (types) => this.leader?.setTypes(types));
+    this.context = context;
+    this.peers = new PeerTable(context);
+    this.requestForwarding = new RequestForwarding(context, this.peers, ids);
+    this.heartbeatForwarding = new HeartbeatForwarding(context, this.peers, ids);
+    this.cancellationBroadcasts = new CancellationBroadcasts(context, this.peers, ids);
+    this.jobCache = new JobCache(context, (job) => this.leader?.onJobRecord(job));
+    this.catalog = new Catalog(context, (types) => this.leader?.setTypes(types));
     this.election = this.makeElection(incarnation);
-    this.router = new ReportRouter(ctx, this.election, this.peers, this.forwarding, () => this.leader);
-    this.statusExchange = new StatusExchange(ctx, this.election, this.peers, this.router);
+    this.heartbeatRouter = new ReportRouter(
+      context,
+      this.election,
+      this.peers,
+      this.heartbeatForwarding,
+      () => this.leader,
+    );
+    this.statusExchange = new StatusExchange(context, this.election, this.peers, this.heartbeatRouter);
     this.requestHandler = this.makeRequestHandler();
   }
 
   private makeElection(incarnation: string): Election {
-    return new Election(this.ctx, incarnation, {
+    return new Election(this.context, incarnation, {
       onElected: (leadership) => {
-        this.setLeading(true);
-        this.leader = new Leader(this.ctx, this.election, this.jobCache, leadership, this.catalog.types, this.seed);
-        this.statusExchange.send();
+        this.setIsLeader(true);
+        this.leader = new Leader(this.context, this.election, this.jobCache, leadership, this.catalog.types, this.seed);
+        this.statusExchange.sendStatus();
         this.catalog.refresh();
       },
       onLost: () => {
         this.lastRecovery = this.recoverySummary();
         this.leader?.stop();
         this.leader = null;
-        this.setLeading(false);
-        this.statusExchange.send();
+        this.setIsLeader(false);
+        this.statusExchange.sendStatus();
       },
     });
   }
 
-  private setLeading(leading: boolean): void {
-    this.ctx.setLeading(leading);
+  private setIsLeader(leading: boolean): void {
+    this.context.setIsLeader(leading);
     this.jobCache.setLeading(leading);
   }
 
   private makeRequestHandler(): RequestHandler {
-    return new RequestHandler(this.ctx, this.jobCache, {
+    return new RequestHandler(this.context, this.jobCache, {
       machineTypes: () => this.catalog.types,
       taskCounts: (id) => this.leader?.taskCounts(id) ?? null,
-      relay: (request, answer) => this.relay.relay(request, answer),
-      notifyCancelled: (id, done) => {
+      forward: (request, answer) => this.requestForwarding.forward(request, answer),
+      broadcastCancellation: (id, done) => {
         this.leader?.onCancellationNotice(id);
-        this.notices.notify(id, done);
+        this.cancellationBroadcasts.broadcast(id, done);
       },
     });
   }
@@ -110,22 +116,22 @@
    * Takes one input and returns what the outside has to carry out. Timers that are due have a step of their own: what an
    * input brings about doesn't wait for a planning round.
    */
-  step(now: Now, input: Input): Output[] {
-    this.ctx.beginStep(now);
+  step(now: ClockReading, input: Input): Output[] {
+    this.context.beginStep(now);
     this.onInput(input);
-    return this.ctx.endStep();
+    return this.context.endStep();
   }
 
   /** When the next step is due even if no input comes. */
-  nextTimer(): Steady | null {
-    return this.ctx.timers.next();
+  nextTimerAt(): MonotonicTime | null {
+    return this.context.timers.next();
   }
 
   /** What load balancers are told. A node without the state service still serves while a peer can stand in. */
-  healthy(now: Steady): boolean {
-    const since = this.ctx.storeFailingSince;
+  isHealthy(now: MonotonicTime): boolean {
+    const since = this.context.stateStoreFailingSince;
     if (since === null || now - since < UNHEALTHY_AFTER_MS) return true;
-    return this.peers.anyAlive(now);
+    return this.peers.isAnyAlive(now);
   }
 
   /** What this node found when it last took the lead; null: it never did, or the feature is off. */
@@ -137,7 +143,7 @@
     this.election.start();
     this.catalog.read();
     this.jobCache.read();
-    this.ctx.timers.set('peerStatus', this.ctx.after(FIRST_STATUS_MS));
+    this.context.timers.set('peerStatus', this.context.after(FIRST_STATUS_DELAY_MS));
   }
 
   private onInput(input: Input): void {
@@ -146,32 +152,32 @@
         this.start();
         return;
       case 'timer':
-        for (const timer of this.ctx.timers.takeDue(this.ctx.now.steady)) this.onTimer(timer);
+        for (const timer of this.context.timers.takeDue(this.context.now.monotonic)) this.onTimer(timer);
         return;
       case 'user':
-        this.onUserRequest(input.req, input.request);
+        this.onUserRequest(input.requestId, input.request);
         return;
       case 'report':
-        this.router.onReport(input.req, input.report);
+        this.heartbeatRouter.onReport(input.requestId, input.heartbeat);
         return;
       case 'storeReply':
-        this.ctx.onStoreReply(input.call, input.result);
+        this.context.onStateStoreReply(input.callId, input.result);
         return;
       case 'cloudReply':
-        this.ctx.onCloudReply(input.call, input.result);
+        this.context.onCloudReply(input.callId, input.result);
         return;
       case 'workerReply':
-        this.ctx.onWorkerReply(input.call, input.result);
+        this.context.onCommandPushReply(input.callId, input.result);
         return;
       case 'peer':
-        this.onPeerMessage(input.from, input.message);
+        this.onPeerMessage(input.sender, input.message);
         return;
     }
   }
 
   private onUserRequest(req: RequestId, request: UserRequest): void {
-    const deadline = this.ctx.after(request.op === 'poll' ? POLL_ANSWER_MS : ANSWER_MS);
-    this.requestHandler.handle(request, (answer) => this.ctx.answerUser(req, answer, deadline));
+    const deadline = this.context.after(request.op === 'poll' ? STATUS_QUERY_TIMEOUT_MS : REQUEST_TIMEOUT_MS);
+    this.requestHandler.handle(request, (answer) => this.context.respondToUser(req, answer, deadline));
   }
 
   private onTimer(timer: TimerName): void {
@@ -192,10 +198,10 @@
         this.jobCache.onTimer();
         return;
       case 'pollConfirmation':
-        this.requestHandler.confirmPolls();
+        this.requestHandler.sendLinearizableReads();
         return;
       case 'cancellationNotices':
-        this.notices.expire();
+        this.cancellationBroadcasts.expire();
         return;
       case 'loadState':
         this.leader?.loadState();
@@ -232,14 +238,14 @@
   }
 
   private onStatusTimer(): void {
-    this.ctx.timers.set('peerStatus', this.ctx.after(STATUS_MS));
-    this.statusExchange.send();
-    this.relay.expire();
-    this.forwarding.expire(this.election.holderName());
-    this.statusExchange.resignIfCutOff();
+    this.context.timers.set('peerStatus', this.context.after(STATUS_INTERVAL_MS));
+    this.statusExchange.sendStatus();
+    this.requestForwarding.expire();
+    this.heartbeatForwarding.expire(this.election.holderName());
+    this.statusExchange.resignIfIsolated();
   }
 
-  private onPeerMessage(from: NodeName, message: PeerMessage): void {
+  private onPeerMessage(from: ControllerName, message: PeerMessage): void {
     switch (message.kind) {
       case 'status':
         this.peers.onStatus(from, message.status);
@@ -247,30 +253,30 @@
       case 'request':
         this.requestHandler.handle(
           message.request,
-          (answer) => this.ctx.peer(from, { kind: 'requestAnswer', id: message.id, answer }),
+          (response) => this.context.sendToPeer(from, { kind: 'requestAnswer', id: message.id, response }),
           true,
         );
         return;
       case 'requestAnswer':
-        this.relay.onAnswer(message.id, message.answer);
+        this.requestForwarding.onResponse(message.id, message.response);
         return;
       case 'report': {
-        const { id, report } = message;
-        const { machine } = report;
-        this.router.onForwardedReport(report, (answer) =>
-          this.ctx.peer(from, { kind: 'reportAnswer', id, machine, answer }),
+        const { id, heartbeat } = message;
+        const { machine } = heartbeat;
+        this.heartbeatRouter.onForwardedReport(heartbeat, (response) =>
+          this.context.sendToPeer(from, { kind: 'reportAnswer', id, machine, response }),
         );
         return;
       }
       case 'reportAnswer':
-        this.forwarding.onAnswer(from, message.id, message.machine, message.answer);
+        this.heartbeatForwarding.onResponse(from, message.id, message.machine, message.response);
         return;
       case 'cancellation':
         this.leader?.onCancellationNotice(message.job);
-        this.ctx.peer(from, { kind: 'cancellationAck', id: message.id });
+        this.context.sendToPeer(from, { kind: 'cancellationAck', id: message.id });
         return;
       case 'cancellationAck':
-        this.notices.onAcknowledged(from, message.id);
+        this.cancellationBroadcasts.onAcknowledged(from, message.id);
         return;
     }
   }
--- a/src/core/jobs/estimates.ts
+++ b/src/core/jobs/estimates.ts
@@ -33,8 +33,8 @@
 
   /** Returns how much longer than expected it took, as a logarithm: 0 is as expected. */
   observe(spec: JobSpec, actualS: number): number {
-    if (!(actualS > 0) || !(spec.estimateS > 0)) return 0;
-    const ratio = Math.min(MAX_LOG_RATIO, Math.max(-MAX_LOG_RATIO, Math.log(actualS / spec.estimateS)));
+    if (!(actualS > 0) || !(spec.estimatedRuntimeSeconds > 0)) return 0;
+    const ratio = Math.min(MAX_LOG_RATIO, Math.max(-MAX_LOG_RATIO, Math.log(actualS / spec.estimatedRuntimeSeconds)));
     const history = this.historyOf(spec.jobClass);
     const surprise = ratio - meanOf(history);
     history.tasks += 1;
@@ -54,8 +54,8 @@
 
   /** Expected run time of one task, in seconds. A service's replicas run until they are called off. */
   expectS(spec: JobSpec): number {
-    if (spec.shape === 'service') return FOREVER_S;
-    return Math.max(MIN_RUN_S, spec.estimateS * Math.exp(meanOf(this.classes.get(spec.jobClass))));
+    if (spec.kind === 'service') return FOREVER_S;
+    return Math.max(MIN_RUN_S, spec.estimatedRuntimeSeconds * Math.exp(meanOf(this.classes.get(spec.jobClass))));
   }
 
   /** How uncertain that is: the spread of log(actual / expected). */
--- a/src/core/jobs/failure_history.ts
+++ b/src/core/jobs/failure_history.ts
@@ -1,4 +1,4 @@
-import type { MachineId, Steady } from '../types.js';
+import type { MachineId, MonotonicTime } from '../types.js';
 
 /** A job that failed on so many machines, and has not done well on any, is more likely at fault than they. */
 const FAULTY_AFTER_MACHINES = 2;
@@ -17,10 +17,10 @@
 
 /** A task's failure, as far as it bears on the job. */
 export interface TaskFailure {
-  readonly placedAt: Steady;
+  readonly placedAt: MonotonicTime;
   /** For how long it had run, as far as reports have told. */
   readonly ranMs: number;
-  readonly now: Steady;
+  readonly now: MonotonicTime;
   /** Other jobs have failed on the machine too: it says nothing of this one. */
   readonly machineInDoubt: boolean;
 }
@@ -31,12 +31,12 @@
  */
 export class FailureHistory {
   /** When it last failed on each machine. */
-  private readonly machines = new Map<MachineId, Steady>();
+  private readonly machines = new Map<MachineId, MonotonicTime>();
   /** Machines that failed it while no other job had failed there. */
   private readonly soundMachines = new Set<MachineId>();
   private succeeded = false;
   private failedTries = 0;
-  private lastFailureAt = Number.NEGATIVE_INFINITY as Steady;
+  private lastFailureAt = Number.NEGATIVE_INFINITY as MonotonicTime;
   private longestFailureMs = 0;
 
   noteFailure(machine: MachineId, { placedAt, ranMs, now, machineInDoubt }: TaskFailure): void {
@@ -86,18 +86,18 @@
   }
 
   /** Whether machines may be rented for the job. */
-  mayDriveRentals(now: Steady): boolean {
+  mayDriveRentals(now: MonotonicTime): boolean {
     return !this.isFaulty || now - this.lastFailureAt > RENT_AFTER_MS;
   }
 
   /** Whether the machine failed the job lately, and the job isn't at fault itself. */
-  avoids(machine: MachineId, now: Steady): boolean {
+  avoids(machine: MachineId, now: MonotonicTime): boolean {
     const failedAt = this.machines.get(machine);
     return failedAt !== undefined && !this.isFaulty && now - failedAt < AVOID_MS;
   }
 
   /** The machines that the job avoids. */
-  *avoided(now: Steady): Iterable<MachineId> {
+  *avoided(now: MonotonicTime): Iterable<MachineId> {
     for (const machine of this.machines.keys()) if (this.avoids(machine, now)) yield machine;
   }
 }
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -1,6 +1,16 @@
 import type { Machine } from '../machines/machine.js';
 import type { JobRecord, JobState } from '../records.js';
-import type { Attempt, JobId, JobSpec, MachineId, Revision, Seq, Steady, Wall, ZoneName } from '../types.js';
+import type {
+  Attempt,
+  JobId,
+  JobSpec,
+  MachineId,
+  MonotonicTime,
+  Revision,
+  SequenceNumber,
+  WallClockTime,
+  ZoneName,
+} from '../types.js';
 import { FailureHistory } from './failure_history.js';
 import { RangeSet } from './range_set.js';
 
@@ -22,18 +32,18 @@
   readonly attempt: Attempt;
   phase: PlacementPhase;
   /** The report in whose answer the start last went out; null: it went out directly, or not yet. */
-  sentInReplyTo: Seq | null;
-  readonly since: Steady;
-  runningSince: Steady | null;
+  sentInReplyTo: SequenceNumber | null;
+  readonly since: MonotonicTime;
+  runningSince: MonotonicTime | null;
   /** It was running when this leader first heard of it: nobody here knows for how long. */
   readonly foundRunning: boolean;
-  stop: { readonly graceS: number; readonly since: Steady } | null;
+  stop: { readonly graceS: number; readonly since: MonotonicTime } | null;
 }
 
 /** A job as the leader holds it: its record, and where its tasks are. */
 export class Job {
   readonly spec: JobSpec;
-  readonly submittedAt: Wall;
+  readonly submittedAt: WallClockTime;
   state: JobState;
   version: Revision;
   /** What the store is known to hold. */
@@ -58,9 +68,9 @@
   /** A gang's present attempt can't complete any more: all of it has to leave. */
   gangBroken = false;
   writeInFlight = false;
-  lastWriteAt = 0 as Steady;
+  lastWriteAt = 0 as MonotonicTime;
   /** After failures: not started before this time. */
-  notBefore = 0 as Steady;
+  notBefore = 0 as MonotonicTime;
   failures = 0;
   readonly failureHistory = new FailureHistory();
   /** Machines on which a task of it took far longer than expected. */
@@ -70,11 +80,11 @@
   preemptions = 0;
   /** Of a service: replicas that ended soon after their start, one after the other. */
   shortRuns = 0;
-  lastShortRunAt = 0 as Steady;
+  lastShortRunAt = 0 as MonotonicTime;
   /** Of a service: since when a replica has waited for a place. */
-  replicaPendingSince: Steady | null = null;
+  replicaPendingSince: MonotonicTime | null = null;
   /** Since when nothing of it has been on any machine, or it is known here. */
-  inactiveSince = 0 as Steady;
+  inactiveSince = 0 as MonotonicTime;
   /** Every task below this number is done or has a place. */
   private firstPossiblyPending = 0;
 
@@ -97,11 +107,11 @@
   }
 
   get isGang(): boolean {
-    return this.spec.shape === 'gang';
+    return this.spec.kind === 'gang';
   }
 
   get isService(): boolean {
-    return this.spec.shape === 'service';
+    return this.spec.kind === 'service';
   }
 
   /** Takes over what a newer record says. */
@@ -151,8 +161,8 @@
   /** How many tasks wait for a place; of a gang all or none. */
   get pendingCount(): number {
     if (this.state !== 'accepted') return 0;
-    if (this.isGang) return this.placements.size === 0 && this.done.count === 0 ? this.spec.tasks : 0;
-    return this.spec.tasks - this.done.count - this.placements.size;
+    if (this.isGang) return this.placements.size === 0 && this.done.count === 0 ? this.spec.taskCount : 0;
+    return this.spec.taskCount - this.done.count - this.placements.size;
   }
 
   /** How many tasks wait for a place and may be given one now. */
@@ -178,8 +188,8 @@
   /** Tasks of which nothing is known in this term: neither done nor found on any machine. */
   get unaccounted(): number {
     if (this.isGang && this.done.count > 0) return 0;
-    if (this.isGang) return this.spec.tasks - this.located.size;
-    return this.spec.tasks - this.done.count - this.placements.size - this.locatedPending;
+    if (this.isGang) return this.spec.taskCount - this.located.size;
+    return this.spec.taskCount - this.done.count - this.placements.size - this.locatedPending;
   }
 
   /** Whether the store lacks something that must be there before anything else can happen. */
@@ -211,10 +221,10 @@
   markDone(index: number): void {
     // A replica that ends has to run again, whatever it says of itself.
     if (this.isService) return;
-    if (this.isGang) for (let task = 0; task < this.spec.tasks; task++) this.done.add(task);
+    if (this.isGang) for (let task = 0; task < this.spec.taskCount; task++) this.done.add(task);
     else this.done.add(index);
     this.failureHistory.noteSuccess();
-    if (this.done.count >= this.spec.tasks && this.state === 'accepted') this.state = 'done';
+    if (this.done.count >= this.spec.taskCount && this.state === 'accepted') this.state = 'done';
   }
 
   /** A task has lost its place. */
@@ -225,7 +235,7 @@
   /** Up to `limit` task numbers that wait for a place, lowest first. */
   pendingTasks(limit: number): number[] {
     const found: number[] = [];
-    for (let index = this.firstPossiblyPending; index < this.spec.tasks && found.length < limit; index++) {
+    for (let index = this.firstPossiblyPending; index < this.spec.taskCount && found.length < limit; index++) {
       if (this.isStartable(index)) found.push(index);
       else if (found.length === 0 && !this.isPending(index)) this.noteNotPending(index);
     }
@@ -262,6 +272,6 @@
 
   /** The largest number of its tasks that one zone may hold. */
   get zoneLimit(): number {
-    return this.spec.spread ? Math.ceil(this.spec.tasks / 2) : this.spec.tasks;
+    return this.spec.zoneSpread ? Math.ceil(this.spec.taskCount / 2) : this.spec.taskCount;
   }
 }
--- a/src/core/jobs/job_cache.ts
+++ b/src/core/jobs/job_cache.ts
@@ -1,9 +1,9 @@
-import { type PrefixRead, readPrefix } from '../calls/store_reads.js';
-import type { Context } from '../context.js';
+import { type PrefixRead, readPrefix } from '../calls/state_store_reads.js';
 import { CLOCK_DRIFT, maxJobViewAgeMs } from '../leadership/lease_bounds.js';
-import type { Result, StoredItem, StoreEvent, StoreValue } from '../messages.js';
+import type { Result, StateStoreResponse, StoredEntry, WatchEvent } from '../messages.js';
 import { decodeJob, JOB_PREFIX, type JobRecord } from '../records.js';
-import { type JobId, type Revision, type Steady, steadyPlus } from '../types.js';
+import type { StepContext } from '../step_context.js';
+import { addMilliseconds, type JobId, type MonotonicTime, type Revision } from '../types.js';
 
 const FOLLOWER_WATCH_MS = 4000;
 /** The leader asks more often: what starts depends on how fresh its view of cancellations is. */
@@ -42,16 +42,16 @@
   private leading = false;
   private readonly leaderWatchMs: number;
   /** What the store held before this is known: when the last answered watch was sent, or when one without news ended. */
-  currentAsOf: Steady;
+  currentAsOf: MonotonicTime;
 
   /** `onRecord` is told of each record that is newer than what was known. */
   constructor(
-    private readonly ctx: Context,
+    private readonly context: StepContext,
     private readonly onRecord: (job: CachedJob) => void,
   ) {
     // Where `cancel_s` leaves little time, the view has to be the fresher (tight-cancel.txt).
-    this.leaderWatchMs = Math.min(LEADER_WATCH_MS, maxJobViewAgeMs(ctx.settings) / WATCHES_A_VIEW);
-    this.currentAsOf = ctx.now.steady;
+    this.leaderWatchMs = Math.min(LEADER_WATCH_MS, maxJobViewAgeMs(context.settings) / WATCHES_A_VIEW);
+    this.currentAsOf = context.now.monotonic;
   }
 
   get(id: JobId): CachedJob | undefined {
@@ -86,14 +86,14 @@
   private readAll(): void {
     this.reading = true;
     this.readAgain = false;
-    const sentAt = this.ctx.now.steady;
-    readPrefix(this.ctx, JOB_PREFIX, (read) => {
+    const sentAt = this.context.now.monotonic;
+    readPrefix(this.context, JOB_PREFIX, (read) => {
       if (read) this.onAllRead(read, sentAt);
       this.onReadDone(read !== null);
     });
   }
 
-  private onAllRead({ items, revision }: PrefixRead, sentAt: Steady): void {
+  private onAllRead({ items, revision }: PrefixRead, sentAt: MonotonicTime): void {
     for (const item of items) this.update(item);
     if (revision !== null && (this.watchFrom === null || revision > this.watchFrom)) this.watchFrom = revision;
     if (sentAt > this.currentAsOf) this.currentAsOf = sentAt;
@@ -113,32 +113,32 @@
 
   private scheduleNext(ms: number): void {
     if (this.watching && this.watchFrom !== null) return;
-    this.ctx.timers.set('jobCache', this.ctx.after(ms));
+    this.context.timers.set('jobCache', this.context.after(ms));
   }
 
   private watch(after: Revision): void {
     if (this.watching) return;
     this.watching = true;
     const waitMs = this.leading ? this.leaderWatchMs : FOLLOWER_WATCH_MS;
-    let sentAt = this.ctx.now.steady;
-    const onResult = (result: Result<StoreValue>): void => {
+    let sentAt = this.context.now.monotonic;
+    const onResult = (result: Result<StateStoreResponse>): void => {
       this.watching = false;
       if (result.ok) this.onNews(result.value, sentAt, waitMs);
       else this.onWatchFailed(result.why === 'gone');
     };
-    this.ctx.store({ op: 'watch', prefix: JOB_PREFIX, after, waitMs }, 1, onResult, {
+    this.context.callStateStore({ op: 'watch', prefix: JOB_PREFIX, after, waitMs }, 1, onResult, {
       timeoutMs: waitMs + WATCH_GRACE_MS,
-      maxQueueMs: WATCH_QUEUE_MS,
+      maxQueueTimeMs: WATCH_QUEUE_MS,
       onSend: (at) => {
         sentAt = at;
       },
     });
   }
 
-  private onNews({ events = [], revision }: StoreValue, sentAt: Steady, waitMs: number): void {
+  private onNews({ events = [], revision }: StateStoreResponse, sentAt: MonotonicTime, waitMs: number): void {
     // A watch without news has waited for its whole time first.
-    const knownAt = events.length > 0 ? sentAt : steadyPlus(sentAt, waitMs * (1 - CLOCK_DRIFT));
-    const currentAsOf = Math.min(knownAt, this.ctx.now.steady) as Steady;
+    const knownAt = events.length > 0 ? sentAt : addMilliseconds(sentAt, waitMs * (1 - CLOCK_DRIFT));
+    const currentAsOf = Math.min(knownAt, this.context.now.monotonic) as MonotonicTime;
     if (currentAsOf > this.currentAsOf) this.currentAsOf = currentAsOf;
     for (const event of events) this.applyEvent(event);
     if (revision !== undefined && this.watchFrom !== null && revision > this.watchFrom) this.watchFrom = revision;
@@ -154,19 +154,19 @@
     if (!this.reading) this.readAll();
   }
 
-  private applyEvent(event: StoreEvent): void {
+  private applyEvent(event: WatchEvent): void {
     if ('drop' in event) return;
     this.update({ key: event.put, value: event.value, version: event.version });
   }
 
   /** A record as the store holds or held it; one older than what is known is ignored. Null: it isn't understood. */
-  update(item: StoredItem): CachedJob | null {
+  update(item: StoredEntry): CachedJob | null {
     const id = item.key.slice(JOB_PREFIX.length) as JobId;
     const known = this.jobs.get(id);
     if (known && known.version >= item.version) return known;
     const record = decodeJob(item.value);
     if (!record) {
-      if (!this.unreadable.has(id)) this.ctx.log('error', 'job record not understood', { key: item.key });
+      if (!this.unreadable.has(id)) this.context.log('error', 'job record not understood', { key: item.key });
       this.unreadable.add(id);
       return null;
     }
--- a/src/core/leadership/cluster.ts
+++ b/src/core/leadership/cluster.ts
@@ -1,5 +1,4 @@
 import type { Certainty, ZonesKeptSince } from '../../recovery/index.js';
-import type { Context } from '../context.js';
 import { Estimates } from '../jobs/estimates.js';
 import { Job, type Placement, type PlacementPhase } from '../jobs/job.js';
 import { BootTimes } from '../machines/boot_times.js';
@@ -8,7 +7,8 @@
 import { SpotInterruptionRate } from '../machines/spot_interruptions.js';
 import type { JobRecord } from '../records.js';
 import { Quotas } from '../scheduler/quotas.js';
-import type { Attempt, ImageName, JobId, MachineId, Resources, Revision, Steady } from '../types.js';
+import type { StepContext } from '../step_context.js';
+import type { Attempt, ImageName, JobId, MachineId, MonotonicTime, Resources, Revision } from '../types.js';
 import { dropStrays } from '../workers/stray_tasks.js';
 import { EarlierTerms } from './earlier_terms.js';
 
@@ -46,17 +46,17 @@
   readonly largestImageUsers = new Map<ImageName, Resources>();
   readonly imageGb = new Map<ImageName, number>();
   types: MachineTypes = new Map();
-  lastServicePlacementAt = 0 as Steady;
+  lastServicePlacementAt = 0 as MonotonicTime;
   /** Jobs of whose cancellation a notice came before their records were known here. */
   private readonly cancelledBeforeKnown = new Set<JobId>();
   private attempts = 0n;
 
   constructor(
-    readonly ctx: Context,
+    readonly context: StepContext,
     readonly term: number,
     zonesKeptSince: ZonesKeptSince = null,
   ) {
-    this.quotas = new Quotas(ctx.settings.teams);
+    this.quotas = new Quotas(context.settings.teamQuotas);
     this.earlierTerms = new EarlierTerms(this, zonesKeptSince);
   }
 
@@ -84,7 +84,7 @@
 
   private addJob(job: Job): void {
     if (this.cancelledBeforeKnown.delete(job.id) && job.state === 'accepted') job.state = 'cancelled';
-    job.inactiveSince = this.ctx.now.steady;
+    job.inactiveSince = this.context.now.monotonic;
     this.jobs.set(job.id, job);
     this.noteImageUser(job);
     if (job.state !== 'accepted') return;
@@ -133,20 +133,20 @@
   }
 
   /** Replicas wait for a place, or room was made for one: looked at soon, not with the next round. */
-  scheduleServicePlacement(at: Steady = this.ctx.now.steady): void {
+  scheduleServicePlacement(at: MonotonicTime = this.context.now.monotonic): void {
     if (!this.hasPendingReplicas()) return;
     const earliest = Math.max(
       at,
       this.lastServicePlacementAt + SERVICE_SPACING_MS,
-      this.ctx.after(SERVICE_GATHER_MS),
-    ) as Steady;
-    this.ctx.timers.bringForward('servicePlacement', earliest);
+      this.context.after(SERVICE_GATHER_MS),
+    ) as MonotonicTime;
+    this.context.timers.bringForward('servicePlacement', earliest);
   }
 
   // ---- placements
 
   place(job: Job, index: number, machine: Machine, attempt: Attempt, phase: PlacementPhase): Placement {
-    const now = this.ctx.now.steady;
+    const now = this.context.now.monotonic;
     if (phase !== 'planned' && this.earlierTerms.recovery) job.located.add(index);
     const placement: Placement = {
       job,
@@ -184,8 +184,8 @@
     const { job, machine, index } = placement;
     if (job.placements.get(index) !== placement) return false;
     job.placements.delete(index);
-    if (job.placements.size === 0) job.inactiveSince = this.ctx.now.steady;
-    machine.removePlacement(placement, this.ctx.now.steady);
+    if (job.placements.size === 0) job.inactiveSince = this.context.now.monotonic;
+    machine.removePlacement(placement, this.context.now.monotonic);
     this.quotas.add(job.spec, -1);
     job.noteReleased(index);
     return true;
@@ -224,21 +224,21 @@
 
   stop(placement: Placement, graceS: number): void {
     if (placement.stop && placement.stop.graceS <= graceS) return;
-    placement.stop = { graceS, since: this.ctx.now.steady };
+    placement.stop = { graceS, since: this.context.now.monotonic };
     this.requestStops(placement.machine);
   }
 
   /** Stops of tasks on the machine go out directly. */
   requestStops(machine: Machine): void {
     this.machinesWithStops.add(machine);
-    this.ctx.timers.set('workerCommands', this.ctx.now.steady);
+    this.context.timers.set('workerCommands', this.context.now.monotonic);
   }
 
   /** Stops a task so that its work is saved where it can be; a gang is stopped as a whole. */
   stopSaving(placement: Placement): void {
     const { job } = placement;
-    const { checkpointS, saveS } = job.spec;
-    const graceS = checkpointS > 0 ? saveS * SAVE_TIME_FACTOR + SAVE_TIME_EXTRA_S : 0;
+    const { checkpointIntervalSeconds, checkpointDurationSeconds } = job.spec;
+    const graceS = checkpointIntervalSeconds > 0 ? checkpointDurationSeconds * SAVE_TIME_FACTOR + SAVE_TIME_EXTRA_S : 0;
     if (job.isGang) this.evictGang(job, graceS);
     else this.evict(placement, graceS);
   }
@@ -256,7 +256,7 @@
 
   /** Whether a machine on its way will not be up when it should be. */
   isOverdue(machine: Machine): boolean {
-    const now = this.ctx.now.steady;
+    const now = this.context.now.monotonic;
     const { phase, type, zone } = machine;
     return phase === 'booting' && this.bootTimes.isOverdue(type, zone, machine.ageS(now), now);
   }
--- a/src/core/leadership/earlier_terms.ts
+++ b/src/core/leadership/earlier_terms.ts
@@ -7,11 +7,11 @@
   summaryFields,
   type ZonesKeptSince,
 } from '../../recovery/index.js';
-import type { Context } from '../context.js';
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
-import { hasRoomForZones } from '../records.js';
+import { fitsWithStartZones } from '../records.js';
 import type { Quotas } from '../scheduler/quotas.js';
+import type { StepContext } from '../step_context.js';
 import type { JobId, ZoneName } from '../types.js';
 import type { Cluster } from './cluster.js';
 import { workerLeaseExpiryMs } from './lease_bounds.js';
@@ -23,7 +23,7 @@
 export class EarlierTerms {
   /** Null where the feature is off: then every job begun earlier waits until all machines have told their lists. */
   readonly recovery: Recovery | null;
-  private readonly ctx: Context;
+  private readonly context: StepContext;
   private readonly quotas: Quotas;
   /** Jobs begun in earlier terms of which tasks may be anywhere. */
   private readonly jobs = new Set<Job>();
@@ -34,17 +34,17 @@
     private readonly cluster: Cluster,
     private readonly zonesKeptSince: ZonesKeptSince,
   ) {
-    this.ctx = cluster.ctx;
+    this.context = cluster.context;
     this.quotas = cluster.quotas;
-    const init = { term: cluster.term, now: this.ctx.now.steady };
-    this.recovery = this.ctx.features.recovery.enabled ? new Recovery(init) : null;
+    const init = { term: cluster.term, now: this.context.now.monotonic };
+    this.recovery = this.context.features.recovery.enabled ? new Recovery(init) : null;
   }
 
   /** Whether the zones in which the job is started go on record: asked as it is started for the first time. */
   keepsZonesOf(job: Job): boolean {
     if (this.zonesKeptSince === null) return false;
-    const { zones, store } = this.ctx.settings;
-    return hasRoomForZones(job, zones, store.valueBytes);
+    const { zones, stateStore } = this.context.settings;
+    return fitsWithStartZones(job, zones, stateStore.maxValueBytes);
   }
 
   // ---- what was stored
@@ -64,7 +64,7 @@
   }
 
   onUnreadablePage(): void {
-    this.recovery?.onUnreadablePage(this.ctx.after(workerLeaseExpiryMs(this.ctx.settings)));
+    this.recovery?.onUnreadablePage(this.context.after(workerLeaseExpiryMs(this.context.settings)));
   }
 
   onLoaded(unreadableJobs: number): void {
@@ -94,9 +94,9 @@
     const before = this.unreconciled;
     this.unreconciled = recovery.uncertainMachines;
     if (before === 0 && this.unreconciled === 0 && recovery.isFinished) return;
-    const { steady } = this.ctx.now;
-    this.quotas.unreconciled = recovery.uncertainCapacity(steady) ?? UNKNOWN_CAPACITY;
-    this.quotas.exposure = this.quotas.isAnyLimited ? recovery.teamExposure(this.factsOfJobs(), steady) : null;
+    const { monotonic } = this.context.now;
+    this.quotas.unreconciled = recovery.uncertainCapacity(monotonic) ?? UNKNOWN_CAPACITY;
+    this.quotas.exposure = this.quotas.isAnyLimited ? recovery.teamExposure(this.factsOfJobs(), monotonic) : null;
   }
 
   private *factsOfJobs(): Iterable<EarlierJob> {
@@ -130,14 +130,14 @@
   mayRunUnseen(job: Job): boolean {
     if (!this.isEarlier(job)) return false;
     if (!this.recovery) return this.unreconciled > 0;
-    return !this.recovery.isFinished && this.recovery.mayRunUnseen(factsOf(job), this.ctx.now.steady);
+    return !this.recovery.isFinished && this.recovery.mayRunUnseen(factsOf(job), this.context.now.monotonic);
   }
 
   /** Says once that everything is certain, and what was found. */
   finishIfCertain(): void {
     const { recovery } = this;
-    if (!recovery?.finish(this.ctx.now.steady, () => this.countMissing())) return;
-    this.ctx.log('info', 'recovery finished', summaryFields(recovery.summary()));
+    if (!recovery?.finish(this.context.now.monotonic, () => this.countMissing())) return;
+    this.context.log('info', 'recovery finished', summaryFields(recovery.summary()));
     this.update();
   }
 
@@ -150,7 +150,7 @@
 
   /** A start goes out. */
   onStart(): void {
-    this.recovery?.onStart(this.ctx.now.steady);
+    this.recovery?.onStart(this.context.now.monotonic);
   }
 
   summary(): RecoverySummary | null {
@@ -161,7 +161,7 @@
 
   /** A worker has a task of a job that isn't known: whether there is a record is asked for, once. */
   suspectOrphan(job: JobId, machine: Machine): void {
-    if (this.recovery?.onUnknownJob(job, machine.id, this.ctx.now.steady)) this.recordsToRead.push(job);
+    if (this.recovery?.onUnknownJob(job, machine.id, this.context.now.monotonic)) this.recordsToRead.push(job);
   }
 
   takeRecordsToRead(): JobId[] {
@@ -173,12 +173,23 @@
   /** `exists`: whether the store holds a record of the job; null: it didn't say. */
   onRecordRead(job: JobId, exists: boolean | null): void {
     if (!this.recovery?.onRecordRead(job, exists)) return;
-    this.ctx.log('error', 'worker runs a task of a job that is not on record: stopping it', { job });
+    this.context.log('error', 'worker runs a task of a job that is not on record: stopping it', { job });
   }
 }
 
 function factsOf(job: Job): EarlierJob {
-  const { id, team, types, zone, spotOk, cpus, gpus } = job.spec;
+  const { id, team, allowedMachineTypes, zone, toleratesSpot, cpus, gpus } = job.spec;
   const { startTerm, startZones, unaccounted } = job;
-  return { id, team, types, zone, spotOk, cpus, gpus, startTerm, startZones, unaccounted };
+  return {
+    id,
+    team,
+    types: allowedMachineTypes,
+    zone,
+    spotOk: toleratesSpot,
+    cpus,
+    gpus,
+    startTerm,
+    startZones,
+    unaccounted,
+  };
 }
--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -1,16 +1,16 @@
 import { encodeTerm, nextTermValue, type TermValue, type ZonesKeptSince } from '../../recovery/index.js';
-import type { Context } from '../context.js';
-import type { Change, Condition, Result, StoredItem, StoreValue } from '../messages.js';
+import type { Result, StateChange, StateStoreResponse, StoredEntry, VersionCondition } from '../messages.js';
 import { decodeLeader, encodeLeader, LEADER_KEY, type LeaderRecord, TERM_KEY } from '../records.js';
+import type { StepContext } from '../step_context.js';
 import {
-  ABSENT,
+  ABSENT_VERSION,
+  addMilliseconds,
+  type ControllerName,
+  type FencingToken,
   type LeaseId,
-  type NodeName,
+  type MonotonicTime,
   type Revision,
   revision,
-  type Steady,
-  steadyPlus,
-  type Token,
 } from '../types.js';
 import { CLOCK_DRIFT, leaderLeaseMs } from './lease_bounds.js';
 
@@ -34,7 +34,7 @@
 
 /** The lead as this node holds it. */
 export interface Leadership {
-  readonly token: Token;
+  readonly token: FencingToken;
   readonly term: number;
   readonly lease: LeaseId;
   /** Since which term every leader has kept the zones in which jobs were started; null: this one doesn't. */
@@ -50,7 +50,7 @@
 interface Candidacy {
   readonly term: TermValue;
   readonly lease: LeaseId;
-  readonly grantSentAt: Steady;
+  readonly grantSentAt: MonotonicTime;
 }
 
 /**
@@ -60,38 +60,38 @@
 export class Election {
   current: Leadership | null = null;
   /** When this node last took the lead, or began. */
-  electedAt: Steady;
+  electedAt: MonotonicTime;
   /** Who holds the key, as last seen. */
   private holder: LeaderRecord | null = null;
-  private holderReadAt = Number.NEGATIVE_INFINITY as Steady;
+  private holderReadAt = Number.NEGATIVE_INFINITY as MonotonicTime;
   private readonly ttlMs: number;
-  private seenRevision: Revision = ABSENT;
+  private seenRevision: Revision = ABSENT_VERSION;
   /** Whether a call is under way that leads to the next. */
   private busy = false;
   private renewing = false;
-  private notBefore = 0 as Steady;
+  private notBefore = 0 as MonotonicTime;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: StepContext,
     private readonly incarnation: string,
     private readonly callbacks: ElectionCallbacks,
   ) {
-    this.ttlMs = leaderLeaseMs(ctx.settings, ctx.tuning);
-    this.electedAt = ctx.now.steady;
+    this.ttlMs = leaderLeaseMs(context.settings, context.tuning);
+    this.electedAt = context.now.monotonic;
   }
 
   /** True while no other node can hold the lead. */
   isValid(): boolean {
-    return this.current !== null && this.ctx.now.steady < this.ctx.leadershipValidUntil;
+    return this.current !== null && this.context.now.monotonic < this.context.leadershipValidUntil;
   }
 
   /** Whether what is known of the holder is fresh: the store answered the last time it was asked, not long ago. */
   knowsHolder(): boolean {
-    return this.holder !== null && this.ctx.now.steady - this.holderReadAt < HOLDER_FRESH_MS;
+    return this.holder !== null && this.context.now.monotonic - this.holderReadAt < HOLDER_FRESH_MS;
   }
 
-  holderName(): NodeName | null {
-    return this.holder ? (this.holder.node as NodeName) : null;
+  holderName(): ControllerName | null {
+    return this.holder ? (this.holder.node as ControllerName) : null;
   }
 
   start(): void {
@@ -106,27 +106,27 @@
   resign(why: string): void {
     const held = this.current;
     if (!held) return;
-    this.ctx.log('info', 'resigning the lead', { why, token: held.token });
+    this.context.log('info', 'resigning the lead', { why, token: held.token });
     this.loseLeadership();
-    this.notBefore = this.ctx.after(this.ctx.tuning.leadership.backoff_ms);
+    this.notBefore = this.context.after(this.context.tuning.leadership.backoff_ms);
     this.revoke(held.lease);
     this.retry(RETRY_AFTER_RESIGNING_MS);
   }
 
   private loseLeadership(): void {
     this.current = null;
-    this.ctx.leadershipValidUntil = 0 as Steady;
-    this.ctx.timers.clear('renew');
+    this.context.leadershipValidUntil = 0 as MonotonicTime;
+    this.context.timers.clear('renew');
     this.callbacks.onLost();
   }
 
   private retry(ms: number): void {
     this.busy = false;
-    this.ctx.timers.set('election', this.ctx.after(ms));
+    this.context.timers.set('election', this.context.after(ms));
   }
 
   private revoke(lease: LeaseId, done: () => void = () => {}): void {
-    this.ctx.store({ op: 'revoke', lease }, PRIORITY, done);
+    this.context.callStateStore({ op: 'revoke', lease }, PRIORITY, done);
   }
 
   private noteRevision(seen: Revision | undefined): void {
@@ -135,15 +135,15 @@
 
   private readLeaderKey(): void {
     this.busy = true;
-    this.ctx.store({ op: 'get', key: LEADER_KEY }, PRIORITY, (result) => {
+    this.context.callStateStore({ op: 'get', key: LEADER_KEY }, PRIORITY, (result) => {
       if (!result.ok) return this.retry(RETRY_MS);
-      this.holderReadAt = this.ctx.now.steady;
+      this.holderReadAt = this.context.now.monotonic;
       this.noteRevision(result.value.revision);
       this.onLeaderKey(result.value.item ?? null);
     });
   }
 
-  private onLeaderKey(item: StoredItem | null): void {
+  private onLeaderKey(item: StoredEntry | null): void {
     if (item === null) {
       this.holder = null;
       this.prepareCandidacy();
@@ -151,24 +151,24 @@
     }
     this.noteRevision(item.version);
     this.holder = decodeLeader(item.value);
-    if (!this.holder) this.ctx.log('error', 'leader key not understood: left as it is', { key: LEADER_KEY });
+    if (!this.holder) this.context.log('error', 'leader key not understood: left as it is', { key: LEADER_KEY });
     const own = this.holder && this.leaseOfEarlierProcess(this.holder);
     if (!own) {
       this.watchLeaderKey();
       return;
     }
-    this.ctx.log('info', 'ending the lease of an earlier process of this node', {});
+    this.context.log('info', 'ending the lease of an earlier process of this node', {});
     this.revoke(own, () => this.retry(RETRY_AT_ONCE_MS));
   }
 
   /** An earlier process of this node can't run beside this one, so the lease that it left can end now. */
   private leaseOfEarlierProcess(holder: LeaderRecord): LeaseId | null {
-    if (holder.node !== this.ctx.settings.node || holder.incarnation === this.incarnation) return null;
+    if (holder.node !== this.context.settings.controller || holder.incarnation === this.incarnation) return null;
     return LEASE_ID.test(holder.lease) ? (BigInt(holder.lease) as LeaseId) : null;
   }
 
   private watchLeaderKey(): void {
-    const onResult = (result: Result<StoreValue>): void => {
+    const onResult = (result: Result<StateStoreResponse>): void => {
       if (!result.ok) {
         this.retry(result.why === 'gone' ? RETRY_AT_ONCE_MS : RETRY_MS);
         return;
@@ -176,7 +176,7 @@
       if (result.value.revision !== undefined) this.seenRevision = result.value.revision;
       this.retry(result.value.events?.length ? RETRY_AFTER_NEWS_MS : RETRY_SOON_MS);
     };
-    this.ctx.store(
+    this.context.callStateStore(
       { op: 'watch', prefix: LEADER_KEY, after: this.seenRevision, waitMs: WATCH_MS },
       PRIORITY,
       onResult,
@@ -186,22 +186,22 @@
 
   /** The key is free: reads the counter of terms, then stands for the lead. */
   private prepareCandidacy(): void {
-    const waitMs = this.notBefore - this.ctx.now.steady;
+    const waitMs = this.notBefore - this.context.now.monotonic;
     if (waitMs > 0) {
       this.retry(waitMs);
       return;
     }
-    this.ctx.store({ op: 'get', key: TERM_KEY }, PRIORITY, (result) => {
+    this.context.callStateStore({ op: 'get', key: TERM_KEY }, PRIORITY, (result) => {
       if (!result.ok) return this.retry(RETRY_MS);
       const item = result.value.item ?? null;
-      const { enabled, record_zones } = this.ctx.features.recovery;
-      this.campaign(nextTermValue(item?.value, enabled && record_zones), item ? item.version : ABSENT);
+      const { enabled, record_zones } = this.context.features.recovery;
+      this.campaign(nextTermValue(item?.value, enabled && record_zones), item ? item.version : ABSENT_VERSION);
     });
   }
 
   private campaign(term: TermValue, termVersion: Revision): void {
-    let grantSentAt = this.ctx.now.steady;
-    const onResult = (result: Result<StoreValue>): void => {
+    let grantSentAt = this.context.now.monotonic;
+    const onResult = (result: Result<StateStoreResponse>): void => {
       const lease = result.ok ? result.value.lease : undefined;
       if (lease === undefined) {
         this.retry(RETRY_MS);
@@ -209,7 +209,7 @@
       }
       this.takeLeaderKey({ term, lease, grantSentAt }, termVersion);
     };
-    this.ctx.store({ op: 'grant', ttlMs: this.ttlMs }, PRIORITY, onResult, {
+    this.context.callStateStore({ op: 'grant', ttlMs: this.ttlMs }, PRIORITY, onResult, {
       onSend: (at) => {
         grantSentAt = at;
       },
@@ -218,15 +218,15 @@
 
   private takeLeaderKey(candidacy: Candidacy, termVersion: Revision): void {
     const { term, lease } = candidacy;
-    const conditions: Condition[] = [
-      { key: LEADER_KEY, version: ABSENT },
+    const conditions: VersionCondition[] = [
+      { key: LEADER_KEY, version: ABSENT_VERSION },
       { key: TERM_KEY, version: termVersion },
     ];
-    const changes: Change[] = [
+    const changes: StateChange[] = [
       { put: LEADER_KEY, value: encodeLeader(this.leaderRecord(candidacy)), lease },
       { put: TERM_KEY, value: encodeTerm(term) },
     ];
-    this.ctx.store({ op: 'txn', conditions, changes }, PRIORITY, (result) => {
+    this.context.callStateStore({ op: 'txn', conditions, changes }, PRIORITY, (result) => {
       if (result.ok && result.value.revision !== undefined) return this.becomeLeader(candidacy, result.value.revision);
       if (!result.ok && result.why === 'unknown') return this.readBack(candidacy);
       this.revoke(lease);
@@ -235,12 +235,17 @@
   }
 
   private leaderRecord({ term, lease }: Candidacy): LeaderRecord {
-    return { node: this.ctx.settings.node, incarnation: this.incarnation, lease: String(lease), term: term.n };
+    return {
+      node: this.context.settings.controller,
+      incarnation: this.incarnation,
+      lease: String(lease),
+      term: term.n,
+    };
   }
 
   /** The transaction may have been carried out: the key itself tells. */
   private readBack(candidacy: Candidacy): void {
-    this.ctx.store({ op: 'get', key: LEADER_KEY }, PRIORITY, (result) => {
+    this.context.callStateStore({ op: 'get', key: LEADER_KEY }, PRIORITY, (result) => {
       const item = result.ok ? (result.value.item ?? null) : null;
       const holder = item ? decodeLeader(item.value) : null;
       const isOurs = holder?.lease === String(candidacy.lease) && holder.incarnation === this.incarnation;
@@ -255,34 +260,39 @@
     this.busy = false;
     this.renewing = false;
     this.seenRevision = takenAt;
-    this.electedAt = this.ctx.now.steady;
-    this.current = { token: takenAt as bigint as Token, term: term.n, lease, zonesKeptSince: term.zones ?? null };
+    this.electedAt = this.context.now.monotonic;
+    this.current = {
+      token: takenAt as bigint as FencingToken,
+      term: term.n,
+      lease,
+      zonesKeptSince: term.zones ?? null,
+    };
     this.holder = this.leaderRecord(candidacy);
     this.extendValidity(candidacy.grantSentAt);
-    this.ctx.log('info', 'took the lead', { token: takenAt, term: term.n });
+    this.context.log('info', 'took the lead', { token: takenAt, term: term.n });
     this.scheduleRenewal(this.ttlMs / RENEWALS_A_LEASE);
     this.callbacks.onElected(this.current);
   }
 
-  private extendValidity(sentAt: Steady): void {
-    const until = steadyPlus(sentAt, this.ttlMs * (1 - CLOCK_DRIFT) - this.ctx.tuning.leadership.margin_ms);
-    if (until > this.ctx.leadershipValidUntil) this.ctx.leadershipValidUntil = until;
+  private extendValidity(sentAt: MonotonicTime): void {
+    const until = addMilliseconds(sentAt, this.ttlMs * (1 - CLOCK_DRIFT) - this.context.tuning.leadership.margin_ms);
+    if (until > this.context.leadershipValidUntil) this.context.leadershipValidUntil = until;
   }
 
   private scheduleRenewal(ms: number): void {
-    this.ctx.timers.set('renew', this.ctx.after(ms));
+    this.context.timers.set('renew', this.context.after(ms));
   }
 
   renew(): void {
     const held = this.current;
     if (!held || this.renewing) return;
     this.renewing = true;
-    let sentAt = this.ctx.now.steady;
-    const onResult = (result: Result<StoreValue>): void => {
+    let sentAt = this.context.now.monotonic;
+    const onResult = (result: Result<StateStoreResponse>): void => {
       this.renewing = false;
       if (this.current === held) this.onRenewal(held, result, sentAt);
     };
-    this.ctx.store({ op: 'renew', lease: held.lease }, PRIORITY, onResult, {
+    this.context.callStateStore({ op: 'renew', lease: held.lease }, PRIORITY, onResult, {
       timeoutMs: Math.min(MAX_RENEWAL_TIMEOUT_MS, this.ttlMs * RENEWAL_TIMEOUT_SHARE),
       onSend: (at) => {
         sentAt = at;
@@ -290,11 +300,11 @@
     });
   }
 
-  private onRenewal(held: Leadership, result: Result<StoreValue>, sentAt: Steady): void {
+  private onRenewal(held: Leadership, result: Result<StateStoreResponse>, sentAt: MonotonicTime): void {
     if (result.ok) {
       const hadLapsed = !this.isValid();
       this.extendValidity(sentAt);
-      if (hadLapsed) this.ctx.log('info', 'the lease outlived the gap: leading on', { token: held.token });
+      if (hadLapsed) this.context.log('info', 'the lease outlived the gap: leading on', { token: held.token });
       this.scheduleRenewal(this.ttlMs / RENEWALS_A_LEASE);
       return;
     }
@@ -302,14 +312,14 @@
       this.scheduleRenewal(RENEWAL_RETRY_MS);
       return;
     }
-    this.ctx.log('info', 'the lease ended: no longer leading', { token: held.token });
+    this.context.log('info', 'the lease ended: no longer leading', { token: held.token });
     this.loseLeadership();
     this.retry(RETRY_AT_ONCE_MS);
   }
 }
 
 /** The condition that makes a transaction of a leader change nothing once it has been deposed. */
-export const leaderCondition = (leadership: Leadership): Condition => ({
+export const leaderCondition = (leadership: Leadership): VersionCondition => ({
   key: LEADER_KEY,
   version: revision(leadership.token),
 });
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -1,18 +1,18 @@
 import type { RecoverySummary } from '../../recovery/index.js';
-import type { Context, TimerName } from '../context.js';
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
 import { Autoscaler } from '../machines/autoscaler.js';
 import type { MachineTypes } from '../machines/catalog.js';
 import { HealthChecks } from '../machines/health_checks.js';
 import type { Machine } from '../machines/machine.js';
 import { Registry } from '../machines/registry.js';
-import type { StoredItem } from '../messages.js';
+import type { StoredEntry } from '../messages.js';
 import type { TaskCounts } from '../requests/job_reader.js';
 import { migrateToCachedImages } from '../scheduler/migration.js';
 import { preempt } from '../scheduler/preemption.js';
 import { scheduleRound } from '../scheduler/round.js';
 import { placeServices } from '../scheduler/services.js';
-import type { JobId, Steady, WorkerReport } from '../types.js';
+import type { StepContext, TimerName } from '../step_context.js';
+import type { Heartbeat, JobId, MonotonicTime } from '../types.js';
 import { CommandSender } from '../workers/command_sender.js';
 import { Reconciliation } from '../workers/reconciliation.js';
 import { ReportHandler } from '../workers/report_handler.js';
@@ -81,26 +81,26 @@
   private readonly loader: StateLoader;
   private readonly restorer: StateRestorer;
   private readonly recordLookup: RecordLookup;
-  private readonly leadingSince: Steady;
+  private readonly leadingSince: MonotonicTime;
   private loaded = false;
   private stopped = false;
-  private lastRoundAt = 0 as Steady;
+  private lastRoundAt = 0 as MonotonicTime;
   private rounds = 0;
   private lastRoundSteps = 0;
-  private unreachableSince: Steady | null = null;
+  private unreachableSince: MonotonicTime | null = null;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: StepContext,
     private readonly election: Election,
     private readonly jobCache: JobCache,
     leadership: Leadership,
     types: MachineTypes,
     private readonly seed: number,
   ) {
-    this.leadingSince = ctx.now.steady;
-    this.cluster = new Cluster(ctx, leadership.term, leadership.zonesKeptSince);
+    this.leadingSince = context.now.monotonic;
+    this.cluster = new Cluster(context, leadership.term, leadership.zonesKeptSince);
     this.cluster.types = types;
-    this.registry = new Registry(ctx.settings.store.valueBytes);
+    this.registry = new Registry(context.settings.stateStore.maxValueBytes);
     this.recordWriter = new RecordWriter(this.cluster, leadership, this.registry, {
       mayWrite: () => this.isLeaseValid() && this.loaded,
       onRecordRead: (item) => void this.jobCache.update(item),
@@ -118,10 +118,10 @@
     this.restorer = new StateRestorer(this.cluster, this.registry, jobCache, (machine) =>
       this.reportHandler.renewedWhileLoading.lastOf(machine, this.leadingSince),
     );
-    this.recordLookup = new RecordLookup(ctx, jobCache, this.cluster.earlierTerms);
-    this.loader = new StateLoader(ctx, jobCache, (pages) => this.takeOver(pages));
+    this.recordLookup = new RecordLookup(context, jobCache, this.cluster.earlierTerms);
+    this.loader = new StateLoader(context, jobCache, (pages) => this.takeOver(pages));
     this.loadState();
-    ctx.timers.set('healthChecks', ctx.after(HEALTH_CHECK_MS));
+    context.timers.set('healthChecks', context.after(HEALTH_CHECK_MS));
   }
 
   get machineCount(): number {
@@ -141,7 +141,7 @@
     this.reconciliation.stop();
     this.commandSender.stop();
     this.reportHandler.stop();
-    for (const timer of OWN_TIMERS) this.ctx.timers.clear(timer);
+    for (const timer of OWN_TIMERS) this.context.timers.clear(timer);
   }
 
   // ---- what the parts ask
@@ -156,11 +156,11 @@
    */
   hasRecentJobView(): boolean {
     const knownAt = this.loaded ? this.jobCache.currentAsOf : this.leadingSince;
-    return this.ctx.now.steady - knownAt < maxJobViewAgeMs(this.ctx.settings);
+    return this.context.now.monotonic - knownAt < maxJobViewAgeMs(this.context.settings);
   }
 
   mayStartTasks(): boolean {
-    return this.ctx.now.steady - this.jobCache.currentAsOf < START_VIEW_MS;
+    return this.context.now.monotonic - this.jobCache.currentAsOf < START_VIEW_MS;
   }
 
   isLoaded(): boolean {
@@ -177,11 +177,11 @@
 
   scheduleRoundSoon(): void {
     this.cluster.scheduleServicePlacement();
-    const { spacing_ms, spacing_per_machine_ms, spacing_per_step_ms } = this.ctx.tuning.scheduler;
+    const { spacing_ms, spacing_per_machine_ms, spacing_per_step_ms } = this.context.tuning.scheduler;
     const costMs = spacing_per_machine_ms * this.machineCount + spacing_per_step_ms * this.lastRoundSteps;
     const earliest = this.lastRoundAt + spacing_ms + costMs;
-    const at = Math.max(earliest, this.ctx.after(ROUND_GATHER_MS)) as Steady;
-    this.ctx.timers.bringForward('round', at);
+    const at = Math.max(earliest, this.context.after(ROUND_GATHER_MS)) as MonotonicTime;
+    this.context.timers.bringForward('round', at);
   }
 
   // ---- rebuilding from the store
@@ -191,14 +191,14 @@
     if (!this.loaded && this.cluster.types.size > 0) this.loader.load();
   }
 
-  private takeOver(pages: readonly StoredItem[]): void {
+  private takeOver(pages: readonly StoredEntry[]): void {
     this.restorer.restore(pages);
     this.loaded = true;
     this.autoscaler.listMachines();
     if (this.cluster.earlierTerms.recovery === null) this.reconciliation.reconcileAll();
-    else this.ctx.timers.set('reconciliation', this.ctx.after(this.ctx.features.recovery.ask_after_ms));
-    this.ctx.timers.set('round', this.ctx.after(FIRST_ROUND_MS));
-    this.ctx.timers.set('healthChecks', this.ctx.after(FIRST_HEALTH_CHECK_MS));
+    else this.context.timers.set('reconciliation', this.context.after(this.context.features.recovery.ask_after_ms));
+    this.context.timers.set('round', this.context.after(FIRST_ROUND_MS));
+    this.context.timers.set('healthChecks', this.context.after(FIRST_HEALTH_CHECK_MS));
   }
 
   /** The cache has a newer record of a job: a submission, a cancellation, or what this leader wrote itself. */
@@ -217,7 +217,7 @@
 
   // ---- workers
 
-  onReport(report: WorkerReport, reply: ReportReply): void {
+  onReport(report: Heartbeat, reply: ReportReply): void {
     this.reportHandler.onReport(report, reply);
   }
 
@@ -254,7 +254,7 @@
   /** Replicas that wait are given places at once, and their starts go out directly. */
   placeServices(): void {
     if (!this.isLeaseValid() || !this.loaded) return;
-    this.cluster.lastServicePlacementAt = this.ctx.now.steady;
+    this.cluster.lastServicePlacementAt = this.context.now.monotonic;
     if (placeServices(this.cluster) === 0) return;
     this.recordWriter.flush();
     this.commandSender.send();
@@ -262,8 +262,8 @@
 
   /** One planning round, and what follows from it. */
   runRound(): void {
-    this.ctx.timers.set('round', this.ctx.after(this.ctx.tuning.scheduler.period_ms));
-    this.lastRoundAt = this.ctx.now.steady;
+    this.context.timers.set('round', this.context.after(this.context.tuning.scheduler.period_ms));
+    this.lastRoundAt = this.context.now.monotonic;
     if (!this.isLeaseValid() || !this.loaded) return;
     this.rounds += 1;
     this.placeServices();
@@ -278,7 +278,7 @@
 
   /** Once a second: silence, losses, returns. */
   runHealthChecks(): void {
-    this.ctx.timers.set('healthChecks', this.ctx.after(HEALTH_CHECK_MS));
+    this.context.timers.set('healthChecks', this.context.after(HEALTH_CHECK_MS));
     if (!this.isLeaseValid()) return;
     if (!this.hasRecentJobView()) {
       this.election.resign('what is known of jobs is too old');
@@ -296,13 +296,13 @@
 
   /** Where most machines report but don't hear this node, another should lead. */
   private resignIfUnreachable(): void {
-    const now = this.ctx.now.steady;
+    const now = this.context.now.monotonic;
     if (!this.healthChecks.isLeaderUnreachable()) {
       this.unreachableSince = null;
       return;
     }
     this.unreachableSince ??= now;
-    if (now - this.unreachableSince < this.ctx.tuning.leadership.resign_after_ms) return;
+    if (now - this.unreachableSince < this.context.tuning.leadership.resign_after_ms) return;
     this.election.resign('machines report but hear nothing from this node');
   }
 
--- a/src/core/leadership/lease_bounds.ts
+++ b/src/core/leadership/lease_bounds.ts
@@ -20,7 +20,7 @@
  * `cancel_s`, whatever happens to the state service, the links and the leader meanwhile.
  */
 export function maxJobViewAgeMs(settings: Settings): number {
-  return Math.max(MIN_VIEW_AGE_MS, settings.workers.cancelMs - workerLeaseExpiryMs(settings));
+  return Math.max(MIN_VIEW_AGE_MS, settings.workers.cancellationTimeoutMs - workerLeaseExpiryMs(settings));
 }
 
 /** The leader's own lease: the share that the operators chose, shortened where `cancel_s` leaves less room. */
--- a/src/core/leadership/record_lookup.ts
+++ b/src/core/leadership/record_lookup.ts
@@ -1,6 +1,6 @@
-import type { Context } from '../context.js';
 import type { JobCache } from '../jobs/job_cache.js';
 import { jobKey } from '../records.js';
+import type { StepContext } from '../step_context.js';
 import type { JobId } from '../types.js';
 import type { EarlierTerms } from './earlier_terms.js';
 
@@ -12,7 +12,7 @@
   private stopped = false;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: StepContext,
     private readonly jobCache: JobCache,
     private readonly earlierTerms: EarlierTerms,
   ) {}
@@ -26,7 +26,7 @@
   }
 
   private read(id: JobId): void {
-    this.ctx.store({ op: 'get', key: jobKey(id) }, PRIORITY, (result) => {
+    this.context.callStateStore({ op: 'get', key: jobKey(id) }, PRIORITY, (result) => {
       if (this.stopped) return;
       const item = result.ok ? (result.value.item ?? null) : null;
       if (item) this.jobCache.update(item);
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -1,11 +1,11 @@
-import type { Context } from '../context.js';
 import type { Job } from '../jobs/job.js';
 import { RangeSet } from '../jobs/range_set.js';
 import type { Machine } from '../machines/machine.js';
 import type { Page, Registry } from '../machines/registry.js';
-import type { Change, Condition, Result, StoredItem, StoreValue } from '../messages.js';
+import type { Result, StateChange, StateStoreResponse, StoredEntry, VersionCondition } from '../messages.js';
 import { encodeJob, type JobState, jobKey, pageKey } from '../records.js';
-import { ABSENT, type Revision, type Steady, type ZoneName } from '../types.js';
+import type { StepContext } from '../step_context.js';
+import { ABSENT_VERSION, type MonotonicTime, type Revision, type ZoneName } from '../types.js';
 import type { Cluster } from './cluster.js';
 import { type Leadership, leaderCondition } from './election.js';
 
@@ -44,8 +44,8 @@
 }
 
 interface Batch {
-  readonly conditions: Condition[];
-  readonly changes: Change[];
+  readonly conditions: VersionCondition[];
+  readonly changes: StateChange[];
   readonly jobs: JobSnapshot[];
   readonly pages: PageSnapshot[];
   bytes: number;
@@ -55,7 +55,7 @@
 export interface RecordWriterCallbacks {
   mayWrite(): boolean;
   /** A record as the store was found to hold it. */
-  onRecordRead(item: StoredItem): void;
+  onRecordRead(item: StoredEntry): void;
   /** Something that others may wait for is now on record, or has failed to be. */
   onWritten(): void;
 }
@@ -65,12 +65,12 @@
  * transaction depends on the leader key and on each changed key's version, so one that is carried out late changes nothing.
  */
 export class RecordWriter {
-  private readonly ctx: Context;
+  private readonly context: StepContext;
   private inFlight = 0;
   private stopped = false;
   private maxChanges: number;
   private valueBytes: number;
-  private pausedUntil = 0 as Steady;
+  private pausedUntil = 0 as MonotonicTime;
 
   constructor(
     private readonly cluster: Cluster,
@@ -78,9 +78,9 @@
     private readonly registry: Registry,
     private readonly callbacks: RecordWriterCallbacks,
   ) {
-    this.ctx = cluster.ctx;
-    this.maxChanges = this.ctx.settings.store.txnOps;
-    this.valueBytes = this.ctx.settings.store.valueBytes;
+    this.context = cluster.context;
+    this.maxChanges = this.context.settings.stateStore.maxChangesPerTransaction;
+    this.valueBytes = this.context.settings.stateStore.maxValueBytes;
   }
 
   get busy(): boolean {
@@ -102,22 +102,22 @@
   }
 
   private scheduleFlush(): void {
-    this.ctx.timers.bringForward('recordFlush', this.ctx.after(GATHER_MS));
+    this.context.timers.bringForward('recordFlush', this.context.after(GATHER_MS));
   }
 
   private flushIn(ms: number): void {
-    this.ctx.timers.set('recordFlush', this.ctx.after(ms));
+    this.context.timers.set('recordFlush', this.context.after(ms));
   }
 
   /** Writes what is due. */
   flush(): void {
     if (this.stopped || !this.callbacks.mayWrite()) return;
-    const now = this.ctx.now.steady;
+    const now = this.context.now.monotonic;
     if (now < this.pausedUntil) {
-      this.ctx.timers.set('recordFlush', this.pausedUntil);
+      this.context.timers.set('recordFlush', this.pausedUntil);
       return;
     }
-    const hasSpareWrites = this.ctx.hasSpareWrites();
+    const hasSpareWrites = this.context.hasSpareWriteCapacity();
     const jobs = this.dueJobs(now, hasSpareWrites);
     for (const page of this.registry.pagesToReread()) this.rereadPage(page);
     const pages = this.registry.duePages(now, hasSpareWrites);
@@ -125,7 +125,7 @@
   }
 
   /** Takes from both lists what fits into one transaction: urgent pages, then jobs, then other pages. */
-  private nextBatch(jobs: Job[], pages: Page[], now: Steady): Batch {
+  private nextBatch(jobs: Job[], pages: Page[], now: MonotonicTime): Batch {
     const conditions = [leaderCondition(this.leadership)];
     const batch: Batch = { conditions, changes: [], jobs: [], pages: [], bytes: 0, urgent: false };
     while (pages[0]?.urgent && this.hasRoom(batch)) this.addPage(batch, pages.shift() as Page);
@@ -134,7 +134,7 @@
     return batch;
   }
 
-  private dueJobs(now: Steady, hasSpareWrites: boolean): Job[] {
+  private dueJobs(now: MonotonicTime, hasSpareWrites: boolean): Job[] {
     const due: Job[] = [];
     const lazyMs = hasSpareWrites ? LAZY_WRITE_MS : SCARCE_LAZY_FACTOR * LAZY_WRITE_MS;
     for (const job of this.cluster.activeJobs) {
@@ -151,14 +151,14 @@
 
   private addPage(batch: Batch, page: Page): void {
     if (page.urgent) batch.urgent = true;
-    const { change, bytes, machines } = this.registry.beginWrite(page, this.ctx.now.steady);
+    const { change, bytes, machines } = this.registry.beginWrite(page, this.context.now.monotonic);
     batch.bytes += bytes;
     batch.pages.push({ page, machines });
     batch.conditions.push({ key: pageKey(page.no), version: page.version });
     batch.changes.push(change);
   }
 
-  private addJob(batch: Batch, job: Job, now: Steady): void {
+  private addJob(batch: Batch, job: Job, now: MonotonicTime): void {
     if (job.needsWrite === 'now') batch.urgent = true;
     job.writeInFlight = true;
     job.lastWriteAt = now;
@@ -174,15 +174,19 @@
   private send(batch: Batch): void {
     const { conditions, changes } = batch;
     this.inFlight += 1;
-    this.ctx.store({ op: 'txn', conditions, changes }, batch.urgent ? URGENT_PRIORITY : LAZY_PRIORITY, (result) => {
-      this.inFlight -= 1;
-      for (const { job } of batch.jobs) job.writeInFlight = false;
-      for (const { page } of batch.pages) page.writeInFlight = false;
-      if (this.stopped) return;
-      if (result.ok && result.value.revision !== undefined) this.onBatchWritten(batch, result.value.revision);
-      else this.onBatchFailed(batch, result);
-      this.callbacks.onWritten();
-    });
+    this.context.callStateStore(
+      { op: 'txn', conditions, changes },
+      batch.urgent ? URGENT_PRIORITY : LAZY_PRIORITY,
+      (result) => {
+        this.inFlight -= 1;
+        for (const { job } of batch.jobs) job.writeInFlight = false;
+        for (const { page } of batch.pages) page.writeInFlight = false;
+        if (this.stopped) return;
+        if (result.ok && result.value.revision !== undefined) this.onBatchWritten(batch, result.value.revision);
+        else this.onBatchFailed(batch, result);
+        this.callbacks.onWritten();
+      },
+    );
   }
 
   private onBatchWritten(batch: Batch, version: Revision): void {
@@ -205,7 +209,7 @@
     if (job.needsWrite === 'now') this.scheduleFlush();
   }
 
-  private onBatchFailed(batch: Batch, result: Result<StoreValue>): void {
+  private onBatchFailed(batch: Batch, result: Result<StateStoreResponse>): void {
     // Only what was refused has certainly not been carried out.
     const outcomeUnknown = result.ok || result.why !== 'refused';
     for (const { page } of batch.pages) {
@@ -223,8 +227,8 @@
     if (changes > 1) this.maxChanges = Math.max(1, Math.floor(changes / 2));
     else this.valueBytes = Math.max(MIN_VALUE_BYTES, Math.floor(this.valueBytes * VALUE_SHRINK_FACTOR));
     this.registry.limitPages(this.valueBytes);
-    this.pausedUntil = this.ctx.after(REJECTED_PAUSE_MS);
-    this.ctx.log('info', 'state service refuses a write for its size: writing less at a time', {
+    this.pausedUntil = this.context.after(REJECTED_PAUSE_MS);
+    this.context.log('info', 'state service refuses a write for its size: writing less at a time', {
       changes: this.maxChanges,
       valueBytes: this.valueBytes,
     });
@@ -233,7 +237,7 @@
   /** A write failed or has an unknown outcome: the store tells what holds now. */
   private rereadJob(job: Job): void {
     job.writeInFlight = true;
-    this.ctx.store({ op: 'get', key: jobKey(job.id) }, URGENT_PRIORITY, (result) => {
+    this.context.callStateStore({ op: 'get', key: jobKey(job.id) }, URGENT_PRIORITY, (result) => {
       job.writeInFlight = false;
       if (this.stopped || !result.ok || !result.value.item) return;
       this.callbacks.onRecordRead(result.value.item);
@@ -244,11 +248,11 @@
   /** Only the version matters: the page is written anew, on the condition that nothing has come in between. */
   private rereadPage(page: Page): void {
     page.writeInFlight = true;
-    this.ctx.store({ op: 'get', key: pageKey(page.no) }, URGENT_PRIORITY, (result) => {
+    this.context.callStateStore({ op: 'get', key: pageKey(page.no) }, URGENT_PRIORITY, (result) => {
       page.writeInFlight = false;
       if (this.stopped) return;
       if (result.ok) {
-        page.version = result.value.item ? result.value.item.version : ABSENT;
+        page.version = result.value.item ? result.value.item.version : ABSENT_VERSION;
         page.versionUnknown = false;
       }
       this.flushIn(result.ok ? AFTER_REREAD_MS : REREAD_RETRY_MS);
--- a/src/core/leadership/state_loader.ts
+++ b/src/core/leadership/state_loader.ts
@@ -1,8 +1,8 @@
-import { readPrefix } from '../calls/store_reads.js';
-import type { Context } from '../context.js';
+import { readPrefix } from '../calls/state_store_reads.js';
 import type { JobCache } from '../jobs/job_cache.js';
-import type { StoredItem } from '../messages.js';
+import type { StoredEntry } from '../messages.js';
 import { MACHINE_PREFIX } from '../records.js';
+import type { StepContext } from '../step_context.js';
 
 const RETRY_MS = 300;
 
@@ -13,9 +13,9 @@
 
   /** `onLoaded` is given the registry's pages once jobs and machines are read. */
   constructor(
-    private readonly ctx: Context,
+    private readonly context: StepContext,
     private readonly jobCache: JobCache,
-    private readonly onLoaded: (pages: readonly StoredItem[]) => void,
+    private readonly onLoaded: (pages: readonly StoredEntry[]) => void,
   ) {}
 
   stop(): void {
@@ -26,14 +26,14 @@
   load(): void {
     if (this.loading || this.stopped) return;
     this.loading = true;
-    let pages: readonly StoredItem[] | null = null;
+    let pages: readonly StoredEntry[] | null = null;
     let jobsRead = false;
     const onPart = (ok: boolean): void => {
       if (this.stopped || !this.loading) return;
       if (!ok) this.retry();
       else if (pages !== null && jobsRead) this.finish(pages);
     };
-    readPrefix(this.ctx, MACHINE_PREFIX, (read) => {
+    readPrefix(this.context, MACHINE_PREFIX, (read) => {
       pages = read?.items ?? null;
       onPart(read !== null);
     });
@@ -45,10 +45,10 @@
 
   private retry(): void {
     this.loading = false;
-    this.ctx.timers.set('loadState', this.ctx.after(RETRY_MS));
+    this.context.timers.set('loadState', this.context.after(RETRY_MS));
   }
 
-  private finish(pages: readonly StoredItem[]): void {
+  private finish(pages: readonly StoredEntry[]): void {
     this.loading = false;
     this.stopped = true;
     this.onLoaded(pages);
--- a/src/core/leadership/state_restorer.ts
+++ b/src/core/leadership/state_restorer.ts
@@ -1,9 +1,9 @@
 import type { JobCache } from '../jobs/job_cache.js';
 import { Machine } from '../machines/machine.js';
 import type { Registry } from '../machines/registry.js';
-import type { StoredItem } from '../messages.js';
+import type { StoredEntry } from '../messages.js';
 import type { MachineRecord } from '../records.js';
-import type { MachineId, Steady } from '../types.js';
+import type { MachineId, MonotonicTime } from '../types.js';
 import type { Cluster } from './cluster.js';
 
 /** Fills a new leader's cluster with what earlier ones left in the store. */
@@ -13,33 +13,33 @@
     private readonly cluster: Cluster,
     private readonly registry: Registry,
     private readonly jobCache: JobCache,
-    private readonly lastRenewalOf: (machine: MachineId) => Steady,
+    private readonly lastRenewalOf: (machine: MachineId) => MonotonicTime,
   ) {}
 
   /** `pages`: the registry's. */
-  restore(pages: readonly StoredItem[]): void {
-    const { ctx, earlierTerms, machines } = this.cluster;
+  restore(pages: readonly StoredEntry[]): void {
+    const { context, earlierTerms, machines } = this.cluster;
     this.cluster.unreadableJobs = this.jobCache.unreadable;
     for (const job of this.jobCache.all()) this.cluster.learnJob(job.record, job.version);
     for (const item of pages) this.restorePage(item);
     this.registry.spreadAll();
-    ctx.log('info', 'state read', { jobs: this.jobCache.size, machines: machines.size });
+    context.log('info', 'state read', { jobs: this.jobCache.size, machines: machines.size });
     earlierTerms.onLoaded(this.jobCache.unreadable.size);
   }
 
-  private restorePage(item: StoredItem): void {
-    const { ctx, earlierTerms } = this.cluster;
+  private restorePage(item: StoredEntry): void {
+    const { context, earlierTerms } = this.cluster;
     const page = this.registry.load(item);
     const { key } = item;
     if (!page.complete) {
-      ctx.log('error', 'registry page not understood: left as it is', { key });
+      context.log('error', 'registry page not understood: left as it is', { key });
       earlierTerms.onUnreadablePage();
     }
     for (const record of page.machines) this.restoreMachine(record, key);
   }
 
   private restoreMachine(record: MachineRecord, key: string): void {
-    const { ctx, earlierTerms, machines, types, imageGb } = this.cluster;
+    const { context, earlierTerms, machines, types, imageGb } = this.cluster;
     if (machines.has(record.id)) {
       this.registry.rewriteWithoutDuplicates(key);
       return;
@@ -51,13 +51,13 @@
       earlierTerms.onUnreadablePage();
       return;
     }
-    const now = ctx.now.steady;
-    const { id, zone, spot, addr } = record;
+    const now = context.now.monotonic;
+    const { id, zone, spot, address } = record;
     // Rented by an earlier leader and not known to be up: it may still boot (boots-leader-change.txt), or have come up just
     // now, so that it counts as unreconciled all the same.
-    const phase = addr === '' ? 'booting' : 'up';
-    const machine = new Machine({ id, type, zone, spot, addr, reconciled: false, phase, now });
-    machine.images.restore(record.images, record.fetchSpeed, imageGb, now);
+    const phase = address === '' ? 'booting' : 'up';
+    const machine = new Machine({ id, type, zone, spot, addr: address, reconciled: false, phase, now });
+    machine.images.restore(record.images, record.imagePullSpeed, imageGb, now);
     if (earlierTerms.recovery) machine.leaseRenewedAt = this.lastRenewalOf(id);
     machines.set(id, machine);
     this.registry.restore(machine, key);
--- a/src/core/machines/autoscaler.ts
+++ b/src/core/machines/autoscaler.ts
@@ -1,6 +1,6 @@
 import type { Cluster } from '../leadership/cluster.js';
 import type { RoundResult } from '../scheduler/round.js';
-import type { MachineType, Steady, TypeName } from '../types.js';
+import type { MachineType, MachineTypeName, MonotonicTime } from '../types.js';
 import { Guarantees } from './guarantees.js';
 import type { Machine } from './machine.js';
 import { MachineList } from './machine_list.js';
@@ -27,7 +27,7 @@
   private readonly rentals: Rentals;
   private readonly returns: MachineReturns;
   private readonly guarantees: Guarantees;
-  private spotObservedAt: Steady;
+  private spotObservedAt: MonotonicTime;
 
   constructor(
     private readonly cluster: Cluster,
@@ -45,7 +45,7 @@
       (machine) => this.returns.request(machine, 'failed'),
       () => this.returns.send(),
     );
-    this.spotObservedAt = cluster.ctx.now.steady;
+    this.spotObservedAt = cluster.context.now.monotonic;
   }
 
   listMachines(): void {
@@ -53,7 +53,7 @@
   }
 
   /** Once a second: returns machines that should go. */
-  returnMachines(leadingSince: Steady): void {
+  returnMachines(leadingSince: MonotonicTime): void {
     this.list.readIfDue();
     this.observeSpotMachines();
     this.returns.run(leadingSince, this.guarantees.missing());
@@ -76,7 +76,7 @@
   }
 
   private observeSpotMachines(): void {
-    const now = this.cluster.ctx.now.steady;
+    const now = this.cluster.context.now.monotonic;
     let machines = 0;
     for (const machine of this.cluster.machines.values()) {
       if (!machine.spot || machine.phase !== 'up') continue;
@@ -95,7 +95,7 @@
   private replaceWithSpot(): void {
     for (const [name, share] of this.spotWorkOnDemand()) {
       const type = this.cluster.types.get(name);
-      if (!type || share < MIN_SPOT_SHARE || type.spotPrice > MAX_SPOT_PRICE_SHARE * type.price) continue;
+      if (!type || share < MIN_SPOT_SHARE || type.spotPricePerHour > MAX_SPOT_PRICE_SHARE * type.pricePerHour) continue;
       if (this.isSpotComing(type)) continue;
       const zone = type.zones.find((candidate) => !this.rentals.isRefused({ type, zone: candidate, spot: true }));
       if (zone) this.rentals.rent({ type, zone, spot: true }, 1);
@@ -103,15 +103,15 @@
   }
 
   /** By type, how many machines' worth of work sits on machines on demand and might be on spot ones. */
-  private spotWorkOnDemand(): Map<TypeName, number> {
-    const shares = new Map<TypeName, number>();
+  private spotWorkOnDemand(): Map<MachineTypeName, number> {
+    const shares = new Map<MachineTypeName, number>();
     for (const machine of this.cluster.machines.values()) {
       if (machine.spot || machine.phase !== 'up') continue;
       const { cpus, gpus } = machine.type;
       let share = 0;
       for (const { job } of machine.placements.values()) {
         const { spec } = job;
-        if (spec.spotOk) share += Math.max(spec.gpus / Math.max(1, gpus), spec.cpus / cpus);
+        if (spec.toleratesSpot) share += Math.max(spec.gpus / Math.max(1, gpus), spec.cpus / cpus);
       }
       shares.set(machine.typeName, (shares.get(machine.typeName) ?? 0) + share);
     }
--- a/src/core/machines/boot_times.ts
+++ b/src/core/machines/boot_times.ts
@@ -1,4 +1,4 @@
-import type { MachineType, Steady, ZoneName } from '../types.js';
+import type { MachineType, MonotonicTime, ZoneName } from '../types.js';
 
 /** The nominal boot time counts as so many boots seen. */
 const PRIOR_BOOTS = 2;
@@ -24,17 +24,17 @@
   private boots = 0;
   private logRatios = 0;
   private failures = 0;
-  private updatedAt: Steady;
+  private updatedAt: MonotonicTime;
   /** How many times as long machines are given that were rented since, or before, the last one that was given up. */
   private patience = 1;
   private patienceBefore = 1;
-  private lastGivenUpAt = Number.NEGATIVE_INFINITY as Steady;
+  private lastGivenUpAt = Number.NEGATIVE_INFINITY as MonotonicTime;
 
-  constructor(now: Steady) {
+  constructor(now: MonotonicTime) {
     this.updatedAt = now;
   }
 
-  private fade(now: Steady): void {
+  private fade(now: MonotonicTime): void {
     const keep = Math.exp(-(now - this.updatedAt) / MEMORY_MS);
     this.boots *= keep;
     this.logRatios *= keep;
@@ -42,19 +42,19 @@
     this.updatedAt = now;
   }
 
-  noteUp(ratio: number, now: Steady): void {
+  noteUp(ratio: number, now: MonotonicTime): void {
     this.fade(now);
     this.boots += 1;
     this.logRatios += Math.min(MAX_LOG_RATIO, Math.max(MIN_LOG_RATIO, Math.log(ratio)));
     this.patience = 1;
   }
 
-  noteOverdue(now: Steady): void {
+  noteOverdue(now: MonotonicTime): void {
     this.fade(now);
     this.failures += 1;
   }
 
-  noteGivenUp(rentedAt: Steady, now: Steady): void {
+  noteGivenUp(rentedAt: MonotonicTime, now: MonotonicTime): void {
     if (rentedAt < this.lastGivenUpAt) return;
     this.lastGivenUpAt = now;
     this.patienceBefore = this.patience;
@@ -62,18 +62,18 @@
   }
 
   /** How many times the nominal time a boot takes lately. */
-  ratio(now: Steady): number {
+  ratio(now: MonotonicTime): number {
     this.fade(now);
     return Math.exp(this.logRatios / (this.boots + PRIOR_BOOTS));
   }
 
   /** The part of the machines seen lately that were overdue. */
-  overdueShare(now: Steady): number {
+  overdueShare(now: MonotonicTime): number {
     this.fade(now);
     return this.failures / (this.boots + this.failures + PRIOR_BOOTS);
   }
 
-  patienceWith(rentedAt: Steady): number {
+  patienceWith(rentedAt: MonotonicTime): number {
     return rentedAt < this.lastGivenUpAt ? this.patienceBefore : this.patience;
   }
 }
@@ -82,7 +82,7 @@
 export class BootTimes {
   private readonly histories = new Map<string, BootHistory>();
 
-  private history(type: MachineType, zone: ZoneName, now: Steady): BootHistory {
+  private history(type: MachineType, zone: ZoneName, now: MonotonicTime): BootHistory {
     const key = `${type.name}|${zone}`;
     let history = this.histories.get(key);
     if (!history) {
@@ -93,38 +93,39 @@
   }
 
   /** A machine is up, so long after it was rented. */
-  noteUp(type: MachineType, zone: ZoneName, seconds: number, now: Steady): void {
-    this.history(type, zone, now).noteUp(Math.max(MIN_BOOT_S, seconds) / type.bootS, now);
+  noteUp(type: MachineType, zone: ZoneName, seconds: number, now: MonotonicTime): void {
+    this.history(type, zone, now).noteUp(Math.max(MIN_BOOT_S, seconds) / type.bootSeconds, now);
   }
 
   /** A machine has become overdue. */
-  noteOverdue(type: MachineType, zone: ZoneName, now: Steady): void {
+  noteOverdue(type: MachineType, zone: ZoneName, now: MonotonicTime): void {
     this.history(type, zone, now).noteOverdue(now);
   }
 
   /** A machine is returned because it did not come up. */
-  noteGivenUp(type: MachineType, zone: ZoneName, rentedAt: Steady, now: Steady): void {
+  noteGivenUp(type: MachineType, zone: ZoneName, rentedAt: MonotonicTime, now: MonotonicTime): void {
     this.history(type, zone, now).noteGivenUp(rentedAt, now);
   }
 
   /** Seconds that a machine rented now is expected to take. */
-  expectedS(type: MachineType, zone: ZoneName, now: Steady): number {
-    return Math.max(MIN_BOOT_S, type.bootS * this.history(type, zone, now).ratio(now) * EXPECTED_FACTOR);
+  expectedS(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
+    return Math.max(MIN_BOOT_S, type.bootSeconds * this.history(type, zone, now).ratio(now) * EXPECTED_FACTOR);
   }
 
   /** Seconds after which a machine is overdue. Where boots are quick lately, one rented before may take the usual time. */
-  private overdueAfterS(type: MachineType, zone: ZoneName, now: Steady): number {
-    return OVERDUE_FACTOR * Math.max(type.bootS, this.expectedS(type, zone, now));
+  private overdueAfterS(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
+    return OVERDUE_FACTOR * Math.max(type.bootSeconds, this.expectedS(type, zone, now));
   }
 
-  isOverdue(type: MachineType, zone: ZoneName, ageS: number, now: Steady): boolean {
+  isOverdue(type: MachineType, zone: ZoneName, ageS: number, now: MonotonicTime): boolean {
     return ageS > this.overdueAfterS(type, zone, now);
   }
 
   /** Seconds until a machine of that age is expected to be up. */
-  remainingS(type: MachineType, zone: ZoneName, ageS: number, now: Steady): number {
+  remainingS(type: MachineType, zone: ZoneName, ageS: number, now: MonotonicTime): number {
     const expectedS = this.expectedS(type, zone, now);
-    const usualS = ageS > OVERDUE_FACTOR * expectedS ? Math.max(type.bootS * EXPECTED_FACTOR, expectedS) : expectedS;
+    const usualS =
+      ageS > OVERDUE_FACTOR * expectedS ? Math.max(type.bootSeconds * EXPECTED_FACTOR, expectedS) : expectedS;
     if (ageS < usualS * (1 - SOON_SHARE)) return usualS - ageS;
     const lateS = Math.max(0, ageS - usualS);
     const overdueS = ageS - this.overdueAfterS(type, zone, now);
@@ -133,13 +134,13 @@
   }
 
   /** How many times as long as usual a machine may take before it is given up. */
-  patience(type: MachineType, zone: ZoneName, rentedAt: Steady, now: Steady): number {
+  patience(type: MachineType, zone: ZoneName, rentedAt: MonotonicTime, now: MonotonicTime): number {
     const history = this.history(type, zone, now);
     return Math.max(1, history.ratio(now)) * history.patienceWith(rentedAt);
   }
 
   /** The part of the machines rented lately that did not come up in time. */
-  overdueShare(type: MachineType, zone: ZoneName, now: Steady): number {
+  overdueShare(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
     return this.history(type, zone, now).overdueShare(now);
   }
 }
--- a/src/core/machines/guarantees.ts
+++ b/src/core/machines/guarantees.ts
@@ -1,5 +1,5 @@
 import type { Cluster } from '../leadership/cluster.js';
-import type { MachineType, Steady } from '../types.js';
+import type { MachineType, MonotonicTime } from '../types.js';
 import type { MachineKind } from './machine_kind.js';
 import type { Rentals } from './rentals.js';
 
@@ -18,17 +18,17 @@
 
 /** Keeps capacity for all teams' guarantees while there is work: guaranteed teams need not wait for machines to boot. */
 export class Guarantees {
-  private lastWorkAt: Steady;
+  private lastWorkAt: MonotonicTime;
 
   constructor(
     private readonly cluster: Cluster,
     private readonly rentals: Rentals,
   ) {
-    this.lastWorkAt = cluster.ctx.after(-KEEP_WITHOUT_WORK_MS);
+    this.lastWorkAt = cluster.context.after(-KEEP_WITHOUT_WORK_MS);
   }
 
   noteWork(): void {
-    if (this.cluster.activeJobs.size > 0) this.lastWorkAt = this.cluster.ctx.now.steady;
+    if (this.cluster.activeJobs.size > 0) this.lastWorkAt = this.cluster.context.now.monotonic;
   }
 
   /** What the guarantees ask for beyond what is there; negative: to spare; minus infinity where none is given. */
@@ -52,12 +52,12 @@
 
   private asked(): Capacity {
     const asked: Capacity = { cpus: 0, gpus: 0 };
-    const { ctx, quotas } = this.cluster;
-    const workMs = ctx.now.steady - this.lastWorkAt;
-    if (!ctx.tuning.machines.keep_guarantees || workMs >= KEEP_WITHOUT_WORK_MS) return asked;
-    for (const { cpus, gpus } of quotas.teamsInOrder()) {
-      asked.cpus += cpus;
-      asked.gpus += gpus;
+    const { context, quotas } = this.cluster;
+    const workMs = context.now.monotonic - this.lastWorkAt;
+    if (!context.tuning.machines.keep_guarantees || workMs >= KEEP_WITHOUT_WORK_MS) return asked;
+    for (const { guaranteedCpus, guaranteedGpus } of quotas.teamsInOrder()) {
+      asked.cpus += guaranteedCpus;
+      asked.gpus += guaranteedGpus;
     }
     return asked;
   }
@@ -81,7 +81,7 @@
     for (const type of this.cluster.types.values()) {
       if (gain(type) <= 0) continue;
       for (const kind of kindsOf(type)) {
-        const cost = type.price / gain(type) + (kind.spot ? SPOT_PENALTY : 0);
+        const cost = type.pricePerHour / gain(type) + (kind.spot ? SPOT_PENALTY : 0);
         if (cost >= lowestCost || this.rentals.isRefused(kind)) continue;
         cheapest = kind;
         lowestCost = cost;
--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -2,7 +2,7 @@
 import type { Cluster } from '../leadership/cluster.js';
 import { workerLeaseExpiryMs } from '../leadership/lease_bounds.js';
 import { moveReplica } from '../scheduler/services.js';
-import { type JobId, type Seq, type Session, type Steady, steadyPlus } from '../types.js';
+import { type AgentEpoch, addMilliseconds, type JobId, type MonotonicTime, type SequenceNumber } from '../types.js';
 import type { Machine } from './machine.js';
 import { type Evidence, SLOW_FACTOR, WRONG_ESTIMATE_MACHINES } from './slowness.js';
 
@@ -19,7 +19,7 @@
 
 /** What a leader looks after once a second: silence, slow machines, and work on machines about to go. */
 export class HealthChecks {
-  private nextSlowAt = 0 as Steady;
+  private nextSlowAt = 0 as MonotonicTime;
 
   constructor(
     private readonly cluster: Cluster,
@@ -27,7 +27,7 @@
   ) {}
 
   run(): void {
-    const now = this.cluster.ctx.now.steady;
+    const now = this.cluster.context.now.monotonic;
     this.checkSilence(now);
     this.breakIncompleteGangs();
     this.noteTasksThatDoWell(now);
@@ -37,12 +37,12 @@
     this.moveWorkOffLeavingMachines(now);
   }
 
-  private checkSilence(now: Steady): void {
-    const { settings } = this.cluster.ctx;
+  private checkSilence(now: MonotonicTime): void {
+    const { settings } = this.cluster.context;
     const leaseExpiryMs = workerLeaseExpiryMs(settings);
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase === 'booting' && machine.reconciled) continue;
-      if (machine.phase === 'up' && machine.isSilent(now, settings.workers.reportMs))
+      if (machine.phase === 'up' && machine.isSilent(now, settings.workers.heartbeatIntervalMs))
         this.cluster.releasePlanned(machine);
       const mayHoldTasks = !machine.reconciled || !machine.isEmpty;
       if (mayHoldTasks && now - machine.leaseRenewedAt > leaseExpiryMs) this.onLeaseExpired(machine);
@@ -59,14 +59,14 @@
     if (unreconciled > 0 && earlierTerms.recovery === null) return;
     for (const job of this.cluster.activeJobs) {
       const { size } = job.placements;
-      const isIncomplete = job.isGang && size > 0 && size < job.spec.tasks;
+      const isIncomplete = job.isGang && size > 0 && size < job.spec.taskCount;
       if (!isIncomplete || job.state !== 'accepted' || earlierTerms.mayRunUnseen(job)) continue;
       this.cluster.breakGang(job);
     }
   }
 
   /** A job that has failed is cleared by a task that runs for much longer than it took the others to fail. */
-  private noteTasksThatDoWell(now: Steady): void {
+  private noteTasksThatDoWell(now: MonotonicTime): void {
     for (const { failureHistory, placements } of this.cluster.activeJobs) {
       if (!failureHistory.hasFailed || failureHistory.hasSucceeded) continue;
       for (const { phase, runningSince } of placements.values()) {
@@ -76,7 +76,7 @@
     }
   }
 
-  private noteOverdueMachines(now: Steady): void {
+  private noteOverdueMachines(now: MonotonicTime): void {
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase !== 'booting' || machine.overdueNoted || !this.cluster.isOverdue(machine)) continue;
       machine.overdueNoted = true;
@@ -85,12 +85,12 @@
   }
 
   private drainFaultyMachines(): void {
-    const { ctx, machines } = this.cluster;
+    const { context, machines } = this.cluster;
     for (const machine of machines.values()) {
       if (!machine.taskFailures.any || machine.draining !== null) continue;
-      if (!machine.taskFailures.isMachineAtFault(ctx.tuning.machines.error_limit, ctx.now.steady)) continue;
+      if (!machine.taskFailures.isMachineAtFault(context.tuning.machines.error_limit, context.now.monotonic)) continue;
       machine.draining = 'fails its tasks';
-      ctx.log('info', 'machine fails what it starts: taking it out of use', { machine: machine.id });
+      context.log('info', 'machine fails what it starts: taking it out of use', { machine: machine.id });
     }
   }
 
@@ -99,15 +99,15 @@
    * with a new session, and nothing of the old one counts.
    */
   private onLeaseExpired(machine: Machine): void {
-    this.cluster.ctx.log('info', 'machine silent for longer than its lease: its tasks are gone', {
+    this.cluster.context.log('info', 'machine silent for longer than its lease: its tasks are gone', {
       machine: machine.id,
       tasks: machine.placements.size,
       reconciled: machine.reconciled,
     });
     this.cluster.releaseAll(machine);
     if (machine.session !== null) {
-      machine.session = (machine.session + 1n) as Session;
-      machine.seq = 0n as Seq;
+      machine.session = (machine.session + 1n) as AgentEpoch;
+      machine.seq = 0n as SequenceNumber;
       machine.lastReportSeq = null;
     }
     machine.unconfirmedStarts.clear();
@@ -128,22 +128,24 @@
   }
 
   /** A machine that takes several times as long for everything is replaced, one at a time. */
-  private drainOneSlowMachine(now: Steady): void {
+  private drainOneSlowMachine(now: MonotonicTime): void {
     if (now < this.nextSlowAt) return;
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase !== 'up' || machine.draining !== null || machine.deletionInFlight) continue;
       if (!machine.slowness.isSlow(this.overdueWork(machine, now))) continue;
       machine.draining = 'slow';
       const allowance = Math.max(1, this.cluster.machines.size / MACHINES_A_SLOW_PAUSE);
-      this.nextSlowAt = steadyPlus(now, SLOW_PAUSE_MS / allowance);
-      this.cluster.ctx.log('info', 'machine is much slower than others: taking it out of use', { machine: machine.id });
+      this.nextSlowAt = addMilliseconds(now, SLOW_PAUSE_MS / allowance);
+      this.cluster.context.log('info', 'machine is much slower than others: taking it out of use', {
+        machine: machine.id,
+      });
       this.scheduleRoundSoon();
       return;
     }
   }
 
   /** What runs on a machine and has already taken longer than expected. */
-  private overdueWork(machine: Machine, now: Steady): ReadonlyMap<JobId, Evidence> {
+  private overdueWork(machine: Machine, now: MonotonicTime): ReadonlyMap<JobId, Evidence> {
     let found: Map<JobId, Evidence> | null = null;
     for (const placement of machine.placements.values()) {
       const surprise = this.surpriseOf(placement, now);
@@ -157,17 +159,17 @@
   }
 
   /** log(time run / time expected) of a task that has run too long already; 0 where it says nothing of its machine. */
-  private surpriseOf({ job, phase, runningSince }: Placement, now: Steady): number {
+  private surpriseOf({ job, phase, runningSince }: Placement, now: MonotonicTime): number {
     if (phase !== 'running' || runningSince === null) return 0;
     // A service runs for as long as its user wants, and a gang is as slow as its slowest machine.
-    if (job.isService || (job.isGang && job.spec.tasks > 1)) return 0;
+    if (job.isService || (job.isGang && job.spec.taskCount > 1)) return 0;
     if (job.slowOn.size >= WRONG_ESTIMATE_MACHINES) return 0;
     const ranS = (now - runningSince) / 1000;
     return Math.max(0, Math.log(ranS / this.cluster.estimates.expectS(job.spec)));
   }
 
   /** Work on a machine about to go is saved where that helps; what would end in time is left alone. */
-  private moveWorkOffLeavingMachines(now: Steady): void {
+  private moveWorkOffLeavingMachines(now: MonotonicTime): void {
     for (const machine of this.cluster.machines.values()) {
       if (machine.interruptionAt === null && machine.draining === null) continue;
       for (const placement of [...machine.placements.values()]) {
@@ -176,13 +178,13 @@
     }
   }
 
-  private moveOff(placement: Placement, now: Steady): void {
+  private moveOff(placement: Placement, now: MonotonicTime): void {
     if (placement.phase === 'planned') this.cluster.release(placement);
     else if (placement.job.isService) moveReplica(this.cluster, placement);
     else if (!this.endsInTime(placement, now)) this.cluster.stopSaving(placement);
   }
 
-  private endsInTime({ job, machine, phase, runningSince }: Placement, now: Steady): boolean {
+  private endsInTime({ job, machine, phase, runningSince }: Placement, now: MonotonicTime): boolean {
     if (phase !== 'running' || machine.draining === 'slow') return false;
     const leftS = machine.interruptionAt === null ? DRAIN_S : (machine.interruptionAt - now) / 1000;
     const expectedS = this.cluster.estimates.expectS(job.spec);
--- a/src/core/machines/image_cache.ts
+++ b/src/core/machines/image_cache.ts
@@ -1,4 +1,4 @@
-import type { ImageName, JobSpec, MachineType, Steady } from '../types.js';
+import type { ImageName, JobSpec, MachineType, MonotonicTime } from '../types.js';
 
 /** Bounds of what is believed of a machine's fetch speed, and the weight of each new observation. */
 const MIN_FETCH_SPEED = 0.5;
@@ -12,9 +12,9 @@
 
 interface CachedImage {
   readonly gb: number;
-  lastUsedAt: Steady;
+  lastUsedAt: MonotonicTime;
   /** While it is being fetched: since when. */
-  fetchingSince: Steady | null;
+  fetchingSince: MonotonicTime | null;
   /** Whether the fetch was seen from its beginning. */
   fetchObserved: boolean;
 }
@@ -37,8 +37,8 @@
   }
 
   /** Seconds until the image would be there if a task asked for it now. */
-  fetchSeconds(image: ImageName, gb: number, now: Steady): number {
-    const full = fetchTimeS(gb, this.type.fetchGbPerS * this.speed);
+  fetchSeconds(image: ImageName, gb: number, now: MonotonicTime): number {
+    const full = fetchTimeS(gb, this.type.imagePullGbPerSecond * this.speed);
     const cached = this.images.get(image);
     if (!cached) return full;
     if (cached.fetchingSince === null) return 0;
@@ -62,7 +62,7 @@
   }
 
   /** Takes over what an earlier leader wrote down. */
-  restore(names: readonly ImageName[], speed: number, gbOf: ReadonlyMap<ImageName, number>, now: Steady): void {
+  restore(names: readonly ImageName[], speed: number, gbOf: ReadonlyMap<ImageName, number>, now: MonotonicTime): void {
     this.speed = speed;
     for (const name of names) {
       const gb = gbOf.get(name);
@@ -72,13 +72,13 @@
   }
 
   /** A task waits for its image. `observed`: its start was seen just before, so the fetch begins now. */
-  onFetching({ image, imageGb: gb }: JobSpec, observed: boolean, now: Steady): void {
+  onFetching({ image, imageGb: gb }: JobSpec, observed: boolean, now: MonotonicTime): void {
     if (this.images.has(image)) return;
     this.images.set(image, { gb, lastUsedAt: now, fetchingSince: now, fetchObserved: observed });
   }
 
   /** A task has its image. */
-  onHeld({ image, imageGb: gb }: JobSpec, now: Steady): void {
+  onHeld({ image, imageGb: gb }: JobSpec, now: MonotonicTime): void {
     const cached = this.images.get(image);
     if (!cached) {
       this.images.set(image, { gb, lastUsedAt: now, fetchingSince: null, fetchObserved: false });
@@ -90,7 +90,7 @@
     if (this.changed) this.evict();
   }
 
-  private onFetched(cached: CachedImage, now: Steady): void {
+  private onFetched(cached: CachedImage, now: MonotonicTime): void {
     const since = cached.fetchingSince ?? now;
     if (cached.fetchObserved) this.observeFetch(cached.gb, (now - since) / 1000);
     cached.fetchingSince = null;
@@ -102,7 +102,7 @@
     let fetching = 0;
     for (const image of this.images.values()) if (image.fetchingSince !== null) fetching += 1;
     if (fetching > 1 || tookS < MIN_OBSERVED_FETCH_S) return;
-    const observed = gb / this.type.fetchGbPerS / tookS;
+    const observed = gb / this.type.imagePullGbPerSecond / tookS;
     const smoothed = (1 - OBSERVATION_WEIGHT) * this.speed + OBSERVATION_WEIGHT * observed;
     this.speed = Math.min(MAX_FETCH_SPEED, Math.max(MIN_FETCH_SPEED, smoothed));
   }
@@ -118,7 +118,7 @@
   private evict(): void {
     let totalGb = 0;
     for (const image of this.images.values()) totalGb += image.gb;
-    while (totalGb > this.type.cacheGb && this.images.size > 1) {
+    while (totalGb > this.type.imageCacheGb && this.images.size > 1) {
       const oldest = this.leastRecentlyUsed();
       if (oldest === null) return;
       totalGb -= this.images.get(oldest)?.gb ?? 0;
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,15 +1,15 @@
-import { AMOUNT_TOLERANCE } from '../amounts.js';
 import type { Job, Placement } from '../jobs/job.js';
+import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type {
+  AgentEpoch,
   Attempt,
   JobId,
   MachineId,
   MachineType,
+  MachineTypeName,
+  MonotonicTime,
   Resources,
-  Seq,
-  Session,
-  Steady,
-  TypeName,
+  SequenceNumber,
   ZoneName,
 } from '../types.js';
 import { ImageCache } from './image_cache.js';
@@ -66,7 +66,7 @@
   readonly phase: 'booting' | 'up';
   /** What this leader rented itself can't be a late copy of something gone. A list may well show what is (listed-but-gone.txt). */
   readonly rentedHere?: boolean;
-  readonly now: Steady;
+  readonly now: MonotonicTime;
 }
 
 /** After so many report periods without a report a machine gets no new work. */
@@ -87,19 +87,19 @@
   /** False while it may hold tasks of an earlier leader that are not known here: its own list has yet to come. */
   reconciled: boolean;
 
-  session: Session | null = null;
-  seq: Seq | null = null;
+  session: AgentEpoch | null = null;
+  seq: SequenceNumber | null = null;
   /** Highest token that the worker has shown. */
   tokenSeen = 0n;
   /** The last sign of life: a report newer than any before, or an answer to a direct command. */
-  lastSeenAt: Steady;
+  lastSeenAt: MonotonicTime;
   /** When its lease may last have begun anew: by a report that was answered, or a new session. */
-  leaseRenewedAt: Steady;
+  leaseRenewedAt: MonotonicTime;
   /** Its last report, not counting answers to direct commands. */
-  lastReportAt: Steady;
+  lastReportAt: MonotonicTime;
   /** The newest report of the present session; answers to direct commands are numbered in the same row. */
-  lastReportSeq: Seq | null = null;
-  firstReportAt: Steady | null = null;
+  lastReportSeq: SequenceNumber | null = null;
+  firstReportAt: MonotonicTime | null = null;
 
   /** False for one known only from a list or a report that may be a late copy, until something sent reaches it. */
   confirmed: boolean;
@@ -108,21 +108,21 @@
   /** How many answers in a row had no effect. */
   ignoredAnswers = 0;
   /** Since when it reports but doesn't react to answers: it gets no work. */
-  unresponsiveSince: Steady | null = null;
-  nextProbeAt = 0 as Steady;
+  unresponsiveSince: MonotonicTime | null = null;
+  nextProbeAt = 0 as MonotonicTime;
 
-  rentedAt: Steady;
+  rentedAt: MonotonicTime;
   /** Rented by this leader: when it comes up tells how long boots take. */
   readonly rentedHere: boolean;
   /** It was noted that it did not come up in time. */
   overdueNoted = false;
-  idleSince: Steady;
+  idleSince: MonotonicTime;
   /** When the cloud takes it away, if it has given notice. */
-  interruptionAt: Steady | null = null;
+  interruptionAt: MonotonicTime | null = null;
   draining: DrainReason | null = null;
   /** Failures since a task last did well here; after each it gets nothing new for a moment. */
   readonly taskFailures = new TaskFailures();
-  suspectUntil = 0 as Steady;
+  suspectUntil = 0 as MonotonicTime;
   readonly slowness = new Slowness();
   deletionInFlight = false;
   /** A deletion was asked for, whose outcome may be unknown. */
@@ -131,12 +131,12 @@
 
   commandInFlight = false;
   /** It left a direct command without an answer: no other before this time. */
-  nextCommandAt = 0 as Steady;
+  nextCommandAt = 0 as MonotonicTime;
   /** Starts sent by direct commands that were not answered: they may arrive as long as the session lasts. */
   readonly unconfirmedStarts = new Set<StartKey>();
 
   /** Kept for a moment for a job that is on its way here. */
-  private reservation: { readonly job: JobId; readonly until: Steady } | null = null;
+  private reservation: { readonly job: JobId; readonly until: MonotonicTime } | null = null;
   readonly placements = new Map<TaskKey, Placement>();
   /** Tasks on it that have no place there: their jobs aren't known, or they are somewhere else too. */
   strays: ReadonlyMap<TaskKey, StrayTask> = new Map();
@@ -167,7 +167,7 @@
     this.idleSince = now;
   }
 
-  get typeName(): TypeName {
+  get typeName(): MachineTypeName {
     return this.type.name;
   }
 
@@ -181,7 +181,7 @@
   }
 
   /** Whether no report has come for so long that it gets no new work. */
-  isSilent(now: Steady, reportMs: number): boolean {
+  isSilent(now: MonotonicTime, reportMs: number): boolean {
     return now - this.lastReportAt >= SILENT_AFTER_REPORTS * reportMs;
   }
 
@@ -189,7 +189,7 @@
    * Whether new work may be given to it. One whose reports don't come may never take what it is given, and its lease ends
    * whatever it answers to direct commands (no-reports-machine.txt, property): those don't count here.
    */
-  isSchedulable(now: Steady, reportMs: number): boolean {
+  isSchedulable(now: MonotonicTime, reportMs: number): boolean {
     return (
       this.phase === 'up' &&
       !this.isSilent(now, reportMs) &&
@@ -215,15 +215,15 @@
   }
 
   /** Seconds since it was rented. */
-  ageS(now: Steady): number {
+  ageS(now: MonotonicTime): number {
     return (now - this.rentedAt) / 1000;
   }
 
   hasRoomFor(task: Resources): boolean {
     return (
-      this.usedCpus + task.cpus <= this.type.cpus + AMOUNT_TOLERANCE &&
-      this.usedGpus + task.gpus <= this.type.gpus + AMOUNT_TOLERANCE &&
-      this.usedMemGb + task.memGb <= this.type.memGb + AMOUNT_TOLERANCE
+      this.usedCpus + task.cpus <= this.type.cpus + RESOURCE_TOLERANCE &&
+      this.usedGpus + task.gpus <= this.type.gpus + RESOURCE_TOLERANCE &&
+      this.usedMemGb + task.memoryGb <= this.type.memoryGb + RESOURCE_TOLERANCE
     );
   }
 
@@ -233,27 +233,27 @@
   }
 
   /** Whether work that asks for GPUs is there, or the machine is kept for some. */
-  hasGpuWork(now: Steady): boolean {
+  hasGpuWork(now: MonotonicTime): boolean {
     if (this.reservedFor(now) !== null) return true;
     for (const { job } of this.placements.values()) if (job.spec.gpus > 0) return true;
     return false;
   }
 
   hasReplica(): boolean {
-    for (const { job } of this.placements.values()) if (job.spec.shape === 'service') return true;
+    for (const { job } of this.placements.values()) if (job.spec.kind === 'service') return true;
     return false;
   }
 
-  reserve(job: JobId, until: Steady): void {
+  reserve(job: JobId, until: MonotonicTime): void {
     this.reservation = { job, until };
   }
 
   /** The job that it is kept for now, if any. */
-  reservedFor(now: Steady): JobId | null {
+  reservedFor(now: MonotonicTime): JobId | null {
     return this.reservation && this.reservation.until > now ? this.reservation.job : null;
   }
 
-  isReservedForOther(job: JobId, now: Steady): boolean {
+  isReservedForOther(job: JobId, now: MonotonicTime): boolean {
     const holder = this.reservedFor(now);
     return holder !== null && holder !== job;
   }
@@ -272,17 +272,17 @@
     this.placements.set(taskKey(placement.job.id, placement.index), placement);
     this.usedCpus += spec.cpus;
     this.usedGpus += spec.gpus;
-    this.usedMemGb += spec.memGb;
+    this.usedMemGb += spec.memoryGb;
   }
 
-  removePlacement(placement: Placement, now: Steady): void {
+  removePlacement(placement: Placement, now: MonotonicTime): void {
     const key = taskKey(placement.job.id, placement.index);
     if (this.placements.get(key) !== placement) return;
     const { spec } = placement.job;
     this.placements.delete(key);
     this.usedCpus -= spec.cpus;
     this.usedGpus -= spec.gpus;
-    this.usedMemGb -= spec.memGb;
+    this.usedMemGb -= spec.memoryGb;
     if (this.placements.size > 0) return;
     // Sums of decimal amounts leave a rest.
     this.usedCpus = 0;
--- a/src/core/machines/machine_list.ts
+++ b/src/core/machines/machine_list.ts
@@ -1,5 +1,5 @@
 import type { Cluster } from '../leadership/cluster.js';
-import type { ListedMachine, MachineId, Steady } from '../types.js';
+import type { CloudMachine, MachineId, MonotonicTime } from '../types.js';
 import { Machine } from './machine.js';
 
 const LIST_PERIOD_MS = 6000;
@@ -9,7 +9,7 @@
 /** Reads the cloud's list of machines, which is late: what it lacks proves nothing, what it has may be news. */
 export class MachineList {
   private reading = false;
-  private lastReadAt = 0 as Steady;
+  private lastReadAt = 0 as MonotonicTime;
   private complete = false;
 
   /** `onFailed` is told of machines that have stopped by themselves, `onApplied` when a list has been taken in. */
@@ -25,7 +25,7 @@
   }
 
   readIfDue(): void {
-    if (this.cluster.ctx.now.steady - this.lastReadAt > LIST_PERIOD_MS) this.read();
+    if (this.cluster.context.now.monotonic - this.lastReadAt > LIST_PERIOD_MS) this.read();
   }
 
   read(): void {
@@ -34,8 +34,8 @@
     this.readPage(null, []);
   }
 
-  private readPage(after: MachineId | null, before: readonly ListedMachine[]): void {
-    this.cluster.ctx.cloud({ op: 'list', after }, LIST_PRIORITY, (result) => {
+  private readPage(after: MachineId | null, before: readonly CloudMachine[]): void {
+    this.cluster.context.callCloud({ op: 'list', after }, LIST_PRIORITY, (result) => {
       if (!result.ok) {
         this.reading = false;
         return;
@@ -45,17 +45,17 @@
       if (result.value.more && last && all.length < MAX_LISTED) return this.readPage(last.id, all);
       this.reading = false;
       this.complete = true;
-      this.lastReadAt = this.cluster.ctx.now.steady;
+      this.lastReadAt = this.cluster.context.now.monotonic;
       for (const listed of all) this.apply(listed);
       this.onApplied();
     });
   }
 
-  private apply(listed: ListedMachine): void {
+  private apply(listed: CloudMachine): void {
     const machine = this.cluster.machines.get(listed.id) ?? this.addUnknown(listed);
     if (!machine) return;
-    if (listed.addr && !machine.addr) machine.addr = listed.addr;
-    const rentedAt = (this.cluster.ctx.now.steady - listed.ageS * 1000) as Steady;
+    if (listed.address && !machine.addr) machine.addr = listed.address;
+    const rentedAt = (this.cluster.context.now.monotonic - listed.ageSeconds * 1000) as MonotonicTime;
     if (rentedAt < machine.rentedAt) machine.rentedAt = rentedAt;
     if (listed.phase === 'running' && machine.isInheritedUnheard) this.onListedRunning(machine);
     if (listed.phase === 'failed' && !machine.deletionInFlight) this.onStopped(machine);
@@ -63,27 +63,27 @@
 
   /** An earlier leader's machine that is up and hasn't been heard by this one: from now on its silence counts. */
   private onListedRunning(machine: Machine): void {
-    const now = this.cluster.ctx.now.steady;
+    const now = this.cluster.context.now.monotonic;
     machine.phase = 'up';
     machine.lastSeenAt = now;
     machine.lastReportAt = now;
   }
 
   /** Rented by an earlier leader, or by a request carried out late: taken into use like any other. */
-  private addUnknown({ id, type: typeName, zone, spot, addr, phase }: ListedMachine): Machine | null {
+  private addUnknown({ id, type: typeName, zone, spot, address, phase }: CloudMachine): Machine | null {
     const type = this.cluster.types.get(typeName);
     if (!type || this.cluster.removedMachines.has(id)) return null;
-    const now = this.cluster.ctx.now.steady;
-    const machine = new Machine({ id, type, zone, spot, addr, reconciled: true, phase: 'booting', now });
+    const now = this.cluster.context.now.monotonic;
+    const machine = new Machine({ id, type, zone, spot, addr: address, reconciled: true, phase: 'booting', now });
     this.cluster.machines.set(id, machine);
     this.cluster.earlierTerms.recovery?.onUnlistedMachine();
-    this.cluster.ctx.log('info', 'machine found in the list', { machine: id, phase });
+    this.cluster.context.log('info', 'machine found in the list', { machine: id, phase });
     return machine;
   }
 
   /** A failed machine has stopped by itself: nothing is on it any more. */
   private onStopped(machine: Machine): void {
-    this.cluster.ctx.log('info', 'machine failed', { machine: machine.id, tasks: machine.placements.size });
+    this.cluster.context.log('info', 'machine failed', { machine: machine.id, tasks: machine.placements.size });
     this.cluster.releaseAll(machine);
     this.cluster.markReconciled(machine, 'gone');
     this.onFailed(machine);
--- a/src/core/machines/machine_returns.ts
+++ b/src/core/machines/machine_returns.ts
@@ -1,5 +1,5 @@
 import type { Cluster } from '../leadership/cluster.js';
-import type { Steady } from '../types.js';
+import type { MonotonicTime } from '../types.js';
 import { type Capacity, GUARANTEE_TOLERANCE } from './guarantees.js';
 import { type DrainReason, type Machine, SILENT_AFTER_REPORTS, startKey, startKeyOf } from './machine.js';
 
@@ -22,7 +22,7 @@
 
 /** What one look at all machines needs to judge each of them. */
 interface Overview {
-  readonly now: Steady;
+  readonly now: MonotonicTime;
   readonly reportMs: number;
   readonly leaseMs: number;
   /** Most machines are heard, and have been for long enough: one that isn't is at fault itself. */
@@ -43,7 +43,7 @@
   ) {}
 
   /** Looks at all machines once. `missing`: what guarantees ask for beyond what is there; negative: to spare. */
-  run(leadingSince: Steady, missing: Capacity): void {
+  run(leadingSince: MonotonicTime, missing: Capacity): void {
     const overview = this.overview(leadingSince);
     for (const machine of [...this.cluster.machines.values()]) {
       if (machine.deletionInFlight) continue;
@@ -53,20 +53,20 @@
     this.send();
   }
 
-  private overview(leadingSince: Steady): Overview {
-    const { settings, now } = this.cluster.ctx;
-    const { reportMs, leaseMs } = settings.workers;
+  private overview(leadingSince: MonotonicTime): Overview {
+    const { settings, now } = this.cluster.context;
+    const { heartbeatIntervalMs, leaseMs } = settings.workers;
     let up = 0;
     let heard = 0;
     for (const { phase, lastSeenAt } of this.cluster.machines.values()) {
       if (phase !== 'up') continue;
       up += 1;
-      if (now.steady - lastSeenAt < SILENT_AFTER_REPORTS * reportMs) heard += 1;
+      if (now.monotonic - lastSeenAt < SILENT_AFTER_REPORTS * heartbeatIntervalMs) heard += 1;
     }
-    const ledLongEnough = now.steady - leadingSince > JUDGE_SILENCE_AFTER_REPORTS * reportMs;
+    const ledLongEnough = now.monotonic - leadingSince > JUDGE_SILENCE_AFTER_REPORTS * heartbeatIntervalMs;
     return {
-      now: now.steady,
-      reportMs,
+      now: now.monotonic,
+      reportMs: heartbeatIntervalMs,
       leaseMs,
       mayJudgeSilence: heard * 2 >= up && ledLongEnough,
       fewSilent: up - heard <= Math.max(FEW_SILENT, FEW_SILENT_SHARE * up),
@@ -86,11 +86,11 @@
     return overview.mayJudgeSilence && isLongUnresponsive(machine, overview) ? 'does not answer commands' : null;
   }
 
-  private neverBoots(machine: Machine, now: Steady): boolean {
+  private neverBoots(machine: Machine, now: MonotonicTime): boolean {
     const { type, zone } = machine;
-    const { bootTimes, ctx } = this.cluster;
-    const factor = ctx.tuning.machines.boot_give_up * bootTimes.patience(type, zone, machine.rentedAt, now);
-    return machine.ageS(now) > Math.max(MIN_BOOT_S, type.bootS * factor);
+    const { bootTimes, context } = this.cluster;
+    const factor = context.tuning.machines.boot_give_up * bootTimes.patience(type, zone, machine.rentedAt, now);
+    return machine.ageS(now) > Math.max(MIN_BOOT_S, type.bootSeconds * factor);
   }
 
   /** Where the machine stands idle and no guarantee needs it; takes it off what is to spare. */
@@ -107,12 +107,12 @@
   }
 
   private isIdle(machine: Machine): boolean {
-    const now = this.cluster.ctx.now.steady;
+    const now = this.cluster.context.now.monotonic;
     // Made empty on purpose, for a job that is on its way here.
     if (machine.reservedFor(now) !== null) return false;
     if (machine.ageS(now) < MIN_CHARGED_S) return false;
     const idleSince = Math.max(machine.idleSince, machine.firstReportAt ?? machine.idleSince);
-    return (now - idleSince) / 1000 >= this.cluster.ctx.tuning.machines.idle_return_s;
+    return (now - idleSince) / 1000 >= this.cluster.context.tuning.machines.idle_return_s;
   }
 
   /** Marks a machine to be returned; `send` does it. */
@@ -123,12 +123,12 @@
     if (reason === 'silent' || reason === 'failed') this.onLost(machine);
     machine.draining ??= reason;
     if (reason === 'never came up') this.noteGivenUp(machine);
-    this.cluster.ctx.log('info', 'returning machine', { machine: machine.id, type: machine.typeName, why: reason });
+    this.cluster.context.log('info', 'returning machine', { machine: machine.id, type: machine.typeName, why: reason });
     this.queue.push(machine);
   }
 
   private noteGivenUp({ type, zone, rentedAt }: Machine): void {
-    this.cluster.bootTimes.noteGivenUp(type, zone, rentedAt, this.cluster.ctx.now.steady);
+    this.cluster.bootTimes.noteGivenUp(type, zone, rentedAt, this.cluster.context.now.monotonic);
   }
 
   /** Returns what was marked, as many to a request as the cloud takes. */
@@ -139,12 +139,12 @@
   }
 
   private sendBatch(batch: readonly Machine[]): void {
-    const { ctx } = this.cluster;
+    const { context } = this.cluster;
     this.inFlight += 1;
-    ctx.cloud({ op: 'delete', machines: batch.map(({ id }) => id) }, DELETE_PRIORITY, (result) => {
+    context.callCloud({ op: 'delete', machines: batch.map(({ id }) => id) }, DELETE_PRIORITY, (result) => {
       this.inFlight -= 1;
       for (const machine of batch) this.onAnswer(machine, result.ok);
-      if (result.ok) ctx.timers.set('round', ctx.after(ROUND_AFTER_DELETE_MS));
+      if (result.ok) context.timers.set('round', context.after(ROUND_AFTER_DELETE_MS));
       this.send();
     });
   }
--- a/src/core/machines/registry.ts
+++ b/src/core/machines/registry.ts
@@ -1,6 +1,13 @@
-import type { Change, StoredItem } from '../messages.js';
-import { type DecodedPage, decodePage, encodePage, MACHINE_PREFIX, type MachineRecord, pageKey } from '../records.js';
-import { ABSENT, type MachineId, type Revision, type Steady } from '../types.js';
+import type { StateChange, StoredEntry } from '../messages.js';
+import {
+  type DecodedMachinePage,
+  decodePage,
+  encodePage,
+  MACHINE_PREFIX,
+  type MachineRecord,
+  pageKey,
+} from '../records.js';
+import { ABSENT_VERSION, type MachineId, type MonotonicTime, type Revision } from '../types.js';
 import type { Machine } from './machine.js';
 
 /** What a page's text may take of the store's limit for a value, without and with the images that machines hold. */
@@ -30,17 +37,17 @@
   writeInFlight: boolean;
   /** The outcome of a write is unknown: the version has to be read before the next. */
   versionUnknown: boolean;
-  writtenAt: Steady;
+  writtenAt: MonotonicTime;
 }
 
 /** One write of a page: the change, about its size, and the machines on the page at that moment. */
 export interface PageWrite {
-  readonly change: Change;
+  readonly change: StateChange;
   readonly bytes: number;
   readonly machines: readonly Machine[];
 }
 
-const NOTHING_UNDERSTOOD: DecodedPage = { machines: [], complete: false };
+const NOTHING_UNDERSTOOD: DecodedMachinePage = { machines: [], complete: false };
 
 const pageNumber = (key: string): number => Number(key.slice(MACHINE_PREFIX.length));
 
@@ -56,7 +63,7 @@
     hintsChanged: false,
     writeInFlight: false,
     versionUnknown: false,
-    writtenAt: 0 as Steady,
+    writtenAt: 0 as MonotonicTime,
   };
 }
 
@@ -80,7 +87,7 @@
   // ---- what was stored
 
   /** Takes in a stored page. One that isn't understood in full stays as it is: it is never written over. */
-  load(item: StoredItem): DecodedPage {
+  load(item: StoredEntry): DecodedMachinePage {
     const no = pageNumber(item.key);
     const page = decodePage(item.value) ?? NOTHING_UNDERSTOOD;
     if (page.complete && Number.isSafeInteger(no)) this.pages.set(no, emptyPage(no, item.version));
@@ -163,7 +170,7 @@
   private newPage(): Page {
     let no = this.pages.size;
     while (this.pages.has(no) || this.unreadablePages.has(no)) no += 1;
-    const page = emptyPage(no, ABSENT);
+    const page = emptyPage(no, ABSENT_VERSION);
     this.pages.set(no, page);
     return page;
   }
@@ -201,12 +208,12 @@
   // ---- writing
 
   /** Pages to write, the most pressing first; without spare writes only what can't wait. */
-  duePages(now: Steady, hasSpareWrites: boolean): Page[] {
+  duePages(now: MonotonicTime, hasSpareWrites: boolean): Page[] {
     const due = [...this.pages.values()].filter((page) => this.isDue(page, now, hasSpareWrites));
     return due.sort((a, b) => Number(b.urgent) - Number(a.urgent) || Number(b.needsRewrite) - Number(a.needsRewrite));
   }
 
-  private isDue(page: Page, now: Steady, hasSpareWrites: boolean): boolean {
+  private isDue(page: Page, now: MonotonicTime, hasSpareWrites: boolean): boolean {
     // One that is being spread is too large to be written until the others have left.
     if (page.writeInFlight || page.versionUnknown || page.leaving.size > 0) return false;
     if (page.urgent || page.needsRewrite) return true;
@@ -218,7 +225,7 @@
   }
 
   /** The change that brings the store up to date with a page. */
-  beginWrite(page: Page, now: Steady): PageWrite {
+  beginWrite(page: Page, now: MonotonicTime): PageWrite {
     page.writeInFlight = true;
     page.writtenAt = now;
     page.urgent = false;
@@ -253,10 +260,10 @@
 
 const recordOf = (machine: Machine): MachineRecord => ({
   id: machine.id,
-  addr: machine.addr,
+  address: machine.addr,
   type: machine.typeName,
   zone: machine.zone,
   spot: machine.spot,
   images: machine.images.heldByLastUse(),
-  fetchSpeed: machine.images.fetchSpeed,
+  imagePullSpeed: machine.images.fetchSpeed,
 });
--- a/src/core/machines/rental_need.ts
+++ b/src/core/machines/rental_need.ts
@@ -1,9 +1,9 @@
-import { AMOUNT_TOLERANCE, sharesIn } from '../amounts.js';
 import type { Cluster } from '../leadership/cluster.js';
+import { countFitting, RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { PlanJob } from '../scheduler/plan_types.js';
 import type { RoundResult } from '../scheduler/round.js';
 import { type GpuDemand, gpuDemand, spareOfType } from '../scheduler/spare_room.js';
-import type { MachineType, TypeName, ZoneName } from '../types.js';
+import type { MachineType, MachineTypeName, ZoneName } from '../types.js';
 import { fetchTimeS } from './image_cache.js';
 import { kindKey, type MachineKind } from './machine_kind.js';
 import type { Rentals } from './rentals.js';
@@ -51,7 +51,7 @@
   rent(): void {
     for (const late of this.lateTasks()) this.addLate(late);
     this.addUnplanned();
-    const { rent_round_up } = this.cluster.ctx.tuning.machines;
+    const { rent_round_up } = this.cluster.context.tuning.machines;
     const underWay = this.countUnderWay();
     for (const { kind, machines, minimum } of this.needs.values()) {
       const needed = Math.max(minimum, Math.floor(machines + rent_round_up));
@@ -63,8 +63,8 @@
   }
 
   /** Machines being rented before this round, by type: what it rents itself for one need doesn't meet another. */
-  private countUnderWay(): Map<TypeName, number> {
-    const counts = new Map<TypeName, number>();
+  private countUnderWay(): Map<MachineTypeName, number> {
+    const counts = new Map<MachineTypeName, number>();
     for (const { kind, count } of this.rentals.underWay()) {
       counts.set(kind.type.name, (counts.get(kind.type.name) ?? 0) + count);
     }
@@ -109,9 +109,9 @@
   }
 
   /** Booting machines, by type, on which the plan starts nothing. */
-  private unusedComing(): Map<TypeName, number> {
+  private unusedComing(): Map<MachineTypeName, number> {
     const used = new Set(this.round.capacity.starts.map((start) => start.machine));
-    const unused = new Map<TypeName, number>();
+    const unused = new Map<MachineTypeName, number>();
     this.round.machines.forEach((machine, slot) => {
       if (!this.cluster.isExpected(machine) || used.has(slot)) return;
       unused.set(machine.typeName, (unused.get(machine.typeName) ?? 0) + 1);
@@ -121,7 +121,7 @@
 
   private lateTasks(): LateTasks[] {
     const { capacity, planJobs } = this.round;
-    const marginS = this.cluster.ctx.tuning.machines.rent_margin_s;
+    const marginS = this.cluster.context.tuning.machines.rent_margin_s;
     const late = new Map<number, number>();
     const add = (slot: number, tasks: number): void => {
       late.set(slot, (late.get(slot) ?? 0) + tasks);
@@ -143,19 +143,19 @@
   /** Jobs that fail wherever they run are tried on what is there. */
   private mayDriveRentals({ slot }: PlanJob): boolean {
     const job = this.round.jobs[slot];
-    return job === undefined || job.failureHistory.mayDriveRentals(this.cluster.ctx.now.steady);
+    return job === undefined || job.failureHistory.mayDriveRentals(this.cluster.context.now.monotonic);
   }
 
   /** Seconds until a machine rented now could start the job. */
   private soonestOnNewMachineS(job: PlanJob): number {
-    const { bootTimes, ctx, types } = this.cluster;
+    const { bootTimes, context, types } = this.cluster;
     let soonest = Number.POSITIVE_INFINITY;
     for (const type of types.values()) {
       if (!this.canRun(job, type)) continue;
-      const fetchS = fetchTimeS(job.imageGb, type.fetchGbPerS);
+      const fetchS = fetchTimeS(job.imageGb, type.imagePullGbPerSecond);
       for (const zone of type.zones) {
         if (!isOpenZone(job, zone)) continue;
-        soonest = Math.min(soonest, bootTimes.expectedS(type, zone, ctx.now.steady) + fetchS);
+        soonest = Math.min(soonest, bootTimes.expectedS(type, zone, context.now.monotonic) + fetchS);
       }
     }
     return soonest;
@@ -165,23 +165,23 @@
   private machinesFor(job: PlanJob, type: MachineType, tasks: number): number {
     const perMachine = tasksPerMachine(job, type);
     if (job.gang) return tasks / perMachine;
-    const horizonS = this.cluster.ctx.tuning.machines.rent_horizon_s;
+    const horizonS = this.cluster.context.tuning.machines.rent_horizon_s;
     const runsInHorizon = Math.max(1, horizonS / Math.max(1, job.durationS));
     return tasks / (perMachine * runsInHorizon);
   }
 
   /** The kind that takes the job's tasks at the lowest price a task, among those not lately refused. */
   private cheapestKind(job: PlanJob, tasks: number, fullZones?: ReadonlySet<ZoneName>): MachineKind | null {
-    const { bootTimes, ctx } = this.cluster;
+    const { bootTimes, context } = this.cluster;
     let cheapest: MachineKind | null = null;
     let lowestCost = Number.POSITIVE_INFINITY;
     for (const kind of this.possibleKinds(job)) {
       if (this.rentals.isRefused(kind) || fullZones?.has(kind.zone)) continue;
       const { type, zone, spot } = kind;
-      const price = spot ? type.spotPrice * SPOT_PRICE_FACTOR : type.price;
+      const price = spot ? type.spotPricePerHour * SPOT_PRICE_FACTOR : type.pricePerHour;
       const crowding = 1 + CROWDED_ZONE_FACTOR * (this.machineCounts.get(countKey(type.name, zone)) ?? 0);
       // Where machines lately came up late or never, others that fit are tried first.
-      const unreliable = 1 + UNRELIABLE_FACTOR * bootTimes.overdueShare(type, zone, ctx.now.steady);
+      const unreliable = 1 + UNRELIABLE_FACTOR * bootTimes.overdueShare(type, zone, context.now.monotonic);
       const cost = (price / Math.min(tasks, tasksPerMachine(job, type))) * crowding * unreliable;
       if (cost >= lowestCost) continue;
       lowestCost = cost;
@@ -198,7 +198,7 @@
     if (tasksPerMachine(job, type) < 1 || (job.types !== null && !job.types.includes(type.name))) return false;
     if (job.gpus > 0 || type.gpus === 0 || job.penaltyFactor === 0) return true;
     const spare = spareOfType(type, this.gpuDemand);
-    return spare.cpus + AMOUNT_TOLERANCE >= job.cpus && spare.memGb + AMOUNT_TOLERANCE >= job.memGb;
+    return spare.cpus + RESOURCE_TOLERANCE >= job.cpus && spare.memGb + RESOURCE_TOLERANCE >= job.memoryGb;
   }
 
   private *possibleKinds(job: PlanJob): Iterable<MachineKind> {
@@ -217,7 +217,7 @@
   /** Machines that are there or being rented, by type and zone. */
   private countMachines(): Map<string, number> {
     const counts = new Map<string, number>();
-    const add = (type: TypeName, zone: ZoneName, count: number): void => {
+    const add = (type: MachineTypeName, zone: ZoneName, count: number): void => {
       const key = countKey(type, zone);
       counts.set(key, (counts.get(key) ?? 0) + count);
     };
@@ -231,11 +231,15 @@
 const isOpenZone = (job: PlanJob, zone: ZoneName): boolean =>
   (job.boundTo === null || job.boundTo === zone) && job.zoneRoom?.get(zone) !== 0;
 
-const countKey = (type: TypeName, zone: ZoneName): string => `${type}|${zone}`;
+const countKey = (type: MachineTypeName, zone: ZoneName): string => `${type}|${zone}`;
 
 /** How many of the job's tasks one machine of the type takes at once. */
 function tasksPerMachine(job: PlanJob, type: MachineType): number {
-  const { cpus, gpus, memGb } = type;
-  const tasks = Math.min(sharesIn(cpus, job.cpus), sharesIn(gpus, job.gpus), sharesIn(memGb, job.memGb));
+  const { cpus, gpus, memoryGb } = type;
+  const tasks = Math.min(
+    countFitting(cpus, job.cpus),
+    countFitting(gpus, job.gpus),
+    countFitting(memoryGb, job.memoryGb),
+  );
   return Number.isFinite(tasks) ? tasks : UNBOUNDED_TASKS;
 }
--- a/src/core/machines/rentals.ts
+++ b/src/core/machines/rentals.ts
@@ -1,5 +1,5 @@
 import type { Cluster } from '../leadership/cluster.js';
-import type { MachineId, Steady } from '../types.js';
+import type { MachineId, MonotonicTime } from '../types.js';
 import { Machine } from './machine.js';
 import { kindKey, type MachineKind } from './machine_kind.js';
 
@@ -18,11 +18,11 @@
   readonly kind: MachineKind;
   readonly request: string;
   readonly count: number;
-  readonly since: Steady;
+  readonly since: MonotonicTime;
 }
 
 interface Refusal {
-  readonly until: Steady;
+  readonly until: MonotonicTime;
   readonly times: number;
 }
 
@@ -48,7 +48,7 @@
   /** Whether the cloud lately had no machine of this kind. */
   isRefused(kind: MachineKind): boolean {
     const refusal = this.refusals.get(kindKey(kind));
-    return refusal !== undefined && refusal.until > this.cluster.ctx.now.steady;
+    return refusal !== undefined && refusal.until > this.cluster.context.now.monotonic;
   }
 
   /** Asks for so many machines, in as many requests as it takes; what is left is asked for in the next round. */
@@ -62,7 +62,7 @@
     this.requests += 1;
     // The term makes the name unique among all nodes; a name is never used for a second request.
     const request = `r-${this.cluster.term}-${this.requests}`;
-    const since = this.cluster.ctx.now.steady;
+    const since = this.cluster.context.now.monotonic;
     const rental: Rental = { kind, request, count, since };
     this.pending.set(request, rental);
     this.send(rental);
@@ -70,11 +70,18 @@
 
   private send(rental: Rental): void {
     const { kind, request, count, since } = rental;
-    const { ctx } = this.cluster;
-    const op = { op: 'rent', request, type: kind.type.name, zone: kind.zone, spot: kind.spot, count } as const;
-    ctx.cloud(op, RENT_PRIORITY, (result) => {
-      if (result.ok) return this.onRented(rental, result.value.rented ?? []);
-      if (result.why === 'unknown' && ctx.now.steady - since < REPEAT_MS) return this.send(rental);
+    const { context } = this.cluster;
+    const op = {
+      op: 'rent',
+      idempotencyKey: request,
+      machineType: kind.type.name,
+      zone: kind.zone,
+      spot: kind.spot,
+      count,
+    } as const;
+    context.callCloud(op, RENT_PRIORITY, (result) => {
+      if (result.ok) return this.onRented(rental, result.value.provisioned ?? []);
+      if (result.why === 'unknown' && context.now.monotonic - since < REPEAT_MS) return this.send(rental);
       this.pending.delete(request);
       if (result.why === 'no_capacity') this.noteRefusal(kind);
     });
@@ -85,7 +92,7 @@
     this.pending.delete(request);
     if (ids.length < count) this.noteRefusal(kind);
     else this.refusals.delete(kindKey(kind));
-    this.cluster.ctx.log('info', 'rented', { type: type.name, zone, spot, asked: count, got: ids.length });
+    this.cluster.context.log('info', 'rented', { type: type.name, zone, spot, asked: count, got: ids.length });
     for (const id of ids) {
       if (this.cluster.machines.has(id) || this.cluster.removedMachines.has(id)) continue;
       const known = { id, type, zone, spot, addr: '', reconciled: true, phase: 'booting', rentedHere: true } as const;
@@ -99,8 +106,8 @@
   private noteRefusal(kind: MachineKind): void {
     const key = kindKey(kind);
     const times = Math.min(MAX_BACKOFF_STEPS, (this.refusals.get(key)?.times ?? 0) + 1);
-    const { refused_backoff_s } = this.cluster.ctx.tuning.machines;
+    const { refused_backoff_s } = this.cluster.context.tuning.machines;
     const pauseMs = refused_backoff_s * 1000 * BACKOFF_FACTOR ** (times - 1);
-    this.refusals.set(key, { until: this.cluster.ctx.after(pauseMs), times });
+    this.refusals.set(key, { until: this.cluster.context.after(pauseMs), times });
   }
 }
--- a/src/core/machines/task_failures.ts
+++ b/src/core/machines/task_failures.ts
@@ -1,5 +1,5 @@
 import type { FailureHistory } from '../jobs/failure_history.js';
-import type { Steady } from '../types.js';
+import type { MonotonicTime } from '../types.js';
 
 /**
  * Jobs that aren't known yet to do well elsewhere count after so long: one that fails wherever it runs shows it by then, as
@@ -17,9 +17,9 @@
   /** Failed tasks by the histories of their jobs. */
   private readonly counts = new Map<FailureHistory, number>();
 
-  private lastFailureAt = 0 as Steady;
+  private lastFailureAt = 0 as MonotonicTime;
 
-  note(job: FailureHistory, now: Steady): void {
+  note(job: FailureHistory, now: MonotonicTime): void {
     this.lastFailureAt = now;
     this.counts.set(job, (this.counts.get(job) ?? 0) + 1);
   }
@@ -44,7 +44,7 @@
   }
 
   /** Whether the failures amount to so many tasks of one job, or so many jobs, that do well elsewhere. */
-  isMachineAtFault(limit: number, now: Steady): boolean {
+  isMachineAtFault(limit: number, now: MonotonicTime): boolean {
     const isSettled = now - this.lastFailureAt >= SETTLE_MS;
     let jobs = 0;
     for (const [job, tasks] of this.counts) {
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -1,23 +1,23 @@
 import type {
+  AgentEpoch,
+  CloudMachine,
   Command,
+  ControllerName,
+  FencingToken,
+  Heartbeat,
   JobId,
   JobSpec,
   LeaseId,
-  ListedMachine,
   MachineId,
   MachineType,
-  NodeName,
+  MachineTypeName,
+  MonotonicTime,
   Revision,
-  Session,
-  Steady,
-  Token,
-  TypeName,
-  WorkerReport,
   ZoneName,
 } from './types.js';
 
 /** Why a call to an outside service brought no result. */
-export type Failure =
+export type CallFailure =
   /** Answered that it was not executed (429, 503). */
   | 'refused'
   /** No answer: it may have been executed, or still be. */
@@ -36,62 +36,62 @@
   | { readonly ok: true; readonly value: T }
   /** `keys`: of a conflict, those that did not have the version asked for. */
   /** `throttled`: it was refused for coming too often. */
-  | { readonly ok: false; readonly why: Failure; readonly keys?: readonly string[]; readonly throttled?: boolean };
+  | { readonly ok: false; readonly why: CallFailure; readonly keys?: readonly string[]; readonly throttled?: boolean };
 
 /** A value of the state service, with the revision of its last change. */
-export interface StoredItem {
+export interface StoredEntry {
   readonly key: string;
   readonly value: unknown;
   readonly version: Revision;
 }
 
 /** A key's version that a transaction depends on. */
-export interface Condition {
+export interface VersionCondition {
   readonly key: string;
   readonly version: Revision;
 }
 
 /** A change that a transaction makes. */
-export type Change =
+export type StateChange =
   | { readonly put: string; readonly value: unknown; readonly lease?: LeaseId }
   | { readonly drop: string };
 
 /** A change that a watch tells of. */
-export type StoreEvent =
+export type WatchEvent =
   | { readonly put: string; readonly value: unknown; readonly version: Revision }
   | { readonly drop: string; readonly version: Revision };
 
 /** Calls to the state service. */
-export type StoreOp =
+export type StateStoreOperation =
   | { readonly op: 'get'; readonly key: string }
   | { readonly op: 'list'; readonly prefix: string; readonly after: string | null; readonly limit: number }
-  | { readonly op: 'txn'; readonly conditions: readonly Condition[]; readonly changes: readonly Change[] }
+  | { readonly op: 'txn'; readonly conditions: readonly VersionCondition[]; readonly changes: readonly StateChange[] }
   | { readonly op: 'grant'; readonly ttlMs: number }
   | { readonly op: 'renew'; readonly lease: LeaseId }
   | { readonly op: 'revoke'; readonly lease: LeaseId }
   | { readonly op: 'watch'; readonly prefix: string; readonly after: Revision; readonly waitMs: number };
 
 /** What the state service answers: the fields that belong to the call. */
-export interface StoreValue {
+export interface StateStoreResponse {
   /** get: null where the key does not exist. */
-  readonly item?: StoredItem | null;
-  readonly items?: readonly StoredItem[];
+  readonly item?: StoredEntry | null;
+  readonly items?: readonly StoredEntry[];
   readonly more?: boolean;
   readonly revision?: Revision;
   readonly lease?: LeaseId;
-  readonly events?: readonly StoreEvent[];
+  readonly events?: readonly WatchEvent[];
 }
 
-export type OnStoreResult = (result: Result<StoreValue>) => void;
+export type OnStateStoreResult = (result: Result<StateStoreResponse>) => void;
 
 /** Calls to the cloud. */
-export type CloudOp =
+export type CloudOperation =
   | { readonly op: 'types' }
   | { readonly op: 'list'; readonly after: MachineId | null }
   | {
       readonly op: 'rent';
-      readonly request: string;
-      readonly type: TypeName;
+      readonly idempotencyKey: string;
+      readonly machineType: MachineTypeName;
       readonly zone: ZoneName;
       readonly spot: boolean;
       readonly count: number;
@@ -99,25 +99,25 @@
   | { readonly op: 'delete'; readonly machines: readonly MachineId[] };
 
 /** What the cloud answers: the fields that belong to the call. */
-export interface CloudValue {
-  readonly types?: readonly MachineType[];
-  readonly machines?: readonly ListedMachine[];
+export interface CloudResponse {
+  readonly machineTypes?: readonly MachineType[];
+  readonly machines?: readonly CloudMachine[];
   readonly more?: boolean;
-  readonly rented?: readonly MachineId[];
+  readonly provisioned?: readonly MachineId[];
 }
 
 /** Direct commands to a worker; none at all still raises its token. */
-export interface WorkerOp {
-  readonly addr: string;
-  readonly token: Token;
-  readonly session: Session;
+export interface CommandPush {
+  readonly address: string;
+  readonly fencingToken: FencingToken;
+  readonly agentEpoch: AgentEpoch;
   readonly commands: readonly Command[];
 }
 
 /** A worker's answer to direct commands. */
-export interface WorkerValue {
+export interface CommandPushResponse {
   readonly executed: boolean;
-  readonly report: WorkerReport;
+  readonly heartbeat: Heartbeat;
 }
 
 /** What users ask; `spec` is null where the submission is malformed, and `problem` says why. */
@@ -130,7 +130,7 @@
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
 /** What users are told, with its HTTP status. */
-export type UserAnswer =
+export type UserResponse =
   | {
       readonly status: 200 | 201;
       readonly id: JobId;
@@ -138,26 +138,26 @@
       readonly done: number;
       readonly running: number;
     }
-  | { readonly status: 400 | 404 | 422 | 503; readonly problem: string; readonly retryAfterS?: number };
+  | { readonly status: 400 | 404 | 422 | 503; readonly problem: string; readonly retryAfterSeconds?: number };
 
 /** What a worker is told in answer to its report, with its HTTP status. */
-export type WorkerAnswer =
-  | { readonly status: 200; readonly token: Token; readonly commands: readonly Command[] }
-  | { readonly status: 421; readonly reportTo: NodeName | null }
+export type HeartbeatResponse =
+  | { readonly status: 200; readonly fencingToken: FencingToken; readonly commands: readonly Command[] }
+  | { readonly status: 421; readonly redirectTo: ControllerName | null }
   | { readonly status: 503 };
 
 /** What a node tells its peers of itself once a second. */
 export interface PeerStatus {
   /** Whether the sender holds the lead, as far as it knows. */
-  readonly leading: boolean;
+  readonly isLeader: boolean;
   /** Whether the state service answered the sender lately. */
-  readonly storeOk: boolean;
+  readonly stateStoreReachable: boolean;
   /** Milliseconds since a worker last reached the sender; negative: never. */
-  readonly workersHeardMs: number;
+  readonly sinceLastHeartbeatMs: number;
   /** Workers' reports a second that reach the sender itself. */
-  readonly reportsPerS: number;
+  readonly heartbeatsPerSecond: number;
   /** The sender leads and would rather have workers' reports from the workers themselves. */
-  readonly takesReports: boolean;
+  readonly prefersDirectHeartbeats: boolean;
   /** The sender knows `cancellation` and `cancellationAck`: releases before them end the connection over one. */
   readonly acknowledgesCancellations: boolean;
 }
@@ -166,10 +166,15 @@
 export type PeerMessage =
   | { readonly kind: 'status'; readonly status: PeerStatus }
   | { readonly kind: 'request'; readonly id: number; readonly request: UserRequest }
-  | { readonly kind: 'requestAnswer'; readonly id: number; readonly answer: UserAnswer }
+  | { readonly kind: 'requestAnswer'; readonly id: number; readonly response: UserResponse }
   /** A worker's report that reached a node that doesn't lead, passed on as it came; and the leader's answer to it. */
-  | { readonly kind: 'report'; readonly id: number; readonly report: WorkerReport }
-  | { readonly kind: 'reportAnswer'; readonly id: number; readonly machine: MachineId; readonly answer: WorkerAnswer }
+  | { readonly kind: 'report'; readonly id: number; readonly heartbeat: Heartbeat }
+  | {
+      readonly kind: 'reportAnswer';
+      readonly id: number;
+      readonly machine: MachineId;
+      readonly response: HeartbeatResponse;
+    }
   /** The sender has put a cancellation on record: that is never undone, so the notice alone may be acted on. */
   | { readonly kind: 'cancellation'; readonly id: number; readonly job: JobId }
   | { readonly kind: 'cancellationAck'; readonly id: number };
@@ -183,12 +188,12 @@
 export type Input =
   | { readonly kind: 'start' }
   | { readonly kind: 'timer' }
-  | { readonly kind: 'user'; readonly req: RequestId; readonly request: UserRequest }
-  | { readonly kind: 'report'; readonly req: RequestId; readonly report: WorkerReport }
-  | { readonly kind: 'storeReply'; readonly call: CallId; readonly result: Result<StoreValue> }
-  | { readonly kind: 'cloudReply'; readonly call: CallId; readonly result: Result<CloudValue> }
-  | { readonly kind: 'workerReply'; readonly call: CallId; readonly result: Result<WorkerValue> }
-  | { readonly kind: 'peer'; readonly from: NodeName; readonly message: PeerMessage };
+  | { readonly kind: 'user'; readonly requestId: RequestId; readonly request: UserRequest }
+  | { readonly kind: 'report'; readonly requestId: RequestId; readonly heartbeat: Heartbeat }
+  | { readonly kind: 'storeReply'; readonly callId: CallId; readonly result: Result<StateStoreResponse> }
+  | { readonly kind: 'cloudReply'; readonly callId: CallId; readonly result: Result<CloudResponse> }
+  | { readonly kind: 'workerReply'; readonly callId: CallId; readonly result: Result<CommandPushResponse> }
+  | { readonly kind: 'peer'; readonly sender: ControllerName; readonly message: PeerMessage };
 
 export type LogLevel = 'error' | 'info' | 'debug';
 
@@ -202,15 +207,20 @@
  * was confirmed of a job that isn't over may be old: the process may have been paused since the step that made it.
  */
 interface Expiring {
-  readonly notAfter?: Steady;
+  readonly expiresAt?: MonotonicTime;
 }
 
 /** What a step of the core asks the outside to carry out. */
 export type Output =
-  | ({ readonly kind: 'answerUser'; readonly req: RequestId; readonly answer: UserAnswer } & Expiring)
-  | ({ readonly kind: 'answerWorker'; readonly req: RequestId; readonly answer: WorkerAnswer } & Expiring)
-  | { readonly kind: 'store'; readonly call: CallId; readonly op: StoreOp; readonly timeoutMs: number }
-  | ({ readonly kind: 'cloud'; readonly call: CallId; readonly op: CloudOp } & Expiring)
-  | ({ readonly kind: 'worker'; readonly call: CallId; readonly op: WorkerOp } & Expiring)
-  | ({ readonly kind: 'peer'; readonly to: NodeName; readonly message: PeerMessage } & Expiring)
-  | { readonly kind: 'log'; readonly level: LogLevel; readonly text: string; readonly fields: LogFields };
+  | ({ readonly kind: 'answerUser'; readonly requestId: RequestId; readonly response: UserResponse } & Expiring)
+  | ({ readonly kind: 'answerWorker'; readonly requestId: RequestId; readonly response: HeartbeatResponse } & Expiring)
+  | {
+      readonly kind: 'store';
+      readonly callId: CallId;
+      readonly operation: StateStoreOperation;
+      readonly timeoutMs: number;
+    }
+  | ({ readonly kind: 'cloud'; readonly callId: CallId; readonly operation: CloudOperation } & Expiring)
+  | ({ readonly kind: 'worker'; readonly callId: CallId; readonly operation: CommandPush } & Expiring)
+  | ({ readonly kind: 'peer'; readonly recipient: ControllerName; readonly message: PeerMessage } & Expiring)
+  | { readonly kind: 'log'; readonly level: LogLevel; readonly event: string; readonly fields: LogFields };
--- a/src/core/peers/peer_table.ts
+++ b/src/core/peers/peer_table.ts
@@ -1,30 +1,30 @@
-import type { Context } from '../context.js';
 import type { PeerStatus } from '../messages.js';
-import type { NodeName, Steady } from '../types.js';
+import type { StepContext } from '../step_context.js';
+import type { ControllerName, MonotonicTime } from '../types.js';
 
 /** A peer that was heard within this time counts as alive. */
 const PEER_ALIVE_MS = 3500;
 /** Only a leader that was heard this recently is passed reports, or named to workers without asking the state service. */
-const LINK_FRESH_MS = 2500;
+const REACHABLE_MS = 2500;
 
 /** What is known of a peer. */
 export interface Peer {
-  readonly name: NodeName;
+  readonly name: ControllerName;
   status: PeerStatus;
-  heardAt: Steady;
+  lastHeardAt: MonotonicTime;
   /** Since when it has been heard of without a gap. */
-  heardSince: Steady;
+  reachableSince: MonotonicTime;
   /** It left a forwarded report without an answer: until then it is given no others. */
-  reportsPausedUntil: Steady;
+  heartbeatsPausedUntil: MonotonicTime;
 }
 
 /** The other controller nodes, by the status that each sends once a second. */
 export class PeerTable {
-  private readonly peers = new Map<NodeName, Peer>();
+  private readonly peers = new Map<ControllerName, Peer>();
 
-  constructor(private readonly ctx: Context) {}
+  constructor(private readonly context: StepContext) {}
 
-  get(name: NodeName): Peer | undefined {
+  get(name: ControllerName): Peer | undefined {
     return this.peers.get(name);
   }
 
@@ -32,28 +32,34 @@
     return this.peers.values();
   }
 
-  onStatus(name: NodeName, status: PeerStatus): void {
-    const { steady } = this.ctx.now;
+  onStatus(name: ControllerName, status: PeerStatus): void {
+    const { monotonic } = this.context.now;
     const known = this.peers.get(name);
     if (!known) {
-      this.peers.set(name, { name, status, heardAt: steady, heardSince: steady, reportsPausedUntil: steady });
+      this.peers.set(name, {
+        name,
+        status,
+        lastHeardAt: monotonic,
+        reachableSince: monotonic,
+        heartbeatsPausedUntil: monotonic,
+      });
       return;
     }
-    if (!this.isAlive(known)) known.heardSince = steady;
+    if (!this.isAlive(known)) known.reachableSince = monotonic;
     known.status = status;
-    known.heardAt = steady;
+    known.lastHeardAt = monotonic;
   }
 
-  isAlive(peer: Peer, now: Steady = this.ctx.now.steady): boolean {
-    return now - peer.heardAt < PEER_ALIVE_MS;
+  isAlive(peer: Peer, now: MonotonicTime = this.context.now.monotonic): boolean {
+    return now - peer.lastHeardAt < PEER_ALIVE_MS;
   }
 
   /** Whether messages to it are likely to arrive and be answered now. */
-  isLinkFresh(peer: Peer): boolean {
-    return this.ctx.now.steady - peer.heardAt < LINK_FRESH_MS;
+  isReachable(peer: Peer): boolean {
+    return this.context.now.monotonic - peer.lastHeardAt < REACHABLE_MS;
   }
 
-  anyAlive(now: Steady): boolean {
+  isAnyAlive(now: MonotonicTime): boolean {
     for (const peer of this.peers.values()) if (this.isAlive(peer, now)) return true;
     return false;
   }
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -1,5 +1,5 @@
 import { RangeSet } from './jobs/range_set.js';
-import type { ImageName, JobId, JobSpec, MachineId, TypeName, Wall, ZoneName } from './types.js';
+import type { ImageName, JobId, JobSpec, MachineId, MachineTypeName, WallClockTime, ZoneName } from './types.js';
 
 /**
  * What the state service holds; nothing else survives a process. The stored names and versions are read by earlier and
@@ -22,7 +22,7 @@
 
 export interface JobRecord {
   readonly spec: JobSpec;
-  readonly submittedAt: Wall;
+  readonly submittedAt: WallClockTime;
   readonly state: JobState;
   /** The term in which its first start was allowed, 0 before. */
   readonly startTerm: number;
@@ -35,13 +35,13 @@
 
 export interface MachineRecord {
   readonly id: MachineId;
-  readonly addr: string;
-  readonly type: TypeName;
+  readonly address: string;
+  readonly type: MachineTypeName;
   readonly zone: ZoneName;
   readonly spot: boolean;
   /** Images it is known to hold, and how fast it fetches: hints that save a new leader from finding out again. */
   readonly images: readonly ImageName[];
-  readonly fetchSpeed: number;
+  readonly imagePullSpeed: number;
 }
 
 /** Who holds the lead, on which lease. */
@@ -53,7 +53,7 @@
 }
 
 /** A page of the registry as far as it is understood. */
-export interface DecodedPage {
+export interface DecodedMachinePage {
   readonly machines: readonly MachineRecord[];
   /** False where it holds something else too: then it must not be written over. */
   readonly complete: boolean;
@@ -70,23 +70,23 @@
   id: 'id',
   jobClass: 'jobClass',
   team: 'team',
-  shape: 'shape',
-  rank: 'rank',
-  tasks: 'tasks',
+  kind: 'shape',
+  priorityLevel: 'rank',
+  taskCount: 'tasks',
   cpus: 'cpus',
   gpus: 'gpus',
-  memGb: 'memGb',
+  memoryGb: 'memGb',
   image: 'image',
   imageGb: 'imageGb',
-  types: 'types',
+  allowedMachineTypes: 'types',
   zone: 'zone',
-  sameZone: 'sameZone',
-  spread: 'spread',
-  spotOk: 'spotOk',
-  estimateS: 'estimateS',
-  checkpointS: 'checkpointS',
-  saveS: 'saveS',
-  deadlineS: 'deadlineS',
+  singleZone: 'sameZone',
+  zoneSpread: 'spread',
+  toleratesSpot: 'spotOk',
+  estimatedRuntimeSeconds: 'estimateS',
+  checkpointIntervalSeconds: 'checkpointS',
+  checkpointDurationSeconds: 'saveS',
+  deadlineSeconds: 'deadlineS',
 } as const satisfies { readonly [Name in keyof JobSpec]: string };
 
 /** Before the name of a stored field that this release doesn't know: it is kept, and never taken for a known one. */
@@ -129,7 +129,7 @@
 }
 
 /** Whether a job's record has room for the names of these zones. Earlier releases leave none when they accept a job. */
-export function hasRoomForZones(
+export function fitsWithStartZones(
   record: Omit<JobRecord, 'startZones' | 'done'>,
   zones: readonly ZoneName[],
   valueBytes: number,
@@ -148,10 +148,10 @@
   const state = value.state as JobState;
   // A service is never done. A leader of a release that knows no services may have put it on record as such when its
   // replicas ended (upgrade-service-old-leader.txt).
-  const isService = spec.shape === 'service';
+  const isService = spec.kind === 'service';
   return {
     spec,
-    submittedAt: Number(value.at) as Wall,
+    submittedAt: Number(value.at) as WallClockTime,
     state: isService && state === 'done' ? 'accepted' : state,
     startTerm: Number(value.term),
     startZone: (value.zone ?? null) as ZoneName | null,
@@ -171,13 +171,13 @@
 }
 
 function encodeMachine(record: MachineRecord, maxImages: number): unknown[] {
-  const { id, addr, type, zone, spot, fetchSpeed, images } = record;
-  const roundedSpeed = Math.round(fetchSpeed * 100) / 100;
-  return [id, addr, type, zone, spot ? 1 : 0, roundedSpeed, maxImages > 0 ? images.slice(-maxImages) : []];
+  const { id, address, type, zone, spot, imagePullSpeed, images } = record;
+  const roundedSpeed = Math.round(imagePullSpeed * 100) / 100;
+  return [id, address, type, zone, spot ? 1 : 0, roundedSpeed, maxImages > 0 ? images.slice(-maxImages) : []];
 }
 
 /** Null for a value that isn't a page. */
-export function decodePage(value: unknown): DecodedPage | null {
+export function decodePage(value: unknown): DecodedMachinePage | null {
   if (!isFields(value) || value.v !== PAGE_VERSION || !Array.isArray(value.machines)) return null;
   const machines = value.machines.map(decodeMachine);
   const understood = machines.filter((record) => record !== null);
@@ -190,12 +190,12 @@
   if (typeof id !== 'string' || id === '') return null;
   return {
     id: id as MachineId,
-    addr: String(addr ?? ''),
-    type: String(type) as TypeName,
+    address: String(addr ?? ''),
+    type: String(type) as MachineTypeName,
     zone: String(zone) as ZoneName,
     spot: spot === 1,
     images: Array.isArray(images) ? (images as ImageName[]) : [],
-    fetchSpeed: typeof speed === 'number' && speed > 0 ? speed : 1,
+    imagePullSpeed: typeof speed === 'number' && speed > 0 ? speed : 1,
   };
 }
 
--- a/src/core/requests/poll_confirmation.ts
+++ b/src/core/requests/linearizable_reads.ts
@@ -1,9 +1,9 @@
-import type { Context } from '../context.js';
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
-import type { Result, StoreValue } from '../messages.js';
+import type { Result, StateStoreResponse } from '../messages.js';
 import { JOB_PREFIX, jobKey } from '../records.js';
+import type { StepContext } from '../step_context.js';
 import type { JobId } from '../types.js';
-import type { JobQuestion, JobReader } from './job_reader.js';
+import type { JobReader, StatusQuery } from './job_reader.js';
 
 /** Polls that come within so many milliseconds are confirmed by one call. Users wait 2 s for an answer. */
 const GATHER_MS = 120;
@@ -16,9 +16,9 @@
 const CONFIRM_QUEUE_MS = 600;
 
 /** A cached record, and the questions that its confirmation answers. */
-interface Batched {
+interface BatchedJob {
   readonly job: CachedJob;
-  readonly questions: JobQuestion[];
+  readonly queries: StatusQuery[];
 }
 
 /**
@@ -26,20 +26,20 @@
  * says as much as a read of each. One that fails confirms nothing: the records that it names are read, and the others go
  * with the next.
  */
-export class PollConfirmation {
-  private waiting: JobQuestion[] = [];
+export class LinearizableReads {
+  private waiting: StatusQuery[] = [];
   private inFlight = 0;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly cache: JobCache,
+    private readonly context: StepContext,
+    private readonly jobCache: JobCache,
     private readonly reader: JobReader,
   ) {}
 
   /** A question about a job that the cache knows waits for the next confirmation; any other is read. */
-  add(question: JobQuestion): void {
-    if (!this.cache.get(question.id)) {
-      this.reader.answer(question);
+  enqueue(question: StatusQuery): void {
+    if (!this.jobCache.get(question.id)) {
+      this.reader.respond(question);
       return;
     }
     this.waiting.push(question);
@@ -47,18 +47,18 @@
   }
 
   private schedule(ms: number): void {
-    this.ctx.timers.setIfUnset('pollConfirmation', this.ctx.after(ms));
+    this.context.timers.setIfUnset('pollConfirmation', this.context.after(ms));
   }
 
   /** Confirms what was gathered. */
-  confirm(): void {
+  sendBatch(): void {
     if (this.waiting.length === 0 || this.inFlight >= MAX_CONCURRENT) return;
     const batch = this.takeBatch();
-    if (this.waiting.length > 0) this.ctx.timers.set('pollConfirmation', this.ctx.after(NEXT_BATCH_MS));
+    if (this.waiting.length > 0) this.context.timers.set('pollConfirmation', this.context.after(NEXT_BATCH_MS));
     if (batch.size === 0) return;
     this.inFlight += 1;
     const conditions = [...batch].map(([id, { job }]) => ({ key: jobKey(id), version: job.version }));
-    this.ctx.store(
+    this.context.callStateStore(
       { op: 'txn', conditions, changes: [] },
       CONFIRM_PRIORITY,
       (result) => {
@@ -66,42 +66,42 @@
         if (this.waiting.length > 0) this.schedule(NEXT_BATCH_MS);
         this.onResult(batch, result);
       },
-      { timeoutMs: CONFIRM_TIMEOUT_MS, maxQueueMs: CONFIRM_QUEUE_MS, refuseEarly: true },
+      { timeoutMs: CONFIRM_TIMEOUT_MS, maxQueueTimeMs: CONFIRM_QUEUE_MS, failFast: true },
     );
   }
 
   /** As many jobs as one transaction can compare; what needs no confirmation is answered at once. */
-  private takeBatch(): Map<JobId, Batched> {
-    const limit = CONDITIONS_PER_CHANGE * this.ctx.settings.store.txnOps;
-    const batch = new Map<JobId, Batched>();
-    const later: JobQuestion[] = [];
+  private takeBatch(): Map<JobId, BatchedJob> {
+    const limit = CONDITIONS_PER_CHANGE * this.context.settings.stateStore.maxChangesPerTransaction;
+    const batch = new Map<JobId, BatchedJob>();
+    const later: StatusQuery[] = [];
     for (const question of this.waiting) {
       const batched = batch.get(question.id);
-      const job = this.cache.get(question.id);
-      if (batched) batched.questions.push(question);
-      else if (!job) this.reader.answer(question);
-      else if (job.record.state !== 'accepted') question.answer(this.reader.describe(job.record));
-      else if (batch.size < limit) batch.set(question.id, { job, questions: [question] });
+      const job = this.jobCache.get(question.id);
+      if (batched) batched.queries.push(question);
+      else if (!job) this.reader.respond(question);
+      else if (job.record.state !== 'accepted') question.respond(this.reader.statusResponse(job.record));
+      else if (batch.size < limit) batch.set(question.id, { job, queries: [question] });
       else later.push(question);
     }
     this.waiting = later;
     return batch;
   }
 
-  private onResult(batch: ReadonlyMap<JobId, Batched>, result: Result<StoreValue>): void {
+  private onResult(batch: ReadonlyMap<JobId, BatchedJob>, result: Result<StateStoreResponse>): void {
     const conflict = !result.ok && result.why === 'conflict';
     const changedKeys = new Set(conflict ? (result.keys ?? []) : []);
     // A conflict that names nothing that was asked for confirms nothing.
     const namesAny = [...changedKeys].some((key) => batch.has(key.slice(JOB_PREFIX.length) as JobId));
-    for (const [id, { job, questions }] of batch) {
+    for (const [id, { job, queries }] of batch) {
       const mayHaveChanged = !namesAny || changedKeys.has(jobKey(id));
-      const settle = (question: JobQuestion): void => {
-        if (result.ok) question.answer(this.reader.describe(job.record));
-        else if (!conflict) question.failed();
-        else if (mayHaveChanged) this.reader.answer(question);
-        else this.add(question);
+      const settle = (question: StatusQuery): void => {
+        if (result.ok) question.respond(this.reader.statusResponse(job.record));
+        else if (!conflict) question.onUnavailable();
+        else if (mayHaveChanged) this.reader.respond(question);
+        else this.enqueue(question);
       };
-      questions.forEach(settle);
+      queries.forEach(settle);
     }
   }
 }
--- a/src/core/requests/request_handler.ts
+++ b/src/core/requests/request_handler.ts
@@ -1,42 +1,46 @@
-import type { Context } from '../context.js';
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
 import { RangeSet } from '../jobs/range_set.js';
 import type { MachineTypes } from '../machines/catalog.js';
-import type { Change, OnStoreResult, UserAnswer, UserRequest } from '../messages.js';
+import type { OnStateStoreResult, StateChange, UserRequest, UserResponse } from '../messages.js';
 import { encodeJob, type JobRecord, jobKey } from '../records.js';
-import { ABSENT, type JobId, type JobSpec } from '../types.js';
-import { BUSY, JobReader, NOT_FOUND, type OnAnswer, type TaskCounts } from './job_reader.js';
-import { PollConfirmation } from './poll_confirmation.js';
-import { whyNeverRuns } from './submission_checks.js';
+import type { StepContext } from '../step_context.js';
+import { ABSENT_VERSION, type JobId, type JobSpec } from '../types.js';
+import { JOB_NOT_FOUND, JobReader, type Respond, STATE_STORE_UNAVAILABLE, type TaskCounts } from './job_reader.js';
+import { LinearizableReads } from './linearizable_reads.js';
+import { infeasibilityReason } from './submission_validation.js';
 
 export interface RequestDependencies {
   machineTypes(): MachineTypes;
   /** Null where this node doesn't lead. */
   taskCounts(id: JobId): TaskCounts | null;
   /** Passes a request to a node that the state service answers; false if there is none. */
-  relay(request: UserRequest, answer: OnAnswer): boolean;
+  forward(request: UserRequest, answer: Respond): boolean;
   /** Tells whoever leads of a cancellation that is on record; `done` follows soon, acknowledged or not. */
-  notifyCancelled(id: JobId, done: () => void): void;
+  broadcastCancellation(id: JobId, done: () => void): void;
 }
 
-const MAX_CANCEL_TRIES = 3;
+const MAX_CANCEL_ATTEMPTS = 3;
 const WRITE_PRIORITY = 2;
-const SUBMIT_OPTIONS = { timeoutMs: 1200, maxQueueMs: 1500, refuseEarly: true } as const;
-const CANCEL_OPTIONS = { timeoutMs: 1000, maxQueueMs: 1000, refuseEarly: true } as const;
+const SUBMIT_OPTIONS = { timeoutMs: 1200, maxQueueTimeMs: 1500, failFast: true } as const;
+const CANCEL_OPTIONS = { timeoutMs: 1000, maxQueueTimeMs: 1000, failFast: true } as const;
 /** A new record leaves so much of a value's limit free for what is added to it later, beside the names of zones. */
-const RECORD_SPARE_BYTES = 64;
+const RECORD_RESERVED_BYTES = 64;
 /** The state service has refused this node for so long: a peer is asked first, or nobody. */
-const ASK_PEER_AFTER_MS = 300;
+const FORWARD_AFTER_MS = 300;
 const GIVE_UP_AFTER_MS = 1500;
 
-const TYPES_UNKNOWN: UserAnswer = { status: 503, problem: 'the machine types are not known yet', retryAfterS: 1 };
-const TOO_LONG: UserAnswer = { status: 422, problem: 'its description is longer than can be kept' };
+const MACHINE_TYPES_UNKNOWN: UserResponse = {
+  status: 503,
+  problem: 'the machine types are not known yet',
+  retryAfterSeconds: 1,
+};
+const RECORD_TOO_LONG: UserResponse = { status: 422, problem: 'its description is longer than can be kept' };
 
 /** How one request is answered. */
-interface Reply {
-  readonly answer: OnAnswer;
+interface Continuation {
+  readonly respond: Respond;
   /** The state service gave this node no answer. */
-  readonly failed: () => void;
+  readonly onUnavailable: () => void;
 }
 
 /**
@@ -45,52 +49,52 @@
  */
 export class RequestHandler {
   private readonly reader: JobReader;
-  private readonly polls: PollConfirmation;
+  private readonly linearizableReads: LinearizableReads;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly cache: JobCache,
+    private readonly context: StepContext,
+    private readonly jobCache: JobCache,
     private readonly dependencies: RequestDependencies,
   ) {
-    this.reader = new JobReader(ctx, cache, (id) => dependencies.taskCounts(id));
-    this.polls = new PollConfirmation(ctx, cache, this.reader);
+    this.reader = new JobReader(context, jobCache, (id) => dependencies.taskCounts(id));
+    this.linearizableReads = new LinearizableReads(context, jobCache, this.reader);
   }
 
-  confirmPolls(): void {
-    this.polls.confirm();
+  sendLinearizableReads(): void {
+    this.linearizableReads.sendBatch();
   }
 
   /** `relayed`: the request came from another node and isn't passed on again. */
-  handle(request: UserRequest, answer: OnAnswer, relayed = false): void {
-    const known = this.cache.get(request.id);
+  handle(request: UserRequest, respond: Respond, relayed = false): void {
+    const known = this.jobCache.get(request.id);
     if (known && known.record.state !== 'accepted') {
-      answer(this.reader.describe(known.record));
+      respond(this.reader.statusResponse(known.record));
       return;
     }
-    const refusal = request.op === 'submit' ? this.refusalOf(request.spec, request.problem) : null;
-    const passOn = (): boolean => !relayed && this.passOn(request, refusal, answer);
-    const failingMs = this.storeFailingMs();
-    if (failingMs > ASK_PEER_AFTER_MS && passOn()) return;
+    const refusal = request.op === 'submit' ? this.validate(request.spec, request.problem) : null;
+    const passOn = (): boolean => !relayed && this.forward(request, refusal, respond);
+    const failingMs = this.stateStoreFailingMs();
+    if (failingMs > FORWARD_AFTER_MS && passOn()) return;
     // Nothing here can be confirmed, and nobody else is there to ask: said at once, with when to come back.
     if (failingMs > GIVE_UP_AFTER_MS) {
-      answer(BUSY);
+      respond(STATE_STORE_UNAVAILABLE);
       return;
     }
     // A call that brought nothing here may still work for a node that the state service hasn't shut out. Passing the
     // whole request on also settles an unknown outcome: there it is found carried out, or carried out now.
-    const failed = (): void => {
-      if (!passOn()) answer(BUSY);
+    const onUnavailable = (): void => {
+      if (!passOn()) respond(STATE_STORE_UNAVAILABLE);
     };
-    this.carryOut(request, refusal, { answer, failed });
+    this.execute(request, refusal, { respond, onUnavailable });
   }
 
-  private carryOut(request: UserRequest, refusal: UserAnswer | null, reply: Reply): void {
+  private execute(request: UserRequest, refusal: UserResponse | null, reply: Continuation): void {
     switch (request.op) {
       case 'submit':
         this.submit(request.id, request.spec, refusal, reply);
         return;
       case 'poll':
-        this.polls.add({ id: request.id, ifMissing: NOT_FOUND, ...reply });
+        this.linearizableReads.enqueue({ id: request.id, responseIfMissing: JOB_NOT_FOUND, ...reply });
         return;
       case 'cancel':
         this.cancel(request.id, reply, 1);
@@ -99,71 +103,71 @@
   }
 
   /** For how long the state service has refused this node or not answered it; 0: it answers. */
-  private storeFailingMs(): number {
-    const since = this.ctx.storeFailingSince;
-    return since === null ? 0 : this.ctx.now.steady - since;
+  private stateStoreFailingMs(): number {
+    const since = this.context.stateStoreFailingSince;
+    return since === null ? 0 : this.context.now.monotonic - since;
   }
 
   /**
    * A submission that must be refused is only looked up at the other node, as a repeat of an accepted one is answered with
    * its state: an earlier version there may accept what can never run (upgrade-invalid-requests.txt).
    */
-  private passOn(request: UserRequest, refusal: UserAnswer | null, answer: OnAnswer): boolean {
-    if (refusal === null) return this.dependencies.relay(request, answer);
-    return this.dependencies.relay({ op: 'poll', id: request.id }, (found) =>
+  private forward(request: UserRequest, refusal: UserResponse | null, answer: Respond): boolean {
+    if (refusal === null) return this.dependencies.forward(request, answer);
+    return this.dependencies.forward({ op: 'poll', id: request.id }, (found) =>
       answer(found.status === 404 ? refusal : found),
     );
   }
 
   /** Why a submission can't be taken, whoever is asked; null: it can, as far as this node knows. */
-  private refusalOf(spec: JobSpec | null, problem: string): UserAnswer | null {
+  private validate(spec: JobSpec | null, problem: string): UserResponse | null {
     if (!spec) return { status: 400, problem };
     const types = this.dependencies.machineTypes();
-    if (types.size === 0) return TYPES_UNKNOWN;
-    const reason = whyNeverRuns(spec, types, this.ctx.settings.teams);
+    if (types.size === 0) return MACHINE_TYPES_UNKNOWN;
+    const reason = infeasibilityReason(spec, types, this.context.settings.teamQuotas);
     return reason === null ? null : { status: 422, problem: reason };
   }
 
-  private submit(id: JobId, spec: JobSpec | null, refusal: UserAnswer | null, reply: Reply): void {
+  private submit(id: JobId, spec: JobSpec | null, refusal: UserResponse | null, reply: Continuation): void {
     // A repeat of a submission that was taken.
-    if (spec && this.cache.get(id)) {
-      this.polls.add({ id, ifMissing: BUSY, ...reply });
+    if (spec && this.jobCache.get(id)) {
+      this.linearizableReads.enqueue({ id, responseIfMissing: STATE_STORE_UNAVAILABLE, ...reply });
       return;
     }
     if (!spec || refusal) {
-      this.reader.answer({ id, ifMissing: refusal ?? BUSY, ...reply });
+      this.reader.respond({ id, responseIfMissing: refusal ?? STATE_STORE_UNAVAILABLE, ...reply });
       return;
     }
-    const { valueBytes } = this.ctx.settings.store;
-    const value = encodeJob(this.newRecord(spec), valueBytes);
-    if (JSON.stringify(value).length > valueBytes - this.spareBytes()) {
-      this.reader.answer({ id, ifMissing: TOO_LONG, ...reply });
+    const { maxValueBytes } = this.context.settings.stateStore;
+    const value = encodeJob(this.newRecord(spec), maxValueBytes);
+    if (JSON.stringify(value).length > maxValueBytes - this.reservedBytes()) {
+      this.reader.respond({ id, responseIfMissing: RECORD_TOO_LONG, ...reply });
       return;
     }
     const key = jobKey(id);
-    const conditions = [{ key, version: ABSENT }];
-    const changes: Change[] = [{ put: key, value }];
-    const onResult: OnStoreResult = (result) => {
+    const conditions = [{ key, version: ABSENT_VERSION }];
+    const changes: StateChange[] = [{ put: key, value }];
+    const onResult: OnStateStoreResult = (result) => {
       if (result.ok) {
-        if (result.value.revision !== undefined) this.cache.update({ key, value, version: result.value.revision });
-        return reply.answer({ status: 201, id, jobStatus: 'queued', done: 0, running: 0 });
+        if (result.value.revision !== undefined) this.jobCache.update({ key, value, version: result.value.revision });
+        return reply.respond({ status: 201, id, jobStatus: 'queued', done: 0, running: 0 });
       }
       // Another submission was first, or this one may have been written: a read tells. If it shows nothing, the user asks
       // again.
       const mayExist = result.why === 'conflict' || result.why === 'unknown';
-      if (mayExist) this.reader.answer({ id, ifMissing: BUSY, ...reply });
-      else reply.failed();
+      if (mayExist) this.reader.respond({ id, responseIfMissing: STATE_STORE_UNAVAILABLE, ...reply });
+      else reply.onUnavailable();
     };
-    this.ctx.store({ op: 'txn', conditions, changes }, WRITE_PRIORITY, onResult, SUBMIT_OPTIONS);
+    this.context.callStateStore({ op: 'txn', conditions, changes }, WRITE_PRIORITY, onResult, SUBMIT_OPTIONS);
   }
 
   /** What a record may yet grow by: its first start, and the zones of all its starts. */
-  private spareBytes(): number {
-    return RECORD_SPARE_BYTES + JSON.stringify(this.ctx.settings.zones).length;
+  private reservedBytes(): number {
+    return RECORD_RESERVED_BYTES + JSON.stringify(this.context.settings.zones).length;
   }
 
   private newRecord(spec: JobSpec): JobRecord {
-    const submittedAt = this.ctx.now.wall;
+    const submittedAt = this.context.now.wallClock;
     return {
       spec,
       submittedAt,
@@ -176,49 +180,49 @@
   }
 
   /** Tried first on the cached record: the condition on its version shows whether that is the present one. */
-  private cancel(id: JobId, reply: Reply, tries: number): void {
-    const known = this.cache.get(id);
+  private cancel(id: JobId, reply: Continuation, tries: number): void {
+    const known = this.jobCache.get(id);
     if (known && tries === 1) {
       this.writeCancellation(known, reply, tries);
       return;
     }
-    this.reader.fetch(
+    this.reader.read(
       id,
       (job) => this.writeCancellation(job, reply, tries),
-      () => reply.answer(NOT_FOUND),
-      reply.failed,
+      () => reply.respond(JOB_NOT_FOUND),
+      reply.onUnavailable,
     );
   }
 
-  private writeCancellation({ record, version }: CachedJob, reply: Reply, tries: number): void {
+  private writeCancellation({ record, version }: CachedJob, reply: Continuation, tries: number): void {
     const { id } = record.spec;
     // One that an earlier try put on record, without an answer, is news to the leader all the same.
     if (record.state === 'cancelled') {
-      this.confirmCancelled(record, reply);
+      this.respondCancelled(record, reply);
       return;
     }
     if (record.state !== 'accepted') {
-      reply.answer(this.reader.describe(record));
+      reply.respond(this.reader.statusResponse(record));
       return;
     }
     const cancelled: JobRecord = { ...record, state: 'cancelled' };
     const key = jobKey(id);
-    const value = encodeJob(cancelled, this.ctx.settings.store.valueBytes);
+    const value = encodeJob(cancelled, this.context.settings.stateStore.maxValueBytes);
     const conditions = [{ key, version }];
-    const changes: Change[] = [{ put: key, value }];
-    const onResult: OnStoreResult = (result) => {
+    const changes: StateChange[] = [{ put: key, value }];
+    const onResult: OnStateStoreResult = (result) => {
       if (result.ok) {
-        if (result.value.revision !== undefined) this.cache.update({ key, value, version: result.value.revision });
-        return this.confirmCancelled(cancelled, reply);
+        if (result.value.revision !== undefined) this.jobCache.update({ key, value, version: result.value.revision });
+        return this.respondCancelled(cancelled, reply);
       }
       // Somebody wrote in between, or the outcome is unknown: looked at again.
-      if (result.why === 'refused' || tries >= MAX_CANCEL_TRIES) reply.failed();
+      if (result.why === 'refused' || tries >= MAX_CANCEL_ATTEMPTS) reply.onUnavailable();
       else this.cancel(id, reply, tries + 1);
     };
-    this.ctx.store({ op: 'txn', conditions, changes }, WRITE_PRIORITY, onResult, CANCEL_OPTIONS);
+    this.context.callStateStore({ op: 'txn', conditions, changes }, WRITE_PRIORITY, onResult, CANCEL_OPTIONS);
   }
 
-  private confirmCancelled(record: JobRecord, reply: Reply): void {
-    this.dependencies.notifyCancelled(record.spec.id, () => reply.answer(this.reader.describe(record)));
+  private respondCancelled(record: JobRecord, reply: Continuation): void {
+    this.dependencies.broadcastCancellation(record.spec.id, () => reply.respond(this.reader.statusResponse(record)));
   }
 }
--- a/src/core/scheduler/apply_plan.ts
+++ b/src/core/scheduler/apply_plan.ts
@@ -54,7 +54,7 @@
 
 /** A gang starts whole or not at all. */
 function placeGang(cluster: Cluster, job: Job, parts: readonly PlannedStart[], machines: readonly Machine[]): number {
-  if (job.placements.size > 0 || cluster.quotas.room(job.spec) < job.spec.tasks) return 0;
+  if (job.placements.size > 0 || cluster.quotas.room(job.spec) < job.spec.taskCount) return 0;
   const attempt = cluster.nextAttempt();
   let index = 0;
   for (const { machine: slot, tasks } of parts) {
--- a/src/core/scheduler/fill_checks.ts
+++ b/src/core/scheduler/fill_checks.ts
@@ -12,7 +12,7 @@
     demands.push({
       cpus: least(({ cpus }) => cpus),
       gpus: least(({ gpus }) => gpus),
-      memGb: least(({ memGb }) => memGb),
+      memoryGb: least(({ memoryGb }) => memoryGb),
     });
   }
   return demands;
@@ -24,7 +24,7 @@
     job.cpus >= other.cpus &&
     job.gpus >= other.gpus &&
     job.gpus > 0 === other.gpus > 0 &&
-    job.memGb >= other.memGb &&
+    job.memoryGb >= other.memoryGb &&
     job.durationS >= other.durationS &&
     (other.spotOk || !job.spotOk) &&
     (other.types === null || (job.types?.every((type) => other.types?.includes(type)) ?? false)) &&
--- a/src/core/scheduler/gang_reservation.ts
+++ b/src/core/scheduler/gang_reservation.ts
@@ -26,7 +26,7 @@
     const zones = new Set(chosen.map(({ zone }) => zone));
     if ([...zones].some((zone) => served.has(zone))) continue;
     for (const zone of zones) served.add(zone);
-    for (const machine of chosen) machine.reserve(job.id, cluster.ctx.after(RESERVATION_MS));
+    for (const machine of chosen) machine.reserve(job.id, cluster.context.after(RESERVATION_MS));
   }
 }
 
--- a/src/core/scheduler/gang_search.ts
+++ b/src/core/scheduler/gang_search.ts
@@ -1,4 +1,4 @@
-import { AMOUNT_TOLERANCE } from '../amounts.js';
+import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { ZoneName } from '../types.js';
 import { type Candidate, rankOf } from './candidates.js';
 import { allowedCount, at, slackAfter, stepBefore } from './plan_machine.js';
@@ -64,7 +64,7 @@
     freed.forEach(({ atS, tasks }, i) => {
       room += tasks;
       const next = freed[i + 1];
-      const moreAtOnce = next !== undefined && next.atS <= atS + AMOUNT_TOLERANCE;
+      const moreAtOnce = next !== undefined && next.atS <= atS + RESOURCE_TOLERANCE;
       if (room >= this.job.tasks && !moreAtOnce) instants.push(atS);
     });
     return instants;
@@ -124,7 +124,7 @@
   const options: GangOption[] = [];
   for (const candidate of candidates) {
     const { machine, fetchS, penaltyS } = candidate;
-    if (at(machine.times, 0) > roomAtS + AMOUNT_TOLERANCE) continue;
+    if (at(machine.times, 0) > roomAtS + RESOURCE_TOLERANCE) continue;
     const step = stepBefore(machine, roomAtS);
     const durationS = roomAtS - at(machine.times, step) + fetchS + job.durationS;
     const count = allowedCount(machine, step, durationS, job);
--- a/src/core/scheduler/hosting.ts
+++ b/src/core/scheduler/hosting.ts
@@ -8,11 +8,11 @@
 /** Whether a job allows machines of a type in a zone, and one of its tasks fits an empty one. */
 export function couldHost({ spec }: Job, type: MachineType, zone: ZoneName): boolean {
   return (
-    (spec.types === null || spec.types.includes(type.name)) &&
+    (spec.allowedMachineTypes === null || spec.allowedMachineTypes.includes(type.name)) &&
     (spec.zone === null || spec.zone === zone) &&
     spec.cpus <= type.cpus &&
     spec.gpus <= type.gpus &&
-    spec.memGb <= type.memGb
+    spec.memoryGb <= type.memoryGb
   );
 }
 
@@ -26,21 +26,21 @@
 }
 
 /** How many more tasks of a spread job each zone may take; null: no such limit. */
-export function roomByZone({ ctx }: Cluster, job: Job): Map<ZoneName, number> | null {
-  if (!job.spec.spread) return null;
+export function roomByZone({ context }: Cluster, job: Job): Map<ZoneName, number> | null {
+  if (!job.spec.zoneSpread) return null;
   const counts = job.zoneCounts();
-  return new Map(ctx.settings.zones.map((zone) => [zone, Math.max(0, job.zoneLimit - (counts.get(zone) ?? 0))]));
+  return new Map(context.settings.zones.map((zone) => [zone, Math.max(0, job.zoneLimit - (counts.get(zone) ?? 0))]));
 }
 
 /** Whether a job allows the machine: its type, its zone and its kind. */
 export function allows(job: Job, machine: Machine): boolean {
-  return couldHost(job, machine.type, machine.zone) && (job.spec.spotOk || !machine.spot);
+  return couldHost(job, machine.type, machine.zone) && (job.spec.toleratesSpot || !machine.spot);
 }
 
 /** Whether a task of the job could go to this machine if its other tasks were not there. */
-export function mayHostInstead({ ctx }: Cluster, job: Job, machine: Machine): boolean {
+export function mayHostInstead({ context }: Cluster, job: Job, machine: Machine): boolean {
   return (
-    machine.isSchedulable(ctx.now.steady, ctx.settings.workers.reportMs) &&
+    machine.isSchedulable(context.now.monotonic, context.settings.workers.heartbeatIntervalMs) &&
     machine.hasRoomFor(job.spec) &&
     allows(job, machine)
   );
@@ -49,8 +49,8 @@
 /** Whether one more task of the job may go to this machine, beside its other tasks and within its team's limit. */
 export function mayHost(cluster: Cluster, job: Job, machine: Machine): boolean {
   if (!mayHostInstead(cluster, job, machine) || cluster.quotas.room(job.spec) < 1) return false;
-  if (job.spec.sameZone && !isOnlyIn(job, machine.zone)) return false;
-  return !job.spec.spread || (job.zoneCounts().get(machine.zone) ?? 0) < job.zoneLimit;
+  if (job.spec.singleZone && !isOnlyIn(job, machine.zone)) return false;
+  return !job.spec.zoneSpread || (job.zoneCounts().get(machine.zone) ?? 0) < job.zoneLimit;
 }
 
 /** Whether all tasks of the job that have a place are in the zone. */
--- a/src/core/scheduler/migration.ts
+++ b/src/core/scheduler/migration.ts
@@ -15,14 +15,14 @@
  * turns out better. Starts follow only once the stop is reported, as for any restart.
  */
 export function migrateToCachedImages(cluster: Cluster): void {
-  const { ctx } = cluster;
+  const { context } = cluster;
   for (const job of cluster.activeJobs) {
     if (!mayMigrate(job) || fetchLeftS(cluster, job) < MIN_GAIN_S) continue;
     const targets = machinesWithImage(cluster, job);
     if (!targets) continue;
     job.migrations += 1;
-    for (const machine of targets) machine.reserve(job.id, ctx.after(RESERVATION_MS));
-    ctx.log('debug', 'moving to where the image is', { job: job.id, to: targets.map(({ id }) => id) });
+    for (const machine of targets) machine.reserve(job.id, context.after(RESERVATION_MS));
+    context.log('debug', 'moving to where the image is', { job: job.id, to: targets.map(({ id }) => id) });
     cluster.breakGang(job);
   }
 }
@@ -30,17 +30,17 @@
 function mayMigrate(job: Job): boolean {
   if (!job.isGang || job.isFaulty || job.state !== 'accepted' || job.gangBroken) return false;
   // Spreading isn't worth its rules here.
-  if (job.spec.spread || job.migrations >= MAX_MIGRATIONS) return false;
-  return job.placements.size === job.spec.tasks;
+  if (job.spec.zoneSpread || job.migrations >= MAX_MIGRATIONS) return false;
+  return job.placements.size === job.spec.taskCount;
 }
 
 /** Seconds until the gang's last image is there; 0 if any of its tasks is past fetching. */
-function fetchLeftS({ ctx }: Cluster, job: Job): number {
+function fetchLeftS({ context }: Cluster, job: Job): number {
   const { image, imageGb } = job.spec;
   let longest = 0;
   for (const { phase, stop, machine } of job.placements.values()) {
     if (phase !== 'fetching' || stop !== null) return 0;
-    longest = Math.max(longest, machine.images.fetchSeconds(image, imageGb, ctx.now.steady));
+    longest = Math.max(longest, machine.images.fetchSeconds(image, imageGb, context.now.monotonic));
   }
   return longest;
 }
@@ -48,16 +48,16 @@
 /** Machines that hold the image and have room for the whole gang now, in one zone if the job wants that. */
 function machinesWithImage(cluster: Cluster, job: Job): Machine[] | null {
   const { spec } = job;
-  const now = cluster.ctx.now.steady;
+  const now = cluster.context.now.monotonic;
   const byZone = new Map<ZoneName | null, Machine[]>();
   for (const machine of cluster.machines.values()) {
     if (!machine.images.holds(spec.image) || !mayHostInstead(cluster, job, machine)) continue;
     if (machine.isReservedForOther(job.id, now)) continue;
-    const zone = spec.sameZone ? machine.zone : null;
+    const zone = spec.singleZone ? machine.zone : null;
     const found = byZone.get(zone) ?? [];
     found.push(machine);
     byZone.set(zone, found);
-    if (found.length === spec.tasks) return found;
+    if (found.length === spec.taskCount) return found;
   }
   return null;
 }
