--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -3,7 +3,7 @@
 import type { Machine } from '../machines/machine.js';
 import { kindKey } from '../machines/machine_kind.js';
 import { spotDelayS } from '../machines/spot_interruptions.js';
-import type { JobId, MachineId, Steady, TypeName, ZoneName } from '../types.js';
+import type { JobId, MachineId, MachineTypeName, MonotonicTime, ZoneName } from '../types.js';
 import { couldHost, fitsTypesWithoutGpus, roomByZone } from './hosting.js';
 import { machineShare } from './plan_machine.js';
 import type { PlanJob, PlanMachine } from './plan_types.js';
@@ -37,10 +37,10 @@
     private readonly cluster: Cluster,
     ranked: readonly RankedJob[],
   ) {
-    const now = cluster.ctx.now.steady;
-    const { reportMs } = cluster.ctx.settings.workers;
+    const now = cluster.context.now.monotonic;
+    const { heartbeatIntervalMs } = cluster.context.settings.workers;
     this.machines = [...cluster.machines.values()].filter(
-      (machine) => machine.isComing() || machine.isSchedulable(now, reportMs),
+      (machine) => machine.isComing() || machine.isSchedulable(now, heartbeatIntervalMs),
     );
     this.slotOf = new Map(this.machines.map(({ id }, slot) => [id, slot]));
     this.planMachines = planMachines(cluster, this.machines, ranked);
@@ -63,9 +63,9 @@
 
   /** Zones that may host the job now: the search draws from these only. */
   private feasibleZones(job: Job): ZoneName[] {
-    if (job.spec.sameZone) for (const { machine } of job.placements.values()) return [machine.zone];
+    if (job.spec.singleZone) for (const { machine } of job.placements.values()) return [machine.zone];
     const present = this.kinds
-      .filter(({ type, zone, spot }) => (job.spec.spotOk || !spot) && couldHost(job, type, zone))
+      .filter(({ type, zone, spot }) => (job.spec.toleratesSpot || !spot) && couldHost(job, type, zone))
       .map(({ zone }) => zone);
     return [...new Set(present.length > 0 ? present : this.rentableZones(job))].sort();
   }
@@ -77,9 +77,9 @@
 
   private planJob(job: Job, tasks: number, waitedS: number, zones: ZoneName[], slot: number): PlanJob {
     const { spec } = job;
-    const { estimates, spotInterruptions, ctx } = this.cluster;
+    const { estimates, spotInterruptions, context } = this.cluster;
     const durationS = estimates.expectS(spec);
-    const isBound = spec.sameZone && job.placements.size > 0;
+    const isBound = spec.singleZone && job.placements.size > 0;
     return {
       slot,
       gang: job.isGang,
@@ -87,18 +87,18 @@
       durationS,
       cpus: spec.cpus,
       gpus: spec.gpus,
-      memGb: spec.memGb,
+      memoryGb: spec.memoryGb,
       image: spec.image,
       imageGb: spec.imageGb,
-      types: spec.types,
+      types: spec.allowedMachineTypes,
       fitsTypesWithoutGpus: fitsTypesWithoutGpus(this.cluster, job),
-      spotOk: spec.spotOk,
-      spotDelayS: spotDelayS(spotInterruptions.perS, durationS, spec.checkpointS),
-      sameZone: spec.sameZone,
+      spotOk: spec.toleratesSpot,
+      spotDelayS: spotDelayS(spotInterruptions.perS, durationS, spec.checkpointIntervalSeconds),
+      sameZone: spec.singleZone,
       zoneRoom: roomByZone(this.cluster, job),
       zones,
       boundTo: spec.zone ?? (isBound ? (zones[0] as ZoneName) : null),
-      weight: userWeight(spec.rank, ctx.tuning.scheduler.priority_base),
+      weight: userWeight(spec.priorityLevel, context.tuning.scheduler.priority_base),
       waitedS,
       penaltyFactor: penaltyFactor(this.cluster, job),
       avoid: this.slotsToAvoid(job),
@@ -108,7 +108,7 @@
   private slotsToAvoid(job: Job): Set<number> | null {
     const slots = new Set<number>();
     for (const reservation of this.reservations) if (reservation.job !== job.id) slots.add(reservation.slot);
-    for (const id of job.failureHistory.avoided(this.cluster.ctx.now.steady)) {
+    for (const id of job.failureHistory.avoided(this.cluster.context.now.monotonic)) {
       const slot = this.slotOf.get(id);
       if (slot !== undefined) slots.add(slot);
     }
@@ -129,7 +129,7 @@
 interface GpuClaims {
   readonly demand: GpuDemand;
   /** Types of which gangs wait for whole machines on demand. */
-  readonly reservedTypes: ReadonlySet<TypeName>;
+  readonly reservedTypes: ReadonlySet<MachineTypeName>;
   /** Kinds that waiting GPU work could take. */
   readonly awaitedKinds: ReadonlySet<string>;
 }
@@ -142,7 +142,7 @@
     if (type.gpus === 0) continue;
     for (const zone of type.zones) {
       for (const spot of [false, true]) {
-        const isAwaited = gpuJobs.some(({ job }) => (job.spec.spotOk || !spot) && couldHost(job, type, zone));
+        const isAwaited = gpuJobs.some(({ job }) => (job.spec.toleratesSpot || !spot) && couldHost(job, type, zone));
         if (isAwaited) kinds.add(kindKey({ type, zone, spot }));
       }
     }
@@ -156,7 +156,7 @@
   slot: number,
   { demand, reservedTypes, awaitedKinds }: GpuClaims,
 ): PlanMachine {
-  const now = cluster.ctx.now.steady;
+  const now = cluster.context.now.monotonic;
   const spare = spareRoom(machine, demand);
   return {
     slot,
@@ -175,11 +175,11 @@
 
 /** What is free on a machine now, and from each expected end of its tasks on. */
 function freeRoom(cluster: Cluster, machine: Machine): Pick<PlanMachine, 'times' | 'cpus' | 'gpus' | 'memGb'> {
-  const now = cluster.ctx.now.steady;
+  const now = cluster.context.now.monotonic;
   const times = [machine.phase === 'booting' ? bootingS(cluster, machine, now) : 0];
   const cpus = [machine.type.cpus - machine.usedCpus];
   const gpus = [machine.type.gpus - machine.usedGpus];
-  const memGb = [machine.type.memGb - machine.usedMemGb];
+  const memGb = [machine.type.memoryGb - machine.usedMemGb];
   const ends = [...machine.placements.values()]
     .map((placement) => ({ atS: remainingS(cluster, placement, now), spec: placement.job.spec }))
     .sort((a, b) => a.atS - b.atS);
@@ -195,15 +195,15 @@
     }
     cpus[step] = (cpus[step] as number) + spec.cpus;
     gpus[step] = (gpus[step] as number) + spec.gpus;
-    memGb[step] = (memGb[step] as number) + spec.memGb;
+    memGb[step] = (memGb[step] as number) + spec.memoryGb;
   }
   return { times, cpus, gpus, memGb };
 }
 
 /** Seconds until a task is expected to leave its machine. */
-function remainingS({ ctx, estimates }: Cluster, placement: Placement, now: Steady): number {
+function remainingS({ context, estimates }: Cluster, placement: Placement, now: MonotonicTime): number {
   const { job, machine, stop, runningSince } = placement;
-  const reportS = ctx.settings.workers.reportMs / 1000;
+  const reportS = context.settings.workers.heartbeatIntervalMs / 1000;
   if (stop !== null) return Math.max(reportS, stop.graceS);
   const expectedS = estimates.expectS(job.spec);
   if (job.isService) return expectedS;
@@ -211,11 +211,11 @@
   const elapsedS = (now - runningSince) / 1000;
   // The longer work has run over what was expected, the longer it is likely to go on: taking overdue work to end at once
   // makes others wait for gaps that never come.
-  return Math.max(reportS, expectedS - elapsedS, elapsedS * ctx.tuning.scheduler.overdue_share);
+  return Math.max(reportS, expectedS - elapsedS, elapsedS * context.tuning.scheduler.overdue_share);
 }
 
 /** When a machine that was rented but hasn't reported is expected, in seconds from now. */
-function bootingS({ bootTimes }: Cluster, machine: Machine, now: Steady): number {
+function bootingS({ bootTimes }: Cluster, machine: Machine, now: MonotonicTime): number {
   return bootTimes.remainingS(machine.type, machine.zone, machine.ageS(now), now);
 }
 
@@ -229,10 +229,10 @@
 }
 
 /** Types of which gangs wait for whole machines that may not be spot ones. */
-function typesReservedForGangs(cluster: Cluster, waiting: readonly RankedJob[]): Set<TypeName> {
-  const found = new Set<TypeName>();
+function typesReservedForGangs(cluster: Cluster, waiting: readonly RankedJob[]): Set<MachineTypeName> {
+  const found = new Set<MachineTypeName>();
   for (const { job } of waiting) {
-    if (!job.isGang || job.spec.spotOk) continue;
+    if (!job.isGang || job.spec.toleratesSpot) continue;
     for (const type of cluster.types.values()) {
       const needsWhole = machineShare(job.spec, type) > WHOLE_MACHINE_SHARE;
       if (needsWhole && type.zones.some((zone) => couldHost(job, type, zone))) found.add(type.name);
--- a/src/core/scheduler/plan_machine.ts
+++ b/src/core/scheduler/plan_machine.ts
@@ -1,4 +1,4 @@
-import { sharesIn, AMOUNT_TOLERANCE as TOLERANCE } from '../amounts.js';
+import { countFitting, RESOURCE_TOLERANCE as TOLERANCE } from '../resource_amounts.js';
 import type { MachineType, Resources } from '../types.js';
 import type { PlanJob, PlanMachine } from './plan_types.js';
 
@@ -36,7 +36,7 @@
 /** The part of a machine that one task takes, by what it takes most of. */
 export function machineShare(task: Resources, type: MachineType): number {
   const share = (amount: number, capacity: number): number => (capacity > 0 ? amount / capacity : 0);
-  return Math.max(share(task.cpus, type.cpus), share(task.gpus, type.gpus), share(task.memGb, type.memGb));
+  return Math.max(share(task.cpus, type.cpus), share(task.gpus, type.gpus), share(task.memoryGb, type.memoryGb));
 }
 
 /** Whether a task of the job could run on an empty machine of the type. */
@@ -45,7 +45,7 @@
     (job.types === null || job.types.includes(type.name)) &&
     job.cpus <= type.cpus + TOLERANCE &&
     job.gpus <= type.gpus + TOLERANCE &&
-    job.memGb <= type.memGb + TOLERANCE
+    job.memoryGb <= type.memoryGb + TOLERANCE
   );
 }
 
@@ -59,9 +59,9 @@
     if (at(machine.cpus, i) < cpus) cpus = at(machine.cpus, i);
     if (at(machine.gpus, i) < gpus) gpus = at(machine.gpus, i);
     if (at(machine.memGb, i) < memGb) memGb = at(machine.memGb, i);
-    if (cpus + TOLERANCE < task.cpus || gpus + TOLERANCE < task.gpus || memGb + TOLERANCE < task.memGb) return 0;
+    if (cpus + TOLERANCE < task.cpus || gpus + TOLERANCE < task.gpus || memGb + TOLERANCE < task.memoryGb) return 0;
   }
-  return Math.min(sharesIn(cpus, task.cpus), sharesIn(gpus, task.gpus), sharesIn(memGb, task.memGb));
+  return Math.min(countFitting(cpus, task.cpus), countFitting(gpus, task.gpus), countFitting(memGb, task.memoryGb));
 }
 
 /** Whether a job is held to the cores and memory that GPU work has no use for. */
@@ -75,7 +75,7 @@
 export function lacksSpareRoom(machine: PlanMachine, job: PlanJob): boolean {
   if (!isHeldToSpare(machine, job)) return false;
   if (job.fitsTypesWithoutGpus && !machine.servesGpuWork) return true;
-  return machine.spareCpus + TOLERANCE < job.cpus || machine.spareMemGb + TOLERANCE < job.memGb;
+  return machine.spareCpus + TOLERANCE < job.cpus || machine.spareMemGb + TOLERANCE < job.memoryGb;
 }
 
 /** As `fitCount`, and without taking from GPU work what it needs beside its GPUs. */
@@ -83,7 +83,7 @@
   if (!isHeldToSpare(machine, job)) return fitCount(machine, step, durationS, job);
   const spare = Math.min(
     job.cpus > 0 ? machine.spareCpus / job.cpus : Number.POSITIVE_INFINITY,
-    job.memGb > 0 ? machine.spareMemGb / job.memGb : Number.POSITIVE_INFINITY,
+    job.memoryGb > 0 ? machine.spareMemGb / job.memoryGb : Number.POSITIVE_INFINITY,
   );
   if (spare + TOLERANCE < 1) return 0;
   return Math.min(Math.floor(spare + TOLERANCE), fitCount(machine, step, durationS, job));
@@ -92,12 +92,12 @@
 /** Whether so much is free at the first step, not asking for how long. */
 export function fitsNow(machine: PlanMachine, task: Resources): boolean {
   if (task.gpus === 0 && machine.type.gpus > 0) {
-    if (machine.spareCpus + TOLERANCE < task.cpus || machine.spareMemGb + TOLERANCE < task.memGb) return false;
+    if (machine.spareCpus + TOLERANCE < task.cpus || machine.spareMemGb + TOLERANCE < task.memoryGb) return false;
   }
   return (
     at(machine.cpus, 0) + TOLERANCE >= task.cpus &&
     at(machine.gpus, 0) + TOLERANCE >= task.gpus &&
-    at(machine.memGb, 0) + TOLERANCE >= task.memGb
+    at(machine.memGb, 0) + TOLERANCE >= task.memoryGb
   );
 }
 
@@ -107,7 +107,7 @@
   let least = 1;
   if (type.gpus > 0) least = Math.min(least, (at(machine.gpus, step) - task.gpus) / type.gpus);
   if (type.cpus > 0) least = Math.min(least, (at(machine.cpus, step) - task.cpus) / type.cpus);
-  if (type.memGb > 0) least = Math.min(least, (at(machine.memGb, step) - task.memGb) / type.memGb);
+  if (type.memoryGb > 0) least = Math.min(least, (at(machine.memGb, step) - task.memoryGb) / type.memoryGb);
   return least;
 }
 
@@ -143,11 +143,11 @@
   for (let step = first; step < end; step++) {
     machine.cpus[step] = at(machine.cpus, step) - count * task.cpus;
     machine.gpus[step] = at(machine.gpus, step) - count * task.gpus;
-    machine.memGb[step] = at(machine.memGb, step) - count * task.memGb;
+    machine.memGb[step] = at(machine.memGb, step) - count * task.memoryGb;
   }
   if (task.gpus > 0 || machine.type.gpus === 0) return;
   machine.spareCpus -= count * task.cpus;
-  machine.spareMemGb -= count * task.memGb;
+  machine.spareMemGb -= count * task.memoryGb;
 }
 
 /** How much of the machines is in use over the next minute, by GPUs where they have some and by cores elsewhere. */
--- a/src/core/scheduler/plan_types.ts
+++ b/src/core/scheduler/plan_types.ts
@@ -1,4 +1,4 @@
-import type { ImageName, MachineType, Resources, TypeName, ZoneName } from '../types.js';
+import type { ImageName, MachineType, MachineTypeName, Resources, ZoneName } from '../types.js';
 
 /**
  * What a plan is made from and what it says. Machines and jobs are named by their slots: their indices in the lists that the
@@ -37,7 +37,7 @@
   readonly durationS: number;
   readonly image: ImageName;
   readonly imageGb: number;
-  readonly types: readonly TypeName[] | null;
+  readonly types: readonly MachineTypeName[] | null;
   /** It asks for no GPUs, and machines without any could take it. */
   readonly fitsTypesWithoutGpus: boolean;
   readonly spotOk: boolean;
--- a/src/core/scheduler/planner.ts
+++ b/src/core/scheduler/planner.ts
@@ -1,4 +1,4 @@
-import { AMOUNT_TOLERANCE } from '../amounts.js';
+import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { Resources, ZoneName } from '../types.js';
 import { type Candidate, CandidateHeap, findCandidates, isBefore, offer, slotsWithRoomNow } from './candidates.js';
 import { asksNoLess, leastDemands } from './fill_checks.js';
@@ -239,7 +239,7 @@
     const stepLimit = this.steps + maxSteps;
     const least = leastDemands(jobs);
     const hasRoom = (machine: PlanMachine): boolean =>
-      at(machine.times, 0) <= AMOUNT_TOLERANCE && least.some((demand) => fitsNow(machine, demand));
+      at(machine.times, 0) <= RESOURCE_TOLERANCE && least.some((demand) => fitsNow(machine, demand));
     const free = new Set(this.machines.filter(hasRoom).map(({ slot }) => slot));
     const failed: PlanJob[] = [];
     const starts: PlannedStart[] = [];
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -1,8 +1,8 @@
-import { AMOUNT_TOLERANCE } from '../amounts.js';
 import type { Job, Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
-import type { Steady, ZoneName } from '../types.js';
+import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
+import type { MonotonicTime, ZoneName } from '../types.js';
 import { allows } from './hosting.js';
 import { waitedS } from './ranking.js';
 import type { RoundResult } from './round.js';
@@ -41,7 +41,7 @@
     gangs += 1;
     job.preemptions += 1;
     for (const option of options) evictFor(cluster, job, option);
-    cluster.ctx.log('debug', 'lower work makes room', { job: job.id, machines: options.length });
+    cluster.context.log('debug', 'lower work makes room', { job: job.id, machines: options.length });
   }
 }
 
@@ -55,7 +55,7 @@
 
 /** Stops what is in the way on a machine, and keeps the room for the job. */
 export function evictFor(cluster: Cluster, job: Job, { machine, victims }: EvictionOption): void {
-  machine.reserve(job.id, cluster.ctx.after(RESERVATION_MS));
+  machine.reserve(job.id, cluster.context.after(RESERVATION_MS));
   for (const victim of victims) cluster.evict(victim, 0);
 }
 
@@ -64,13 +64,13 @@
   return (
     job.isGang &&
     !job.isFaulty &&
-    spec.rank > 0 &&
-    !spec.spread &&
+    spec.priorityLevel > 0 &&
+    !spec.zoneSpread &&
     job.placements.size === 0 &&
     !job.gangBroken &&
     job.preemptions < MAX_PREEMPTIONS &&
     waitedS(cluster, job) >= MIN_WAITED_S &&
-    cluster.quotas.room(spec) >= spec.tasks
+    cluster.quotas.room(spec) >= spec.taskCount
   );
 }
 
@@ -79,8 +79,8 @@
   let cheapest: EvictionOption[] | null = null;
   let lowestCost = Number.POSITIVE_INFINITY;
   for (const options of optionsByZone(cluster, job)) {
-    if (options.length < job.spec.tasks) continue;
-    const chosen = options.sort((a, b) => a.cost - b.cost).slice(0, job.spec.tasks);
+    if (options.length < job.spec.taskCount) continue;
+    const chosen = options.sort((a, b) => a.cost - b.cost).slice(0, job.spec.taskCount);
     const cost = chosen.reduce((sum, option) => sum + option.cost, 0);
     if (cost >= lowestCost) continue;
     cheapest = chosen;
@@ -95,7 +95,7 @@
   for (const machine of cluster.machines.values()) {
     const option = evictionOption(cluster, job, machine);
     if (!option) continue;
-    const zone = job.spec.sameZone ? machine.zone : null;
+    const zone = job.spec.singleZone ? machine.zone : null;
     const options = byZone.get(zone);
     if (options) options.push(option);
     else byZone.set(zone, [option]);
@@ -106,20 +106,20 @@
 /** What would have to be stopped on a machine for one task of the job, and what that costs; null if it can't be. */
 export function evictionOption(cluster: Cluster, job: Job, machine: Machine): EvictionOption | null {
   const { spec } = job;
-  const { ctx } = cluster;
-  const now = ctx.now.steady;
-  if (!machine.isSchedulable(now, ctx.settings.workers.reportMs) || !allows(job, machine)) return null;
+  const { context } = cluster;
+  const now = context.now.monotonic;
+  if (!machine.isSchedulable(now, context.settings.workers.heartbeatIntervalMs) || !allows(job, machine)) return null;
   if (machine.isReservedForOther(job.id, now)) return null;
   // What is being stopped already comes free by itself, and not for this job.
   for (const { stop } of machine.placements.values()) if (stop !== null) return null;
   const { type } = machine;
   let cpus = type.cpus - machine.usedCpus;
   let gpus = type.gpus - machine.usedGpus;
-  let memGb = type.memGb - machine.usedMemGb;
+  let memGb = type.memoryGb - machine.usedMemGb;
   const hasRoom = (): boolean =>
-    cpus + AMOUNT_TOLERANCE >= spec.cpus &&
-    gpus + AMOUNT_TOLERANCE >= spec.gpus &&
-    memGb + AMOUNT_TOLERANCE >= spec.memGb;
+    cpus + RESOURCE_TOLERANCE >= spec.cpus &&
+    gpus + RESOURCE_TOLERANCE >= spec.gpus &&
+    memGb + RESOURCE_TOLERANCE >= spec.memoryGb;
   const fetchS = machine.images.fetchSeconds(spec.image, spec.imageGb, now);
   let cost = fetchS * Math.max(spec.gpus, CPU_WORK_WEIGHT);
   const victims: Placement[] = [];
@@ -130,17 +130,17 @@
     cost += lost;
     cpus += victim.cpus;
     gpus += victim.gpus;
-    memGb += victim.memGb;
+    memGb += victim.memoryGb;
   }
   return hasRoom() ? { machine, victims, cost } : null;
 }
 
 /** Array tasks of lower priority on a machine, those first of which least is lost. */
-function lowerWork(machine: Machine, job: Job, now: Steady): { placement: Placement; lost: number }[] {
+function lowerWork(machine: Machine, job: Job, now: MonotonicTime): { placement: Placement; lost: number }[] {
   const lower: { placement: Placement; lost: number }[] = [];
   for (const placement of machine.placements.values()) {
     const { spec } = placement.job;
-    if (spec.shape !== 'array' || spec.rank >= job.spec.rank) continue;
+    if (spec.kind !== 'array' || spec.priorityLevel >= job.spec.priorityLevel) continue;
     const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000;
     lower.push({ placement, lost: ranS * Math.max(spec.gpus, CPU_WORK_WEIGHT) });
   }
--- a/src/core/scheduler/priority.ts
+++ b/src/core/scheduler/priority.ts
@@ -1,8 +1,8 @@
-import type { Objective } from '../settings.js';
-import type { JobSpec, Rank } from '../types.js';
+import type { ServiceLevelObjective } from '../settings.js';
+import type { JobSpec, PriorityLevel } from '../types.js';
 
 /** The user's priority as the design's weight of waiting: each step up counts `base` times the one below. */
-export const userWeight = (rank: Rank, base: number): number => base ** rank;
+export const userWeight = (rank: PriorityLevel, base: number): number => base ** rank;
 
 /**
  * The design's ranking: what is asked for (GPUs, or cores where there are none) times the remaining estimate, over one
@@ -10,7 +10,7 @@
  */
 export function rankValue(spec: JobSpec, tasks: number, remainingS: number, waitedS: number, base: number): number {
   const asked = (spec.gpus > 0 ? spec.gpus : spec.cpus) * tasks;
-  return (asked * remainingS) / (1 + userWeight(spec.rank, base) * Math.max(0, waitedS));
+  return (asked * remainingS) / (1 + userWeight(spec.priorityLevel, base) * Math.max(0, waitedS));
 }
 
 export interface UrgencySettings {
@@ -24,7 +24,7 @@
  */
 export function urgency(
   spec: JobSpec,
-  objectives: readonly Objective[],
+  objectives: readonly ServiceLevelObjective[],
   waitedS: number,
   fetchS: number,
   runS: number,
@@ -34,9 +34,10 @@
   for (const objective of objectives) {
     if (objective.jobClass !== spec.jobClass) continue;
     let slack = Number.POSITIVE_INFINITY;
-    if (objective.kind === 'wait') slack = objective.withinS - waitedS - fetchS;
-    else if (objective.kind === 'finished') slack = objective.withinS - waitedS - fetchS - runS;
-    else if (spec.deadlineS !== null) slack = spec.deadlineS * objective.times - waitedS - fetchS - runS;
+    if (objective.kind === 'wait') slack = objective.withinSeconds - waitedS - fetchS;
+    else if (objective.kind === 'finished') slack = objective.withinSeconds - waitedS - fetchS - runS;
+    else if (spec.deadlineSeconds !== null)
+      slack = spec.deadlineSeconds * objective.deadlineFactor - waitedS - fetchS - runS;
     if (slack < 0) continue;
     most = Math.max(most, 1 - slack / settings.horizonS);
   }
--- a/src/core/scheduler/quotas.ts
+++ b/src/core/scheduler/quotas.ts
@@ -1,5 +1,5 @@
 import type { TeamExposure } from '../../recovery/index.js';
-import type { JobSpec, Team, TeamName } from '../types.js';
+import type { JobSpec, TeamName, TeamQuota } from '../types.js';
 
 /** Sums of decimal amounts differ from what they should be by less than this. */
 const TOLERANCE = 1e-9;
@@ -14,7 +14,7 @@
 
 /** What each team may have on machines: everything sent, fetching, running or saving counts until proven gone. */
 export class Quotas {
-  private readonly teams = new Map<TeamName, Team>();
+  private readonly teams = new Map<TeamName, TeamQuota>();
   private readonly use = new Map<TeamName, Use>();
   /** Capacity of machines that may hold anybody's tasks: it counts against every limited team. */
   unreconciled: Use = { cpus: 0, gpus: 0 };
@@ -23,14 +23,14 @@
   /** Of `unreconciled`, what each team's tasks may take at most; null: all of it. */
   exposure: TeamExposure | null = null;
 
-  constructor(teams: readonly Team[]) {
+  constructor(teams: readonly TeamQuota[]) {
     for (const team of teams) {
       this.teams.set(team.name, team);
       this.use.set(team.name, { cpus: 0, gpus: 0 });
     }
   }
 
-  teamsInOrder(): Iterable<Team> {
+  teamsInOrder(): Iterable<TeamQuota> {
     return this.teams.values();
   }
 
@@ -49,8 +49,8 @@
     if (!team || !use) return 0;
     const unseen = this.exposure === null ? this.unreconciled : (this.exposure.get(spec.team) ?? NOTHING);
     return Math.min(
-      roomFor(team.cpusMax, use.cpus + unseen.cpus + this.unattributed.cpus, spec.cpus),
-      roomFor(team.gpusMax, use.gpus + unseen.gpus + this.unattributed.gpus, spec.gpus),
+      roomFor(team.cpuLimit, use.cpus + unseen.cpus + this.unattributed.cpus, spec.cpus),
+      roomFor(team.gpuLimit, use.gpus + unseen.gpus + this.unattributed.gpus, spec.gpus),
     );
   }
 
@@ -62,16 +62,16 @@
 
   /** Whether any team has a limit. */
   get isAnyLimited(): boolean {
-    for (const { cpusMax, gpusMax } of this.teams.values()) if (cpusMax > 0 || gpusMax > 0) return true;
+    for (const { cpuLimit, gpuLimit } of this.teams.values()) if (cpuLimit > 0 || gpuLimit > 0) return true;
     return false;
   }
 }
 
 /** Whether a job could ever run within its team's limit: one task of an array, all tasks of anything else. */
-export function withinLimit(team: Team, spec: JobSpec): boolean {
-  const tasks = spec.shape === 'array' ? 1 : spec.tasks;
+export function withinLimit(team: TeamQuota, spec: JobSpec): boolean {
+  const tasks = spec.kind === 'array' ? 1 : spec.taskCount;
   const fits = (limit: number, each: number) => limit <= 0 || each * tasks <= limit + TOLERANCE;
-  return fits(team.cpusMax, spec.cpus) && fits(team.gpusMax, spec.gpus);
+  return fits(team.cpuLimit, spec.cpus) && fits(team.gpuLimit, spec.gpus);
 }
 
 /** How many more tasks a limit allows; a limit of 0 means none. */
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -30,21 +30,22 @@
 const FULL_PENALTY_S = 35;
 
 /** Seconds since the job was submitted. */
-export const waitedS = ({ ctx }: Cluster, job: Job): number => Math.max(0, (ctx.now.wall - job.submittedAt) / 1000);
+export const waitedS = ({ context }: Cluster, job: Job): number =>
+  Math.max(0, (context.now.wallClock - job.submittedAt) / 1000);
 
 /** Whether a job has waited too long and has not begun. */
 export function isOverdue(cluster: Cluster, job: Job): boolean {
-  return job.startTerm === 0 && waitedS(cluster, job) > cluster.ctx.tuning.scheduler.overdue_after_s;
+  return job.startTerm === 0 && waitedS(cluster, job) > cluster.context.tuning.scheduler.overdue_after_s;
 }
 
 /**
  * How much placement penalties count for a job, 1 to 0: nothing may keep a job of which nothing runs waiting beside room
  * for ever.
  */
-export function penaltyFactor({ ctx }: Cluster, job: Job): number {
+export function penaltyFactor({ context }: Cluster, job: Job): number {
   if (job.placements.size > 0) return 1;
-  const { steady, wall } = ctx.now;
-  const inactiveS = (job.startTerm === 0 ? wall - job.submittedAt : steady - job.inactiveSince) / 1000;
+  const { monotonic, wallClock } = context.now;
+  const inactiveS = (job.startTerm === 0 ? wallClock - job.submittedAt : monotonic - job.inactiveSince) / 1000;
   return Math.min(1, Math.max(0, 1 - (inactiveS - FULL_PENALTY_S) / FULL_PENALTY_S));
 }
 
@@ -54,16 +55,17 @@
   for (const { spec, state, done } of cluster.activeJobs) {
     if (state !== 'accepted') continue;
     const demand = demands.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    const unfinished = spec.tasks - done.count;
+    const unfinished = spec.taskCount - done.count;
     demand.cpus += unfinished * spec.cpus;
     demand.gpus += unfinished * spec.gpus;
     demands.set(spec.team, demand);
   }
   const found = new Set<TeamName>();
-  for (const { name, cpus, gpus } of cluster.quotas.teamsInOrder()) {
+  for (const { name, guaranteedCpus, guaranteedGpus } of cluster.quotas.teamsInOrder()) {
     const demand = demands.get(name);
-    if (!demand || (cpus <= 0 && gpus <= 0)) continue;
-    const fits = (cpus <= 0 || demand.cpus <= cpus) && (gpus <= 0 || demand.gpus <= gpus);
+    if (!demand || (guaranteedCpus <= 0 && guaranteedGpus <= 0)) continue;
+    const fits =
+      (guaranteedCpus <= 0 || demand.cpus <= guaranteedCpus) && (guaranteedGpus <= 0 || demand.gpus <= guaranteedGpus);
     if (fits) found.add(name);
   }
   return found;
@@ -73,14 +75,14 @@
 function slowestFetchS(cluster: Cluster, job: Job): number {
   let slowest = Number.POSITIVE_INFINITY;
   for (const type of cluster.types.values()) {
-    if (type.zones.some((zone) => couldHost(job, type, zone))) slowest = Math.min(slowest, type.fetchGbPerS);
+    if (type.zones.some((zone) => couldHost(job, type, zone))) slowest = Math.min(slowest, type.imagePullGbPerSecond);
   }
   return Number.isFinite(slowest) ? fetchTimeS(job.spec.imageGb, slowest) : 0;
 }
 
 /** The design's ranking, sooner where an aim or deadline comes near; smallest goes first. */
 function rankingValue(cluster: Cluster, job: Job, tasks: number): number {
-  const { settings, tuning } = cluster.ctx;
+  const { settings, tuning } = cluster.context;
   const { priority_base, urgency: most, urgency_horizon_s: horizonS } = tuning.scheduler;
   const waited = waitedS(cluster, job);
   const runS = cluster.estimates.expectS(job.spec);
@@ -100,7 +102,7 @@
 /** Whether a job waits for a start that may happen now, as far as it and other leaders' machines go. */
 function mayStartNow(cluster: Cluster, job: Job): boolean {
   // Services have been placed before, by best fit outside the search (services.ts).
-  if (job.isService || job.pendingCount <= 0 || job.notBefore > cluster.ctx.now.steady) return false;
+  if (job.isService || job.pendingCount <= 0 || job.notBefore > cluster.context.now.monotonic) return false;
   return cluster.earlierTerms.startable(job) > 0;
 }
 
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -42,7 +42,7 @@
 
 /** One planning round: rank, search zones, plan, and give places to what can start now. */
 export function scheduleRound(cluster: Cluster, seed: number): RoundResult {
-  const tuning = cluster.ctx.tuning.scheduler;
+  const tuning = cluster.context.tuning.scheduler;
   cluster.earlierTerms.update();
   const ranked = rankWaitingJobs(cluster);
   const input = new PlanInput(cluster, ranked);
@@ -57,7 +57,7 @@
   const capacityWithServices = addWaitingReplicas(cluster, input, capacity);
   const started = applyPlan(cluster, [...plan.starts, ...filled], jobs, machines);
   reserveForOverdueGangs(cluster, plan.starts, jobs, machines);
-  cluster.ctx.log('debug', 'round', {
+  cluster.context.log('debug', 'round', {
     waiting: ranked.length,
     planned: plannedInFull.length,
     machines: machines.length,
@@ -155,8 +155,8 @@
 }
 
 const emptyRoom = (machine: Machine): ComingRoom => {
-  const { cpus, gpus, memGb } = machine.type;
-  return { machine, cpus, gpus, memGb };
+  const { cpus, gpus, memoryGb } = machine.type;
+  return { machine, cpus, gpus, memGb: memoryGb };
 };
 
 /** Puts replicas on machines on their way; returns how many found no room there. */
@@ -165,10 +165,10 @@
   let left = replicas;
   for (const room of coming) {
     if (!allows(job, room.machine)) continue;
-    while (left > 0 && room.cpus >= spec.cpus && room.gpus >= spec.gpus && room.memGb >= spec.memGb) {
+    while (left > 0 && room.cpus >= spec.cpus && room.gpus >= spec.gpus && room.memGb >= spec.memoryGb) {
       room.cpus -= spec.cpus;
       room.gpus -= spec.gpus;
-      room.memGb -= spec.memGb;
+      room.memGb -= spec.memoryGb;
       left -= 1;
     }
   }
--- a/src/core/scheduler/services.ts
+++ b/src/core/scheduler/services.ts
@@ -31,11 +31,13 @@
 
 /** Services with replicas that wait for a place, those of higher priority first, then those that came first. */
 export function waitingServices(cluster: Cluster): Job[] {
-  const now = cluster.ctx.now.steady;
+  const now = cluster.context.now.monotonic;
   const waiting = [...cluster.services].filter(
     (job) => job.notBefore <= now && cluster.earlierTerms.startable(job) > 0,
   );
-  return waiting.sort((a, b) => b.spec.rank - a.spec.rank || a.submittedAt - b.submittedAt || (a.id < b.id ? -1 : 1));
+  return waiting.sort(
+    (a, b) => b.spec.priorityLevel - a.spec.priorityLevel || a.submittedAt - b.submittedAt || (a.id < b.id ? -1 : 1),
+  );
 }
 
 /**
@@ -51,7 +53,7 @@
   let stoppedFor = 0;
   for (const job of waitingServices(cluster)) {
     const zoneRoom = roomByZone(cluster, job);
-    job.replicaPendingSince ??= cluster.ctx.now.steady;
+    job.replicaPendingSince ??= cluster.context.now.monotonic;
     placed += placeReplicas(cluster, job, zoneRoom);
     if (job.pendingCount === 0) job.replicaPendingSince = null;
     while (job.startableCount > 0 && stoppedFor < MAX_STOPPED_FOR && makeRoom(cluster, job, zoneRoom)) stoppedFor += 1;
@@ -63,7 +65,7 @@
   const mayTakeGpuCores = gpuCoreCheck(cluster, job);
   const mayTake = (machine: Machine): boolean => mayHost(cluster, job, machine) && mayTakeGpuCores(machine);
   let placed = 0;
-  for (const index of job.pendingTasks(job.spec.tasks)) {
+  for (const index of job.pendingTasks(job.spec.taskCount)) {
     if (cluster.quotas.room(job.spec) < 1) break;
     const machine = bestMachine(cluster, job, zoneRoom, mayTake);
     if (!machine) break;
@@ -85,7 +87,7 @@
 
 /** Whether a machine may take a replica now, as far as other claims to it go. */
 function isOpenTo(cluster: Cluster, job: Job, machine: Machine, zoneRoom: ZoneRoom): boolean {
-  const now = cluster.ctx.now.steady;
+  const now = cluster.context.now.monotonic;
   if (machine.isReservedForOther(job.id, now)) return false;
   return hasZoneRoom(zoneRoom, machine.zone, job) && !job.failureHistory.avoids(machine.id, now);
 }
@@ -120,21 +122,21 @@
  */
 function gpuCoreCheck(cluster: Cluster, job: Job): (machine: Machine) => boolean {
   const { replicaPendingSince, spec } = job;
-  const now = cluster.ctx.now.steady;
+  const now = cluster.context.now.monotonic;
   if (replicaPendingSince !== null && now - replicaPendingSince >= AVOID_GPU_MS) return () => true;
   let demand: GpuDemand | null = null;
   return (machine) => {
     if (!needsNoGpuOf(job, machine)) return true;
     demand ??= gpuDemand(cluster);
     const spare = spareRoom(machine, demand);
-    return spare.cpus >= spec.cpus && spare.memGb >= spec.memGb;
+    return spare.cpus >= spec.cpus && spare.memGb >= spec.memoryGb;
   };
 }
 
 /** Seconds until a replica would be there, with what it had rather avoid. */
-function startDelayS({ ctx, spotInterruptions }: Cluster, job: Job, machine: Machine): number {
+function startDelayS({ context, spotInterruptions }: Cluster, job: Job, machine: Machine): number {
   const { image, imageGb } = job.spec;
-  const fetchS = machine.images.fetchSeconds(image, imageGb, ctx.now.steady);
+  const fetchS = machine.images.fetchSeconds(image, imageGb, context.now.monotonic);
   let delayS = fetchS + SHARED_PENALTY_S * job.replicasOn(machine);
   if (needsNoGpuOf(job, machine)) delayS += GPU_PENALTY_S;
   if (machine.spot) {
@@ -147,39 +149,39 @@
 /** The part of its scarcest resource that a machine has free. */
 function scarcestFreeShare({ type, usedCpus, usedGpus, usedMemGb }: Machine): number {
   const freeShare = (used: number, capacity: number): number => (capacity > 0 ? (capacity - used) / capacity : 1);
-  return Math.min(freeShare(usedCpus, type.cpus), freeShare(usedGpus, type.gpus), freeShare(usedMemGb, type.memGb));
+  return Math.min(freeShare(usedCpus, type.cpus), freeShare(usedGpus, type.gpus), freeShare(usedMemGb, type.memoryGb));
 }
 
 /** Stops lower arrays on the machine where least is lost; the replica follows when they are gone. */
 function makeRoom(cluster: Cluster, job: Job, zoneRoom: ZoneRoom): boolean {
-  if (job.spec.rank === 0 || cluster.quotas.room(job.spec) < 1) return false;
+  if (job.spec.priorityLevel === 0 || cluster.quotas.room(job.spec) < 1) return false;
   if (reservedMachines(cluster, job) >= job.startableCount) return false;
   const option = cheapestEviction(cluster, job, zoneRoom);
   if (!option) return false;
   const { machine } = option;
   evictFor(cluster, job, option);
   takeZoneRoom(zoneRoom, machine.zone, job);
-  cluster.ctx.log('debug', 'lower work makes room for a service', { job: job.id, machine: machine.id });
+  cluster.context.log('debug', 'lower work makes room for a service', { job: job.id, machine: machine.id });
   return true;
 }
 
 /** Machines on which room was made or found a moment ago and has not been taken. */
 function reservedMachines(cluster: Cluster, job: Job): number {
-  const now = cluster.ctx.now.steady;
+  const now = cluster.context.now.monotonic;
   let count = 0;
   for (const machine of cluster.machines.values()) if (machine.reservedFor(now) === job.id) count += 1;
   return count;
 }
 
 function cheapestEviction(cluster: Cluster, job: Job, zoneRoom: ZoneRoom): EvictionOption | null {
-  const now = cluster.ctx.now.steady;
+  const now = cluster.context.now.monotonic;
   const avoidGpus = fitsTypesWithoutGpus(cluster, job);
   let cheapest: EvictionOption | null = null;
   let lowestCost = Number.POSITIVE_INFINITY;
   for (const machine of cluster.machines.values()) {
     if (avoidGpus && needsNoGpuOf(job, machine)) continue;
     if (machine.reservedFor(now) !== null || !isOpenTo(cluster, job, machine, zoneRoom)) continue;
-    if (job.spec.sameZone && !isOnlyIn(job, machine.zone)) continue;
+    if (job.spec.singleZone && !isOnlyIn(job, machine.zone)) continue;
     const option = evictionOption(cluster, job, machine);
     if (!option || option.victims.length === 0) continue;
     const cost = option.cost + SHARED_COST * job.replicasOn(machine);
@@ -197,7 +199,7 @@
 export function moveReplica(cluster: Cluster, placement: Placement): void {
   const { job, machine: from } = placement;
   const moving = [...job.placements.values()].filter(({ stop }) => stop !== null).length;
-  const maxMoving = Math.max(1, Math.ceil(job.spec.tasks * MAX_MOVING_SHARE));
+  const maxMoving = Math.max(1, Math.ceil(job.spec.taskCount * MAX_MOVING_SHARE));
   if (moving + job.pendingCount >= maxMoving) return;
   const zoneRoom = roomByZone(cluster, job);
   // Its own place comes free with the move.
@@ -206,8 +208,8 @@
   const mayTake = (machine: Machine): boolean =>
     machine !== from && mayHostInstead(cluster, job, machine) && mayTakeGpuCores(machine);
   const to = bestMachine(cluster, job, zoneRoom, mayTake);
-  if (!to || (job.spec.sameZone && to.zone !== from.zone)) return;
-  to.reserve(job.id, cluster.ctx.after(RESERVATION_MS));
-  cluster.ctx.log('info', 'moving a replica', { job: job.id, from: from.id, to: to.id });
+  if (!to || (job.spec.singleZone && to.zone !== from.zone)) return;
+  to.reserve(job.id, cluster.context.after(RESERVATION_MS));
+  cluster.context.log('info', 'moving a replica', { job: job.id, from: from.id, to: to.id });
   cluster.stop(placement, 0);
 }
--- a/src/core/scheduler/spare_room.ts
+++ b/src/core/scheduler/spare_room.ts
@@ -1,7 +1,7 @@
-import { sharesIn } from '../amounts.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
-import type { MachineType, Resources, TypeName } from '../types.js';
+import { countFitting } from '../resource_amounts.js';
+import type { MachineType, MachineTypeName, Resources } from '../types.js';
 
 /** Cores and memory beside GPUs. */
 export interface BesideGpus {
@@ -10,7 +10,7 @@
 }
 
 /** For each type with GPUs, what the GPU work there is now could use beside them if it had all of them. */
-export type GpuDemand = ReadonlyMap<TypeName, BesideGpus>;
+export type GpuDemand = ReadonlyMap<MachineTypeName, BesideGpus>;
 
 const UNLIMITED: BesideGpus = { cpus: Number.POSITIVE_INFINITY, memGb: Number.POSITIVE_INFINITY };
 const NOTHING: BesideGpus = { cpus: 0, memGb: 0 };
@@ -18,7 +18,7 @@
 /** Once for each type and shape of task, not for each machine: hundreds of machines meet hundreds of shapes. */
 export function gpuDemand(cluster: Cluster): GpuDemand {
   const shapes = gpuTaskShapes(cluster);
-  const demand = new Map<TypeName, BesideGpus>();
+  const demand = new Map<MachineTypeName, BesideGpus>();
   for (const type of cluster.types.values()) demand.set(type.name, demandOn(type, shapes));
   return demand;
 }
@@ -27,7 +27,7 @@
   const shapes = new Map<string, Resources>();
   for (const { spec, state } of cluster.activeJobs) {
     if (spec.gpus <= 0 || state !== 'accepted') continue;
-    const key = `${spec.gpus}|${spec.cpus}|${spec.memGb}`;
+    const key = `${spec.gpus}|${spec.cpus}|${spec.memoryGb}`;
     if (!shapes.has(key)) shapes.set(key, spec);
   }
   return [...shapes.values()];
@@ -38,9 +38,9 @@
   let memGb = 0;
   for (const task of shapes) {
     if (task.gpus > type.gpus) continue;
-    const tasks = sharesIn(type.gpus, task.gpus);
+    const tasks = countFitting(type.gpus, task.gpus);
     cpus = Math.max(cpus, Math.min(type.cpus, tasks * task.cpus));
-    memGb = Math.max(memGb, Math.min(type.memGb, tasks * task.memGb));
+    memGb = Math.max(memGb, Math.min(type.memoryGb, tasks * task.memoryGb));
   }
   return { cpus, memGb };
 }
@@ -48,7 +48,7 @@
 /** What an empty machine of the type leaves beside all that GPU work could use. */
 export function spareOfType(type: MachineType, demand: GpuDemand): BesideGpus {
   const reserved = demand.get(type.name) ?? NOTHING;
-  return { cpus: type.cpus - reserved.cpus, memGb: type.memGb - reserved.memGb };
+  return { cpus: type.cpus - reserved.cpus, memGb: type.memoryGb - reserved.memGb };
 }
 
 /**
@@ -62,7 +62,7 @@
   for (const { job } of machine.placements.values()) {
     if (job.spec.gpus > 0) continue;
     cpus -= job.spec.cpus;
-    memGb -= job.spec.memGb;
+    memGb -= job.spec.memoryGb;
   }
   return { cpus, memGb };
 }
--- a/src/core/settings.ts
+++ b/src/core/settings.ts
@@ -1,43 +1,43 @@
-import type { NodeName, Team, ZoneName } from './types.js';
+import type { ControllerName, TeamQuota, ZoneName } from './types.js';
 
 /** What the operators expect of a class of jobs; only what bears on order is kept. */
-export interface Objective {
+export interface ServiceLevelObjective {
   readonly kind: 'wait' | 'finished' | 'deadline';
   readonly jobClass: string;
-  readonly withinS: number;
+  readonly withinSeconds: number;
   /** For deadlines: how many times the deadline. */
-  readonly times: number;
+  readonly deadlineFactor: number;
 }
 
 /** What the platform says about this deployment, as the core needs it. */
 export interface Settings {
-  readonly node: NodeName;
+  readonly controller: ControllerName;
   readonly zone: ZoneName;
-  readonly peers: readonly { readonly name: NodeName; readonly zone: ZoneName }[];
-  readonly nodes: number;
+  readonly peers: readonly { readonly name: ControllerName; readonly zone: ZoneName }[];
+  readonly controllerCount: number;
   /** What a node may use: its part of a core, and its sockets. */
-  readonly limits: { readonly cpuShare: number; readonly connections: number };
+  readonly limits: { readonly cpuShare: number; readonly maxConnections: number };
   readonly zones: readonly ZoneName[];
-  readonly skewMs: number;
-  readonly teams: readonly Team[];
-  readonly objectives: readonly Objective[];
+  readonly clockSkewMs: number;
+  readonly teamQuotas: readonly TeamQuota[];
+  readonly objectives: readonly ServiceLevelObjective[];
   readonly workers: {
-    readonly reportMs: number;
+    readonly heartbeatIntervalMs: number;
     readonly leaseMs: number;
-    readonly gangWaitMs: number;
-    readonly gangPeerMs: number;
-    readonly cancelMs: number;
+    readonly gangBarrierTimeoutMs: number;
+    readonly gangPeerTimeoutMs: number;
+    readonly cancellationTimeoutMs: number;
   };
-  readonly store: {
-    readonly rps: number;
-    readonly writeRps: number;
+  readonly stateStore: {
+    readonly requestsPerSecond: number;
+    readonly writesPerSecond: number;
     /** The rates that come into force without notice, where lower ones are announced; else the same. */
-    readonly nextRps: number;
-    readonly nextWriteRps: number;
-    readonly valueBytes: number;
-    readonly txnOps: number;
+    readonly announcedRequestsPerSecond: number;
+    readonly announcedWritesPerSecond: number;
+    readonly maxValueBytes: number;
+    readonly maxChangesPerTransaction: number;
   };
-  readonly cloud: { readonly rps: number; readonly listLagMs: number };
+  readonly cloud: { readonly requestsPerSecond: number; readonly listStalenessMs: number };
 }
 
 /** The operators' own tuning; units and reasons stand in deploy/tuning.toml. */
--- a/src/core/workers/command_sender.ts
+++ b/src/core/workers/command_sender.ts
@@ -1,9 +1,9 @@
-import type { Context } from '../context.js';
 import type { Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { LeaderState } from '../leadership/leader.js';
 import { type Machine, type StartKey, startKeyOf } from '../machines/machine.js';
-import type { Command, Session, Token } from '../types.js';
+import type { StepContext } from '../step_context.js';
+import type { AgentEpoch, Command, FencingToken } from '../types.js';
 import { stopCommands } from './commands.js';
 import { MAX_OPEN_COMMANDS, type Reconciliation } from './reconciliation.js';
 import { mayStart } from './start_checks.js';
@@ -18,16 +18,16 @@
  * ends or the machine is gone.
  */
 export class CommandSender {
-  private readonly ctx: Context;
+  private readonly context: StepContext;
   private stopped = false;
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly token: Token,
+    private readonly token: FencingToken,
     private readonly reconciliation: Reconciliation,
     private readonly leader: LeaderState,
   ) {
-    this.ctx = cluster.ctx;
+    this.context = cluster.context;
   }
 
   stop(): void {
@@ -45,15 +45,15 @@
       if (stops.length === 0 && planned.length === 0) continue;
       anyLeft = true;
       if (!this.mayCommand(machine)) continue;
-      if (this.ctx.openWorkerCalls >= MAX_OPEN_COMMANDS) break;
+      if (this.context.openCommandPushCount >= MAX_OPEN_COMMANDS) break;
       this.command(machine, machine.session, stops, planned);
     }
-    if (anyLeft) this.ctx.timers.set('workerCommands', this.ctx.after(REPEAT_MS));
+    if (anyLeft) this.context.timers.set('workerCommands', this.context.after(REPEAT_MS));
   }
 
-  private mayCommand(machine: Machine): machine is Machine & { session: Session } {
+  private mayCommand(machine: Machine): machine is Machine & { session: AgentEpoch } {
     if (!machine.reconciled || !machine.addr || machine.session === null || machine.deletionInFlight) return false;
-    return !machine.commandInFlight && machine.nextCommandAt <= this.ctx.now.steady;
+    return !machine.commandInFlight && machine.nextCommandAt <= this.context.now.monotonic;
   }
 
   /** Stops that the machine has yet to carry out. Without any it is not looked at again. */
@@ -76,7 +76,12 @@
     return planned;
   }
 
-  private command(machine: Machine, session: Session, stops: readonly Command[], planned: readonly Placement[]): void {
+  private command(
+    machine: Machine,
+    session: AgentEpoch,
+    stops: readonly Command[],
+    planned: readonly Placement[],
+  ): void {
     const mayStartAny = this.leader.mayStartTasks() && this.leader.hasRecentJobView();
     const starting = mayStartAny ? planned.filter(({ job }) => mayStart(job, machine)) : [];
     const commands = [...stops, ...starting.map((placement) => this.start(placement))];
@@ -91,15 +96,20 @@
     return { op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt };
   }
 
-  private call(machine: Machine, session: Session, commands: readonly Command[], starts: readonly StartKey[]): void {
+  private call(
+    machine: Machine,
+    agentEpoch: AgentEpoch,
+    commands: readonly Command[],
+    starts: readonly StartKey[],
+  ): void {
     machine.commandInFlight = true;
-    this.ctx.worker({ addr: machine.addr, token: this.token, session, commands }, (result) => {
+    this.context.pushCommands({ address: machine.addr, fencingToken: this.token, agentEpoch, commands }, (result) => {
       machine.commandInFlight = false;
       if (result.ok) for (const start of starts) machine.unconfirmedStarts.delete(start);
-      else machine.nextCommandAt = this.ctx.after(UNANSWERED_PAUSE_MS);
-      if (this.stopped || !result.ok || result.value.report.machine !== machine.id) return;
+      else machine.nextCommandAt = this.context.after(UNANSWERED_PAUSE_MS);
+      if (this.stopped || !result.ok || result.value.heartbeat.machine !== machine.id) return;
       if (!this.cluster.isKnown(machine)) return;
-      this.reconciliation.take(machine, result.value.report, 'commandAnswer');
+      this.reconciliation.take(machine, result.value.heartbeat, 'commandAnswer');
       if (result.value.executed) this.reconciliation.onReachable(machine);
     });
   }
--- a/src/core/workers/commands.ts
+++ b/src/core/workers/commands.ts
@@ -37,10 +37,10 @@
   for (const placement of machine.placements.values()) {
     const { job, index, attempt, phase, stop } = placement;
     if (stop === null || phase === 'planned' || !isDue(placement)) continue;
-    commands.push({ op: 'stop', job: job.id, index, attempt, graceS: stop.graceS });
+    commands.push({ op: 'stop', job: job.id, index, attempt, gracePeriodSeconds: stop.graceS });
   }
   for (const { job, index, attempt, stop } of machine.strays.values()) {
-    if (stop) commands.push({ op: 'stop', job, index, attempt, graceS: 0 });
+    if (stop) commands.push({ op: 'stop', job, index, attempt, gracePeriodSeconds: 0 });
   }
   return commands;
 }
--- a/src/core/workers/reconciliation.ts
+++ b/src/core/workers/reconciliation.ts
@@ -1,8 +1,8 @@
-import type { Context } from '../context.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { LeaderState } from '../leadership/leader.js';
 import { type Machine, UNRESPONSIVE_AFTER_IGNORED } from '../machines/machine.js';
-import type { Session, Token, WorkerReport } from '../types.js';
+import type { StepContext } from '../step_context.js';
+import type { AgentEpoch, FencingToken, Heartbeat } from '../types.js';
 import { applyReport, type ReportSource } from './report_processing.js';
 
 const MAX_CONCURRENT = 24;
@@ -14,7 +14,7 @@
 /** The first answer may name another session; the second call then carries it. */
 const MAX_TRIES = 3;
 /** The session of a worker whose session isn't known. */
-const FIRST_SESSION = 1n as Session;
+const FIRST_SESSION = 1n as AgentEpoch;
 
 /**
  * Brings what is known of machines in line with what is on them. An empty direct command raises a worker's token, so that
@@ -22,17 +22,17 @@
  * is reached.
  */
 export class Reconciliation {
-  private readonly ctx: Context;
+  private readonly context: StepContext;
   private inFlight = 0;
   private waiting: Machine[] = [];
   private stopped = false;
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly token: Token,
+    private readonly token: FencingToken,
     private readonly leader: LeaderState,
   ) {
-    this.ctx = cluster.ctx;
+    this.context = cluster.context;
   }
 
   stop(): void {
@@ -66,28 +66,31 @@
     }
   }
 
-  private ask(machine: Machine, session: Session, tries: number, done: () => void): void {
+  private ask(machine: Machine, agentEpoch: AgentEpoch, tries: number, done: () => void): void {
     machine.commandInFlight = true;
-    this.ctx.worker({ addr: machine.addr, token: this.token, session, commands: [] }, (result) => {
-      machine.commandInFlight = false;
-      if (this.stopped || !this.cluster.isKnown(machine)) return done();
-      if (!result.ok || result.value.report.machine !== machine.id) return done();
-      const { executed, report } = result.value;
-      this.take(machine, report, 'commandAnswer');
-      if (!executed && tries > 1) return this.ask(machine, report.session, tries - 1, done);
-      if (executed) this.onReachable(machine);
-      done();
-    });
+    this.context.pushCommands(
+      { address: machine.addr, fencingToken: this.token, agentEpoch, commands: [] },
+      (result) => {
+        machine.commandInFlight = false;
+        if (this.stopped || !this.cluster.isKnown(machine)) return done();
+        if (!result.ok || result.value.heartbeat.machine !== machine.id) return done();
+        const { executed, heartbeat } = result.value;
+        this.take(machine, heartbeat, 'commandAnswer');
+        if (!executed && tries > 1) return this.ask(machine, heartbeat.agentEpoch, tries - 1, done);
+        if (executed) this.onReachable(machine);
+        done();
+      },
+    );
   }
 
   /** Asks machines for an answer that are unresponsive, not confirmed, or overdue while they hold a replica. */
   probe(): void {
-    const now = this.ctx.now.steady;
+    const now = this.context.now.monotonic;
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase !== 'up' || machine.nextProbeAt > now || !this.needsProbe(machine)) continue;
       if (machine.commandInFlight || !machine.addr || machine.deletionInFlight) continue;
-      if (this.ctx.openWorkerCalls >= MAX_OPEN_COMMANDS) return;
-      machine.nextProbeAt = this.ctx.after(PROBE_PERIOD_MS);
+      if (this.context.openCommandPushCount >= MAX_OPEN_COMMANDS) return;
+      machine.nextProbeAt = this.context.after(PROBE_PERIOD_MS);
       this.ask(machine, machine.session ?? FIRST_SESSION, MAX_TRIES, () => {});
     }
   }
@@ -95,15 +98,15 @@
   private needsProbe(machine: Machine): boolean {
     if (machine.unresponsiveSince !== null || !machine.confirmed) return true;
     // Whether the machine of a replica is gone decides when the replica runs elsewhere.
-    const overdueMs = REPORT_MISSED_AFTER * this.ctx.settings.workers.reportMs;
-    return this.ctx.now.steady - machine.lastSeenAt >= overdueMs && machine.hasReplica();
+    const overdueMs = REPORT_MISSED_AFTER * this.context.settings.workers.heartbeatIntervalMs;
+    return this.context.now.monotonic - machine.lastSeenAt >= overdueMs && machine.hasReplica();
   }
 
   /** Takes in a list of tasks, from a report or from the answer to a direct command. Returns whether room came free. */
-  take(machine: Machine, report: WorkerReport, source: ReportSource): boolean {
-    if (report.token === this.token && machine.tokenSeen < this.token) this.onReachable(machine);
+  take(machine: Machine, report: Heartbeat, source: ReportSource): boolean {
+    if (report.fencingToken === this.token && machine.tokenSeen < this.token) this.onReachable(machine);
     const freed = applyReport(this.cluster, machine, report, this.token, source);
-    if (source === 'commandAnswer') machine.lastSeenAt = this.ctx.now.steady;
+    if (source === 'commandAnswer') machine.lastSeenAt = this.context.now.monotonic;
     if (freed) this.leader.scheduleRoundSoon();
     this.leader.readSuspectedOrphans();
     const ignores = machine.ignoredAnswers >= UNRESPONSIVE_AFTER_IGNORED;
@@ -114,15 +117,15 @@
   /** Something sent has reached the machine. */
   onReachable(machine: Machine): void {
     if (!machine.confirmReachable()) return;
-    this.ctx.log('info', 'machine answers commands again', { machine: machine.id });
+    this.context.log('info', 'machine answers commands again', { machine: machine.id });
     this.leader.scheduleRoundSoon();
   }
 
   /** What is sent doesn't reach it, whatever is heard of it: no new work, until an answer to a command proves otherwise. */
   private markUnresponsive(machine: Machine): void {
-    machine.unresponsiveSince = this.ctx.now.steady;
-    machine.nextProbeAt = this.ctx.after(PROBE_PERIOD_MS);
-    this.ctx.log('info', 'machine reports but does not react to answers: unresponsive', { machine: machine.id });
+    machine.unresponsiveSince = this.context.now.monotonic;
+    machine.nextProbeAt = this.context.after(PROBE_PERIOD_MS);
+    this.context.log('info', 'machine reports but does not react to answers: unresponsive', { machine: machine.id });
     this.cluster.releasePlanned(machine);
     this.leader.scheduleRoundSoon();
   }
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -2,7 +2,7 @@
 import type { Job, Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
 import { type Machine, type StartKey, type StrayTask, startKey, taskKey } from '../machines/machine.js';
-import type { JobId, LiveTask, TaskReport } from '../types.js';
+import type { JobId, LiveTaskStatus, TaskStatus } from '../types.js';
 import { addStray } from './stray_tasks.js';
 
 /*
@@ -14,7 +14,7 @@
 export function recoverLiveTask(
   cluster: Cluster,
   machine: Machine,
-  task: LiveTask,
+  task: LiveTaskStatus,
   strays: StrayTask[],
 ): Placement | null {
   const job = cluster.jobs.get(task.job) ?? null;
@@ -48,7 +48,7 @@
 }
 
 /** An ended task without a place: what it says is counted once, whoever started it. */
-export function recoverEndedTask(cluster: Cluster, machine: Machine, task: TaskReport): Classification {
+export function recoverEndedTask(cluster: Cluster, machine: Machine, task: TaskStatus): Classification {
   const classification = classifyTask(cluster, task, null);
   if (classification.action === 'readRecord') cluster.earlierTerms.suspectOrphan(task.job, machine);
   return classification;
@@ -60,12 +60,12 @@
   return recovery === null || (recovery.isOrphan(job) && !cluster.unreadableJobs.has(job));
 }
 
-function classifyTask(cluster: Cluster, task: TaskReport, elsewhere: OtherPlace | null): Classification {
-  const ended = task.phase === 'exited' ? task.reason : null;
+function classifyTask(cluster: Cluster, task: TaskStatus, elsewhere: OtherPlace | null): Classification {
+  const ended = task.phase === 'exited' ? task.exitReason : null;
   return classify({ attempt: task.attempt, ended, job: storedJob(cluster, task), elsewhere });
 }
 
-function storedJob(cluster: Cluster, { job: id, index, phase }: TaskReport): StoredJob {
+function storedJob(cluster: Cluster, { job: id, index, phase }: TaskStatus): StoredJob {
   const job = cluster.jobs.get(id);
   if (job) {
     // The tasks of a gang complete together: none that is still there is told to stop.
@@ -87,7 +87,7 @@
 
 const otherPlace = ({ machine, attempt }: Placement): OtherPlace => ({ machine: machine.id, attempt });
 
-function adopt(cluster: Cluster, machine: Machine, task: LiveTask): Placement | null {
+function adopt(cluster: Cluster, machine: Machine, task: LiveTaskStatus): Placement | null {
   const job = cluster.jobs.get(task.job);
   return job ? cluster.place(job, task.index, machine, task.attempt, task.phase) : null;
 }
@@ -98,7 +98,7 @@
   addStray(cluster, machine, { job: job.id, index, attempt, stop: true, owner: job });
 }
 
-const strayOf = ({ job, index, attempt }: TaskReport, owner: Job | null, stop: boolean): StrayTask => ({
+const strayOf = ({ job, index, attempt }: TaskStatus, owner: Job | null, stop: boolean): StrayTask => ({
   job,
   index,
   attempt,
@@ -110,7 +110,7 @@
 function countIfNew(
   { earlierTerms }: Cluster,
   machine: Machine,
-  task: TaskReport,
+  task: TaskStatus,
   { taskClass, action }: Classification,
 ): void {
   const before = machine.strays.get(taskKey(task.job, task.index));
@@ -118,10 +118,10 @@
   if (!isRepeated) earlierTerms.recovery?.count(taskClass);
 }
 
-function logDuplicate({ ctx }: Cluster, machine: Machine, task: TaskReport, other: Placement | null): void {
+function logDuplicate({ context }: Cluster, machine: Machine, task: TaskStatus, other: Placement | null): void {
   const { job, index, attempt } = task;
   if (machine.strays.get(taskKey(job, index))?.attempt === attempt) return;
-  ctx.log('error', 'task reported by two machines', {
+  context.log('error', 'task reported by two machines', {
     task: taskKey(job, index),
     machines: [machine.id, ...(other ? [other.machine.id] : [])],
     attempts: [String(attempt), ...(other ? [String(other.attempt)] : [])],
@@ -129,7 +129,7 @@
 }
 
 /** Whether an end without a place is news; workers repeat it until they are told to forget it. */
-export function isNewEnd(machine: Machine, { job, index, attempt }: TaskReport): boolean {
+export function isNewEnd(machine: Machine, { job, index, attempt }: TaskStatus): boolean {
   const key: StartKey = startKey(job, index, attempt);
   return !machine.endsBefore.has(key);
 }
--- a/src/core/workers/report_handler.ts
+++ b/src/core/workers/report_handler.ts
@@ -1,10 +1,10 @@
 import { LeaseRenewals } from '../../recovery/index.js';
-import type { Context } from '../context.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { LeaderState } from '../leadership/leader.js';
 import { Machine, UNRESPONSIVE_AFTER_IGNORED } from '../machines/machine.js';
-import type { WorkerAnswer } from '../messages.js';
-import type { Command, Seq, Steady, Token, WorkerReport } from '../types.js';
+import type { HeartbeatResponse } from '../messages.js';
+import type { StepContext } from '../step_context.js';
+import type { Command, FencingToken, Heartbeat, MonotonicTime, SequenceNumber } from '../types.js';
 import { compileCommands } from './commands.js';
 import type { Reconciliation } from './reconciliation.js';
 import { isNewer } from './report_processing.js';
@@ -23,17 +23,17 @@
 interface HeldReport {
   readonly reply: ReportReply;
   readonly machine: Machine;
-  readonly seq: Seq;
-  readonly until: Steady;
+  readonly seq: SequenceNumber;
+  readonly until: MonotonicTime;
   /** Kept back only in case work comes up: the machine is empty. */
   readonly idle: boolean;
 }
 
-const UNAVAILABLE: WorkerAnswer = { status: 503 };
+const UNAVAILABLE: HeartbeatResponse = { status: 503 };
 
 /** Takes in workers' reports, whichever node they reached, and answers them: at once, or when what they wait for is there. */
 export class ReportHandler {
-  private readonly ctx: Context;
+  private readonly context: StepContext;
   private held: HeldReport[] = [];
   private readonly unreadLists: UnreadLists;
   /** When reports were last answered before it was known which machines there are. */
@@ -42,12 +42,12 @@
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly token: Token,
+    private readonly token: FencingToken,
     private readonly reconciliation: Reconciliation,
     private readonly leader: LeaderState,
   ) {
-    this.ctx = cluster.ctx;
-    this.unreadLists = new UnreadLists(this.ctx, {
+    this.context = cluster.context;
+    this.unreadLists = new UnreadLists(this.context, {
       take: (list) => this.takeWaiting(list),
       renewal: () => (this.mayAnswer() ? this.emptyAnswer : UNAVAILABLE),
     });
@@ -65,17 +65,17 @@
   }
 
   /** Renews the lease and says nothing else. */
-  private get emptyAnswer(): WorkerAnswer {
-    return { status: 200, token: this.token, commands: [] };
+  private get emptyAnswer(): HeartbeatResponse {
+    return { status: 200, fencingToken: this.token, commands: [] };
   }
 
-  onReport(report: WorkerReport, reply: ReportReply): void {
-    if (!this.mayAnswer() || report.token > this.token) {
+  onReport(report: Heartbeat, reply: ReportReply): void {
+    if (!this.mayAnswer() || report.fencingToken > this.token) {
       reply(UNAVAILABLE);
       return;
     }
     if (!this.leader.isLoaded()) {
-      this.renewedWhileLoading.note(report.machine, this.ctx.now.steady);
+      this.renewedWhileLoading.note(report.machine, this.context.now.monotonic);
       reply(this.emptyAnswer);
       return;
     }
@@ -99,7 +99,7 @@
     this.noteIgnoredAnswer(machine, report);
     const isFirst = this.recordSignOfLife(machine, report);
     if (!machine.registered) this.leader.registerMachine(machine);
-    const list: UnreadList = { machine, report, reply, isFirst, until: this.ctx.after(HOLD_MS) };
+    const list: UnreadList = { machine, report, reply, isFirst, until: this.context.after(HOLD_MS) };
     if (this.mustWaitInBacklog(list)) return;
     this.takeList(list);
   }
@@ -108,9 +108,9 @@
   private takeList({ machine, report, reply, isFirst }: UnreadList): void {
     const newer = isNewer(machine, report);
     const freed = this.reconciliation.take(machine, report, 'report');
-    machine.lastReportSeq = report.seq;
+    machine.lastReportSeq = report.sequence;
     if (reply === null) return;
-    const taken = newer && machine.seq === report.seq && machine.session === report.session;
+    const taken = newer && machine.seq === report.sequence && machine.session === report.agentEpoch;
     if (taken) this.answerOrHold(machine, report, reply, freed || isFirst);
     else reply(this.emptyAnswer);
   }
@@ -118,7 +118,7 @@
   /** Once everything is certain, no list has to wait for its turn. */
   private mustWaitInBacklog(list: UnreadList): boolean {
     const { recovery } = this.cluster.earlierTerms;
-    if (!recovery || recovery.isFinished || list.report.token !== this.token) return false;
+    if (!recovery || recovery.isFinished || list.report.fencingToken !== this.token) return false;
     const waits = this.unreadLists.mustWait(list);
     recovery.noteBacklog(this.unreadLists.size);
     return waits;
@@ -133,8 +133,8 @@
     else list.reply?.(UNAVAILABLE);
   }
 
-  private answerOrHold(machine: Machine, report: WorkerReport, reply: ReportReply, roomCameFree: boolean): void {
-    const held = { reply, machine, seq: report.seq, until: this.ctx.after(HOLD_MS), idle: false };
+  private answerOrHold(machine: Machine, report: Heartbeat, reply: ReportReply, roomCameFree: boolean): void {
+    const held = { reply, machine, seq: report.sequence, until: this.context.after(HOLD_MS), idle: false };
     if (roomCameFree) {
       // Planned at once, so that the answer already carries what starts in the room.
       this.leader.scheduleRoundSoon();
@@ -142,69 +142,70 @@
     } else if (this.waitsForRecords(machine)) {
       this.hold(held);
     } else if (this.mayHoldIdle(machine, report)) {
-      this.hold({ ...held, until: this.ctx.after(this.idleHoldMs()), idle: true });
+      this.hold({ ...held, until: this.context.after(this.idleHoldMs()), idle: true });
     } else {
       this.answer(held);
     }
   }
 
   /** Nobody waits for the answer to a duplicate; it is no sign of life and moves no lease. */
-  private dropDuplicate(machine: Machine, report: WorkerReport, reply: ReportReply): void {
+  private dropDuplicate(machine: Machine, report: Heartbeat, reply: ReportReply): void {
     this.duplicates += 1;
-    this.ctx.log('debug', 'duplicate of a report', {
+    this.context.log('debug', 'duplicate of a report', {
       machine: machine.id,
-      seq: report.seq,
+      seq: report.sequence,
       duplicates: this.duplicates,
     });
     reply(UNAVAILABLE);
   }
 
-  private isStale(report: WorkerReport): boolean {
-    return report.token < this.token;
+  private isStale(report: Heartbeat): boolean {
+    return report.fencingToken < this.token;
   }
 
   /** A machine that may be long gone, and goes on to show an old token, is not answered any more. */
-  private isNotListening(machine: Machine, report: WorkerReport): boolean {
+  private isNotListening(machine: Machine, report: Heartbeat): boolean {
     if (!this.isStale(report) || machine.confirmed) return false;
     machine.staleTokenReports += 1;
     return machine.staleTokenReports > MAX_STALE_TOKEN_REPORTS;
   }
 
   /** Signs that the last answers have not arrived: an old token after one, or a lease that ran out all the same. */
-  private noteIgnoredAnswer(machine: Machine, report: WorkerReport): void {
+  private noteIgnoredAnswer(machine: Machine, report: Heartbeat): void {
     if (machine.firstReportAt === null) return;
-    const answeredLately = this.ctx.now.steady - machine.leaseRenewedAt < this.ctx.settings.workers.leaseMs / 2;
-    const isNewSession = machine.session !== null && report.session > machine.session;
+    const answeredLately =
+      this.context.now.monotonic - machine.leaseRenewedAt < this.context.settings.workers.leaseMs / 2;
+    const isNewSession = machine.session !== null && report.agentEpoch > machine.session;
     if (isNewSession && answeredLately) machine.ignoredAnswers = UNRESPONSIVE_AFTER_IGNORED;
     else if (this.isStale(report)) machine.ignoredAnswers += 1;
   }
 
   /** Returns whether it is the machine's first report to this leader. */
-  private recordSignOfLife(machine: Machine, report: WorkerReport): boolean {
-    const { steady } = this.ctx.now;
-    machine.lastSeenAt = steady;
-    machine.leaseRenewedAt = steady;
-    machine.lastReportAt = steady;
-    if (report.addr) machine.addr = report.addr;
+  private recordSignOfLife(machine: Machine, report: Heartbeat): boolean {
+    const { monotonic } = this.context.now;
+    machine.lastSeenAt = monotonic;
+    machine.leaseRenewedAt = monotonic;
+    machine.lastReportAt = monotonic;
+    if (report.address) machine.addr = report.address;
     if (machine.phase === 'booting') this.onUp(machine);
     if (machine.firstReportAt !== null) return false;
-    machine.firstReportAt = steady;
-    machine.idleSince = steady;
+    machine.firstReportAt = monotonic;
+    machine.idleSince = monotonic;
     return true;
   }
 
   private onUp(machine: Machine): void {
     machine.phase = 'up';
-    const { steady } = this.ctx.now;
+    const { monotonic } = this.context.now;
     if (machine.rentedHere) {
-      this.cluster.bootTimes.noteUp(machine.type, machine.zone, machine.ageS(steady), steady);
+      this.cluster.bootTimes.noteUp(machine.type, machine.zone, machine.ageS(monotonic), monotonic);
     }
-    this.ctx.log('info', 'machine is up', {
+    this.context.log('info', 'machine is up', {
       machine: machine.id,
       type: machine.typeName,
       zone: machine.zone,
       spot: machine.spot,
-      afterS: Math.round(machine.ageS(steady)),
+      afterS: Math.round(machine.ageS(monotonic)),
     });
   }
 
@@ -212,14 +213,14 @@
    * Not in the registry, so nobody has ever sent it a command: its list can hold nothing of ours. But the report may be a
    * late copy from a machine that is long gone: it gets no work before it has shown that it hears this node.
    */
-  private addUnlisted({ machine: id, type: typeName, zone, spot, addr }: WorkerReport): Machine | null {
+  private addUnlisted({ machine: id, type: typeName, zone, spot, address }: Heartbeat): Machine | null {
     const type = this.cluster.types.get(typeName);
     if (!type) return null;
-    const now = this.ctx.now.steady;
-    const machine = new Machine({ id, type, zone, spot, addr, reconciled: true, phase: 'up', now });
+    const now = this.context.now.monotonic;
+    const machine = new Machine({ id, type, zone, spot, addr: address, reconciled: true, phase: 'up', now });
     this.cluster.machines.set(id, machine);
     this.cluster.earlierTerms.recovery?.onUnlistedMachine();
-    this.ctx.log('info', 'report of a machine that was not listed', { machine: id });
+    this.context.log('info', 'report of a machine that was not listed', { machine: id });
     return machine;
   }
 
@@ -229,18 +230,18 @@
    * An empty machine's report is answered late on purpose: work that comes up meanwhile starts at once instead of with
    * its next report. Nothing can change on an empty machine that the delay would hide, except a notice.
    */
-  private mayHoldIdle(machine: Machine, report: WorkerReport): boolean {
+  private mayHoldIdle(machine: Machine, report: Heartbeat): boolean {
     const hasNothing = machine.isEmpty && machine.exitedTasks.length === 0;
-    return hasNothing && report.token === this.token && machine.draining === null;
+    return hasNothing && report.fencingToken === this.token && machine.draining === null;
   }
 
   private idleHoldMs(): number {
-    return Math.min(MAX_IDLE_HOLD_MS, this.ctx.settings.workers.reportMs * IDLE_HOLD_SHARE);
+    return Math.min(MAX_IDLE_HOLD_MS, this.context.settings.workers.heartbeatIntervalMs * IDLE_HOLD_SHARE);
   }
 
   private hold(report: HeldReport): void {
     this.held.push(report);
-    this.ctx.timers.bringForward('heldReports', report.until);
+    this.context.timers.bringForward('heldReports', report.until);
   }
 
   private waitsForRecords(machine: Machine): boolean {
@@ -254,10 +255,10 @@
   /** Answers held reports that have nothing left to wait for. */
   releaseHeld(): void {
     if (this.held.length === 0) return;
-    const roundSoonMs = this.ctx.tuning.scheduler.spacing_ms + ROUND_SOON_MS;
-    const isRoundSoon = this.ctx.timers.has('round', this.ctx.after(roundSoonMs));
+    const roundSoonMs = this.context.tuning.scheduler.spacing_ms + ROUND_SOON_MS;
+    const isRoundSoon = this.context.timers.isDueBy('round', this.context.after(roundSoonMs));
     const kept: HeldReport[] = [];
-    let next: Steady | null = null;
+    let next: MonotonicTime | null = null;
     for (const report of this.held) {
       if (!this.mustWait(report, isRoundSoon)) {
         this.answer(report);
@@ -267,11 +268,11 @@
       if (next === null || report.until < next) next = report.until;
     }
     this.held = kept;
-    if (next !== null) this.ctx.timers.set('heldReports', next);
+    if (next !== null) this.context.timers.set('heldReports', next);
   }
 
   private mustWait({ until, idle, machine }: HeldReport, isRoundSoon: boolean): boolean {
-    if (until <= this.ctx.now.steady) return false;
+    if (until <= this.context.now.monotonic) return false;
     if (idle && machine.placements.size === 0) return true;
     if (isRoundSoon && !idle) return true;
     return this.leader.writesInFlight() && this.waitsForRecords(machine);
@@ -288,11 +289,11 @@
       if (command.op !== 'start') return true;
       return mayStartTasks && this.markSent(machine, command, seq);
     });
-    reply({ status: 200, token: this.token, commands });
+    reply({ status: 200, fencingToken: this.token, commands });
   }
 
   /** Notes that a start goes out; returns false where it must not. */
-  private markSent(machine: Machine, command: Command, seq: Seq): boolean {
+  private markSent(machine: Machine, command: Command, seq: SequenceNumber): boolean {
     const placement = this.cluster.findPlacement(machine, command.job, command.index);
     if (!placement || !mayStart(placement.job, machine)) return false;
     if (placement.job.isGang && placement.phase === 'planned' && !isGangStartDue(this.cluster, placement)) return false;
@@ -304,8 +305,8 @@
 }
 
 /** One report is in flight at a time, and numbers rise: whatever isn't newer than the last is a copy or came too late. */
-function isDuplicate({ session, lastReportSeq }: Machine, report: WorkerReport): boolean {
+function isDuplicate({ session, lastReportSeq }: Machine, report: Heartbeat): boolean {
   if (session === null) return false;
-  if (report.session !== session) return report.session < session;
-  return lastReportSeq !== null && report.seq <= lastReportSeq;
+  if (report.agentEpoch !== session) return report.agentEpoch < session;
+  return lastReportSeq !== null && report.sequence <= lastReportSeq;
 }
--- a/src/core/workers/report_processing.ts
+++ b/src/core/workers/report_processing.ts
@@ -9,7 +9,7 @@
   type TaskKey,
   taskKey,
 } from '../machines/machine.js';
-import { type LiveTask, steadyPlus, type TaskReport, type Token, type WorkerReport } from '../types.js';
+import { addMilliseconds, type FencingToken, type Heartbeat, type LiveTaskStatus, type TaskStatus } from '../types.js';
 import { recoverLiveTask } from './recovered_tasks.js';
 import { replaceStrays } from './stray_tasks.js';
 import { processExit } from './task_exits.js';
@@ -17,12 +17,12 @@
 /** Reports are sent one after the other; answers to direct commands overtake them. */
 export type ReportSource = 'report' | 'commandAnswer';
 
-const isLive = (task: TaskReport): task is LiveTask => task.phase !== 'exited';
+const isLive = (task: TaskStatus): task is LiveTaskStatus => task.phase !== 'exited';
 
 /** Whether a report is newer than anything seen of this machine. */
-export function isNewer({ session, seq }: Machine, report: WorkerReport): boolean {
+export function isNewer({ session, seq }: Machine, report: Heartbeat): boolean {
   if (session === null || seq === null) return true;
-  return report.session > session || (report.session === session && report.seq > seq);
+  return report.agentEpoch > session || (report.agentEpoch === session && report.sequence > seq);
 }
 
 /**
@@ -32,15 +32,15 @@
 export function applyReport(
   cluster: Cluster,
   machine: Machine,
-  report: WorkerReport,
-  token: Token,
+  report: Heartbeat,
+  token: FencingToken,
   source: ReportSource,
 ): boolean {
-  if (report.token > machine.tokenSeen) machine.tokenSeen = report.token;
+  if (report.fencingToken > machine.tokenSeen) machine.tokenSeen = report.fencingToken;
   if (!isNewer(machine, report)) return false;
   // Without our token the list may be older than a command of an earlier leader that is still on its way.
   // And what nobody has listed may be long gone: a late copy of its list must not bring back tasks that ended.
-  if (report.token !== token && (machine.registered || !machine.reconciled || !machine.confirmed)) return false;
+  if (report.fencingToken !== token && (machine.registered || !machine.reconciled || !machine.confirmed)) return false;
   const newSession = applySession(cluster, machine, report);
   const becameReconciled = !machine.reconciled;
   if (becameReconciled) cluster.markReconciled(machine, 'listed');
@@ -51,24 +51,24 @@
 }
 
 /** Returns whether a new session ended what was on the machine. */
-function applySession(cluster: Cluster, machine: Machine, report: WorkerReport): boolean {
+function applySession(cluster: Cluster, machine: Machine, report: Heartbeat): boolean {
   const before = machine.session;
-  const isNewSession = before !== null && report.session > before;
+  const isNewSession = before !== null && report.agentEpoch > before;
   if (isNewSession) onNewSession(cluster, machine, report);
-  if (before !== report.session) {
+  if (before !== report.agentEpoch) {
     machine.lastReportSeq = null;
     // The answer to a direct command may be the first to tell of a session: its lease began some time before now.
-    machine.leaseRenewedAt = cluster.ctx.now.steady;
+    machine.leaseRenewedAt = cluster.context.now.monotonic;
   }
-  machine.session = report.session;
-  machine.seq = report.seq;
+  machine.session = report.agentEpoch;
+  machine.seq = report.sequence;
   return isNewSession;
 }
 
-function onNewSession(cluster: Cluster, machine: Machine, report: WorkerReport): void {
-  cluster.ctx.log('info', 'worker began a new session: its tasks are gone', {
+function onNewSession(cluster: Cluster, machine: Machine, report: Heartbeat): void {
+  cluster.context.log('info', 'worker began a new session: its tasks are gone', {
     machine: machine.id,
-    session: report.session,
+    session: report.agentEpoch,
     tasks: machine.placements.size,
   });
   cluster.releaseAll(machine);
@@ -77,16 +77,20 @@
 }
 
 /** Returns whether it is the first notice that the cloud will take the machine. */
-function applyNotice(cluster: Cluster, machine: Machine, { noticeS }: WorkerReport): boolean {
-  if (noticeS === null) return false;
+function applyNotice(cluster: Cluster, machine: Machine, { interruptionNoticeSeconds }: Heartbeat): boolean {
+  if (interruptionNoticeSeconds === null) return false;
   const isFirst = machine.interruptionAt === null;
-  if (isFirst) cluster.ctx.log('info', 'the cloud will take the machine', { machine: machine.id, inS: noticeS });
-  machine.interruptionAt = steadyPlus(cluster.ctx.now.steady, noticeS * 1000);
+  if (isFirst)
+    cluster.context.log('info', 'the cloud will take the machine', {
+      machine: machine.id,
+      inS: interruptionNoticeSeconds,
+    });
+  machine.interruptionAt = addMilliseconds(cluster.context.now.monotonic, interruptionNoticeSeconds * 1000);
   return isFirst;
 }
 
 /** Returns whether room came free. */
-function applyTasks(cluster: Cluster, machine: Machine, report: WorkerReport, source: ReportSource): boolean {
+function applyTasks(cluster: Cluster, machine: Machine, report: Heartbeat, source: ReportSource): boolean {
   let freed = false;
   const live = new Set<TaskKey>();
   const strays: StrayTask[] = [];
@@ -117,7 +121,7 @@
   cluster: Cluster,
   machine: Machine,
   live: ReadonlySet<TaskKey>,
-  report: WorkerReport,
+  report: Heartbeat,
   source: ReportSource,
 ): boolean {
   let freed = false;
@@ -125,7 +129,7 @@
   for (const [key, placement] of [...machine.placements]) {
     if (live.has(key) || placement.phase === 'planned') continue;
     if (placement.phase !== 'sent') {
-      cluster.ctx.log('info', 'task is no longer on its machine', { task: key, machine: machine.id });
+      cluster.context.log('info', 'task is no longer on its machine', { task: key, machine: machine.id });
       cluster.release(placement);
       freed = true;
     } else if (isStartDropped(placement, report, source)) {
@@ -142,9 +146,9 @@
  * direct commands overtake it. A start that went out by a direct command without an answer may still arrive, whatever the
  * reports say (late-starts.txt).
  */
-function isStartDropped(placement: Placement, report: WorkerReport, source: ReportSource): boolean {
+function isStartDropped(placement: Placement, report: Heartbeat, source: ReportSource): boolean {
   const { sentInReplyTo, machine } = placement;
-  if (source !== 'report' || sentInReplyTo === null || report.seq <= sentInReplyTo) return false;
+  if (source !== 'report' || sentInReplyTo === null || report.sequence <= sentInReplyTo) return false;
   return !machine.unconfirmedStarts.has(startKeyOf(placement));
 }
 
@@ -159,10 +163,10 @@
 }
 
 /** Takes in what a report shows of a task that has not ended. */
-function processLiveTask(cluster: Cluster, machine: Machine, task: LiveTask, strays: StrayTask[]): void {
+function processLiveTask(cluster: Cluster, machine: Machine, task: LiveTaskStatus, strays: StrayTask[]): void {
   const placement = placementOf(cluster, machine, task, strays);
   if (!placement) return;
-  const now = cluster.ctx.now.steady;
+  const now = cluster.context.now.monotonic;
   const { job } = placement;
   const hasJustStarted = placement.phase === 'sent';
   if (hasJustStarted) machine.ignoredAnswers = 0;
@@ -175,7 +179,7 @@
 }
 
 /** The placement that a live task belongs to, made where there is none; null where the task can't be accounted for. */
-function placementOf(cluster: Cluster, machine: Machine, task: LiveTask, strays: StrayTask[]): Placement | null {
+function placementOf(cluster: Cluster, machine: Machine, task: LiveTaskStatus, strays: StrayTask[]): Placement | null {
   const known = cluster.findPlacement(machine, task.job, task.index);
   if (known?.attempt === task.attempt) return known;
   if (known) {
@@ -189,12 +193,12 @@
 }
 
 /** Without the recovery feature: a task that two machines report stays where it was found first. */
-function placeReported(cluster: Cluster, machine: Machine, task: LiveTask): Placement | null {
+function placeReported(cluster: Cluster, machine: Machine, task: LiveTaskStatus): Placement | null {
   const job = cluster.jobs.get(task.job);
   if (!job) return null;
   const elsewhere = job.placements.get(task.index);
   if (elsewhere && elsewhere.phase !== 'planned') {
-    cluster.ctx.log('error', 'task reported by two machines', {
+    cluster.context.log('error', 'task reported by two machines', {
       task: taskKey(task.job, task.index),
       machines: [machine.id, elsewhere.machine.id],
     });
@@ -207,15 +211,15 @@
   return placement;
 }
 
-function logRunning({ ctx }: Cluster, { job, index, machine, since }: Placement): void {
-  ctx.log('debug', 'task runs', {
+function logRunning({ context }: Cluster, { job, index, machine, since }: Placement): void {
+  context.log('debug', 'task runs', {
     task: taskKey(job.id, index),
     machine: machine.id,
     jobClass: job.spec.jobClass,
     image: job.spec.image,
     imageGb: job.spec.imageGb,
-    placedAgoS: (ctx.now.steady - since) / 1000,
-    submittedAgoS: (ctx.now.wall - job.submittedAt) / 1000,
+    placedAgoS: (context.now.monotonic - since) / 1000,
+    submittedAgoS: (context.now.wallClock - job.submittedAt) / 1000,
     fetchSpeed: machine.images.fetchSpeed,
   });
 }
--- a/src/core/workers/report_router.ts
+++ b/src/core/workers/report_router.ts
@@ -1,10 +1,10 @@
-import type { Context } from '../context.js';
 import type { Election } from '../leadership/election.js';
 import type { Leader } from '../leadership/leader.js';
-import type { RequestId, WorkerAnswer } from '../messages.js';
+import type { HeartbeatResponse, RequestId } from '../messages.js';
+import type { HeartbeatForwarding } from '../peers/heartbeat_forwarding.js';
 import type { Peer, PeerTable } from '../peers/peer_table.js';
-import type { ReportForwarding } from '../peers/report_forwarding.js';
-import type { MachineId, NodeName, Steady, WorkerReport } from '../types.js';
+import type { StepContext } from '../step_context.js';
+import type { ControllerName, Heartbeat, MachineId, MonotonicTime } from '../types.js';
 
 /** A leader sends workers to other nodes down to this part of their mean load. */
 const LEADER_REPORT_SHARE = 0.4;
@@ -28,23 +28,23 @@
  */
 export class ReportRouter {
   private reportsCounted = 0;
-  private countedSince: Steady;
+  private countedSince: MonotonicTime;
   private smoothedRate = 0;
   private redirectsConsidered = 0;
   /** When a worker was last heard, by whatever way; null: never. */
-  private workersHeardAt: Steady | null = null;
+  private workersHeardAt: MonotonicTime | null = null;
   /** The last report that came from the worker itself. */
-  private lastDirectReportAt = 0 as Steady;
-  private readonly redirectedAt = new Map<MachineId, Steady>();
+  private lastDirectReportAt = 0 as MonotonicTime;
+  private readonly redirectedAt = new Map<MachineId, MonotonicTime>();
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: StepContext,
     private readonly election: Election,
     private readonly peers: PeerTable,
-    private readonly forwarding: ReportForwarding,
+    private readonly forwarding: HeartbeatForwarding,
     private readonly currentLeader: () => Leader | null,
   ) {
-    this.countedSince = ctx.now.steady;
+    this.countedSince = context.now.monotonic;
   }
 
   /** Workers' reports a second that reach this node itself. */
@@ -54,46 +54,46 @@
 
   /** Milliseconds since a worker last reached this node; null: never. */
   get workersHeardMs(): number | null {
-    return this.workersHeardAt === null ? null : this.ctx.now.steady - this.workersHeardAt;
+    return this.workersHeardAt === null ? null : this.context.now.monotonic - this.workersHeardAt;
   }
 
   /** A report from the worker itself. */
-  onReport(req: RequestId, report: WorkerReport): void {
-    this.workersHeardAt = this.ctx.now.steady;
-    this.lastDirectReportAt = this.ctx.now.steady;
+  onReport(req: RequestId, report: Heartbeat): void {
+    this.workersHeardAt = this.context.now.monotonic;
+    this.lastDirectReportAt = this.context.now.monotonic;
     this.reportsCounted += 1;
-    const answer = (given: WorkerAnswer): void => this.ctx.answerWorker(req, given);
+    const answer = (given: HeartbeatResponse): void => this.context.respondToWorker(req, given);
     const leader = this.currentLeader();
     if (!leader) {
       this.passOn(report, answer);
       return;
     }
     const other = this.redirectTarget();
-    if (other !== null) answer({ status: 421, reportTo: other });
+    if (other !== null) answer({ status: 421, redirectTo: other });
     else leader.onReport(report, answer);
   }
 
   /** A report that a peer passed on. */
-  onForwardedReport(report: WorkerReport, answer: (answer: WorkerAnswer) => void): void {
+  onForwardedReport(report: Heartbeat, answer: (answer: HeartbeatResponse) => void): void {
     const leader = this.currentLeader();
     if (!leader) {
       answer({ status: 503 });
       return;
     }
-    this.workersHeardAt = this.ctx.now.steady;
+    this.workersHeardAt = this.context.now.monotonic;
     leader.onReport(report, answer);
   }
 
-  private passOn(report: WorkerReport, answer: (answer: WorkerAnswer) => void): void {
+  private passOn(report: Heartbeat, answer: (answer: HeartbeatResponse) => void): void {
     const holder = this.election.holderName();
-    if (holder === null || holder === this.ctx.settings.node) {
+    if (holder === null || holder === this.context.settings.controller) {
       answer({ status: 503 });
       return;
     }
     const peer = this.peers.get(holder);
     if (peer && this.mayForwardTo(peer)) {
-      if (peer.status.takesReports && this.mayRedirect(report.machine)) {
-        answer({ status: 421, reportTo: holder });
+      if (peer.status.prefersDirectHeartbeats && this.mayRedirect(report.machine)) {
+        answer({ status: 421, redirectTo: holder });
         return;
       }
       this.forwarding.forward(holder, report, answer);
@@ -101,11 +101,13 @@
     }
     // The way to the leader may be open to the worker: but only one known to lead now is named, so that no worker is
     // kept going round.
-    answer(this.election.knowsHolder() ? { status: 421, reportTo: holder } : { status: 503 });
+    answer(this.election.knowsHolder() ? { status: 421, redirectTo: holder } : { status: 503 });
   }
 
   private mayForwardTo(peer: Peer): boolean {
-    return peer.status.leading && this.peers.isLinkFresh(peer) && peer.reportsPausedUntil <= this.ctx.now.steady;
+    return (
+      peer.status.isLeader && this.peers.isReachable(peer) && peer.heartbeatsPausedUntil <= this.context.now.monotonic
+    );
   }
 
   /**
@@ -113,38 +115,39 @@
    * while none reaches it, so that a leader cut off from workers isn't named to them.
    */
   takesReports(): boolean {
-    const { settings, tuning, now } = this.ctx;
+    const { settings, tuning, now } = this.context;
     const leader = this.currentLeader();
     if (!leader || !this.election.isValid()) return false;
     if (settings.limits.cpuShare < tuning.leadership.reports_cpu_share) return false;
-    if (leader.machineCount > settings.limits.connections * WORKER_SOCKET_SHARE) return false;
+    if (leader.machineCount > settings.limits.maxConnections * WORKER_SOCKET_SHARE) return false;
     return (
-      now.steady - this.election.electedAt < TAKES_REPORTS_GRACE_MS ||
-      now.steady - this.lastDirectReportAt < DIRECT_REPORT_FRESH_MS
+      now.monotonic - this.election.electedAt < TAKES_REPORTS_GRACE_MS ||
+      now.monotonic - this.lastDirectReportAt < DIRECT_REPORT_FRESH_MS
     );
   }
 
   private mayRedirect(machine: MachineId): boolean {
-    const { steady } = this.ctx.now;
+    const { monotonic } = this.context.now;
     const before = this.redirectedAt.get(machine);
-    if (before !== undefined && steady - before < REDIRECT_AGAIN_MS) return false;
+    if (before !== undefined && monotonic - before < REDIRECT_AGAIN_MS) return false;
     if (this.redirectedAt.size >= MAX_REDIRECTS_KEPT) this.redirectedAt.clear();
-    this.redirectedAt.set(machine, steady);
+    this.redirectedAt.set(machine, monotonic);
     return true;
   }
 
   /** A node to which this leader sends a worker, to have its own share of the core for what only it can do. */
-  private redirectTarget(): NodeName | null {
+  private redirectTarget(): ControllerName | null {
     if (this.takesReports()) return null;
     let leastLoaded: Peer | null = null;
     let totalRate = 0;
     let candidates = 0;
     for (const peer of this.peers.all()) {
       const { status } = peer;
-      if (!this.peers.isLinkFresh(peer) || status.workersHeardMs < 0 || !status.storeOk) continue;
+      if (!this.peers.isReachable(peer) || status.sinceLastHeartbeatMs < 0 || !status.stateStoreReachable) continue;
       candidates += 1;
-      totalRate += status.reportsPerS;
-      if (leastLoaded === null || status.reportsPerS < leastLoaded.status.reportsPerS) leastLoaded = peer;
+      totalRate += status.heartbeatsPerSecond;
+      if (leastLoaded === null || status.heartbeatsPerSecond < leastLoaded.status.heartbeatsPerSecond)
+        leastLoaded = peer;
     }
     if (leastLoaded === null || this.smoothedRate < LEADER_MIN_REPORTS_PER_S) return null;
     if (this.smoothedRate < LEADER_REPORT_SHARE * (totalRate / candidates) + 1) return null;
@@ -154,11 +157,11 @@
 
   /** Called about once a second. */
   updateRate(): void {
-    const seconds = (this.ctx.now.steady - this.countedSince) / 1000;
+    const seconds = (this.context.now.monotonic - this.countedSince) / 1000;
     if (seconds < RATE_WINDOW_S) return;
     const rate = this.reportsCounted / seconds;
     this.smoothedRate = (1 - RATE_SMOOTHING) * this.smoothedRate + RATE_SMOOTHING * rate;
     this.reportsCounted = 0;
-    this.countedSince = this.ctx.now.steady;
+    this.countedSince = this.context.now.monotonic;
   }
 }
--- a/src/core/workers/start_checks.ts
+++ b/src/core/workers/start_checks.ts
@@ -21,10 +21,10 @@
  * Whether a task of a gang should be started now. One that has its image long before the others would give up waiting for
  * them, the gang would be started anew, and the others would fetch from the beginning (gang-far-apart-fetches.txt).
  */
-export function isGangStartDue({ ctx }: Cluster, { job, machine }: Placement): boolean {
+export function isGangStartDue({ context }: Cluster, { job, machine }: Placement): boolean {
   const { image, imageGb } = job.spec;
-  const fetchLeftS = (on: Machine): number => on.images.fetchSeconds(image, imageGb, ctx.now.steady);
-  const toleranceS = (GATHER_SHARE * ctx.settings.workers.gangWaitMs) / 1000;
+  const fetchLeftS = (on: Machine): number => on.images.fetchSeconds(image, imageGb, context.now.monotonic);
+  const toleranceS = (GATHER_SHARE * context.settings.workers.gangBarrierTimeoutMs) / 1000;
   const latestS = fetchLeftS(machine) + toleranceS;
   for (const other of job.placements.values()) if (fetchLeftS(other.machine) > latestS) return false;
   return true;
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -2,7 +2,7 @@
 import type { Cluster } from '../leadership/cluster.js';
 import { type Machine, taskKey } from '../machines/machine.js';
 import { SLOW_FACTOR, WRONG_ESTIMATE_MACHINES } from '../machines/slowness.js';
-import type { Steady, TaskReport } from '../types.js';
+import type { MonotonicTime, TaskStatus } from '../types.js';
 import { isNewEnd, recoverEndedTask } from './recovered_tasks.js';
 
 const FLUSH_RESULTS_MS = 30;
@@ -20,10 +20,10 @@
 type EndedPlace = Pick<Placement, 'job' | 'machine' | 'since' | 'runningSince'>;
 
 /** Takes in that a task ended. Returns whether room came free. */
-export function processExit(cluster: Cluster, machine: Machine, task: TaskReport): boolean {
+export function processExit(cluster: Cluster, machine: Machine, task: TaskStatus): boolean {
   const job = cluster.jobs.get(task.job);
   const { index, attempt } = task;
-  const hasResult = task.reason === 'done' && !job?.isService;
+  const hasResult = task.exitReason === 'done' && !job?.isService;
   machine.exitedTasks.push({ job: task.job, index, attempt, done: hasResult });
   const found = cluster.findPlacement(machine, task.job, index);
   const placement = found?.attempt === attempt ? found : null;
@@ -38,7 +38,7 @@
 }
 
 /** A task that ended while nobody watched, or that nobody knows of. What failed counts once, as it would have then. */
-function recordMissedEnd(cluster: Cluster, machine: Machine, task: TaskReport): void {
+function recordMissedEnd(cluster: Cluster, machine: Machine, task: TaskStatus): void {
   const { taskClass, action } = recoverEndedTask(cluster, machine, task);
   if (!isNewEnd(machine, task)) return;
   cluster.earlierTerms.recovery?.count(taskClass);
@@ -46,7 +46,7 @@
   if (!job) return;
   job.located.add(task.index);
   if (action !== 'requeue' || job.isService) return;
-  const now = cluster.ctx.now.steady;
+  const now = cluster.context.now.monotonic;
   const placement = { job, machine, since: now, runningSince: now };
   recordFailure(cluster, placement, task);
 }
@@ -55,27 +55,27 @@
   cluster: Cluster,
   machine: Machine,
   job: Job,
-  task: TaskReport,
+  task: TaskStatus,
   placement: Placement | null,
 ): void {
   if (job.state !== 'accepted' || job.isDone(task.index)) return;
-  const { ctx } = cluster;
+  const { context } = cluster;
   job.markDone(task.index);
   machine.taskFailures.clear();
   if (placement) recordRunTime(cluster, placement);
-  ctx.timers.setIfUnset('recordFlush', ctx.after(FLUSH_RESULTS_MS));
+  context.timers.setIfUnset('recordFlush', context.after(FLUSH_RESULTS_MS));
 }
 
 /** Learns from how long a task took, unless it ran in several parts. */
 function recordRunTime(cluster: Cluster, { job, machine, runningSince, foundRunning }: Placement): void {
   if (runningSince === null || job.failures > 0) return;
-  const { estimates, ctx, earlierTerms } = cluster;
+  const { estimates, context, earlierTerms } = cluster;
   // How long it ran before this leader found it isn't known: taken for its whole time it would make estimates too short.
   if (foundRunning && earlierTerms.recovery) return;
   const spread = estimates.spread(job.spec);
-  const surprise = estimates.observe(job.spec, (ctx.now.steady - runningSince) / 1000);
+  const surprise = estimates.observe(job.spec, (context.now.monotonic - runningSince) / 1000);
   // A gang is as slow as its slowest machine: only a gang of one says which that is.
-  if (job.isGang && job.spec.tasks > 1) return;
+  if (job.isGang && job.spec.taskCount > 1) return;
   if (surprise > SLOW_FACTOR) job.slowOn.add(machine.id);
   if (job.slowOn.size < WRONG_ESTIMATE_MACHINES) machine.slowness.note(job.id, { surprise, spread });
 }
@@ -84,37 +84,37 @@
  * A replica that ends runs again elsewhere, whatever it ended with. One that ends soon after its start does so after a pause
  * that doubles: a service that can't stay up must not take the cluster's time.
  */
-function recordReplicaEnd(cluster: Cluster, placement: Placement, task: TaskReport): void {
-  if (task.reason === 'stopped') return;
+function recordReplicaEnd(cluster: Cluster, placement: Placement, task: TaskStatus): void {
+  if (task.exitReason === 'stopped') return;
   const { job, runningSince } = placement;
-  const now = cluster.ctx.now.steady;
+  const now = cluster.context.now.monotonic;
   const ranSteadily = runningSince !== null && now - runningSince >= STEADY_RUN_MS;
   if (ranSteadily) {
     job.failureHistory.forgetMachines();
     job.shortRuns = 0;
-  } else if (task.reason === 'done' || task.reason === 'error') {
+  } else if (task.exitReason === 'done' || task.exitReason === 'error') {
     recordShortRun(cluster, placement);
   }
   const pausedUntil = job.notBefore;
-  if (task.reason !== 'done') recordFailure(cluster, placement, task);
-  job.notBefore = Math.max(pausedUntil, job.notBefore) as Steady;
+  if (task.exitReason !== 'done') recordFailure(cluster, placement, task);
+  job.notBefore = Math.max(pausedUntil, job.notBefore) as MonotonicTime;
   cluster.scheduleServicePlacement(job.notBefore);
 }
 
-function recordShortRun({ ctx }: Cluster, placement: Placement): void {
+function recordShortRun({ context }: Cluster, placement: Placement): void {
   const { job, since } = placement;
-  noteJobFailure(placement, ctx.now.steady);
+  noteJobFailure(placement, context.now.monotonic);
   // Replicas that began together and end together have failed once.
   if (since >= job.lastShortRunAt) {
     job.shortRuns += 1;
-    job.lastShortRunAt = ctx.now.steady;
+    job.lastShortRunAt = context.now.monotonic;
   }
   const doublings = Math.min(MAX_RESTART_DOUBLINGS, job.shortRuns - SHORT_RUNS_WITHOUT_PAUSE);
   const pauseMs = doublings <= 0 ? 0 : FIRST_RESTART_PAUSE_MS * 2 ** doublings;
-  job.notBefore = ctx.after(Math.min(MAX_RESTART_PAUSE_MS, pauseMs));
+  job.notBefore = context.after(Math.min(MAX_RESTART_PAUSE_MS, pauseMs));
 }
 
-function noteJobFailure({ job, machine, since, runningSince }: EndedPlace, now: Steady): void {
+function noteJobFailure({ job, machine, since, runningSince }: EndedPlace, now: MonotonicTime): void {
   const { failureHistory } = job;
   failureHistory.noteFailure(machine.id, {
     placedAt: since,
@@ -124,23 +124,27 @@
   });
 }
 
-function recordFailure(cluster: Cluster, placement: EndedPlace, task: TaskReport): void {
-  const { ctx } = cluster;
+function recordFailure(cluster: Cluster, placement: EndedPlace, task: TaskStatus): void {
+  const { context } = cluster;
   const { job, machine, runningSince } = placement;
-  const { reason } = task;
-  if (reason === 'stopped' || reason === 'peers_gone') {
+  const { exitReason } = task;
+  if (exitReason === 'stopped' || exitReason === 'peers_gone') {
     if (runningSince !== null) job.failures += 1;
-    if (task.saved) job.failureHistory.noteSuccess();
+    if (task.checkpointSaved) job.failureHistory.noteSuccess();
     return;
   }
-  ctx.log('info', 'task ended early', { task: taskKey(task.job, task.index), machine: machine.id, reason });
+  context.log('info', 'task ended early', {
+    task: taskKey(task.job, task.index),
+    machine: machine.id,
+    reason: exitReason,
+  });
   job.failures += 1;
-  if (reason === 'no_room' || reason === 'busy' || reason === 'unknown') {
-    job.notBefore = ctx.after(REFUSED_START_PAUSE_MS);
+  if (exitReason === 'no_room' || exitReason === 'busy' || exitReason === 'unknown') {
+    job.notBefore = context.after(REFUSED_START_PAUSE_MS);
     return;
   }
-  if (reason !== 'error') return;
-  noteJobFailure(placement, ctx.now.steady);
+  if (exitReason !== 'error') return;
+  noteJobFailure(placement, context.now.monotonic);
   if (job.isFaulty) pauseFaultyJob(cluster, job);
   else recordMachineError(cluster, machine, job);
 }
@@ -148,12 +152,12 @@
 /** What has not been sent yet is held back; later tries are of one task at a time (ranking.ts). */
 function pauseFaultyJob(cluster: Cluster, job: Job): void {
   const { failureHistory } = job;
-  job.notBefore = cluster.ctx.after(failureHistory.pauseMs);
+  job.notBefore = cluster.context.after(failureHistory.pauseMs);
   for (const other of [...job.placements.values()]) if (other.phase === 'planned') cluster.release(other);
 }
 
 /** Whether the machine is at fault is judged once it is known how the job does elsewhere (health_checks.ts). */
-function recordMachineError({ ctx }: Cluster, machine: Machine, job: Job): void {
-  machine.taskFailures.note(job.failureHistory, ctx.now.steady);
-  machine.suspectUntil = ctx.after(machine.taskFailures.pauseMs);
+function recordMachineError({ context }: Cluster, machine: Machine, job: Job): void {
+  machine.taskFailures.note(job.failureHistory, context.now.monotonic);
+  machine.suspectUntil = context.after(machine.taskFailures.pauseMs);
 }
--- a/src/core/workers/unread_lists.ts
+++ b/src/core/workers/unread_lists.ts
@@ -1,19 +1,19 @@
 import { ReportBacklog } from '../../recovery/index.js';
-import type { Context } from '../context.js';
 import type { Machine } from '../machines/machine.js';
-import type { WorkerAnswer } from '../messages.js';
-import type { Steady, WorkerReport } from '../types.js';
+import type { HeartbeatResponse } from '../messages.js';
+import type { StepContext } from '../step_context.js';
+import type { Heartbeat, MonotonicTime } from '../types.js';
 
-export type ReportReply = (answer: WorkerAnswer) => void;
+export type ReportReply = (answer: HeartbeatResponse) => void;
 
 /** A report whose list of tasks has yet to be looked at. */
 export interface UnreadList {
   readonly machine: Machine;
-  readonly report: WorkerReport;
+  readonly report: Heartbeat;
   /** Whether it is the machine's first report to this leader. */
   readonly isFirst: boolean;
   /** The report is answered by then, whether or not its list has been looked at. */
-  readonly until: Steady;
+  readonly until: MonotonicTime;
   /** Null: it has been answered, and only the list is left to be looked at. */
   reply: ReportReply | null;
 }
@@ -21,20 +21,20 @@
 export interface UnreadListCallbacks {
   take(list: UnreadList): void;
   /** What a report is answered whose list has to wait for longer. */
-  renewal(): WorkerAnswer;
+  renewal(): HeartbeatResponse;
 }
 
-const UNAVAILABLE: WorkerAnswer = { status: 503 };
+const UNAVAILABLE: HeartbeatResponse = { status: 503 };
 
 /** In the storm after a cold start lists are looked at in their turn, and leases are renewed whether or not it has come. */
 export class UnreadLists {
   private readonly backlog: ReportBacklog<UnreadList>;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: StepContext,
     private readonly callbacks: UnreadListCallbacks,
   ) {
-    this.backlog = new ReportBacklog(ctx.features.recovery.lists_per_window);
+    this.backlog = new ReportBacklog(context.features.recovery.lists_per_window);
   }
 
   get size(): number {
@@ -46,16 +46,16 @@
     const { machine, report } = list;
     const replaced = this.backlog.drop(machine.id);
     replaced?.reply?.(UNAVAILABLE);
-    if (this.backlog.admit(this.ctx.now.steady)) return false;
+    if (this.backlog.admit(this.context.now.monotonic)) return false;
     this.backlog.add(machine.id, list);
-    machine.lastReportSeq = report.seq;
-    this.ctx.timers.setIfUnset('reportBacklog', this.backlog.nextAt() ?? this.ctx.now.steady);
+    machine.lastReportSeq = report.sequence;
+    this.context.timers.setIfUnset('reportBacklog', this.backlog.nextAt() ?? this.context.now.monotonic);
     return true;
   }
 
   /** Looks at lists whose turn it is, and answers those that have waited for long. */
   onTimer(): void {
-    const now = this.ctx.now.steady;
+    const now = this.context.now.monotonic;
     for (const list of this.backlog.takeDue(now)) this.callbacks.take(list);
     for (const list of this.backlog.waiting()) {
       if (list.until > now) break;
@@ -63,7 +63,7 @@
       list.reply = null;
     }
     const next = this.backlog.nextAt();
-    if (next !== null) this.ctx.timers.set('reportBacklog', next);
+    if (next !== null) this.context.timers.set('reportBacklog', next);
   }
 
   stop(): void {
--- a/src/io/codecs/cloud_codec.ts
+++ b/src/io/codecs/cloud_codec.ts
@@ -1,10 +1,10 @@
-import type { CloudOp, CloudValue, Failure, Result } from '../../core/messages.js';
-import type { ListedMachine, MachineId, MachineType, TypeName, ZoneName } from '../../core/types.js';
+import type { CallFailure, CloudOperation, CloudResponse, Result } from '../../core/messages.js';
+import type { CloudMachine, MachineId, MachineType, MachineTypeName, ZoneName } from '../../core/types.js';
 import { amount, asFields, flag, list, oneOf, text } from './fields.js';
 import type { HttpCall } from './http_call.js';
 
 /** Calls to the cloud and its answers, by the names that they have on the wire. */
-const MACHINE_PHASES: Readonly<Record<string, ListedMachine['phase']>> = {
+const MACHINE_PHASES: Readonly<Record<string, CloudMachine['phase']>> = {
   booting: 'booting',
   running: 'running',
   failed: 'failed',
@@ -12,7 +12,7 @@
 const LIST_PAGE_SIZE = 500;
 const NO_CAPACITY = 'no capacity';
 
-export function encodeCloudCall(call: CloudOp): HttpCall {
+export function encodeCloudCall(call: CloudOperation): HttpCall {
   switch (call.op) {
     case 'types':
       return { method: 'GET', path: '/catalog' };
@@ -24,7 +24,13 @@
       return {
         method: 'POST',
         path: '/hosts',
-        body: { ask: call.request, breed: call.type, grove: call.zone, loaners: call.spot, count: call.count },
+        body: {
+          ask: call.idempotencyKey,
+          breed: call.machineType,
+          grove: call.zone,
+          loaners: call.spot,
+          count: call.count,
+        },
       };
     case 'delete':
       return { method: 'POST', path: '/hosts/delete', body: { perches: call.machines } };
@@ -34,34 +40,34 @@
 function decodeType(raw: unknown): MachineType {
   const fields = asFields(raw, 'breed');
   return {
-    name: text(fields, 'name') as TypeName,
+    name: text(fields, 'name') as MachineTypeName,
     cpus: amount(fields, 'cpus'),
     gpus: amount(fields, 'gpus'),
-    memGb: amount(fields, 'mem_gb'),
-    cacheGb: amount(fields, 'local_gb'),
-    fetchGbPerS: amount(fields, 'fetch_gb_per_s'),
-    price: amount(fields, 'rate'),
-    spotPrice: amount(fields, 'spot_price'),
-    bootS: amount(fields, 'startup_s'),
+    memoryGb: amount(fields, 'mem_gb'),
+    imageCacheGb: amount(fields, 'local_gb'),
+    imagePullGbPerSecond: amount(fields, 'fetch_gb_per_s'),
+    pricePerHour: amount(fields, 'rate'),
+    spotPricePerHour: amount(fields, 'spot_price'),
+    bootSeconds: amount(fields, 'startup_s'),
     zones: list(fields, 'groves') as ZoneName[],
   };
 }
 
-function decodeListedMachine(raw: unknown): ListedMachine {
+function decodeListedMachine(raw: unknown): CloudMachine {
   const fields = asFields(raw, 'perch');
   return {
     id: text(fields, 'ref') as MachineId,
-    addr: typeof fields.addr === 'string' ? fields.addr : '',
-    type: text(fields, 'breed') as TypeName,
+    address: typeof fields.addr === 'string' ? fields.addr : '',
+    type: text(fields, 'breed') as MachineTypeName,
     zone: text(fields, 'grove') as ZoneName,
     spot: flag(fields, 'loaners'),
     phase: oneOf(fields, 'mood', MACHINE_PHASES),
-    ageS: amount(fields, 'held_s'),
+    ageSeconds: amount(fields, 'held_s'),
   };
 }
 
 /** Why a call with this status brought no result; null: it did. */
-function failureOf(call: CloudOp, status: number, body: unknown): Failure | null {
+function failureOf(call: CloudOperation, status: number, body: unknown): CallFailure | null {
   switch (status) {
     case 200:
       return null;
@@ -78,19 +84,19 @@
   }
 }
 
-export function decodeCloudAnswer(call: CloudOp, status: number, body: unknown): Result<CloudValue> {
+export function decodeCloudAnswer(call: CloudOperation, status: number, body: unknown): Result<CloudResponse> {
   const failure = failureOf(call, status, body);
   if (failure) return { ok: false, why: failure };
   const fields = asFields(body, 'answer');
   switch (call.op) {
     case 'types':
-      return { ok: true, value: { types: list(fields, 'breeds').map(decodeType) } };
+      return { ok: true, value: { machineTypes: list(fields, 'breeds').map(decodeType) } };
     case 'list': {
       const machines = list(fields, 'perches').map(decodeListedMachine);
       return { ok: true, value: { machines, more: fields.has_next === true } };
     }
     case 'rent':
-      return { ok: true, value: { rented: list(fields, 'perches') as MachineId[] } };
+      return { ok: true, value: { provisioned: list(fields, 'perches') as MachineId[] } };
     case 'delete':
       return { ok: true, value: {} };
   }
--- a/src/io/codecs/store_codec.ts
+++ b/src/io/codecs/store_codec.ts
@@ -1,17 +1,24 @@
-import type { Change, Result, StoredItem, StoreEvent, StoreOp, StoreValue } from '../../core/messages.js';
+import type {
+  Result,
+  StateChange,
+  StateStoreOperation,
+  StateStoreResponse,
+  StoredEntry,
+  WatchEvent,
+} from '../../core/messages.js';
 import { type LeaseId, type Revision, revision } from '../../core/types.js';
 import { asFields, type Fields, list, text, uint64 } from './fields.js';
 import type { HttpCall } from './http_call.js';
 
 /** Calls to the state service and its answers, by the names that they have on the wire. */
 
-function encodeChange(change: Change): Fields {
+function encodeChange(change: StateChange): Fields {
   if ('drop' in change) return { drop: change.drop };
   const put = { put: change.put, data: change.value };
   return change.lease === undefined ? put : { ...put, tether: change.lease };
 }
 
-export function encodeStoreCall(call: StoreOp): HttpCall {
+export function encodeStoreCall(call: StateStoreOperation): HttpCall {
   switch (call.op) {
     case 'get':
       return { method: 'GET', path: `/kv/${call.key}` };
@@ -37,12 +44,12 @@
 
 const currentRevision = (fields: Fields): Revision => revision(uint64(fields, 'molt'));
 
-function decodeItem(raw: unknown): StoredItem {
+function decodeItem(raw: unknown): StoredEntry {
   const fields = asFields(raw, 'item');
   return { key: text(fields, 'k'), value: fields.data, version: revision(uint64(fields, 'feather')) };
 }
 
-function decodeEvent(raw: unknown): StoreEvent {
+function decodeEvent(raw: unknown): WatchEvent {
   const fields = asFields(raw, 'event');
   const version = revision(uint64(fields, 'feather'));
   if (typeof fields.drop === 'string') return { drop: fields.drop, version };
@@ -55,7 +62,7 @@
 }
 
 /** Null where the status says that the call was carried out. */
-function decodeFailure(status: number, body: unknown): Result<StoreValue> | null {
+function decodeFailure(status: number, body: unknown): Result<StateStoreResponse> | null {
   if (status >= 200 && status <= 299) return null;
   switch (status) {
     case 429:
@@ -74,7 +81,7 @@
   }
 }
 
-function decodeValue(call: StoreOp, fields: Fields): StoreValue {
+function decodeValue(call: StateStoreOperation, fields: Fields): StateStoreResponse {
   switch (call.op) {
     case 'get':
       return { item: decodeItem(fields) };
@@ -97,7 +104,11 @@
 }
 
 /** What the answer to a call to the state service says. */
-export function decodeStoreAnswer(call: StoreOp, status: number, body: unknown): Result<StoreValue> {
+export function decodeStoreAnswer(
+  call: StateStoreOperation,
+  status: number,
+  body: unknown,
+): Result<StateStoreResponse> {
   if (status === 404 && call.op === 'get') {
     return { ok: true, value: { item: null, revision: currentRevision(asFields(body, 'answer')) } };
   }
--- a/src/io/codecs/worker_codec.ts
+++ b/src/io/codecs/worker_codec.ts
@@ -1,16 +1,16 @@
-import type { Result, WorkerAnswer, WorkerOp, WorkerValue } from '../../core/messages.js';
+import type { CommandPush, CommandPushResponse, HeartbeatResponse, Result } from '../../core/messages.js';
 import type {
+  AgentEpoch,
   Attempt,
   Command,
   ExitReason,
+  FencingToken,
+  Heartbeat,
   MachineId,
-  Seq,
-  Session,
+  MachineTypeName,
+  SequenceNumber,
   TaskPhase,
-  TaskReport,
-  Token,
-  TypeName,
-  WorkerReport,
+  TaskStatus,
   ZoneName,
 } from '../../core/types.js';
 import { amountOrNull, asFields, type Fields, flag, list, oneOf, text, uint64, WireError } from './fields.js';
@@ -38,7 +38,7 @@
 
 export const COMMANDS_PATH = '/commands';
 
-function decodeTask(raw: unknown): TaskReport {
+function decodeTask(raw: unknown): TaskStatus {
   const fields = asFields(raw, 'chick');
   const phase = oneOf(fields, 'mood', PHASES);
   const name = text(fields, 'chick');
@@ -52,33 +52,33 @@
     index: Number(number),
     attempt: uint64(fields, 'hop') as Attempt,
     phase,
-    reason: phase === 'exited' ? oneOf(fields, 'cause', REASONS) : null,
-    saved: fields.kept === true,
+    exitReason: phase === 'exited' ? oneOf(fields, 'cause', REASONS) : null,
+    checkpointSaved: fields.kept === true,
   };
 }
 
 /** The same start twice in one list is no list: which of the two holds can't be told. */
-function refuseRepeatedTasks(tasks: readonly TaskReport[]): void {
+function refuseRepeatedTasks(tasks: readonly TaskStatus[]): void {
   if (tasks.length < 2) return;
   const seen = new Set(tasks.map(({ job, index, attempt }) => `${job}/${index}/${attempt}`));
   if (seen.size < tasks.length) throw new WireError('chicks names a task twice');
 }
 
 /** Reads a worker's report; throws `WireError`, naming the field, where it is malformed. */
-export function decodeReport(raw: unknown): WorkerReport {
+export function decodeReport(raw: unknown): Heartbeat {
   const fields = asFields(raw, 'report');
   const tasks = list(fields, 'chicks').map(decodeTask);
   refuseRepeatedTasks(tasks);
   return {
     machine: text(fields, 'perch') as MachineId,
-    addr: text(fields, 'addr'),
-    type: text(fields, 'breed') as TypeName,
+    address: text(fields, 'addr'),
+    type: text(fields, 'breed') as MachineTypeName,
     zone: text(fields, 'grove') as ZoneName,
     spot: flag(fields, 'loaners'),
-    session: uint64(fields, 'roost') as Session,
-    seq: uint64(fields, 'chirp') as Seq,
-    token: uint64(fields, 'crest') as Token,
-    noticeS: amountOrNull(fields, 'warning_s'),
+    agentEpoch: uint64(fields, 'roost') as AgentEpoch,
+    sequence: uint64(fields, 'chirp') as SequenceNumber,
+    fencingToken: uint64(fields, 'crest') as FencingToken,
+    interruptionNoticeSeconds: amountOrNull(fields, 'warning_s'),
     tasks,
   };
 }
@@ -87,21 +87,21 @@
   const chick = `${command.job}/${command.index}`;
   if (command.op === 'start') return { call: 'run', chick, hop: command.attempt };
   if (command.op === 'forget') return { call: 'reap', chick, hop: command.attempt };
-  return { call: 'stop', chick, hop: command.attempt, settle_s: command.graceS };
+  return { call: 'stop', chick, hop: command.attempt, settle_s: command.gracePeriodSeconds };
 }
 
-export function encodeWorkerAnswer(answer: WorkerAnswer): Fields {
-  if (answer.status === 200) return { crest: answer.token, calls: answer.commands.map(encodeCommand) };
-  if (answer.status === 421 && answer.reportTo !== null) return { nest: answer.reportTo };
+export function encodeWorkerAnswer(answer: HeartbeatResponse): Fields {
+  if (answer.status === 200) return { crest: answer.fencingToken, calls: answer.commands.map(encodeCommand) };
+  if (answer.status === 421 && answer.redirectTo !== null) return { nest: answer.redirectTo };
   return {};
 }
 
-export function encodeCommands(call: WorkerOp): Fields {
-  return { crest: call.token, roost: call.session, calls: call.commands.map(encodeCommand) };
+export function encodeCommands(call: CommandPush): Fields {
+  return { crest: call.fencingToken, roost: call.agentEpoch, calls: call.commands.map(encodeCommand) };
 }
 
 /** The answer to direct commands: the worker's report, whether or not it executed them. */
-export function decodeCommandsAnswer(status: number, body: unknown): Result<WorkerValue> {
+export function decodeCommandsAnswer(status: number, body: unknown): Result<CommandPushResponse> {
   if (status !== 200 && status !== 409) return { ok: false, why: 'rejected' };
-  return { ok: true, value: { executed: status === 200, report: decodeReport(body) } };
+  return { ok: true, value: { executed: status === 200, heartbeat: decodeReport(body) } };
 }
--- a/src/io/http_server.ts
+++ b/src/io/http_server.ts
@@ -1,8 +1,8 @@
 import { createServer, type Server } from 'node:http';
 import { getRequestListener, type HttpBindings } from '@hono/node-server';
 import { Hono, type Context as HonoContext } from 'hono';
-import type { UserAnswer, UserRequest, WorkerAnswer } from '../core/messages.js';
-import type { JobId, WorkerReport } from '../core/types.js';
+import type { HeartbeatResponse, UserRequest, UserResponse } from '../core/messages.js';
+import type { Heartbeat, JobId } from '../core/types.js';
 import { encode } from './codecs/cbor.js';
 import { type Fields, WireError } from './codecs/fields.js';
 import { parseJobId } from './codecs/job_id.js';
@@ -12,8 +12,8 @@
 
 /** What takes the requests, once they are read. */
 export interface HttpHandlers {
-  user(request: UserRequest): Promise<UserAnswer>;
-  report(report: WorkerReport): Promise<WorkerAnswer>;
+  user(request: UserRequest): Promise<UserResponse>;
+  report(report: Heartbeat): Promise<HeartbeatResponse>;
   /** What load balancers are told. */
   healthy(): boolean;
   /** Counts a message that was dropped or refused for its form. */
@@ -40,8 +40,8 @@
   return new Response(encode(body) as Uint8Array<ArrayBuffer>, { status, headers });
 }
 
-const replyUser = (answer: UserAnswer): Response =>
-  reply(answer.status, encodeUserAnswer(answer), 'retryAfterS' in answer ? answer.retryAfterS : 0);
+const replyUser = (answer: UserResponse): Response =>
+  reply(answer.status, encodeUserAnswer(answer), 'retryAfterSeconds' in answer ? answer.retryAfterSeconds : 0);
 
 /** The message of a `WireError`; anything else is thrown on. */
 function wireProblem(error: unknown): string {
@@ -77,7 +77,7 @@
   app.get('/up', () => new Response('', { status: handlers.healthy() ? 200 : 503 }));
 
   app.post('/agent/beat', async (context) => {
-    let report: WorkerReport;
+    let report: Heartbeat;
     try {
       report = decodeReport(await readMap(context.env.incoming));
     } catch (error) {
--- a/src/io/peer/outbound_connection.ts
+++ b/src/io/peer/outbound_connection.ts
@@ -1,6 +1,6 @@
 import { connect, type Socket } from 'node:net';
 import type { PeerMessage } from '../../core/messages.js';
-import type { NodeName } from '../../core/types.js';
+import type { ControllerName } from '../../core/types.js';
 import { hostPort } from '../address.js';
 import { encodeFrame } from './peer_codec.js';
 
@@ -17,7 +17,7 @@
   private readonly port: number;
 
   constructor(
-    private readonly self: NodeName,
+    private readonly self: ControllerName,
     addr: string,
   ) {
     const { host, port } = hostPort(addr);
--- a/src/io/peer/payloads.ts
+++ b/src/io/peer/payloads.ts
@@ -1,19 +1,19 @@
-import type { JobStatus, UserAnswer, UserRequest, WorkerAnswer } from '../../core/messages.js';
+import type { HeartbeatResponse, JobStatus, UserRequest, UserResponse } from '../../core/messages.js';
 import type {
+  AgentEpoch,
   Attempt,
   Command,
+  ControllerName,
   ExitReason,
+  FencingToken,
+  Heartbeat,
   JobId,
   JobSpec,
   MachineId,
-  NodeName,
-  Seq,
-  Session,
+  MachineTypeName,
+  SequenceNumber,
   TaskPhase,
-  TaskReport,
-  Token,
-  TypeName,
-  WorkerReport,
+  TaskStatus,
   ZoneName,
 } from '../../core/types.js';
 import { parseJobId } from '../codecs/job_id.js';
@@ -65,49 +65,49 @@
 function writeSpec(writer: FrameWriter, spec: JobSpec): void {
   writer.text(spec.jobClass);
   writer.text(spec.team);
-  writer.uint8(SHAPES.indexOf(spec.shape));
-  writer.uint8(spec.rank);
-  writer.uint32(spec.tasks);
+  writer.uint8(SHAPES.indexOf(spec.kind));
+  writer.uint8(spec.priorityLevel);
+  writer.uint32(spec.taskCount);
   writer.float64(spec.cpus);
   writer.float64(spec.gpus);
-  writer.float64(spec.memGb);
+  writer.float64(spec.memoryGb);
   writer.float64(spec.imageGb);
-  writer.float64(spec.estimateS);
-  writer.float64(spec.checkpointS);
-  writer.float64(spec.saveS);
+  writer.float64(spec.estimatedRuntimeSeconds);
+  writer.float64(spec.checkpointIntervalSeconds);
+  writer.float64(spec.checkpointDurationSeconds);
   writer.text(spec.image);
-  writer.optionalText(spec.types === null ? null : spec.types.join('\n'));
+  writer.optionalText(spec.allowedMachineTypes === null ? null : spec.allowedMachineTypes.join('\n'));
   writer.optionalText(spec.zone);
   writer.uint8(
-    bit(spec.sameZone, SAME_ZONE_BIT) |
-      bit(spec.spread, SPREAD_BIT) |
-      bit(spec.spotOk, SPOT_OK_BIT) |
-      bit(spec.deadlineS !== null, HAS_DEADLINE_BIT),
+    bit(spec.singleZone, SAME_ZONE_BIT) |
+      bit(spec.zoneSpread, SPREAD_BIT) |
+      bit(spec.toleratesSpot, SPOT_OK_BIT) |
+      bit(spec.deadlineSeconds !== null, HAS_DEADLINE_BIT),
   );
-  writer.float64(spec.deadlineS ?? 0);
+  writer.float64(spec.deadlineSeconds ?? 0);
 }
 
-function readTypes(reader: FrameReader): TypeName[] | null {
+function readTypes(reader: FrameReader): MachineTypeName[] | null {
   const types = reader.optionalText();
   if (types === null) return null;
-  return types === '' ? [] : (types.split('\n') as TypeName[]);
+  return types === '' ? [] : (types.split('\n') as MachineTypeName[]);
 }
 
 function readSpec(reader: FrameReader, id: JobId): JobSpec {
   const jobClass = reader.text();
   const team = reader.text() as JobSpec['team'];
-  const shape = reader.oneOf(SHAPES);
-  const rank = reader.oneOf(RANKS);
-  const tasks = reader.uint32();
+  const kind = reader.oneOf(SHAPES);
+  const priorityLevel = reader.oneOf(RANKS);
+  const taskCount = reader.uint32();
   const cpus = reader.float64();
   const gpus = reader.float64();
-  const memGb = reader.float64();
+  const memoryGb = reader.float64();
   const imageGb = reader.float64();
-  const estimateS = reader.float64();
-  const checkpointS = reader.float64();
-  const saveS = reader.float64();
+  const estimatedRuntimeSeconds = reader.float64();
+  const checkpointIntervalSeconds = reader.float64();
+  const checkpointDurationSeconds = reader.float64();
   const image = reader.text() as JobSpec['image'];
-  const types = readTypes(reader);
+  const allowedMachineTypes = readTypes(reader);
   const zone = reader.optionalText() as JobSpec['zone'];
   const bits = reader.uint8();
   const deadlineS = reader.float64();
@@ -115,23 +115,23 @@
     id,
     jobClass,
     team,
-    shape,
-    rank,
-    tasks,
+    kind,
+    priorityLevel,
+    taskCount,
     cpus,
     gpus,
-    memGb,
+    memoryGb,
     image,
     imageGb,
-    types,
+    allowedMachineTypes,
     zone,
-    sameZone: hasBit(bits, SAME_ZONE_BIT),
-    spread: hasBit(bits, SPREAD_BIT),
-    spotOk: hasBit(bits, SPOT_OK_BIT),
-    estimateS,
-    checkpointS,
-    saveS,
-    deadlineS: hasBit(bits, HAS_DEADLINE_BIT) ? deadlineS : null,
+    singleZone: hasBit(bits, SAME_ZONE_BIT),
+    zoneSpread: hasBit(bits, SPREAD_BIT),
+    toleratesSpot: hasBit(bits, SPOT_OK_BIT),
+    estimatedRuntimeSeconds,
+    checkpointIntervalSeconds,
+    checkpointDurationSeconds,
+    deadlineSeconds: hasBit(bits, HAS_DEADLINE_BIT) ? deadlineS : null,
   };
 }
 
@@ -152,7 +152,7 @@
   return { op, id, problem, spec: reader.uint8() === 1 ? readSpec(reader, id) : null };
 }
 
-export function writeUserAnswer(writer: FrameWriter, answer: UserAnswer): void {
+export function writeUserAnswer(writer: FrameWriter, answer: UserResponse): void {
   writer.uint32(answer.status);
   if ('jobStatus' in answer) {
     writer.text(answer.id);
@@ -161,11 +161,11 @@
     writer.uint32(answer.running);
   } else {
     writer.text(answer.problem);
-    writer.uint32(answer.retryAfterS ?? 0);
+    writer.uint32(answer.retryAfterSeconds ?? 0);
   }
 }
 
-export function readUserAnswer(reader: FrameReader): UserAnswer {
+export function readUserAnswer(reader: FrameReader): UserResponse {
   const status = reader.uint32();
   if (status === 200 || status === 201) {
     const id = readJobId(reader);
@@ -174,67 +174,78 @@
   }
   if (status !== 400 && status !== 404 && status !== 422 && status !== 503) throw new FrameError('unknown status');
   const problem = reader.text();
-  const retryAfterS = reader.uint32();
-  return retryAfterS > 0 ? { status, problem, retryAfterS } : { status, problem };
+  const retryAfterSeconds = reader.uint32();
+  return retryAfterSeconds > 0 ? { status, problem, retryAfterSeconds } : { status, problem };
 }
 
-export function writeReport(writer: FrameWriter, report: WorkerReport): void {
+export function writeReport(writer: FrameWriter, report: Heartbeat): void {
   writer.text(report.machine);
-  writer.text(report.addr);
+  writer.text(report.address);
   writer.text(report.type);
   writer.text(report.zone);
-  writer.uint8(bit(report.spot, SPOT_BIT) | bit(report.noticeS !== null, HAS_NOTICE_BIT));
-  writer.uint64(report.session);
-  writer.uint64(report.seq);
-  writer.uint64(report.token);
-  writer.float64(report.noticeS ?? 0);
+  writer.uint8(bit(report.spot, SPOT_BIT) | bit(report.interruptionNoticeSeconds !== null, HAS_NOTICE_BIT));
+  writer.uint64(report.agentEpoch);
+  writer.uint64(report.sequence);
+  writer.uint64(report.fencingToken);
+  writer.float64(report.interruptionNoticeSeconds ?? 0);
   writer.uint32(report.tasks.length);
   for (const task of report.tasks) {
     writer.text(task.job);
     writer.uint32(task.index);
     writer.uint64(task.attempt);
-    writer.uint8(PHASES.indexOf(task.phase) | bit(task.saved, SAVED_BIT));
-    writer.uint8(REASONS.indexOf(task.reason));
+    writer.uint8(PHASES.indexOf(task.phase) | bit(task.checkpointSaved, SAVED_BIT));
+    writer.uint8(REASONS.indexOf(task.exitReason));
   }
 }
 
-function readTask(reader: FrameReader): TaskReport {
+function readTask(reader: FrameReader): TaskStatus {
   const job = readJobId(reader);
   const index = reader.uint32();
   const attempt = reader.uint64() as Attempt;
   const code = reader.uint8();
   const phase = valueAt(PHASES, code & PHASE_MASK);
-  return { job, index, attempt, phase, reason: reader.oneOf(REASONS), saved: hasBit(code, SAVED_BIT) };
+  return { job, index, attempt, phase, exitReason: reader.oneOf(REASONS), checkpointSaved: hasBit(code, SAVED_BIT) };
 }
 
-export function readReport(reader: FrameReader): WorkerReport {
+export function readReport(reader: FrameReader): Heartbeat {
   const machine = reader.text() as MachineId;
-  const addr = reader.text();
-  const type = reader.text() as TypeName;
+  const address = reader.text();
+  const type = reader.text() as MachineTypeName;
   const zone = reader.text() as ZoneName;
   const bits = reader.uint8();
-  const session = reader.uint64() as Session;
-  const seq = reader.uint64() as Seq;
-  const token = reader.uint64() as Token;
+  const agentEpoch = reader.uint64() as AgentEpoch;
+  const sequence = reader.uint64() as SequenceNumber;
+  const fencingToken = reader.uint64() as FencingToken;
   const notice = reader.float64();
-  const tasks: TaskReport[] = [];
+  const tasks: TaskStatus[] = [];
   for (let left = reader.itemCount(); left > 0; left--) tasks.push(readTask(reader));
-  const noticeS = hasBit(bits, HAS_NOTICE_BIT) ? notice : null;
-  return { machine, addr, type, zone, spot: hasBit(bits, SPOT_BIT), session, seq, token, noticeS, tasks };
+  const interruptionNoticeSeconds = hasBit(bits, HAS_NOTICE_BIT) ? notice : null;
+  return {
+    machine,
+    address,
+    type,
+    zone,
+    spot: hasBit(bits, SPOT_BIT),
+    agentEpoch,
+    sequence,
+    fencingToken,
+    interruptionNoticeSeconds,
+    tasks,
+  };
 }
 
-export function writeWorkerAnswer(writer: FrameWriter, answer: WorkerAnswer): void {
+export function writeWorkerAnswer(writer: FrameWriter, answer: HeartbeatResponse): void {
   writer.uint32(answer.status);
-  if (answer.status === 421) writer.optionalText(answer.reportTo);
+  if (answer.status === 421) writer.optionalText(answer.redirectTo);
   if (answer.status !== 200) return;
-  writer.uint64(answer.token);
+  writer.uint64(answer.fencingToken);
   writer.uint32(answer.commands.length);
   for (const command of answer.commands) {
     writer.uint8(COMMANDS.indexOf(command.op));
     writer.text(command.job);
     writer.uint32(command.index);
     writer.uint64(command.attempt);
-    if (command.op === 'stop') writer.float64(command.graceS);
+    if (command.op === 'stop') writer.float64(command.gracePeriodSeconds);
   }
 }
 
@@ -243,16 +254,18 @@
   const job = readJobId(reader);
   const index = reader.uint32();
   const attempt = reader.uint64() as Attempt;
-  return op === 'stop' ? { op, job, index, attempt, graceS: reader.float64() } : { op, job, index, attempt };
+  return op === 'stop'
+    ? { op, job, index, attempt, gracePeriodSeconds: reader.float64() }
+    : { op, job, index, attempt };
 }
 
-export function readWorkerAnswer(reader: FrameReader): WorkerAnswer {
+export function readWorkerAnswer(reader: FrameReader): HeartbeatResponse {
   const status = reader.uint32();
   if (status === 503) return { status };
-  if (status === 421) return { status, reportTo: reader.optionalText() as NodeName | null };
+  if (status === 421) return { status, redirectTo: reader.optionalText() as ControllerName | null };
   if (status !== 200) throw new FrameError('unknown status');
-  const token = reader.uint64() as Token;
+  const fencingToken = reader.uint64() as FencingToken;
   const commands: Command[] = [];
   for (let left = reader.itemCount(); left > 0; left--) commands.push(readCommand(reader));
-  return { status, token, commands };
+  return { status, fencingToken, commands };
 }
--- a/src/io/peer/peer_codec.ts
+++ b/src/io/peer/peer_codec.ts
@@ -1,5 +1,5 @@
 import type { PeerMessage, PeerStatus } from '../../core/messages.js';
-import type { MachineId, NodeName } from '../../core/types.js';
+import type { ControllerName, MachineId } from '../../core/types.js';
 import { FRAME_HEADER_BYTES, FrameError, FrameReader, FrameWriter } from './frame_buffer.js';
 import {
   readJobId,
@@ -30,7 +30,7 @@
 const VERSION_OFFSET = 4;
 const KIND_OFFSET = 5;
 
-export type PeerFrame = { readonly kind: 'hello'; readonly node: NodeName } | PeerMessage;
+export type PeerFrame = { readonly kind: 'hello'; readonly node: ControllerName } | PeerMessage;
 
 /** A kind's number on the wire is its index here. */
 const KINDS = [
@@ -52,23 +52,23 @@
 
 function writeStatus(writer: FrameWriter, status: PeerStatus): void {
   let bits = 0;
-  if (status.leading) bits |= LEADING_BIT;
-  if (status.storeOk) bits |= STORE_OK_BIT;
-  if (status.takesReports) bits |= TAKES_REPORTS_BIT;
+  if (status.isLeader) bits |= LEADING_BIT;
+  if (status.stateStoreReachable) bits |= STORE_OK_BIT;
+  if (status.prefersDirectHeartbeats) bits |= TAKES_REPORTS_BIT;
   if (status.acknowledgesCancellations) bits |= ACKNOWLEDGES_BIT;
   writer.uint8(bits);
-  writer.float64(status.workersHeardMs);
-  writer.float64(status.reportsPerS);
+  writer.float64(status.sinceLastHeartbeatMs);
+  writer.float64(status.heartbeatsPerSecond);
 }
 
 function readStatus(reader: FrameReader): PeerStatus {
   const bits = reader.uint8();
   return {
-    workersHeardMs: reader.float64(),
-    reportsPerS: reader.float64(),
-    leading: (bits & LEADING_BIT) !== 0,
-    storeOk: (bits & STORE_OK_BIT) !== 0,
-    takesReports: (bits & TAKES_REPORTS_BIT) !== 0,
+    sinceLastHeartbeatMs: reader.float64(),
+    heartbeatsPerSecond: reader.float64(),
+    isLeader: (bits & LEADING_BIT) !== 0,
+    stateStoreReachable: (bits & STORE_OK_BIT) !== 0,
+    prefersDirectHeartbeats: (bits & TAKES_REPORTS_BIT) !== 0,
     acknowledgesCancellations: (bits & ACKNOWLEDGES_BIT) !== 0,
   };
 }
@@ -88,14 +88,14 @@
       writeUserRequest(writer, frame.request);
       return;
     case 'requestAnswer':
-      writeUserAnswer(writer, frame.answer);
+      writeUserAnswer(writer, frame.response);
       return;
     case 'report':
-      writeReport(writer, frame.report);
+      writeReport(writer, frame.heartbeat);
       return;
     case 'reportAnswer':
       writer.text(frame.machine);
-      writeWorkerAnswer(writer, frame.answer);
+      writeWorkerAnswer(writer, frame.response);
       return;
     case 'cancellation':
       writer.text(frame.job);
@@ -116,19 +116,19 @@
   const reader = new FrameReader(payload);
   switch (KINDS[kind]) {
     case 'hello':
-      return { kind: 'hello', node: reader.text() as NodeName };
+      return { kind: 'hello', node: reader.text() as ControllerName };
     case 'status':
       return { kind: 'status', status: readStatus(reader) };
     case 'request':
       return { kind: 'request', id: reader.float64(), request: readUserRequest(reader) };
     case 'requestAnswer':
-      return { kind: 'requestAnswer', id: reader.float64(), answer: readUserAnswer(reader) };
+      return { kind: 'requestAnswer', id: reader.float64(), response: readUserAnswer(reader) };
     case 'report':
-      return { kind: 'report', id: reader.float64(), report: readReport(reader) };
+      return { kind: 'report', id: reader.float64(), heartbeat: readReport(reader) };
     case 'reportAnswer': {
       const id = reader.float64();
       const machine = reader.text() as MachineId;
-      return { kind: 'reportAnswer', id, machine, answer: readWorkerAnswer(reader) };
+      return { kind: 'reportAnswer', id, machine, response: readWorkerAnswer(reader) };
     }
     case 'cancellation':
       return { kind: 'cancellation', id: reader.float64(), job: readJobId(reader) };
--- a/src/io/peer/peer_link.ts
+++ b/src/io/peer/peer_link.ts
@@ -1,6 +1,6 @@
 import { createServer, type Server, type Socket } from 'node:net';
 import type { PeerMessage } from '../../core/messages.js';
-import type { NodeName } from '../../core/types.js';
+import type { ControllerName } from '../../core/types.js';
 import { hostPort } from '../address.js';
 import type { Log } from '../log.js';
 import { OutboundConnection } from './outbound_connection.js';
@@ -11,14 +11,14 @@
 
 /** One connection out to each peer for what this node says, and one in from each for what the peer says. */
 export class PeerLink {
-  private readonly outbound = new Map<NodeName, OutboundConnection>();
+  private readonly outbound = new Map<ControllerName, OutboundConnection>();
   private readonly server: Server;
   private readonly peerNames: ReadonlySet<string>;
 
   constructor(
-    private readonly self: NodeName,
-    peers: readonly { readonly name: NodeName; readonly addr: string }[],
-    private readonly receive: (from: NodeName, message: PeerMessage) => void,
+    private readonly self: ControllerName,
+    peers: readonly { readonly name: ControllerName; readonly addr: string }[],
+    private readonly receive: (from: ControllerName, message: PeerMessage) => void,
     private readonly log: Log,
   ) {
     this.peerNames = new Set(peers.map((peer) => peer.name));
@@ -34,7 +34,7 @@
     for (const connection of this.outbound.values()) connection.open();
   }
 
-  send(to: NodeName, message: PeerMessage): void {
+  send(to: ControllerName, message: PeerMessage): void {
     this.outbound.get(to)?.send(message);
   }
 
@@ -51,7 +51,7 @@
     socket.on('data', (part) => inbound.onData(part));
   }
 
-  private isPeer(name: NodeName): boolean {
+  private isPeer(name: ControllerName): boolean {
     return this.peerNames.has(name) && name !== this.self;
   }
 }
@@ -59,14 +59,14 @@
 /** What a peer says on one connection; nothing counts before it has said who it is. */
 class InboundConnection {
   private readonly splitter = new FrameSplitter();
-  private from: NodeName | null = null;
+  private from: ControllerName | null = null;
   private nextSkippedLog = 1;
 
   constructor(
     private readonly socket: Socket,
-    private readonly receive: (from: NodeName, message: PeerMessage) => void,
+    private readonly receive: (from: ControllerName, message: PeerMessage) => void,
     private readonly log: Log,
-    private readonly isPeer: (name: NodeName) => boolean,
+    private readonly isPeer: (name: ControllerName) => boolean,
   ) {}
 
   onData(part: Buffer): void {
--- a/src/io/runtime.ts
+++ b/src/io/runtime.ts
@@ -1,11 +1,19 @@
 import { randomBytes } from 'node:crypto';
 import type { Server } from 'node:http';
 import type { Platform } from '../config/platform.js';
+import { Controller } from '../core/controller.js';
 import type { Features } from '../core/features.js';
-import type { CloudOp, Input, Output, RequestId, Result, StoreOp, UserAnswer, WorkerAnswer } from '../core/messages.js';
-import { Node } from '../core/node.js';
+import type {
+  HeartbeatResponse,
+  Input,
+  Output,
+  RequestId,
+  Result,
+  StateStoreOperation,
+  UserResponse,
+} from '../core/messages.js';
 import type { Tuning } from '../core/settings.js';
-import type { Now, Steady, Wall } from '../core/types.js';
+import type { ClockReading, MonotonicTime, WallClockTime } from '../core/types.js';
 import { hostPort } from './address.js';
 import { decodeCloudAnswer, encodeCloudCall } from './codecs/cloud_codec.js';
 import { decodeStoreAnswer, encodeStoreCall } from './codecs/store_codec.js';
@@ -26,18 +34,18 @@
 
 /** Sockets and timers round the core: inputs go in one at a time, outputs are carried out at once. */
 export class Runtime {
-  private readonly node: Node;
+  private readonly node: Controller;
   private readonly store: HttpClient;
   private readonly watches: HttpClient;
   private readonly cloud: HttpClient;
   private readonly workers = new WorkerClients();
   private readonly peers: PeerLink;
   private readonly httpServer: Server;
-  private readonly userCallbacks = new Map<RequestId, (answer: UserAnswer) => void>();
-  private readonly workerCallbacks = new Map<RequestId, (answer: WorkerAnswer) => void>();
+  private readonly userCallbacks = new Map<RequestId, (answer: UserResponse) => void>();
+  private readonly workerCallbacks = new Map<RequestId, (answer: HeartbeatResponse) => void>();
   private lastRequest: RequestId = 0;
   private timer: NodeJS.Timeout | null = null;
-  private timerAt: Steady | null = null;
+  private timerAt: MonotonicTime | null = null;
   private malformedCount = 0;
 
   constructor(
@@ -49,14 +57,14 @@
     const { settings } = platform;
     const seed = randomBytes(4).readInt32BE(0);
     const incarnation = randomBytes(INCARNATION_BYTES).toString('hex');
-    this.node = new Node(settings, tuning, incarnation, seed, this.now(), features);
+    this.node = new Controller(settings, tuning, incarnation, seed, this.now(), features);
     this.store = new HttpClient(platform.storeAddr, STORE_SOCKETS);
     this.watches = new HttpClient(platform.storeAddr, WATCH_SOCKETS);
     this.cloud = new HttpClient(platform.cloudAddr, CLOUD_SOCKETS);
     this.peers = new PeerLink(
-      settings.node,
+      settings.controller,
       platform.peers,
-      (from, message) => this.step({ kind: 'peer', from, message }),
+      (sender, message) => this.step({ kind: 'peer', sender, message }),
       log,
     );
     this.httpServer = this.makeServer();
@@ -67,20 +75,20 @@
       {
         user: (request) =>
           new Promise((resolve) => {
-            const req = ++this.lastRequest;
-            this.userCallbacks.set(req, resolve);
-            this.step({ kind: 'user', req, request });
+            const requestId = ++this.lastRequest;
+            this.userCallbacks.set(requestId, resolve);
+            this.step({ kind: 'user', requestId, request });
           }),
-        report: (report) =>
+        report: (heartbeat) =>
           new Promise((resolve) => {
-            const req = ++this.lastRequest;
-            this.workerCallbacks.set(req, resolve);
-            this.step({ kind: 'report', req, report });
+            const requestId = ++this.lastRequest;
+            this.workerCallbacks.set(requestId, resolve);
+            this.step({ kind: 'report', requestId, heartbeat });
           }),
-        healthy: () => this.node.healthy(this.now().steady),
+        healthy: () => this.node.isHealthy(this.now().monotonic),
         malformed: (what) => this.countMalformed(what),
       },
-      this.platform.settings.limits.connections,
+      this.platform.settings.limits.maxConnections,
     );
   }
 
@@ -98,8 +106,8 @@
     this.step({ kind: 'start' });
   }
 
-  private now(): Now {
-    return { steady: performance.now() as Steady, wall: Date.now() as Wall };
+  private now(): ClockReading {
+    return { monotonic: performance.now() as MonotonicTime, wallClock: Date.now() as WallClockTime };
   }
 
   /** Counted always, logged at growing distances: a flood of bad messages must not become a flood of lines. */
@@ -115,13 +123,13 @@
   }
 
   private carryOutIfDue(output: Output): void {
-    const { output: due, reply } = checkExpiry(output, this.now().steady);
+    const { output: due, reply } = checkExpiry(output, this.now().monotonic);
     if (due) this.carryOut(due);
     if (reply) setImmediate(() => this.step(reply));
   }
 
   private setTimer(): void {
-    const next = this.node.nextTimer();
+    const next = this.node.nextTimerAt();
     if (next === null) return;
     if (this.timer && this.timerAt === next) return;
     if (this.timer) clearTimeout(this.timer);
@@ -136,12 +144,12 @@
   private carryOut(output: Output): void {
     switch (output.kind) {
       case 'answerUser':
-        this.userCallbacks.get(output.req)?.(output.answer);
-        this.userCallbacks.delete(output.req);
+        this.userCallbacks.get(output.requestId)?.(output.response);
+        this.userCallbacks.delete(output.requestId);
         break;
       case 'answerWorker':
-        this.workerCallbacks.get(output.req)?.(output.answer);
-        this.workerCallbacks.delete(output.req);
+        this.workerCallbacks.get(output.requestId)?.(output.response);
+        this.workerCallbacks.delete(output.requestId);
         break;
       case 'store':
         this.callStore(output);
@@ -153,34 +161,36 @@
         this.callWorker(output);
         break;
       case 'peer':
-        this.peers.send(output.to, output.message);
+        this.peers.send(output.recipient, output.message);
         break;
       case 'log':
-        this.log(output.level, output.text, output.fields);
+        this.log(output.level, output.event, output.fields);
         break;
     }
   }
 
-  private callStore({ call, op, timeoutMs }: Extract<Output, { kind: 'store' }>): void {
-    const client = isWatch(op) ? this.watches : this.store;
-    client.call(encodeStoreCall(op), timeoutMs, (answer) => {
-      const result = this.read(answer, 'state service', ({ status, body }) => decodeStoreAnswer(op, status, body));
-      this.step({ kind: 'storeReply', call, result });
+  private callStore({ callId, operation, timeoutMs }: Extract<Output, { kind: 'store' }>): void {
+    const client = isWatch(operation) ? this.watches : this.store;
+    client.call(encodeStoreCall(operation), timeoutMs, (answer) => {
+      const result = this.read(answer, 'state service', ({ status, body }) =>
+        decodeStoreAnswer(operation, status, body),
+      );
+      this.step({ kind: 'storeReply', callId, result });
     });
   }
 
-  private callCloud({ call, op }: { readonly call: number; readonly op: CloudOp }): void {
-    this.cloud.call(encodeCloudCall(op), CLOUD_TIMEOUT_MS, (answer) => {
-      const result = this.read(answer, 'cloud', ({ status, body }) => decodeCloudAnswer(op, status, body));
-      this.step({ kind: 'cloudReply', call, result });
+  private callCloud({ callId, operation }: Extract<Output, { kind: 'cloud' }>): void {
+    this.cloud.call(encodeCloudCall(operation), CLOUD_TIMEOUT_MS, (answer) => {
+      const result = this.read(answer, 'cloud', ({ status, body }) => decodeCloudAnswer(operation, status, body));
+      this.step({ kind: 'cloudReply', callId, result });
     });
   }
 
-  private callWorker({ call, op }: Extract<Output, { kind: 'worker' }>): void {
-    const request = { method: 'POST', path: COMMANDS_PATH, body: encodeCommands(op) } as const;
-    this.workers.to(op.addr).call(request, WORKER_TIMEOUT_MS, (answer) => {
+  private callWorker({ callId, operation }: Extract<Output, { kind: 'worker' }>): void {
+    const request = { method: 'POST', path: COMMANDS_PATH, body: encodeCommands(operation) } as const;
+    this.workers.to(operation.address).call(request, WORKER_TIMEOUT_MS, (answer) => {
       const result = this.read(answer, 'worker', ({ status, body }) => decodeCommandsAnswer(status, body));
-      this.step({ kind: 'workerReply', call, result });
+      this.step({ kind: 'workerReply', callId, result });
     });
   }
 
@@ -196,4 +206,4 @@
   }
 }
 
-const isWatch = (op: StoreOp): boolean => op.op === 'watch';
+const isWatch = (op: StateStoreOperation): boolean => op.op === 'watch';
--- a/src/recovery/orphans.ts
+++ b/src/recovery/orphans.ts
@@ -1,4 +1,4 @@
-import type { JobId, MachineId, Steady } from '../core/types.js';
+import type { JobId, MachineId, MonotonicTime } from '../core/types.js';
 import type { Orphan } from './types.js';
 
 /** So many tasks are listed for operators; beyond that they are handled alike and not listed. */
@@ -8,7 +8,7 @@
 
 interface SuspectedJob {
   readonly machines: Set<MachineId>;
-  readonly seenAt: Steady;
+  readonly seenAt: MonotonicTime;
   reading: boolean;
   confirmed: boolean;
 }
@@ -22,7 +22,7 @@
   private readonly jobs = new Map<JobId, SuspectedJob>();
 
   /** A worker reports a task of a job that isn't known. Returns whether its record is to be read now. */
-  onReported(job: JobId, machine: MachineId, now: Steady): boolean {
+  onReported(job: JobId, machine: MachineId, now: MonotonicTime): boolean {
     let suspected = this.jobs.get(job);
     if (!suspected) {
       if (this.jobs.size >= MAX_JOBS) return false;
--- a/src/recovery/recovery.ts
+++ b/src/recovery/recovery.ts
@@ -1,4 +1,4 @@
-import type { JobId, MachineId, Steady } from '../core/types.js';
+import type { JobId, MachineId, MonotonicTime } from '../core/types.js';
 import { Orphans } from './orphans.js';
 import { noMachines, noTasks, type RecoverySummary } from './summary.js';
 import { type TeamExposure, teamExposure } from './team_exposure.js';
@@ -8,7 +8,7 @@
 export interface RecoveryInit {
   readonly term: number;
   /** When this node took the lead. */
-  readonly now: Steady;
+  readonly now: MonotonicTime;
 }
 
 /**
@@ -26,8 +26,8 @@
   private notFound = 0;
   private longestBacklog = 0;
   private loaded = false;
-  private finishedAt: Steady | null = null;
-  private firstStartAt: Steady | null = null;
+  private finishedAt: MonotonicTime | null = null;
+  private firstStartAt: MonotonicTime | null = null;
 
   constructor(private readonly init: RecoveryInit) {}
 
@@ -40,7 +40,7 @@
   }
 
   /** A page of the registry can't be read in full: what is on it may run until then without being known. */
-  onUnreadablePage(leasesEndAt: Steady): void {
+  onUnreadablePage(leasesEndAt: MonotonicTime): void {
     this.unreadableRecords += 1;
     this.uncertain.noteUnlisted(leasesEndAt);
   }
@@ -69,25 +69,25 @@
     return this.uncertain.count;
   }
 
-  isCertain(now: Steady): boolean {
+  isCertain(now: MonotonicTime): boolean {
     return this.loaded && this.uncertain.isEmpty(now);
   }
 
   // ---- jobs
 
   /** Whether a task of the job that was not found may yet be on a machine that has told nothing. */
-  mayRunUnseen(job: EarlierJob, now: Steady): boolean {
+  mayRunUnseen(job: EarlierJob, now: MonotonicTime): boolean {
     if (job.startTerm <= 0 || job.startTerm >= this.init.term || job.unaccounted <= 0) return false;
     return this.uncertain.couldHold(job, now);
   }
 
   /** What uncertain machines have; null: there may be others. */
-  uncertainCapacity(now: Steady): Capacity | null {
+  uncertainCapacity(now: MonotonicTime): Capacity | null {
     return this.uncertain.capacity(now);
   }
 
   /** What each team may have running unseen, of these jobs; null where there is no telling. */
-  teamExposure(jobs: Iterable<EarlierJob>, now: Steady): TeamExposure | null {
+  teamExposure(jobs: Iterable<EarlierJob>, now: MonotonicTime): TeamExposure | null {
     const capacity = this.uncertain.capacity(now);
     if (capacity === null || this.unreadableRecords > 0) return null;
     return teamExposure(jobs, this.uncertain, (job) => this.mayRunUnseen(job, now), capacity);
@@ -101,7 +101,7 @@
   }
 
   /** A task of a job that isn't known is reported. Returns whether the job's record is to be read. */
-  onUnknownJob(job: JobId, machine: MachineId, now: Steady): boolean {
+  onUnknownJob(job: JobId, machine: MachineId, now: MonotonicTime): boolean {
     return this.orphans.onReported(job, machine, now);
   }
 
@@ -118,7 +118,7 @@
     return this.orphans.isConfirmed(job);
   }
 
-  onStart(now: Steady): void {
+  onStart(now: MonotonicTime): void {
     this.firstStartAt ??= now;
   }
 
@@ -132,7 +132,7 @@
    * Whether recovery has just ended: nothing is uncertain any more. `countMissing` counts the tasks of jobs begun earlier that
    * were found nowhere.
    */
-  finish(now: Steady, countMissing: () => number): boolean {
+  finish(now: MonotonicTime, countMissing: () => number): boolean {
     if (this.finishedAt !== null || !this.isCertain(now)) return false;
     this.finishedAt = now;
     this.notFound = countMissing();
--- a/src/recovery/report_backlog.ts
+++ b/src/recovery/report_backlog.ts
@@ -1,4 +1,4 @@
-import type { MachineId, Steady } from '../core/types.js';
+import type { MachineId, MonotonicTime } from '../core/types.js';
 
 /** Lists are counted in windows of so many milliseconds. */
 const WINDOW_MS = 50;
@@ -9,7 +9,7 @@
  */
 export class ReportBacklog<List> {
   private readonly lists = new Map<MachineId, List>();
-  private windowStart = Number.NEGATIVE_INFINITY as Steady;
+  private windowStart = Number.NEGATIVE_INFINITY as MonotonicTime;
   private taken = 0;
 
   constructor(private readonly listsPerWindow: number) {}
@@ -19,7 +19,7 @@
   }
 
   /** Whether one more list may be looked at now; if so it counts. */
-  admit(now: Steady): boolean {
+  admit(now: MonotonicTime): boolean {
     if (now - this.windowStart >= WINDOW_MS) {
       this.windowStart = now;
       this.taken = 0;
@@ -47,7 +47,7 @@
   }
 
   /** The lists whose turn it is now, those that have waited longest first. */
-  takeDue(now: Steady): List[] {
+  takeDue(now: MonotonicTime): List[] {
     const due: List[] = [];
     for (const [machine, list] of this.lists) {
       if (!this.admit(now)) break;
@@ -58,7 +58,7 @@
   }
 
   /** When lists may be looked at again; null: none waits. */
-  nextAt(): Steady | null {
-    return this.lists.size === 0 ? null : ((this.windowStart + WINDOW_MS) as Steady);
+  nextAt(): MonotonicTime | null {
+    return this.lists.size === 0 ? null : ((this.windowStart + WINDOW_MS) as MonotonicTime);
   }
 }
--- a/src/recovery/summary.ts
+++ b/src/recovery/summary.ts
@@ -1,4 +1,4 @@
-import type { Steady } from '../core/types.js';
+import type { MonotonicTime } from '../core/types.js';
 import type { Certainty, Orphan, TaskClass } from './types.js';
 
 /** How many of each class were found. */
@@ -8,11 +8,11 @@
 /** What a leader has found out since it took the lead. */
 export interface RecoverySummary {
   readonly term: number;
-  readonly startedAt: Steady;
+  readonly startedAt: MonotonicTime;
   /** When the last machine became certain; null: some are not. */
-  readonly finishedAt: Steady | null;
+  readonly finishedAt: MonotonicTime | null;
   /** When the first task was started; null: none was. */
-  readonly firstStartAt: Steady | null;
+  readonly firstStartAt: MonotonicTime | null;
   /** Machines on record as the lead was taken, and how they became certain. */
   readonly machines: number;
   readonly uncertainMachines: number;
--- a/src/recovery/types.ts
+++ b/src/recovery/types.ts
@@ -3,17 +3,17 @@
   ExitReason,
   JobId,
   MachineId,
+  MachineTypeName,
+  MonotonicTime,
   Resources,
-  Steady,
   TeamName,
-  TypeName,
   ZoneName,
 } from '../core/types.js';
 
 /** A machine on record whose list of tasks has yet to come: it may hold tasks of an earlier leader. */
 export interface UncertainMachine extends Pick<Resources, 'cpus' | 'gpus'> {
   readonly id: MachineId;
-  readonly type: TypeName;
+  readonly type: MachineTypeName;
   readonly zone: ZoneName;
   readonly spot: boolean;
 }
@@ -35,7 +35,7 @@
   readonly startTerm: number;
   /** The only zones in which it may have been started; null: no record that may be believed says. */
   readonly startZones: ReadonlySet<ZoneName> | null;
-  readonly types: readonly TypeName[] | null;
+  readonly types: readonly MachineTypeName[] | null;
   readonly zone: ZoneName | null;
   readonly spotOk: boolean;
   /** Tasks that are neither done nor known to be on a machine. */
@@ -124,7 +124,7 @@
 export interface Orphan {
   readonly job: JobId;
   readonly machine: MachineId;
-  readonly seenAt: Steady;
+  readonly seenAt: MonotonicTime;
   /** Whether the store has confirmed that there is no record. */
   readonly confirmed: boolean;
 }
--- a/src/recovery/uncertain_machines.ts
+++ b/src/recovery/uncertain_machines.ts
@@ -1,4 +1,4 @@
-import type { MachineId, Steady } from '../core/types.js';
+import type { MachineId, MonotonicTime } from '../core/types.js';
 import type { EarlierJob, UncertainMachine } from './types.js';
 
 /** What of the cluster may hold tasks that nobody has told of. */
@@ -25,14 +25,14 @@
   private cpus = 0;
   private gpus = 0;
   /** Machines may exist that the registry doesn't show, until their leases have surely ended. */
-  private unlistedUntil: Steady | null = null;
+  private unlistedUntil: MonotonicTime | null = null;
 
   get count(): number {
     return this.machines.size;
   }
 
   /** Whether everything is certain. */
-  isEmpty(now: Steady): boolean {
+  isEmpty(now: MonotonicTime): boolean {
     return this.machines.size === 0 && !this.mayHaveUnlisted(now);
   }
 
@@ -61,21 +61,21 @@
   }
 
   /** A part of the registry can't be read: machines on it are known only once they report, or not at all. */
-  noteUnlisted(until: Steady): void {
+  noteUnlisted(until: MonotonicTime): void {
     this.unlistedUntil = until;
   }
 
-  mayHaveUnlisted(now: Steady): boolean {
+  mayHaveUnlisted(now: MonotonicTime): boolean {
     return this.unlistedUntil !== null && now < this.unlistedUntil;
   }
 
   /** All that may be in use on them; null: there is no telling. */
-  capacity(now: Steady): Capacity | null {
+  capacity(now: MonotonicTime): Capacity | null {
     return this.mayHaveUnlisted(now) ? null : { cpus: this.cpus, gpus: this.gpus };
   }
 
   /** Whether a task of the job could be on one of them. */
-  couldHold(job: EarlierJob, now: Steady): boolean {
+  couldHold(job: EarlierJob, now: MonotonicTime): boolean {
     if (this.mayHaveUnlisted(now)) return true;
     for (const { sample } of this.groups.values()) {
       const { type, zone, spot } = sample;
--- a/test/call_queue.test.ts
+++ b/test/call_queue.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { CallQueue } from '../src/core/calls/call_queue.js';
 import { TokenBucket } from '../src/core/calls/token_bucket.js';
-import type { Steady } from '../src/core/types.js';
+import type { MonotonicTime } from '../src/core/types.js';
 
 const RATE = 10;
 const MAX_QUEUE_MS = 1000;
@@ -19,12 +19,12 @@
 
 /** Plays calls through a queue, and returns what became of each, and after how many milliseconds. */
 function play(arrivals: readonly Arrival[], refuseEarly: boolean): { fate: Fate; waitedMs: number }[] {
-  const start = 0 as Steady;
+  const start = 0 as MonotonicTime;
   const queue = new CallQueue(new TokenBucket(RATE, RATE, start), new TokenBucket(RATE, RATE, start));
   const fates: { fate: Fate; waitedMs: number }[] = [];
   let now = 0;
   const advance = (ms: number): void => {
-    for (const end = now + ms; now < end; now += TICK_MS) queue.pump(now as Steady);
+    for (const end = now + ms; now < end; now += TICK_MS) queue.dispatch(now as MonotonicTime);
   };
   arrivals.forEach(({ afterMs, writes }, i) => {
     advance(afterMs);
@@ -32,10 +32,15 @@
     const end = (fate: Fate) => (): void => {
       fates[i] = { fate, waitedMs: now - cameAt };
     };
-    const call = { writes, expiresAt: (now + MAX_QUEUE_MS) as Steady, send: end('sent'), giveUp: end('given up') };
-    if (refuseEarly) queue.addIfInTime(PRIORITY, call, now as Steady);
+    const call = {
+      writeTokens: writes,
+      expiresAt: (now + MAX_QUEUE_MS) as MonotonicTime,
+      send: end('sent'),
+      refuse: end('given up'),
+    };
+    if (refuseEarly) queue.addOrRefuse(PRIORITY, call, now as MonotonicTime);
     else queue.add(PRIORITY, call);
-    queue.pump(now as Steady);
+    queue.dispatch(now as MonotonicTime);
   });
   advance(2 * MAX_QUEUE_MS);
   return fates;
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Attempt, JobId, NodeName, Token } from '../src/core/types.js';
+import type { Attempt, ControllerName, FencingToken, JobId } from '../src/core/types.js';
 import { revision } from '../src/core/types.js';
 import { decode, encode } from '../src/io/codecs/cbor.js';
 import { decodeCloudAnswer } from '../src/io/codecs/cloud_codec.js';
@@ -20,24 +20,24 @@
 test('64-bit counts and tokens pass through CBOR whole', () => {
   const big = (1n << 64n) - 1n;
   const there = decodeReport(decode(encode({ ...report, crest: big, chirp: (1n << 53n) + 1n })));
-  assert.equal(there.token, big);
-  assert.equal(there.seq, (1n << 53n) + 1n);
-  const answer = encodeWorkerAnswer({ status: 200, token: big as Token, commands: [] });
+  assert.equal(there.fencingToken, big);
+  assert.equal(there.sequence, (1n << 53n) + 1n);
+  const answer = encodeWorkerAnswer({ status: 200, fencingToken: big as FencingToken, commands: [] });
   assert.equal((decode(encode(answer)) as { crest: bigint }).crest, big);
 });
 
 test('a job and a report are read as typed values, unknown fields ignored', () => {
   const spec = decodeJob({ ...job, colour: 'green' });
-  assert.equal(spec.shape, 'gang');
-  assert.equal(spec.rank, 2);
-  assert.equal(spec.deadlineS, 900);
-  assert.deepEqual(spec.types, ['g8']);
+  assert.equal(spec.kind, 'gang');
+  assert.equal(spec.priorityLevel, 2);
+  assert.equal(spec.deadlineSeconds, 900);
+  assert.deepEqual(spec.allowedMachineTypes, ['g8']);
   const decoded = decodeReport({ ...report, mystery: [1, 2] });
   assert.equal(decoded.tasks.length, 2);
-  assert.deepEqual([decoded.tasks[0]?.index, decoded.tasks[0]?.attempt, decoded.tasks[1]?.reason], [3, 2n, 'done']);
+  assert.deepEqual([decoded.tasks[0]?.index, decoded.tasks[0]?.attempt, decoded.tasks[1]?.exitReason], [3, 2n, 'done']);
   const { breeds: _, grove: __, due_s: ___, ...without } = job;
-  assert.equal(decodeJob(without).types, null);
-  assert.equal(decodeJob(without).deadlineS, null);
+  assert.equal(decodeJob(without).allowedMachineTypes, null);
+  assert.equal(decodeJob(without).deadlineSeconds, null);
 });
 
 test('malformed jobs and reports are refused', () => {
@@ -77,12 +77,12 @@
     done: 3,
     running: 0,
   });
-  const stop = { op: 'stop', job: id, index: 1, attempt: 7n as Attempt, graceS: 10 } as const;
-  assert.deepEqual(encodeWorkerAnswer({ status: 200, token: 41n as Token, commands: [stop] }), {
+  const stop = { op: 'stop', job: id, index: 1, attempt: 7n as Attempt, gracePeriodSeconds: 10 } as const;
+  assert.deepEqual(encodeWorkerAnswer({ status: 200, fencingToken: 41n as FencingToken, commands: [stop] }), {
     crest: 41n,
     calls: [{ call: 'stop', chick: 'job-000412/1', hop: 7n, settle_s: 10 }],
   });
-  assert.deepEqual(encodeWorkerAnswer({ status: 421, reportTo: 'perch-2' as NodeName }), { nest: 'perch-2' });
+  assert.deepEqual(encodeWorkerAnswer({ status: 421, redirectTo: 'perch-2' as ControllerName }), { nest: 'perch-2' });
 });
 
 test('state-service answers are told apart by status', () => {
@@ -115,7 +115,7 @@
 });
 
 test('a cloud without capacity is not a cloud in trouble', () => {
-  const rent = { op: 'rent', request: 'r-1', type: 'g8', zone: 'a', spot: true, count: 1 } as never;
+  const rent = { op: 'rent', idempotencyKey: 'r-1', machineType: 'g8', zone: 'a', spot: true, count: 1 } as never;
   assert.deepEqual(decodeCloudAnswer(rent, 503, { error: 'no capacity' }), { ok: false, why: 'no_capacity' });
   assert.deepEqual(decodeCloudAnswer(rent, 503, { error: 'trouble' }), { ok: false, why: 'refused' });
 });
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -3,7 +3,6 @@
 import { xoroshiro128plus } from 'pure-rand';
 import { CallQueue } from '../src/core/calls/call_queue.js';
 import { TokenBucket } from '../src/core/calls/token_bucket.js';
-import { Context } from '../src/core/context.js';
 import { Estimates } from '../src/core/jobs/estimates.js';
 import { Job } from '../src/core/jobs/job.js';
 import { RangeSet } from '../src/core/jobs/range_set.js';
@@ -12,22 +11,23 @@
 import { Registry } from '../src/core/machines/registry.js';
 import { type Evidence, Slowness } from '../src/core/machines/slowness.js';
 import { SpotInterruptionRate, spotDelayS } from '../src/core/machines/spot_interruptions.js';
-import { encodeJob, encodePage, hasRoomForZones, type MachineRecord } from '../src/core/records.js';
+import { encodeJob, encodePage, fitsWithStartZones, type MachineRecord } from '../src/core/records.js';
 import { Evolution } from '../src/core/scheduler/evolution.js';
 import { reserveForOverdueGangs } from '../src/core/scheduler/gang_reservation.js';
 import { NO_PENALTIES, type PlanJob, type PlanMachine } from '../src/core/scheduler/plan_types.js';
 import { Planner } from '../src/core/scheduler/planner.js';
 import { rankValue } from '../src/core/scheduler/priority.js';
 import type { Settings } from '../src/core/settings.js';
+import { StepContext } from '../src/core/step_context.js';
 import type {
+  ClockReading,
   ImageName,
   JobId,
   MachineId,
   MachineType,
-  Now,
-  Steady,
-  TypeName,
-  Wall,
+  MachineTypeName,
+  MonotonicTime,
+  WallClockTime,
   ZoneName,
 } from '../src/core/types.js';
 import { revision } from '../src/core/types.js';
@@ -50,29 +50,29 @@
 });
 
 test('token buckets: renewals pass an empty bucket, the rest goes by priority, nothing waits for ever', () => {
-  const bucket = new TokenBucket(10, 10, 0 as Steady);
+  const bucket = new TokenBucket(10, 10, 0 as MonotonicTime);
   const queue = new CallQueue(bucket, null);
   const sent: string[] = [];
   const add = (priority: 0 | 1 | 2 | 3 | 4, name: string, expires = 10_000): void =>
     queue.add(priority, {
-      writes: 0,
-      expiresAt: expires as Steady,
+      writeTokens: 0,
+      expiresAt: expires as MonotonicTime,
       send: () => sent.push(name),
-      giveUp: () => sent.push(`${name} given up`),
+      refuse: () => sent.push(`${name} given up`),
     });
   for (let i = 0; i < 10; i++) add(3, 'slow');
-  queue.pump(0 as Steady);
+  queue.dispatch(0 as MonotonicTime);
   sent.length = 0;
   add(3, 'later');
   add(2, 'read', 50);
   add(1, 'record');
   add(0, 'renew');
-  const next = queue.pump(0 as Steady);
+  const next = queue.dispatch(0 as MonotonicTime);
   assert.deepEqual(sent, ['renew']);
   assert.ok(next !== null && next > 0);
-  queue.pump(60 as Steady);
+  queue.dispatch(60 as MonotonicTime);
   assert.ok(sent.includes('read given up'));
-  queue.pump(1000 as Steady);
+  queue.dispatch(1000 as MonotonicTime);
   assert.deepEqual(sent.slice(-2), ['record', 'later']);
 });
 
@@ -132,15 +132,15 @@
 });
 
 const type = (name: string, cpus: number, gpus: number): MachineType => ({
-  name: name as TypeName,
+  name: name as MachineTypeName,
   cpus,
   gpus,
-  memGb: 64,
-  cacheGb: 50,
-  fetchGbPerS: 1,
-  price: 1,
-  spotPrice: 0.5,
-  bootS: 30,
+  memoryGb: 64,
+  imageCacheGb: 50,
+  imagePullGbPerSecond: 1,
+  pricePerHour: 1,
+  spotPricePerHour: 0.5,
+  bootSeconds: 30,
   zones: ['a' as ZoneName],
 });
 
@@ -156,7 +156,7 @@
     memGb: freeCpus < type.cpus ? [64, 64] : [64],
     servesGpuWork: true,
     spareCpus: type.cpus,
-    spareMemGb: type.memGb,
+    spareMemGb: type.memoryGb,
     reservedForGangs: false,
     fetchS: () => fetchS,
     largestCachedShare: 0,
@@ -171,7 +171,7 @@
     durationS: 10,
     cpus: 1,
     gpus: 0,
-    memGb: 1,
+    memoryGb: 1,
     image: 'i' as ImageName,
     imageGb: 1,
     types: null,
@@ -194,7 +194,13 @@
 const zoneA = 'a' as ZoneName;
 const zoneB = 'b' as ZoneName;
 
-const machineOf = (id: string, addr: string, phase: 'booting' | 'up', now: Steady, rentedHere: boolean): Machine =>
+const machineOf = (
+  id: string,
+  addr: string,
+  phase: 'booting' | 'up',
+  now: MonotonicTime,
+  rentedHere: boolean,
+): Machine =>
   new Machine({
     id: id as MachineId,
     type: type('g4', 24, 4),
@@ -208,7 +214,7 @@
   });
 
 test('machines: a machine known only from a report or a list gets no work before it has shown that it hears us', () => {
-  const now = 1000 as Steady;
+  const now = 1000 as MonotonicTime;
   const reported = machineOf('i-1', 'i-1', 'up', now, false);
   assert.equal(reported.isSchedulable(now, 2000), false);
   reported.confirmReachable();
@@ -269,7 +275,12 @@
   const plan = planner().plan([...unused, ...cores], [job], [zoneA]);
   assert.equal(plan.unplaced.size, 0);
   assert.ok(plan.starts.every((start) => start.machine >= 500));
-  const bound = planJob(0, { tasks: 40, types: ['c8' as TypeName], fitsTypesWithoutGpus: true, penaltyFactor: 0 });
+  const bound = planJob(0, {
+    tasks: 40,
+    types: ['c8' as MachineTypeName],
+    fitsTypesWithoutGpus: true,
+    penaltyFactor: 0,
+  });
   const boundPlan = planner().plan([...unused, ...cores], [bound], [zoneA]);
   assert.equal(boundPlan.unplaced.size, 0);
 });
@@ -325,7 +336,7 @@
 
 test('registry: a page that is understood only in part is never written over; its machines are known and need no other', () => {
   const registry = new Registry(8192);
-  const known = { id: 'i-1', addr: 'i-1', type: 'c8', zone: 'a', spot: false, images: [], fetchSpeed: 1 };
+  const known = { id: 'i-1', address: 'i-1', type: 'c8', zone: 'a', spot: false, images: [], imagePullSpeed: 1 };
   const value = encodePage([known as unknown as MachineRecord], 0) as { machines: unknown[] };
   const odd = { key: 'm/0', value: { ...value, machines: [...value.machines, { later: 1 }] }, version: revision(7) };
   const page = registry.load(odd);
@@ -334,18 +345,18 @@
     page.machines.map(({ id }) => id),
     ['i-1'],
   );
-  const restored = machineOf('i-1', 'i-1', 'up', 0 as Steady, false);
+  const restored = machineOf('i-1', 'i-1', 'up', 0 as MonotonicTime, false);
   registry.restore(restored, 'm/0');
   assert.equal(restored.registered, true);
   registry.add(restored);
-  registry.add(machineOf('i-2', 'i-2', 'up', 0 as Steady, false));
-  const due = registry.duePages(0 as Steady, true);
+  registry.add(machineOf('i-2', 'i-2', 'up', 0 as MonotonicTime, false));
+  const due = registry.duePages(0 as MonotonicTime, true);
   assert.deepEqual(
     due.map(({ no }) => no),
     [1],
   );
   registry.remove(restored.id);
-  assert.equal(registry.duePages(0 as Steady, true).length, 1);
+  assert.equal(registry.duePages(0 as MonotonicTime, true).length, 1);
 });
 
 test('planner: a gang begins to fetch where there is room rather than wait for what is expected to end', () => {
@@ -365,20 +376,28 @@
 });
 
 test('scheduler: the machines planned for a zone’s longest overdue gang are kept for it, and for no other gang of the zone', () => {
-  const now: Now = { steady: 500_000 as Steady, wall: 1_790_000_000_000 as Wall };
-  const store = { rps: 10, writeRps: 10, nextRps: 10, nextWriteRps: 10, valueBytes: 8192, txnOps: 8 };
-  const settings = { nodes: 1, teams: [], store, cloud: { rps: 5, listLagMs: 0 } } as unknown as Settings;
-  const cluster = new Cluster(new Context(settings, tuning, now), 1);
+  const now: ClockReading = { monotonic: 500_000 as MonotonicTime, wallClock: 1_790_000_000_000 as WallClockTime };
+  const stateStore = {
+    requestsPerSecond: 10,
+    writesPerSecond: 10,
+    announcedRequestsPerSecond: 10,
+    announcedWritesPerSecond: 10,
+    maxValueBytes: 8192,
+    maxChangesPerTransaction: 8,
+  };
+  const cloud = { requestsPerSecond: 5, listStalenessMs: 0 };
+  const settings = { controllerCount: 1, teamQuotas: [], stateStore, cloud } as unknown as Settings;
+  const cluster = new Cluster(new StepContext(settings, tuning, now), 1);
   const gang = (id: string, waitedS: number): Job => {
     const spec = { ...makeSpec(id, 'gang', { tasks: '2', gpus: '4' }) };
-    const submittedAt = (now.wall - waitedS * 1000) as Wall;
+    const submittedAt = (now.wallClock - waitedS * 1000) as WallClockTime;
     return new Job(
       { spec, submittedAt, state: 'accepted', startTerm: 0, startZone: null, startZones: null, done: new RangeSet() },
       revision(1),
     );
   };
   const jobs = [gang('job-1', 130), gang('job-2', 200), gang('job-3', 20)];
-  const machines = [0, 1, 2, 3, 4, 5].map((i) => machineOf(`i-${i}`, '', 'up', now.steady, false));
+  const machines = [0, 1, 2, 3, 4, 5].map((i) => machineOf(`i-${i}`, '', 'up', now.monotonic, false));
   const starts = machines.map((_, slot) => ({
     job: Math.floor(slot / 2),
     machine: slot,
@@ -387,18 +406,18 @@
     startAtS: 30,
   }));
   reserveForOverdueGangs(cluster, starts, jobs, machines);
-  const keptFor = machines.map((kept) => kept.reservedFor(now.steady));
+  const keptFor = machines.map((kept) => kept.reservedFor(now.monotonic));
   assert.deepEqual(keptFor, [null, null, 'job-2', 'job-2', null, null]);
-  assert.equal(machines[2]?.isReservedForOther('job-1' as JobId, now.steady), true);
-  assert.equal(machines[2]?.reservedFor((now.steady + 5000) as Steady), null);
+  assert.equal(machines[2]?.isReservedForOther('job-1' as JobId, now.monotonic), true);
+  assert.equal(machines[2]?.reservedFor((now.monotonic + 5000) as MonotonicTime), null);
 });
 
 test('records: the zones of a job are kept only where its record has room for all of them', () => {
   const zones = ['north', 'south'] as ZoneName[];
   const spec = makeSpec('job-1', 'array', { tasks: '4' });
-  const record = { spec, submittedAt: 1 as Wall, state: 'accepted', startTerm: 1, startZone: zoneA } as const;
+  const record = { spec, submittedAt: 1 as WallClockTime, state: 'accepted', startTerm: 1, startZone: zoneA } as const;
   const full = { ...record, startZones: zones, done: new RangeSet() };
   const bytes = JSON.stringify(encodeJob(full, 8192)).length;
-  assert.equal(hasRoomForZones(record, zones, bytes + 48), true);
-  assert.equal(hasRoomForZones(record, zones, bytes + 47), false);
+  assert.equal(fitsWithStartZones(record, zones, bytes + 48), true);
+  assert.equal(fitsWithStartZones(record, zones, bytes + 47), false);
 });
--- a/test/golden/http_cases.ts
+++ b/test/golden/http_cases.ts
@@ -2,8 +2,8 @@
 import { type IncomingMessage, request, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import type { JobStatus, UserAnswer, UserRequest, WorkerAnswer } from '../../src/core/messages.js';
-import type { Attempt, Command, NodeName, Token, WorkerReport } from '../../src/core/types.js';
+import type { HeartbeatResponse, JobStatus, UserRequest, UserResponse } from '../../src/core/messages.js';
+import type { Attempt, Command, ControllerName, FencingToken, Heartbeat } from '../../src/core/types.js';
 import { decode, encode } from '../../src/io/codecs/cbor.js';
 import { makeHttpServer } from '../../src/io/http_server.js';
 import { encodeFrame } from '../../src/io/peer/peer_codec.js';
@@ -17,18 +17,18 @@
 
 /** What the server is asked here: answered as set, and noted in the form in which it is passed on between nodes. */
 class Asked {
-  userAnswer: UserAnswer = { status: 404, problem: 'no such job' };
-  workerAnswer: WorkerAnswer = { status: 503 };
+  userAnswer: UserResponse = { status: 404, problem: 'no such job' };
+  workerAnswer: HeartbeatResponse = { status: 503 };
   healthy = true;
   passedOn: string | null = null;
 
-  user(asked: UserRequest): Promise<UserAnswer> {
+  user(asked: UserRequest): Promise<UserResponse> {
     this.passedOn = hex(encodeFrame({ kind: 'request', id: 0, request: asked }));
     return Promise.resolve(this.userAnswer);
   }
 
-  report(report: WorkerReport): Promise<WorkerAnswer> {
-    this.passedOn = hex(encodeFrame({ kind: 'report', id: 0, report }));
+  report(heartbeat: Heartbeat): Promise<HeartbeatResponse> {
+    this.passedOn = hex(encodeFrame({ kind: 'report', id: 0, heartbeat }));
     return Promise.resolve(this.workerAnswer);
   }
 }
@@ -155,25 +155,25 @@
 
 const { id: job } = gangSpec;
 const statuses: JobStatus[] = ['queued', 'running', 'done', 'cancelled'];
-const userAnswers: readonly UserAnswer[] = [
-  ...statuses.map((jobStatus): UserAnswer => ({ status: 200, id: job, jobStatus, done: 3, running: 2 })),
+const userAnswers: readonly UserResponse[] = [
+  ...statuses.map((jobStatus): UserResponse => ({ status: 200, id: job, jobStatus, done: 3, running: 2 })),
   { status: 201, id: job, jobStatus: 'queued', done: 0, running: 0 },
   { status: 400, problem: 'plumage is not a text' },
   { status: 404, problem: 'no such job' },
   { status: 422, problem: 'unknown team' },
   { status: 503, problem: 'later' },
-  { status: 503, problem: 'later', retryAfterS: 7 },
+  { status: 503, problem: 'later', retryAfterSeconds: 7 },
 ];
 const commands: readonly Command[] = [
   { op: 'start', job, index: 3, attempt: 5n as Attempt },
-  { op: 'stop', job, index: 4, attempt: MAX as Attempt, graceS: 2.5 },
+  { op: 'stop', job, index: 4, attempt: MAX as Attempt, gracePeriodSeconds: 2.5 },
   { op: 'forget', job, index: 99_999, attempt: 7n as Attempt },
 ];
-const workerAnswers: readonly WorkerAnswer[] = [
-  { status: 200, token: 41n as Token, commands: [] },
-  { status: 200, token: MAX as Token, commands },
-  { status: 421, reportTo: 'perch-2' as NodeName },
-  { status: 421, reportTo: null },
+const workerAnswers: readonly HeartbeatResponse[] = [
+  { status: 200, fencingToken: 41n as FencingToken, commands: [] },
+  { status: 200, fencingToken: MAX as FencingToken, commands },
+  { status: 421, redirectTo: 'perch-2' as ControllerName },
+  { status: 421, redirectTo: null },
   { status: 503 },
 ];
 
--- a/test/golden/leader_records.ts
+++ b/test/golden/leader_records.ts
@@ -1,7 +1,14 @@
-import type { Input, Result, StoreOp, StoreValue } from '../../src/core/messages.js';
-import { Node } from '../../src/core/node.js';
+import { Controller } from '../../src/core/controller.js';
+import type { Input, Result, StateStoreOperation, StateStoreResponse } from '../../src/core/messages.js';
 import { LEADER_KEY, TERM_KEY } from '../../src/core/records.js';
-import { type LeaseId, type NodeName, type Now, revision, type Steady, type Wall } from '../../src/core/types.js';
+import {
+  type ClockReading,
+  type ControllerName,
+  type LeaseId,
+  type MonotonicTime,
+  revision,
+  type WallClockTime,
+} from '../../src/core/types.js';
 import { encode } from '../../src/io/codecs/cbor.js';
 import { encodeStoreCall } from '../../src/io/codecs/store_codec.js';
 import { PRESENT } from '../sim/build.js';
@@ -17,7 +24,7 @@
 const STEP_MS = 20;
 
 /** The state service as a candidate finds it: nobody leads. */
-function answer(op: StoreOp, term: unknown): Result<StoreValue> {
+function answer(op: StateStoreOperation, term: unknown): Result<StateStoreResponse> {
   const at = revision(700);
   switch (op.op) {
     case 'get':
@@ -36,7 +43,7 @@
   }
 }
 
-const isElection = (op: StoreOp): boolean =>
+const isElection = (op: StateStoreOperation): boolean =>
   op.op === 'grant' ||
   (op.op === 'get' && [LEADER_KEY, TERM_KEY].includes(op.key)) ||
   (op.op === 'txn' && op.changes.some((change) => 'put' in change && change.put === LEADER_KEY));
@@ -49,21 +56,29 @@
   for (let ms = 0; ms < ELECTION_MS; ms += STEP_MS) {
     const outputs = [...inputs, { kind: 'timer' } as const].flatMap((input) => node.step(at(ms), input));
     const sent = outputs.filter((output) => output.kind === 'store');
-    for (const { op } of sent) if (isElection(op)) calls.push(written(op));
-    inputs = sent.map(({ call, op }) => ({ kind: 'storeReply', call, result: answer(op, term) }));
+    for (const { operation } of sent) if (isElection(operation)) calls.push(written(operation));
+    inputs = sent.map(({ callId, operation }) => ({ kind: 'storeReply', callId, result: answer(operation, term) }));
   }
   return calls;
 }
 
-const at = (ms: number): Now => ({ steady: ms as Steady, wall: (1_790_000_000_000 + ms) as Wall });
+const at = (ms: number): ClockReading => ({
+  monotonic: ms as MonotonicTime,
+  wallClock: (1_790_000_000_000 + ms) as WallClockTime,
+});
 
-function makeNode(keepsZones: boolean): Node {
-  const settings = makeSettings('perch-1' as NodeName, ['perch-1', 'perch-2'] as NodeName[], PRESENT_OPTIONS, PRESENT);
+function makeNode(keepsZones: boolean): Controller {
+  const settings = makeSettings(
+    'perch-1' as ControllerName,
+    ['perch-1', 'perch-2'] as ControllerName[],
+    PRESENT_OPTIONS,
+    PRESENT,
+  );
   const features = { recovery: { ...PRESENT.features.recovery, enabled: keepsZones, record_zones: keepsZones } };
-  return new Node(settings, PRESENT.tuning, '0f3a', 1, at(0), features);
+  return new Controller(settings, PRESENT.tuning, '0f3a', 1, at(0), features);
 }
 
-function written(op: StoreOp): WrittenCall {
+function written(op: StateStoreOperation): WrittenCall {
   const { method, path, body } = encodeStoreCall(op);
   return { path: `${method} ${path}`, body: body ? cborEntry(encode(body)) : null };
 }
--- a/test/golden/peer_cases.ts
+++ b/test/golden/peer_cases.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { JobStatus, PeerStatus, UserAnswer, WorkerAnswer } from '../../src/core/messages.js';
-import type { Attempt, Command, JobId, MachineId, NodeName, Token } from '../../src/core/types.js';
+import type { HeartbeatResponse, JobStatus, PeerStatus, UserResponse } from '../../src/core/messages.js';
+import type { Attempt, Command, ControllerName, FencingToken, JobId, MachineId } from '../../src/core/types.js';
 import { encodeFrame, FrameSplitter, type PeerFrame } from '../../src/io/peer/peer_codec.js';
 import { frames as sampleFrames } from '../sim/sample_messages.js';
 import { GoldenFile, hex, thrownBy, unhex } from './golden_file.js';
@@ -12,12 +12,17 @@
 const statuses: JobStatus[] = ['queued', 'running', 'done', 'cancelled'];
 const flags = [false, true];
 
-const status = (leading: boolean, storeOk: boolean, takesReports: boolean, acknowledges: boolean): PeerStatus => ({
-  workersHeardMs: 1234.5,
-  reportsPerS: 12.25,
-  leading,
-  storeOk,
-  takesReports,
+const status = (
+  isLeader: boolean,
+  stateStoreReachable: boolean,
+  prefersDirectHeartbeats: boolean,
+  acknowledges: boolean,
+): PeerStatus => ({
+  sinceLastHeartbeatMs: 1234.5,
+  heartbeatsPerSecond: 12.25,
+  isLeader,
+  stateStoreReachable,
+  prefersDirectHeartbeats,
   acknowledgesCancellations: acknowledges,
 });
 const statusFrames: PeerFrame[] = flags.flatMap((leading) =>
@@ -39,37 +44,37 @@
   ),
 ];
 
-const userAnswers: UserAnswer[] = [
-  ...statuses.map((jobStatus): UserAnswer => ({ status: 200, id: job, jobStatus, done: 3, running: 2 ** 32 - 1 })),
+const userAnswers: UserResponse[] = [
+  ...statuses.map((jobStatus): UserResponse => ({ status: 200, id: job, jobStatus, done: 3, running: 2 ** 32 - 1 })),
   { status: 201, id: job, jobStatus: 'queued', done: 0, running: 0 },
   { status: 400, problem: '' },
   { status: 404, problem: 'no such job' },
   { status: 422, problem: 'unknown team' },
   { status: 503, problem: 'später' },
-  { status: 503, problem: 'later', retryAfterS: 7 },
+  { status: 503, problem: 'later', retryAfterSeconds: 7 },
 ];
 
 const commands: Command[] = [
   { op: 'start', job, index: 3, attempt: 5n as Attempt },
-  { op: 'stop', job, index: 4, attempt: ((1n << 64n) - 1n) as Attempt, graceS: 2.5 },
+  { op: 'stop', job, index: 4, attempt: ((1n << 64n) - 1n) as Attempt, gracePeriodSeconds: 2.5 },
   { op: 'forget', job, index: 99_999, attempt: 7n as Attempt },
 ];
-const workerAnswers: WorkerAnswer[] = [
-  { status: 200, token: 41n as Token, commands: [] },
-  { status: 200, token: ((1n << 63n) + 1n) as Token, commands },
-  { status: 421, reportTo: 'perch-2' as NodeName },
-  { status: 421, reportTo: null },
+const workerAnswers: HeartbeatResponse[] = [
+  { status: 200, fencingToken: 41n as FencingToken, commands: [] },
+  { status: 200, fencingToken: ((1n << 63n) + 1n) as FencingToken, commands },
+  { status: 421, redirectTo: 'perch-2' as ControllerName },
+  { status: 421, redirectTo: null },
   { status: 503 },
 ];
 
 const frames: readonly PeerFrame[] = [
-  { kind: 'hello', node: 'perch-1' as NodeName },
+  { kind: 'hello', node: 'perch-1' as ControllerName },
   ...statusFrames,
   ...requestFrames,
-  ...userAnswers.map((answer, i): PeerFrame => ({ kind: 'requestAnswer', id: 20 + i, answer })),
-  { kind: 'report', id: 40, report: fullReport },
-  { kind: 'report', id: 41, report: emptyReport },
-  ...workerAnswers.map((answer, i): PeerFrame => ({ kind: 'reportAnswer', id: 50 + i, machine, answer })),
+  ...userAnswers.map((response, i): PeerFrame => ({ kind: 'requestAnswer', id: 20 + i, response })),
+  { kind: 'report', id: 40, heartbeat: fullReport },
+  { kind: 'report', id: 41, heartbeat: emptyReport },
+  ...workerAnswers.map((response, i): PeerFrame => ({ kind: 'reportAnswer', id: 50 + i, machine, response })),
   { kind: 'cancellation', id: 60, job: 'job-00007' as JobId },
   { kind: 'cancellationAck', id: 60 },
   ...sampleFrames,
--- a/test/golden/problem_cases.ts
+++ b/test/golden/problem_cases.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Output, UserAnswer, UserRequest } from '../../src/core/messages.js';
+import type { Output, UserRequest, UserResponse } from '../../src/core/messages.js';
 import type {
+  ControllerName,
   JobId,
   JobSpec,
   MachineId,
   MachineType,
-  NodeName,
-  Steady,
-  Team,
+  MachineTypeName,
+  MonotonicTime,
   TeamName,
-  TypeName,
+  TeamQuota,
   ZoneName,
 } from '../../src/core/types.js';
 import { encode } from '../../src/io/codecs/cbor.js';
@@ -26,22 +26,22 @@
 const SETTLE_MS = 30_000;
 const ANSWER_MS = 6000;
 
-function teamOf(name: string, cpusMax: number, gpusMax: number): Team {
-  return { name: name as TeamName, cpus: 0, gpus: 0, cpusMax, gpusMax };
+function teamOf(name: string, cpuLimit: number, gpuLimit: number): TeamQuota {
+  return { name: name as TeamName, guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit, gpuLimit };
 }
 
 function makeWorld(nodes: number): World {
   const types: MachineType[] = [
     {
-      name: 'c8' as TypeName,
+      name: 'c8' as MachineTypeName,
       cpus: 8,
       gpus: 0,
-      memGb: 32,
-      cacheGb: 50,
-      fetchGbPerS: 0.5,
-      price: 0.4,
-      spotPrice: 0.1,
-      bootS: 20,
+      memoryGb: 32,
+      imageCacheGb: 50,
+      imagePullGbPerSecond: 0.5,
+      pricePerHour: 0.4,
+      spotPricePerHour: 0.1,
+      bootSeconds: 20,
       zones,
     },
   ];
@@ -50,16 +50,16 @@
   return new World({ seed: 3, nodes, zones, teams, types, capacity: 2, tuning, limits });
 }
 
-const entryOf = (answer: UserAnswer | null): Golden =>
+const entryOf = (answer: UserResponse | null): Golden =>
   answer && {
     status: answer.status,
-    retryAfter: 'retryAfterS' in answer ? (answer.retryAfterS ?? 0) : 0,
+    retryAfter: 'retryAfterSeconds' in answer ? (answer.retryAfterSeconds ?? 0) : 0,
     body: cborEntry(encode(encodeUserAnswer(answer))),
   };
 
 /** What a node answers, and how long that takes at most; null: nothing. */
-function ask(world: World, node: number, request: UserRequest): UserAnswer | null {
-  let answer: UserAnswer | null = null;
+function ask(world: World, node: number, request: UserRequest): UserResponse | null {
+  let answer: UserResponse | null = null;
   world.nodes[node]?.user(request, (given) => {
     answer = given;
   });
@@ -70,7 +70,7 @@
 const submit = (spec: JobSpec): UserRequest => ({ op: 'submit', id: spec.id, spec, problem: '' });
 const plain = makeSpec('job-1', 'array', { tasks: '2' });
 
-const refusedOptions: Readonly<Record<string, readonly [JobSpec['shape'], Options]>> = {
+const refusedOptions: Readonly<Record<string, readonly [JobSpec['kind'], Options]>> = {
   'team not known': ['array', { team: 'nobody' }],
   'more processors than any machine': ['array', { cpus: '9' }],
   'more memory than any machine': ['array', { mem: '33' }],
@@ -137,19 +137,19 @@
   });
 
   test('golden: answers that come too late are replaced as they were', () => {
-    const late = { notAfter: 5 as Steady };
-    const answer: UserAnswer = { status: 200, id: plain.id, jobStatus: 'queued', done: 0, running: 0 };
+    const late = { expiresAt: 5 as MonotonicTime };
+    const response: UserResponse = { status: 200, id: plain.id, jobStatus: 'queued', done: 0, running: 0 };
     const machine = 'i-1' as MachineId;
-    const to = 'perch-1' as NodeName;
-    const expired = (output: Output): Output | null => checkExpiry(output, 5 as Steady).output;
-    const user = expired({ kind: 'answerUser', req: 1, answer, ...late });
+    const recipient = 'perch-1' as ControllerName;
+    const expired = (output: Output): Output | null => checkExpiry(output, 5 as MonotonicTime).output;
+    const user = expired({ kind: 'answerUser', requestId: 1, response, ...late });
     assert.ok(user?.kind === 'answerUser');
-    golden.check('late answer', entryOf(user.answer));
-    const passedOn = expired({ kind: 'peer', to, message: { kind: 'requestAnswer', id: 1, answer }, ...late });
-    const report = { kind: 'reportAnswer', id: 2, machine, answer: { status: 421, reportTo: null } } as const;
+    golden.check('late answer', entryOf(user.response));
+    const passedOn = expired({ kind: 'peer', recipient, message: { kind: 'requestAnswer', id: 1, response }, ...late });
+    const report = { kind: 'reportAnswer', id: 2, machine, response: { status: 421, redirectTo: null } } as const;
     for (const [entry, output] of [
       ['late answer of a peer', passedOn],
-      ['late answer of a peer to a report', expired({ kind: 'peer', to, message: report, ...late })],
+      ['late answer of a peer to a report', expired({ kind: 'peer', recipient, message: report, ...late })],
     ] as const) {
       assert.ok(output?.kind === 'peer');
       golden.check(entry, hex(encodeFrame(output.message)));
--- a/test/golden/record_cases.ts
+++ b/test/golden/record_cases.ts
@@ -97,7 +97,7 @@
     const started = { ...scatteredRecord, startZone: null };
     const zones = ['zone-1', 'zone-2'] as ZoneName[];
     let least = 0;
-    while (!records.hasRoomForZones(started, zones, least)) least += 1;
+    while (!records.fitsWithStartZones(started, zones, least)) least += 1;
     golden.check('least bytes of a value with two zones', least);
   });
 
--- a/test/golden/samples.ts
+++ b/test/golden/samples.ts
@@ -1,23 +1,23 @@
 import { RangeSet } from '../../src/core/jobs/range_set.js';
 import type { JobRecord, MachineRecord } from '../../src/core/records.js';
 import type {
+  AgentEpoch,
   Attempt,
   ExitReason,
+  FencingToken,
+  Heartbeat,
   ImageName,
   JobId,
+  JobKind,
   JobSpec,
   MachineId,
-  Rank,
-  Seq,
-  Session,
-  Shape,
+  MachineTypeName,
+  PriorityLevel,
+  SequenceNumber,
   TaskPhase,
-  TaskReport,
+  TaskStatus,
   TeamName,
-  Token,
-  TypeName,
-  Wall,
-  WorkerReport,
+  WallClockTime,
   ZoneName,
 } from '../../src/core/types.js';
 import { decodeJob } from '../../src/io/codecs/user_codec.js';
@@ -28,61 +28,61 @@
   id: 'job-17' as JobId,
   jobClass: 'train',
   team: 'vision' as TeamName,
-  shape: 'gang',
-  rank: 2,
-  tasks: 16,
+  kind: 'gang',
+  priorityLevel: 2,
+  taskCount: 16,
   cpus: 8.5,
   gpus: 1,
-  memGb: 64.25,
+  memoryGb: 64.25,
   image: 'img-07' as ImageName,
   imageGb: 6.2,
-  types: ['g8', 'g4'] as TypeName[],
+  allowedMachineTypes: ['g8', 'g4'] as MachineTypeName[],
   zone: 'a' as ZoneName,
-  sameZone: true,
-  spread: false,
-  spotOk: true,
-  estimateS: 240,
-  checkpointS: 30,
-  saveS: 4,
-  deadlineS: 900,
+  singleZone: true,
+  zoneSpread: false,
+  toleratesSpot: true,
+  estimatedRuntimeSeconds: 240,
+  checkpointIntervalSeconds: 30,
+  checkpointDurationSeconds: 4,
+  deadlineSeconds: 900,
 };
 export const arraySpec: JobSpec = {
   ...gangSpec,
   id: 'job-18' as JobId,
-  shape: 'array',
-  rank: 0,
-  tasks: 100_000,
-  types: null,
+  kind: 'array',
+  priorityLevel: 0,
+  taskCount: 100_000,
+  allowedMachineTypes: null,
   zone: null,
-  sameZone: false,
-  spread: true,
-  spotOk: false,
-  deadlineS: null,
+  singleZone: false,
+  zoneSpread: true,
+  toleratesSpot: false,
+  deadlineSeconds: null,
 };
 export const serviceSpec: JobSpec = {
   ...arraySpec,
   id: 'job-00019' as JobId,
-  shape: 'service',
-  rank: 3,
-  tasks: 3,
-  types: [],
-  estimateS: 0,
-  checkpointS: 0,
+  kind: 'service',
+  priorityLevel: 3,
+  taskCount: 3,
+  allowedMachineTypes: [],
+  estimatedRuntimeSeconds: 0,
+  checkpointIntervalSeconds: 0,
 };
 /** As submissions are read: its fields are in another order. */
 export const submittedSpec: JobSpec = decodeJob(submission);
 
-const shapes: Shape[] = ['array', 'gang', 'service'];
-const ranks: Rank[] = [0, 1, 2, 3];
+const shapes: JobKind[] = ['array', 'gang', 'service'];
+const ranks: PriorityLevel[] = [0, 1, 2, 3];
 const flags = [false, true];
 
 // The types of results are written out so that fields renamed by the compiler are renamed here too.
-const ranked = (shape: Shape, rank: Rank): JobSpec => ({ ...gangSpec, shape, rank });
-const flagged = (sameZone: boolean, spread: boolean, spotOk: boolean): JobSpec => ({
+const ranked = (kind: JobKind, priorityLevel: PriorityLevel): JobSpec => ({ ...gangSpec, kind, priorityLevel });
+const flagged = (singleZone: boolean, zoneSpread: boolean, toleratesSpot: boolean): JobSpec => ({
   ...arraySpec,
-  sameZone,
-  spread,
-  spotOk,
+  singleZone,
+  zoneSpread,
+  toleratesSpot,
 });
 
 /** Descriptions with every value of each enumeration and flag. */
@@ -104,7 +104,7 @@
 
 const ranges = (...pairs: [number, number][]): RangeSet => RangeSet.from(pairs);
 const freshRecord: Omit<JobRecord, 'spec'> = {
-  submittedAt: 1_790_000_000_123 as Wall,
+  submittedAt: 1_790_000_000_123 as WallClockTime,
   state: 'accepted',
   startTerm: 0,
   startZone: null,
@@ -127,7 +127,7 @@
   },
   'started in no zone yet': { ...freshRecord, spec: gangSpec, startTerm: 7, startZones: [] },
   'partly done': { ...freshRecord, spec: arraySpec, startTerm: 2, done: ranges([0, 3], [8, 8], [20, 99_999]) },
-  done: { ...freshRecord, spec: { ...arraySpec, tasks: 100 }, state: 'done', startTerm: 3, done: ranges([0, 99]) },
+  done: { ...freshRecord, spec: { ...arraySpec, taskCount: 100 }, state: 'done', startTerm: 3, done: ranges([0, 99]) },
   cancelled: { ...freshRecord, spec: submittedSpec, state: 'cancelled', startTerm: 3, done: ranges([1, 1]) },
   'cancelled service': { ...freshRecord, spec: serviceSpec, state: 'cancelled', startTerm: 4, startZones: zones },
 };
@@ -145,55 +145,62 @@
 export const machineRecords: readonly MachineRecord[] = [
   {
     id: 'i-000231' as MachineId,
-    addr: '10.1.0.232:9000',
-    type: 'g8' as TypeName,
+    address: '10.1.0.232:9000',
+    type: 'g8' as MachineTypeName,
     zone: 'a' as ZoneName,
     spot: true,
     images: ['img-1', 'img-2', 'img-3'] as ImageName[],
-    fetchSpeed: 0.83,
+    imagePullSpeed: 0.83,
   },
   {
     id: 'i-000232' as MachineId,
-    addr: '',
-    type: 'c8' as TypeName,
+    address: '',
+    type: 'c8' as MachineTypeName,
     zone: 'b' as ZoneName,
     spot: false,
     images: [],
-    fetchSpeed: 1,
+    imagePullSpeed: 1,
   },
 ];
 
 const phases: TaskPhase[] = ['fetching', 'waiting', 'running', 'saving'];
 const reasons: ExitReason[] = ['done', 'stopped', 'peers_gone', 'alone', 'error', 'no_room', 'busy', 'unknown'];
 
-function task(index: number, saved: boolean, phase: TaskPhase, reason: ExitReason | null): TaskReport {
-  return { job: gangSpec.id, index, attempt: BigInt(saved ? 5 : 6) as Attempt, phase, reason, saved };
+function task(index: number, checkpointSaved: boolean, phase: TaskPhase, exitReason: ExitReason | null): TaskStatus {
+  return {
+    job: gangSpec.id,
+    index,
+    attempt: BigInt(checkpointSaved ? 5 : 6) as Attempt,
+    phase,
+    exitReason,
+    checkpointSaved,
+  };
 }
 
 /** Tasks in every phase, ended for every reason, with and without saved progress. */
-export const taskReports: readonly TaskReport[] = flags.flatMap((saved) => [
+export const taskReports: readonly TaskStatus[] = flags.flatMap((saved) => [
   ...phases.map((phase, i) => task(i, saved, phase, null)),
   ...reasons.map((reason, i) => task(10 + i, saved, 'exited', reason)),
 ]);
 
-export const fullReport: WorkerReport = {
+export const fullReport: Heartbeat = {
   machine: 'i-000231' as MachineId,
-  addr: '10.1.0.232:9000',
-  type: 'g8' as TypeName,
+  address: '10.1.0.232:9000',
+  type: 'g8' as MachineTypeName,
   zone: 'a' as ZoneName,
   spot: true,
-  session: 3n as Session,
-  seq: ((1n << 53n) + 1n) as Seq,
-  token: ((1n << 64n) - 1n) as Token,
-  noticeS: 7.5,
+  agentEpoch: 3n as AgentEpoch,
+  sequence: ((1n << 53n) + 1n) as SequenceNumber,
+  fencingToken: ((1n << 64n) - 1n) as FencingToken,
+  interruptionNoticeSeconds: 7.5,
   tasks: taskReports,
 };
-export const emptyReport: WorkerReport = {
+export const emptyReport: Heartbeat = {
   ...fullReport,
   spot: false,
-  session: 0n as Session,
-  seq: 1n as Seq,
-  token: 41n as Token,
-  noticeS: null,
+  agentEpoch: 0n as AgentEpoch,
+  sequence: 1n as SequenceNumber,
+  fencingToken: 41n as FencingToken,
+  interruptionNoticeSeconds: null,
   tasks: [],
 };
