--- a/test/golden/service_cases.ts
+++ b/test/golden/service_cases.ts
@@ -1,24 +1,24 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type {
-  CloudOp,
-  CloudValue,
+  CloudOperation,
+  CloudResponse,
+  CommandPush,
+  CommandPushResponse,
   Result,
-  StoreOp,
-  StoreValue,
-  WorkerOp,
-  WorkerValue,
+  StateStoreOperation,
+  StateStoreResponse,
 } from '../../src/core/messages.js';
 import {
+  type AgentEpoch,
   type Attempt,
+  type CloudMachine,
+  type FencingToken,
   type LeaseId,
-  type ListedMachine,
   type MachineId,
   type MachineType,
+  type MachineTypeName,
   revision,
-  type Session,
-  type Token,
-  type TypeName,
   type ZoneName,
 } from '../../src/core/types.js';
 import { decode, encode } from '../../src/io/codecs/cbor.js';
@@ -39,7 +39,7 @@
 /** A body as it comes in. */
 const received = (body: unknown): unknown => (body === null ? null : decode(encode(body)));
 
-const storeCalls: Readonly<Record<string, StoreOp>> = {
+const storeCalls: Readonly<Record<string, StateStoreOperation>> = {
   get: { op: 'get', key: 'j/job-17' },
   'list from the start': { op: 'list', prefix: 'j/', after: null, limit: 100 },
   'list from a key on': { op: 'list', prefix: 'm/', after: 'm/3', limit: 7 },
@@ -66,7 +66,7 @@
   watch: { op: 'watch', prefix: 'j/', after: revision(MAX), waitMs: 1000 },
 };
 
-const storeAnswers: readonly (readonly [keyof typeof storeCalls, unknown, StoreValue])[] = [
+const storeAnswers: readonly (readonly [keyof typeof storeCalls, unknown, StateStoreResponse])[] = [
   [
     'get',
     { k: 'a/b', data: { x: 1 }, feather: 412, tether: 7 },
@@ -120,7 +120,7 @@
 /** What the state service is asked, and what its answers mean. */
 export function storeTests(): void {
   const golden = new GoldenFile('state_service');
-  const callNamed = (name: string): StoreOp => storeCalls[name] as StoreOp;
+  const callNamed = (name: string): StateStoreOperation => storeCalls[name] as StateStoreOperation;
 
   test('golden: calls to the state service go out as they did', () => {
     for (const [name, op] of Object.entries(storeCalls)) golden.check(`call: ${name}`, callEntry(encodeStoreCall(op)));
@@ -141,7 +141,7 @@
       why: 'conflict',
       keys: ['j/1', 'leader'],
     });
-    const failures: readonly (readonly [number, Result<StoreValue>])[] = [
+    const failures: readonly (readonly [number, Result<StateStoreResponse>])[] = [
       [400, { ok: false, why: 'rejected' }],
       [404, { ok: false, why: 'gone' }],
       [409, { ok: false, why: 'conflict', keys: [] }],
@@ -168,14 +168,14 @@
   golden.checkComplete();
 }
 
-const cloudCalls: Readonly<Record<string, CloudOp>> = {
+const cloudCalls: Readonly<Record<string, CloudOperation>> = {
   types: { op: 'types' },
   'list from the start': { op: 'list', after: null },
   'list from a machine on': { op: 'list', after: 'i/00 7' as MachineId },
   rent: {
     op: 'rent',
-    request: '0f3a-41-7',
-    type: 'g8' as TypeName,
+    idempotencyKey: '0f3a-41-7',
+    machineType: 'g8' as MachineTypeName,
     zone: 'a' as ZoneName,
     spot: true,
     count: 3,
@@ -197,30 +197,30 @@
   groves: ['a', 'b'],
 };
 const machineType: MachineType = {
-  name: 'g8' as TypeName,
+  name: 'g8' as MachineTypeName,
   cpus: 96,
   gpus: 8,
-  memGb: 768.5,
-  cacheGb: 500,
-  fetchGbPerS: 0.5,
-  price: 30.25,
-  spotPrice: 9.5,
-  bootS: 90,
+  memoryGb: 768.5,
+  imageCacheGb: 500,
+  imagePullGbPerSecond: 0.5,
+  pricePerHour: 30.25,
+  spotPricePerHour: 9.5,
+  bootSeconds: 90,
   zones: ['a', 'b'] as ZoneName[],
 };
 const wireMachine = { ref: 'i-1', addr: 'h:1', breed: 'g8', grove: 'a', loaners: true, mood: 'booting', held_s: 7.5 };
-const listedMachine: ListedMachine = {
+const listedMachine: CloudMachine = {
   id: 'i-1' as MachineId,
-  addr: 'h:1',
-  type: 'g8' as TypeName,
+  address: 'h:1',
+  type: 'g8' as MachineTypeName,
   zone: 'a' as ZoneName,
   spot: true,
   phase: 'booting',
-  ageS: 7.5,
+  ageSeconds: 7.5,
 };
 
-const cloudAnswers: readonly (readonly [keyof typeof cloudCalls, unknown, CloudValue])[] = [
-  ['types', { breeds: [{ ...wireType, more: 1 }] }, { types: [machineType] }],
+const cloudAnswers: readonly (readonly [keyof typeof cloudCalls, unknown, CloudResponse])[] = [
+  ['types', { breeds: [{ ...wireType, more: 1 }] }, { machineTypes: [machineType] }],
   [
     'list from the start',
     {
@@ -235,13 +235,13 @@
       machines: [
         listedMachine,
         { ...listedMachine, phase: 'running', spot: false },
-        { ...listedMachine, phase: 'failed', addr: '' },
+        { ...listedMachine, phase: 'failed', address: '' },
       ],
       more: true,
     },
   ],
   ['list from a machine on', { perches: [] }, { machines: [], more: false }],
-  ['rent', { perches: ['i-8', 'i-9'] }, { rented: ['i-8', 'i-9'] as MachineId[] }],
+  ['rent', { perches: ['i-8', 'i-9'] }, { provisioned: ['i-8', 'i-9'] as MachineId[] }],
   ['delete', {}, {}],
 ];
 
@@ -262,7 +262,7 @@
 /** What the cloud is asked, and what its answers mean. */
 export function cloudTests(): void {
   const golden = new GoldenFile('cloud');
-  const callNamed = (name: string): CloudOp => cloudCalls[name] as CloudOp;
+  const callNamed = (name: string): CloudOperation => cloudCalls[name] as CloudOperation;
 
   test('golden: calls to the cloud go out as they did', () => {
     for (const [name, op] of Object.entries(cloudCalls)) golden.check(`call: ${name}`, callEntry(encodeCloudCall(op)));
@@ -274,7 +274,7 @@
       assert.deepEqual(decodeCloudAnswer(callNamed(name), 200, received(body)), { ok: true, value });
     }
     const full = received({ error: 'no capacity' });
-    const failures: readonly (readonly [number, unknown, Result<CloudValue>, Result<CloudValue>])[] = [
+    const failures: readonly (readonly [number, unknown, Result<CloudResponse>, Result<CloudResponse>])[] = [
       [400, null, { ok: false, why: 'rejected' }, { ok: false, why: 'rejected' }],
       [404, null, { ok: false, why: 'unknown' }, { ok: false, why: 'unknown' }],
       [429, null, { ok: false, why: 'refused' }, { ok: false, why: 'refused' }],
@@ -301,15 +301,15 @@
 }
 
 const { id: job } = gangSpec;
-const workerCalls: Readonly<Record<string, WorkerOp>> = {
-  'no commands': { addr: 'h:1', token: MAX as Token, session: 3n as Session, commands: [] },
+const workerCalls: Readonly<Record<string, CommandPush>> = {
+  'no commands': { address: 'h:1', fencingToken: MAX as FencingToken, agentEpoch: 3n as AgentEpoch, commands: [] },
   'all commands': {
-    addr: 'h:1',
-    token: 41n as Token,
-    session: MAX as Session,
+    address: 'h:1',
+    fencingToken: 41n as FencingToken,
+    agentEpoch: MAX as AgentEpoch,
     commands: [
       { op: 'start', job, index: 3, attempt: 5n as Attempt },
-      { op: 'stop', job, index: 4, attempt: MAX as Attempt, graceS: 2.5 },
+      { op: 'stop', job, index: 4, attempt: MAX as Attempt, gracePeriodSeconds: 2.5 },
       { op: 'forget', job, index: 5, attempt: 7n as Attempt },
     ],
   },
@@ -327,10 +327,10 @@
   test('golden: answers of workers are read as they were', () => {
     const body = received(wireReport);
     const values = [200, 409].map((status) => decodeCommandsAnswer(status, body));
-    const [executed, notExecuted] = values as [Result<WorkerValue>, Result<WorkerValue>];
+    const [executed, notExecuted] = values as [Result<CommandPushResponse>, Result<CommandPushResponse>];
     assert.ok(executed.ok && executed.value.executed);
     assert.ok(notExecuted.ok && !notExecuted.value.executed);
-    assert.deepEqual(executed.value.report, notExecuted.value.report);
+    assert.deepEqual(executed.value.heartbeat, notExecuted.value.heartbeat);
     for (const status of [201, 400, 404, 421, 429, 500, 503]) {
       assert.deepEqual(decodeCommandsAnswer(status, body), { ok: false, why: 'rejected' });
     }
--- a/test/measure/cold_start.ts
+++ b/test/measure/cold_start.ts
@@ -1,7 +1,7 @@
 import { type Histogram, build as makeHistogram } from 'hdr-histogram-js';
-import type { JobId, MachineId, TeamName, TypeName, ZoneName } from '../../src/core/types.js';
+import type { JobId, MachineId, MachineTypeName, TeamName, ZoneName } from '../../src/core/types.js';
 import { type Build, FEATURES_OFF, PRESENT } from '../sim/build.js';
-import { Controller } from '../sim/controller.js';
+import { ControllerProcess } from '../sim/controller.js';
 import { makeSpec } from '../sim/job_options.js';
 import { loadOldVersions } from '../sim/old_versions.js';
 import { events } from '../sim/scenario_events.js';
@@ -24,16 +24,24 @@
 const VANISHING_SHARE = 0.01;
 const LOOK_MS = 20;
 const ZONES = ['a', 'b', 'c'] as ZoneName[];
-const C8 = { name: 'c8' as TypeName, cpus: SLOTS, gpus: 0, memGb: 32, cacheGb: 50, fetchGbPerS: 0.5, price: 0.4 };
-const TYPES = [{ ...C8, spotPrice: 0.1, bootS: 20, zones: ZONES }];
-const TEAMS = [{ name: 'crew' as TeamName, cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 }];
+const C8 = {
+  name: 'c8' as MachineTypeName,
+  cpus: SLOTS,
+  gpus: 0,
+  memoryGb: 32,
+  imageCacheGb: 50,
+  imagePullGbPerSecond: 0.5,
+  pricePerHour: 0.4,
+};
+const TYPES = [{ ...C8, spotPricePerHour: 0.1, bootSeconds: 20, zones: ZONES }];
+const TEAMS = [{ name: 'crew' as TeamName, guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: 0, gpuLimit: 0 }];
 
 /** Processor time of the controllers' steps, in microseconds. */
 let stepMicros = 0;
 
 function meterSteps(): void {
-  const { step } = Controller.prototype;
-  Controller.prototype.step = function (input) {
+  const { step } = ControllerProcess.prototype;
+  ControllerProcess.prototype.step = function (input) {
     const before = process.cpuUsage();
     step.call(this, input);
     const { user, system } = process.cpuUsage(before);
@@ -104,7 +112,7 @@
 function startsOfBegun(world: World): number {
   let begun = 0;
   for (const [id, starts] of world.rules.startsByJob) {
-    begun += Math.max(0, starts - (world.rules.submitted.get(id)?.tasks ?? 0));
+    begun += Math.max(0, starts - (world.rules.submitted.get(id)?.taskCount ?? 0));
   }
   return begun;
 }
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand';
-import type { ImageName, JobId, MachineId, Team, TeamName, TypeName, ZoneName } from '../src/core/types.js';
+import type { ImageName, JobId, MachineId, MachineTypeName, TeamName, TeamQuota, ZoneName } from '../src/core/types.js';
 import type { Build } from './sim/build.js';
 import { makeSpec } from './sim/job_options.js';
 import { loadOldVersions } from './sim/old_versions.js';
@@ -15,36 +15,36 @@
 const zones = ['a', 'b'] as ZoneName[];
 const types = [
   {
-    name: 'c8' as TypeName,
+    name: 'c8' as MachineTypeName,
     cpus: 8,
     gpus: 0,
-    memGb: 32,
-    cacheGb: 20,
-    fetchGbPerS: 0.5,
-    price: 0.4,
-    spotPrice: 0.1,
-    bootS: 15,
+    memoryGb: 32,
+    imageCacheGb: 20,
+    imagePullGbPerSecond: 0.5,
+    pricePerHour: 0.4,
+    spotPricePerHour: 0.1,
+    bootSeconds: 15,
     zones,
   },
   {
-    name: 'g4' as TypeName,
+    name: 'g4' as MachineTypeName,
     cpus: 24,
     gpus: 4,
-    memGb: 144,
-    cacheGb: 20,
-    fetchGbPerS: 0.5,
-    price: 10,
-    spotPrice: 3,
-    bootS: 15,
+    memoryGb: 144,
+    imageCacheGb: 20,
+    imagePullGbPerSecond: 0.5,
+    pricePerHour: 10,
+    spotPricePerHour: 3,
+    bootSeconds: 15,
     zones,
   },
 ];
-const team = (name: string, gpus: number, gpusMax: number): Team => ({
+const team = (name: string, guaranteedGpus: number, gpuLimit: number): TeamQuota => ({
   name: name as TeamName,
-  cpus: 0,
-  cpusMax: 0,
-  gpus,
-  gpusMax,
+  guaranteedCpus: 0,
+  cpuLimit: 0,
+  guaranteedGpus,
+  gpuLimit,
 });
 const teams = [team('red', 4, 8), team('blue', 0, 0)];
 
--- a/test/recovery_properties.test.ts
+++ b/test/recovery_properties.test.ts
@@ -1,7 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import type { Attempt, ExitReason, JobId, MachineId, Steady, TeamName, TypeName, ZoneName } from '../src/core/types.js';
+import type {
+  Attempt,
+  ExitReason,
+  JobId,
+  MachineId,
+  MachineTypeName,
+  MonotonicTime,
+  TeamName,
+  ZoneName,
+} from '../src/core/types.js';
 import {
   believedZones,
   classify,
@@ -43,7 +52,7 @@
 const CPUS = 8;
 const zoneOf = (machine: number): ZoneName => ZONES[machine % ZONES.length] as ZoneName;
 const nameOf = (machine: number): MachineId => `i-${machine}` as MachineId;
-const NOW = 0 as Steady;
+const NOW = 0 as MonotonicTime;
 const TEAM = 'crew' as TeamName;
 
 interface JobState {
@@ -137,7 +146,7 @@
 function recoveryWith(truth: Truth, listed: ReadonlySet<number>): Recovery {
   const recovery = new Recovery({ term: truth.leaderTerm, now: NOW });
   for (let machine = 0; machine < MACHINES; machine++) {
-    const kind = { type: 'c8' as TypeName, zone: zoneOf(machine), spot: false, cpus: CPUS, gpus: 0 };
+    const kind = { type: 'c8' as MachineTypeName, zone: zoneOf(machine), spot: false, cpus: CPUS, gpus: 0 };
     recovery.addMachine({ id: nameOf(machine), ...kind });
   }
   recovery.onLoaded();
@@ -223,13 +232,13 @@
     const newest = new Map<number, number>();
     let now = 0;
     const drain = (): void => {
-      for (const list of backlog.takeDue(now as Steady)) looked.push({ at: now, ...list });
+      for (const list of backlog.takeDue(now as MonotonicTime)) looked.push({ at: now, ...list });
     };
     steps.forEach(({ afterMs, machine }, number) => {
       now += afterMs;
       drain();
       newest.set(machine, number);
-      if (backlog.admit(now as Steady)) {
+      if (backlog.admit(now as MonotonicTime)) {
         backlog.drop(nameOf(machine));
         looked.push({ at: now, machine, number });
       } else backlog.add(nameOf(machine), { machine, number });
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -7,30 +7,30 @@
 import { join } from 'node:path';
 import { after, before, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import type { UserAnswer, UserRequest, WorkerAnswer } from '../src/core/messages.js';
-import type { Token, WorkerReport } from '../src/core/types.js';
+import type { HeartbeatResponse, UserRequest, UserResponse } from '../src/core/messages.js';
+import type { FencingToken, Heartbeat } from '../src/core/types.js';
 import { decode, encode } from '../src/io/codecs/cbor.js';
 import { makeHttpServer } from '../src/io/http_server.js';
 
 const root = fileURLToPath(new URL('../../../', import.meta.url));
 const main = join(root, 'target/check/src/main.js');
 const seen: UserRequest[] = [];
-const reports: WorkerReport[] = [];
+const reports: Heartbeat[] = [];
 let server: Server;
 let port = 0;
 
 before(async () => {
   server = makeHttpServer(
     {
-      user: async (request): Promise<UserAnswer> => {
+      user: async (request): Promise<UserResponse> => {
         seen.push(request);
         if (request.op === 'submit' && request.spec === null) return { status: 400, problem: request.problem };
-        if (request.op === 'poll') return { status: 503, problem: 'busy', retryAfterS: 1 };
+        if (request.op === 'poll') return { status: 503, problem: 'busy', retryAfterSeconds: 1 };
         return { status: 201, id: request.id, jobStatus: 'queued', done: 0, running: 0 };
       },
-      report: async (report): Promise<WorkerAnswer> => {
+      report: async (report): Promise<HeartbeatResponse> => {
         reports.push(report);
-        return { status: 200, token: 5n as Token, commands: [] };
+        return { status: 200, fencingToken: 5n as FencingToken, commands: [] };
       },
       healthy: () => true,
       malformed: () => {},
@@ -124,7 +124,7 @@
   const service = { ...job, ref: 'job-77', shape: 'daemon', flight_s: 0, chicks: 3 };
   assert.equal((await ask('POST', '/v2/runs', encode(service))).status, 201);
   const taken = seen.at(-1);
-  assert.ok(taken?.op === 'submit' && taken.spec?.shape === 'service' && taken.spec.estimateS === 0);
+  assert.ok(taken?.op === 'submit' && taken.spec?.kind === 'service' && taken.spec.estimatedRuntimeSeconds === 0);
   const { flight_s: _left, ...short } = service;
   for (const bad of [{ ...service, shape: 'demon' }, { ...service, chicks: 0 }, { ...service, flight_s: -1 }, short]) {
     assert.equal((await ask('POST', '/v2/runs', encode(bad))).status, 400);
--- a/test/sim/build.ts
+++ b/test/sim/build.ts
@@ -1,17 +1,21 @@
 import { fileURLToPath } from 'node:url';
 import { loadFeatures } from '../../src/config/features.js';
 import { loadTuning } from '../../src/config/tuning.js';
+import { Controller } from '../../src/core/controller.js';
 import { ALL_OFF, type Features } from '../../src/core/features.js';
-import type { Input, Output } from '../../src/core/messages.js';
-import { Node } from '../../src/core/node.js';
+import type { PeerMessage } from '../../src/core/messages.js';
 import * as records from '../../src/core/records.js';
 import type { Tuning } from '../../src/core/settings.js';
 import { encodeFrame, FrameSplitter } from '../../src/io/peer/peer_codec.js';
 
+/** What a world asks of a build's controller; earlier builds keep no summary of recovery. */
+export type SimulatedController = Pick<Controller, 'step' | 'nextTimerAt' | 'isHealthy'> &
+  Partial<Pick<Controller, 'recoverySummary'>>;
+
 /** The parts of a build that a world needs: this one's, or an earlier one's. */
 export interface Build {
   readonly name: string;
-  readonly nodeClass: typeof Node;
+  readonly controllerClass: new (...properties: ConstructorParameters<typeof Controller>) => SimulatedController;
   readonly encodeFrame: typeof encodeFrame;
   readonly splitterClass: typeof FrameSplitter;
   readonly records: typeof records;
@@ -20,28 +24,25 @@
   readonly features: Features;
   /** Whether it keeps to the limits that the settings announce for later. */
   readonly readsAnnouncedLimits: boolean;
-  /** Whether its code calls messages as the present one does; on the wire nothing was renamed. */
-  readonly hasPresentNames: boolean;
-  /** Between the names that the present core uses and its own. */
-  readonly translate: { input(input: Input): Input; output(output: Output): Output };
+  /** Which names its code gives to messages, settings and records; on the wire and in storage nothing was renamed. */
+  readonly names: 'names-1' | 'names-2' | 'present';
+  /** A message to a peer as the build's own codec takes it. */
+  readonly ownMessage: (message: PeerMessage) => PeerMessage;
 }
 
-/** For builds that use the present names. */
-export const AS_IT_IS: Build['translate'] = { input: (input) => input, output: (output) => output };
-
 const deployFile = (name: string): string => fileURLToPath(new URL(`../../../../deploy/${name}`, import.meta.url));
 
 export const PRESENT: Build = {
   name: 'present',
-  nodeClass: Node,
+  controllerClass: Controller,
   encodeFrame,
   splitterClass: FrameSplitter,
   records,
   tuning: loadTuning(deployFile('tuning.toml')),
   features: loadFeatures(deployFile('features.toml')),
   readsAnnouncedLimits: true,
-  hasPresentNames: true,
-  translate: AS_IT_IS,
+  names: 'present',
+  ownMessage: (message) => message,
 };
 
 /** The present build with all features off, as an operator may run it beside others. */
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -1,5 +1,5 @@
-import type { CloudOp, CloudValue, Result } from '../../src/core/messages.js';
-import type { ListedMachine, MachineId, MachineType, ZoneName } from '../../src/core/types.js';
+import type { CloudOperation, CloudResponse, Result } from '../../src/core/messages.js';
+import type { CloudMachine, MachineId, MachineType, ZoneName } from '../../src/core/types.js';
 import type { Clock } from './clock.js';
 
 interface Rented {
@@ -31,7 +31,7 @@
 export class Cloud {
   readonly machines = new Map<MachineId, Rented>();
   private readonly answered = new Map<string, MachineId[]>();
-  private history: { at: number; list: ListedMachine[] }[] = [];
+  private history: { at: number; list: CloudMachine[] }[] = [];
   private count = 0;
   down = false;
   neverBoot = 0;
@@ -53,16 +53,16 @@
     tick();
   }
 
-  private list(): ListedMachine[] {
+  private list(): CloudMachine[] {
     return [...this.machines.values()]
       .map((machine) => ({
         id: machine.id,
-        addr: machine.phase === 'booting' ? '' : machine.id,
+        address: machine.phase === 'booting' ? '' : machine.id,
         type: machine.type.name,
         zone: machine.zone,
         spot: machine.spot,
         phase: machine.phase,
-        ageS: (this.clock.now - machine.since) / 1000,
+        ageSeconds: (this.clock.now - machine.since) / 1000,
       }))
       .sort((a, b) => (a.id < b.id ? -1 : 1));
   }
@@ -92,14 +92,14 @@
     this.events.gone(id);
   }
 
-  serve(op: CloudOp, reply: (result: Result<CloudValue>) => void): void {
+  serve(op: CloudOperation, reply: (result: Result<CloudResponse>) => void): void {
     this.clock.in(this.clock.between(50, 250), () => reply(this.run(op)));
   }
 
   /** The list as it was some time ago. */
-  private lateList(after: MachineId | null): Result<CloudValue> {
+  private lateList(after: MachineId | null): Result<CloudResponse> {
     const lag = this.clock.between(0.2, 2) * this.listLagMs;
-    let list: ListedMachine[] = [];
+    let list: CloudMachine[] = [];
     for (const entry of this.history) if (entry.at <= this.clock.now - lag) list = entry.list;
     return { ok: true, value: { machines: list.filter(({ id }) => after === null || id > after), more: false } };
   }
@@ -115,7 +115,7 @@
 
   /** How long a machine takes to come up; null: for ever. */
   private bootMs(type: MachineType, zone: ZoneName): number | null {
-    const usual = type.bootS * 1000 * this.clock.between(0.6, 1.5);
+    const usual = type.bootSeconds * 1000 * this.clock.between(0.6, 1.5);
     const trouble = this.bootTroubles.find(
       (each) => this.clock.now < each.until && (each.zone === null || each.zone === zone),
     );
@@ -123,10 +123,10 @@
     return this.clock.between(0, 1) < trouble.neverShare ? null : usual * trouble.factor;
   }
 
-  private rent(op: Extract<CloudOp, { op: 'rent' }>): Result<CloudValue> {
-    const before = this.answered.get(op.request);
-    if (before) return { ok: true, value: { rented: before } };
-    const type = this.types.find(({ name }) => name === op.type);
+  private rent(op: Extract<CloudOperation, { op: 'rent' }>): Result<CloudResponse> {
+    const before = this.answered.get(op.idempotencyKey);
+    if (before) return { ok: true, value: { provisioned: before } };
+    const type = this.types.find(({ name }) => name === op.machineType);
     const free = this.capacity - this.machines.size;
     if (!type || free <= 0) return { ok: false, why: 'no_capacity' };
     const ids: MachineId[] = [];
@@ -136,15 +136,15 @@
       ids.push(this.add(type, op.zone, op.spot, never ? null : this.bootMs(type, op.zone)));
       this.rentals += 1;
     }
-    this.answered.set(op.request, ids);
-    return { ok: true, value: { rented: ids } };
+    this.answered.set(op.idempotencyKey, ids);
+    return { ok: true, value: { provisioned: ids } };
   }
 
-  private run(op: CloudOp): Result<CloudValue> {
+  private run(op: CloudOperation): Result<CloudResponse> {
     if (this.down) return { ok: false, why: 'refused' };
     switch (op.op) {
       case 'types':
-        return { ok: true, value: { types: this.types.map((type) => ({ ...type })) } };
+        return { ok: true, value: { machineTypes: this.types.map((type) => ({ ...type })) } };
       case 'list':
         return this.lateList(op.after);
       case 'rent':
--- a/test/sim/controller.ts
+++ b/test/sim/controller.ts
@@ -1,29 +1,35 @@
 import type {
+  CommandPushResponse,
+  HeartbeatResponse,
   Input,
   Output,
   PeerMessage,
   Result,
-  StoreValue,
-  UserAnswer,
+  StateStoreResponse,
   UserRequest,
-  WorkerAnswer,
-  WorkerValue,
+  UserResponse,
 } from '../../src/core/messages.js';
-import type { Node } from '../../src/core/node.js';
 import type { Settings } from '../../src/core/settings.js';
-import type { MachineId, NodeName, Now, Steady, Wall, WorkerReport } from '../../src/core/types.js';
+import type {
+  ClockReading,
+  ControllerName,
+  Heartbeat,
+  MachineId,
+  MonotonicTime,
+  WallClockTime,
+} from '../../src/core/types.js';
 import { checkExpiry } from '../../src/io/expired_outputs.js';
 import type { FrameSplitter, PeerFrame } from '../../src/io/peer/peer_codec.js';
 import type { RecoverySummary } from '../../src/recovery/index.js';
-import { type Build, isPresent } from './build.js';
+import { type Build, isPresent, type SimulatedController } from './build.js';
 import type { Cloud } from './cloud.js';
 import type { World } from './world.js';
 
 /** A controller process as the world runs it: killed without a word, started again with nothing. */
-export class Controller {
-  private node: Node | null = null;
+export class ControllerProcess {
+  private node: SimulatedController | null = null;
   /** One for each peer that speaks to it over bytes. */
-  private splitters = new Map<NodeName, FrameSplitter>();
+  private splitters = new Map<ControllerName, FrameSplitter>();
   private callbacks = new Map<number, (answer: never) => void>();
   private requests = 0;
   private timerSeq = 0;
@@ -36,7 +42,7 @@
 
   constructor(
     private readonly world: World,
-    readonly name: NodeName,
+    readonly name: ControllerName,
     private readonly settings: (build: Build) => Settings,
     public build: Build,
   ) {}
@@ -52,7 +58,7 @@
 
   get healthy(): boolean {
     if (this.world.clock.now < this.frozenUntil) return false;
-    return this.node?.healthy(this.now().steady) ?? false;
+    return this.node?.isHealthy(this.now().monotonic) ?? false;
   }
 
   start(): void {
@@ -60,7 +66,7 @@
     this.starts += 1;
     this.epoch += 1;
     const { world } = this;
-    this.node = new this.build.nodeClass(
+    this.node = new this.build.controllerClass(
       this.settings(this.build),
       isPresent(this.build) ? world.options.tuning : this.build.tuning,
       `${this.name}-${this.starts}`,
@@ -80,9 +86,9 @@
     this.epoch += 1;
   }
 
-  private now(): Now {
+  private now(): ClockReading {
     const elapsed = this.world.clock.now;
-    return { steady: elapsed as Steady, wall: (1_790_000_000_000 + elapsed) as Wall };
+    return { monotonic: elapsed as MonotonicTime, wallClock: (1_790_000_000_000 + elapsed) as WallClockTime };
   }
 
   /** The process stands still while its clocks run on; what comes meanwhile waits in its sockets. */
@@ -109,11 +115,10 @@
       if (input.kind !== 'timer') this.inputsWhileFrozen.push(input);
       return;
     }
-    const { translate } = this.build;
-    const outputs = node.step(this.now(), translate.input(input)).map((output) => translate.output(output));
+    const outputs = node.step(this.now(), input);
     if (this.pauseBeforeSending?.isDue(outputs)) this.carryOutAfterPause(outputs);
     else for (const output of outputs) this.carryOutIfDue(output);
-    const next = node.nextTimer();
+    const next = node.nextTimerAt();
     if (next === null) return;
     const ifAlive = ++this.timerSeq;
     this.world.clock.in(Math.max(1, next - this.world.clock.now), () => {
@@ -134,7 +139,7 @@
   }
 
   private carryOutIfDue(output: Output): void {
-    const { output: due, reply } = checkExpiry(output, this.now().steady);
+    const { output: due, reply } = checkExpiry(output, this.now().monotonic);
     if (due) this.carryOut(due);
     if (reply)
       this.world.clock.in(
@@ -158,66 +163,72 @@
     switch (output.kind) {
       case 'answerUser':
       case 'answerWorker': {
-        const wait = this.callbacks.get(output.req);
-        this.callbacks.delete(output.req);
-        wait?.(output.answer as never);
+        const wait = this.callbacks.get(output.requestId);
+        this.callbacks.delete(output.requestId);
+        wait?.(output.response as never);
         break;
       }
       case 'store': {
-        const done = this.mine((result: Result<StoreValue> | null) =>
-          this.step({ kind: 'storeReply', call: output.call, result: result ?? { ok: false, why: 'unknown' } }),
+        const done = this.mine((result: Result<StateStoreResponse> | null) =>
+          this.step({ kind: 'storeReply', callId: output.callId, result: result ?? { ok: false, why: 'unknown' } }),
         );
-        world.meters.storeOp(output.op);
+        world.meters.storeOp(output.operation);
         network.call(
           this.name,
           'state',
           output.timeoutMs,
-          (reply) => world.state.serve(this.name, output.op, reply),
+          (reply) => world.state.serve(this.name, output.operation, reply),
           done,
         );
         break;
       }
       case 'cloud': {
         const done = this.mine((result: Parameters<Parameters<Cloud['serve']>[1]>[0] | null) =>
-          this.step({ kind: 'cloudReply', call: output.call, result: result ?? { ok: false, why: 'unknown' } }),
+          this.step({ kind: 'cloudReply', callId: output.callId, result: result ?? { ok: false, why: 'unknown' } }),
         );
         world.meters.cloudOp();
-        network.call(this.name, 'cloud', 4000, (reply) => world.cloud.serve(output.op, reply), done);
+        network.call(this.name, 'cloud', 4000, (reply) => world.cloud.serve(output.operation, reply), done);
         break;
       }
       case 'worker': {
-        const carriedOut = this.mine((value: WorkerValue | null) =>
+        const carriedOut = this.mine((value: CommandPushResponse | null) =>
           this.step({
             kind: 'workerReply',
-            call: output.call,
+            callId: output.callId,
             result: value ? { ok: true, value } : { ok: false, why: 'unknown' },
           }),
         );
         world.meters.commandsOpened(1);
-        const done = (value: WorkerValue | null): void => {
+        const done = (value: CommandPushResponse | null): void => {
           world.meters.commandsOpened(-1);
           carriedOut(value);
         };
-        const worker = world.workers.get(output.op.addr as MachineId);
-        network.call(this.name, output.op.addr, 2500, (reply) => worker?.takeCommands(output.op, reply), done);
+        const worker = world.workers.get(output.operation.address as MachineId);
+        network.call(
+          this.name,
+          output.operation.address,
+          2500,
+          (reply) => worker?.takeCommands(output.operation, reply),
+          done,
+        );
         break;
       }
       case 'peer': {
-        const to = world.nodes.find((node) => node.name === output.to);
+        const to = world.nodes.find((node) => node.name === output.recipient);
         if (world.bytes) {
-          const frame = this.build.encodeFrame(output.message);
-          network.send(this.name, output.to, () => to?.fromPeerBytes(this.name, frame));
+          const frame = this.build.encodeFrame(this.build.ownMessage(output.message));
+          network.send(this.name, output.recipient, () => to?.fromPeerBytes(this.name, frame));
           break;
         }
         world.meters.frame(output.message);
-        network.send(this.name, output.to, () => to?.fromPeer(this.name, output.message));
+        network.send(this.name, output.recipient, () => to?.fromPeer(this.name, output.message));
         break;
       }
       case 'log':
         world.meters.logLine(output);
         if (world.verbose)
-          console.error((world.clock.now / 1000).toFixed(2), this.name, output.level, output.text, output.fields);
-        if (output.level === 'error') world.errors.push(`${output.text} ${JSON.stringify(output.fields)}`);
+          console.error((world.clock.now / 1000).toFixed(2), this.name, output.level, output.event, output.fields);
+        if (output.level === 'error') world.errors.push(`${output.event} ${JSON.stringify(output.fields)}`);
         break;
     }
   }
@@ -226,12 +237,12 @@
     return this.node?.recoverySummary?.() ?? null;
   }
 
-  fromPeer(from: NodeName, message: PeerMessage): void {
-    this.step({ kind: 'peer', from, message });
+  fromPeer(sender: ControllerName, message: PeerMessage): void {
+    this.step({ kind: 'peer', sender, message });
   }
 
   /** As the link does it: a frame that the build can't take ends the connection. */
-  fromPeerBytes(from: NodeName, frame: Buffer): void {
+  fromPeerBytes(from: ControllerName, frame: Buffer): void {
     if (!this.node) return;
     const splitter = this.splitters.get(from) ?? new this.build.splitterClass();
     this.splitters.set(from, splitter);
@@ -246,17 +257,17 @@
     for (const frame of frames) if (frame.kind !== 'hello') this.fromPeer(from, frame);
   }
 
-  report(report: WorkerReport, reply: (answer: WorkerAnswer) => void): void {
+  report(heartbeat: Heartbeat, reply: (answer: HeartbeatResponse) => void): void {
     if (!this.node) return;
-    const req = ++this.requests;
-    this.callbacks.set(req, reply as (answer: never) => void);
-    this.step({ kind: 'report', req, report });
+    const requestId = ++this.requests;
+    this.callbacks.set(requestId, reply as (answer: never) => void);
+    this.step({ kind: 'report', requestId, heartbeat });
   }
 
-  user(request: UserRequest, reply: (answer: UserAnswer) => void): void {
+  user(request: UserRequest, reply: (answer: UserResponse) => void): void {
     if (!this.node) return;
-    const req = ++this.requests;
-    this.callbacks.set(req, reply as (answer: never) => void);
-    this.step({ kind: 'user', req, request });
+    const requestId = ++this.requests;
+    this.callbacks.set(requestId, reply as (answer: never) => void);
+    this.step({ kind: 'user', requestId, request });
   }
 }
--- a/test/sim/idle_room.ts
+++ b/test/sim/idle_room.ts
@@ -48,14 +48,14 @@
 
   /** A machine of those that would take it now, or null. */
   private room(spec: JobSpec): Worker | null {
-    const together = spec.shape === 'gang' ? spec.tasks : 1;
+    const together = spec.kind === 'gang' ? spec.taskCount : 1;
     // A gang that spreads needs room in several zones: not judged here.
-    if (!this.underLimit(spec, together) || (spec.spread && together > 1)) return null;
+    if (!this.underLimit(spec, together) || (spec.zoneSpread && together > 1)) return null;
     const perZone = new Map<string, { tasks: number; worker: Worker }>();
     for (const worker of this.world.workers.values()) {
       const tasks = this.takes(worker, spec);
       if (tasks <= 0) continue;
-      const zone = spec.sameZone ? worker.zone : 'any';
+      const zone = spec.singleZone ? worker.zone : 'any';
       const found = perZone.get(zone) ?? { tasks: 0, worker };
       found.tasks += tasks;
       perZone.set(zone, found);
@@ -66,18 +66,18 @@
 
   private takes(worker: Worker, spec: JobSpec): number {
     if (!worker.alive || worker.hung || worker.failsTasks || worker.speed < 1 || worker.noticeAt !== null) return 0;
-    if ((worker.spot && !spec.spotOk) || (spec.zone !== null && spec.zone !== worker.zone)) return 0;
-    if (spec.types !== null && !spec.types.includes(worker.type.name)) return 0;
-    let { cpus, gpus, memGb } = worker.type;
+    if ((worker.spot && !spec.toleratesSpot) || (spec.zone !== null && spec.zone !== worker.zone)) return 0;
+    if (spec.allowedMachineTypes !== null && !spec.allowedMachineTypes.includes(worker.type.name)) return 0;
+    let { cpus, gpus, memoryGb } = worker.type;
     for (const task of worker.tasks.values()) {
       const other = this.world.rules.specOf(task.job);
       if (!other || task.phase === 'exited') continue;
       cpus -= other.cpus;
       gpus -= other.gpus;
-      memGb -= other.memGb;
+      memoryGb -= other.memoryGb;
     }
     const of = (free: number, each: number): number => (each > 0 ? Math.floor(free / each + 1e-6) : 1000);
-    return Math.min(of(cpus, spec.cpus), of(gpus, spec.gpus), of(memGb, spec.memGb));
+    return Math.min(of(cpus, spec.cpus), of(gpus, spec.gpus), of(memoryGb, spec.memoryGb));
   }
 
   private underLimit(spec: JobSpec, tasks: number): boolean {
@@ -93,6 +93,6 @@
         gpus += other.gpus;
       }
     }
-    return (team.cpusMax <= 0 || cpus <= team.cpusMax) && (team.gpusMax <= 0 || gpus <= team.gpusMax);
+    return (team.cpuLimit <= 0 || cpus <= team.cpuLimit) && (team.gpuLimit <= 0 || gpus <= team.gpuLimit);
   }
 }
--- a/test/sim/invalid_requests.ts
+++ b/test/sim/invalid_requests.ts
@@ -17,7 +17,7 @@
   const { clock, rules } = world;
   const all = [...rules.submitted.values()].filter((spec) => rules.isAccepted(spec.id));
   const id = `job-9${String(clock.now | 0)}${turn}` as JobId;
-  const impossible = (shape: JobSpec['shape'], options: Options, excused?: (asked: Build) => boolean): void => {
+  const impossible = (shape: JobSpec['kind'], options: Options, excused?: (asked: Build) => boolean): void => {
     const spec = makeSpec(id, shape, options);
     rules.neverRuns.add(id);
     world.request({ op: 'submit', id, spec, problem: '' }, excused);
--- a/test/sim/job_options.ts
+++ b/test/sim/job_options.ts
@@ -1,4 +1,12 @@
-import type { ImageName, JobId, JobSpec, Rank, TeamName, TypeName, ZoneName } from '../../src/core/types.js';
+import type {
+  ImageName,
+  JobId,
+  JobSpec,
+  MachineTypeName,
+  PriorityLevel,
+  TeamName,
+  ZoneName,
+} from '../../src/core/types.js';
 
 export type Options = Record<string, string>;
 
@@ -15,27 +23,27 @@
 export const num = (options: Options, key: string, otherwise: number): number =>
   options[key] === undefined ? otherwise : Number(options[key]);
 
-export function makeSpec(id: string, shape: JobSpec['shape'], options: Options): JobSpec {
+export function makeSpec(id: string, kind: JobSpec['kind'], options: Options): JobSpec {
   return {
     id: id as JobId,
     jobClass: options.class ?? 'test',
     team: (options.team ?? 'crew') as TeamName,
-    shape,
-    rank: num(options, 'rank', 1) as Rank,
-    tasks: num(options, 'tasks', 1),
+    kind,
+    priorityLevel: num(options, 'rank', 1) as PriorityLevel,
+    taskCount: num(options, 'tasks', 1),
     cpus: num(options, 'cpus', 1),
     gpus: num(options, 'gpus', 0),
-    memGb: num(options, 'mem', 1),
+    memoryGb: num(options, 'mem', 1),
     image: (options.image ?? 'img-1') as ImageName,
     imageGb: num(options, 'imageGb', 1),
-    types: options.types === undefined ? null : (options.types.split(',') as TypeName[]),
+    allowedMachineTypes: options.types === undefined ? null : (options.types.split(',') as MachineTypeName[]),
     zone: (options.zone ?? null) as ZoneName | null,
-    sameZone: options.sameZone !== undefined,
-    spread: options.spread !== undefined,
-    spotOk: options.spot !== undefined,
-    estimateS: num(options, 'estimate', num(options, 'run', 10)),
-    checkpointS: num(options, 'checkpoint', 0),
-    saveS: num(options, 'save', 1),
-    deadlineS: null,
+    singleZone: options.sameZone !== undefined,
+    zoneSpread: options.spread !== undefined,
+    toleratesSpot: options.spot !== undefined,
+    estimatedRuntimeSeconds: num(options, 'estimate', num(options, 'run', 10)),
+    checkpointIntervalSeconds: num(options, 'checkpoint', 0),
+    checkpointDurationSeconds: num(options, 'save', 1),
+    deadlineSeconds: null,
   };
 }
--- a/test/sim/meters.ts
+++ b/test/sim/meters.ts
@@ -1,4 +1,4 @@
-import type { Output, PeerMessage, StoreOp } from '../../src/core/messages.js';
+import type { Output, PeerMessage, StateStoreOperation } from '../../src/core/messages.js';
 import { encodeFrame } from '../../src/io/peer/peer_codec.js';
 import type { Clock } from './clock.js';
 
@@ -46,7 +46,7 @@
     return this.cloudCalls.most;
   }
 
-  storeOp(op: StoreOp): void {
+  storeOp(op: StateStoreOperation): void {
     this.storeCalls.add(this.clock.now, 1);
     if (op.op === 'txn') this.storeChanges.add(this.clock.now, op.changes.length);
   }
@@ -65,8 +65,8 @@
   }
 
   /** What the leader says of its rounds and of machines at fault. */
-  logLine({ text, fields }: Extract<Output, { kind: 'log' }>): void {
-    if (text === 'round') this.maxRoundSteps = Math.max(this.maxRoundSteps, Number(fields.steps));
-    else if (text === 'machine fails what it starts: taking it out of use') this.takenOutOfUse += 1;
+  logLine({ event, fields }: Extract<Output, { kind: 'log' }>): void {
+    if (event === 'round') this.maxRoundSteps = Math.max(this.maxRoundSteps, Number(fields.steps));
+    else if (event === 'machine fails what it starts: taking it out of use') this.takenOutOfUse += 1;
   }
 }
--- a/test/sim/old_versions.ts
+++ b/test/sim/old_versions.ts
@@ -1,10 +1,13 @@
 import { existsSync, readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
+import type { Controller } from '../../src/core/controller.js';
 import { ALL_OFF } from '../../src/core/features.js';
-import type { Input, JobStatus, Output, UserAnswer } from '../../src/core/messages.js';
+import type { Input, JobStatus, Output, PeerMessage, UserResponse } from '../../src/core/messages.js';
 import type { Tuning } from '../../src/core/settings.js';
+import type { ClockReading, MonotonicTime } from '../../src/core/types.js';
 import type { PeerFrame } from '../../src/io/peer/peer_codec.js';
-import { AS_IT_IS, type Build } from './build.js';
+import type { Build, SimulatedController } from './build.js';
+import { oldClockReading, oldInput, oldMessage, oldSettings, presentMessage, presentOutput } from './old_names.js';
 
 const repositoryFile = (path: string): URL => new URL(`../../../../${path}`, import.meta.url);
 const readText = (path: string): string => readFileSync(repositoryFile(path), 'utf8');
@@ -13,7 +16,7 @@
   readonly name: string;
   readonly commit: string;
   readonly readsAnnouncedLimits: boolean;
-  readonly hasPresentNames: boolean;
+  readonly names: 'names-1' | 'names-2';
 }
 
 function productionCommit(): string {
@@ -33,13 +36,13 @@
       name,
       commit: name === 'production' ? productionCommit() : commit,
       readsAnnouncedLimits: limits === 'announced-limits',
-      hasPresentNames: names === 'present-names',
+      names: names === 'names-2' ? names : 'names-1',
     };
   });
 }
 
 async function load(version: OldVersion): Promise<Build> {
-  const { name, commit, readsAnnouncedLimits, hasPresentNames } = version;
+  const { name, commit, readsAnnouncedLimits, names } = version;
   const directory = `target/old_versions/${commit}`;
   if (!existsSync(fileURLToPath(repositoryFile(`${directory}/built`)))) {
     throw new Error(
@@ -48,16 +51,17 @@
   }
   const part = async <T>(path: string): Promise<T> =>
     (await import(repositoryFile(`${directory}/build/${path}.js`).href)) as T;
-  const { Node: nodeClass } = await part<typeof import('../../src/core/node.js')>('core/node');
+  const { Node: nodeClass } = await part<Readonly<Record<'Node', OldNodeClass>>>('core/node');
   const { encodeFrame, FrameSplitter: splitterClass } = await part<typeof import('../../src/io/peer/peer_codec.js')>(
-    hasPresentNames ? 'io/peer/peer_codec' : 'io/peer_codec',
+    names === 'names-2' ? 'io/peer/peer_codec' : 'io/peer_codec',
   );
   const records = await part<Build['records']>('core/records');
   const { loadTuning } = await part<{ loadTuning: (file: string) => Tuning }>('config/tuning');
   const tuning = loadTuning(fileURLToPath(repositoryFile(`${directory}/checkout/deploy/tuning.toml`)));
-  const translate = hasPresentNames ? AS_IT_IS : { input: oldInput, output: presentOutput };
-  const properties = { name, tuning, features: ALL_OFF, readsAnnouncedLimits, hasPresentNames };
-  return { ...properties, nodeClass, encodeFrame, splitterClass, records, translate };
+  const controllerClass = controllerClassOf(nodeClass, names);
+  const ownMessage = names === 'names-2' ? oldMessage<PeerMessage> : (message: PeerMessage): PeerMessage => message;
+  const properties = { name, tuning, features: ALL_OFF, readsAnnouncedLimits, names };
+  return { ...properties, controllerClass, ownMessage, encodeFrame, splitterClass, records };
 }
 
 let loading: Promise<ReadonlyMap<string, Build>> | null = null;
@@ -70,7 +74,7 @@
   return loading;
 }
 
-/** How the builds of test/old_versions.txt name what has been renamed since; on the wire nothing was. */
+/** How builds with `names-1` call what those with `names-2` renamed; on the wire nothing was. */
 const OLD_FRAME_KINDS: Readonly<Record<string, string>> = {
   request: 'relay',
   requestAnswer: 'relayed',
@@ -81,27 +85,77 @@
 };
 
 /** A frame as an old version names its parts: the bytes are the same. */
-export function oldFrame(build: Build, frame: PeerFrame): unknown {
-  if (build.hasPresentNames) return frame;
+export function oldFrame(build: Build, present: PeerFrame): unknown {
+  const frame = oldMessage(present) as OldFrame;
+  if (build.names === 'names-2') return frame;
   if (frame.kind === 'status') {
     const { reportsPerS, acknowledgesCancellations, ...status } = frame.status;
     const later = build.name === 'production' ? {} : { heedsWord: acknowledgesCancellations };
     return { kind: 'status', status: { ...status, beatsPerS: reportsPerS, ...later } };
   }
   const kind = OLD_FRAME_KINDS[frame.kind] ?? frame.kind;
-  if (frame.kind !== 'requestAnswer' || !('jobStatus' in frame.answer)) return { ...frame, kind };
+  if (frame.kind !== 'requestAnswer' || frame.answer.jobStatus === undefined) return { ...frame, kind };
   const { jobStatus, ...answer } = frame.answer;
   return { ...frame, kind, answer: { ...answer, mood: jobStatus } };
 }
 
-/** An input as the core of an old version names it. */
-const oldInput = (input: Input): Input =>
-  input.kind === 'report' ? ({ ...input, kind: 'beat' } as unknown as Input) : input;
+/** What is looked at of a frame with `names-2`. */
+type OldFrame =
+  | {
+      readonly kind: 'status';
+      readonly status: { readonly reportsPerS: number; readonly acknowledgesCancellations: boolean };
+    }
+  | { readonly kind: 'requestAnswer'; readonly answer: { readonly jobStatus?: JobStatus } }
+  | { readonly kind: 'report' };
 
-/** An output of an old version's core as the present one names it. */
-function presentOutput(output: Output): Output {
+/** The class of an old build's controllers. */
+type OldNodeClass = new (
+  settings: unknown,
+  tuning: Tuning,
+  incarnation: string,
+  seed: number,
+  start: unknown,
+) => {
+  step(now: unknown, input: unknown): { readonly kind: string }[];
+  nextTimer(): MonotonicTime | null;
+  healthy(now: MonotonicTime): boolean;
+};
+
+/** Makes the controllers of an old build usable under the present names. */
+function controllerClassOf(nodeClass: OldNodeClass, names: OldVersion['names']): Build['controllerClass'] {
+  return class implements SimulatedController {
+    private readonly node: InstanceType<OldNodeClass>;
+
+    constructor(...[settings, tuning, incarnation, seed, start]: ConstructorParameters<typeof Controller>) {
+      this.node = new nodeClass(oldSettings(settings), tuning, incarnation, seed, oldClockReading(start));
+    }
+
+    step(now: ClockReading, input: Input): Output[] {
+      const old = oldInput(input) as { readonly kind: string };
+      if (names === 'names-2') {
+        return this.node.step(oldClockReading(now), old).map((output) => presentOutput(output, presentMessage));
+      }
+      const earlier = old.kind === 'report' ? { ...old, kind: 'beat' } : old;
+      // Its messages to peers stay as its own codec takes them.
+      return this.node
+        .step(oldClockReading(now), earlier)
+        .map((output) => withJobStatus(presentOutput(output, (message) => message)));
+    }
+
+    nextTimerAt(): MonotonicTime | null {
+      return this.node.nextTimer();
+    }
+
+    isHealthy(now: MonotonicTime): boolean {
+      return this.node.healthy(now);
+    }
+  };
+}
+
+/** An output of a build with `names-1`, whose answers to users call the job's status otherwise. */
+function withJobStatus(output: Output): Output {
   if (output.kind !== 'answerUser') return output;
-  const { mood, ...answer } = output.answer as UserAnswer & { mood?: JobStatus };
+  const { mood, ...response } = output.response as UserResponse & { mood?: JobStatus };
   if (mood === undefined) return output;
-  return { ...output, answer: { ...answer, jobStatus: mood } as UserAnswer };
+  return { ...output, response: { ...response, jobStatus: mood } as UserResponse };
 }
--- a/test/sim/orders.ts
+++ b/test/sim/orders.ts
@@ -1,4 +1,4 @@
-import type { WorkerOp } from '../../src/core/messages.js';
+import type { CommandPush } from '../../src/core/messages.js';
 import type { Command } from '../../src/core/types.js';
 
 export type OrderKind = Command['op'] | 'inquiry';
@@ -21,7 +21,7 @@
   }
 
   /** A direct call without commands only asks for the list of tasks. */
-  directCall({ commands }: WorkerOp): void {
+  directCall({ commands }: CommandPush): void {
     if (commands.length === 0) this.add('inquiry');
   }
 
--- a/test/sim/recovery_events.ts
+++ b/test/sim/recovery_events.ts
@@ -1,6 +1,6 @@
 import { RangeSet } from '../../src/core/jobs/range_set.js';
 import { decodeJob, encodeJob, jobKey, pageKey } from '../../src/core/records.js';
-import type { Attempt, JobId, MachineId, Wall } from '../../src/core/types.js';
+import type { Attempt, JobId, MachineId, WallClockTime } from '../../src/core/types.js';
 import { makeSpec, num, readOptions } from './job_options.js';
 import type { Worker } from './worker.js';
 import type { World } from './world.js';
@@ -46,7 +46,7 @@
     const spec = world.rules.planted.get(id as JobId);
     if (!spec) throw new Error(`${id} was not planted`);
     world.follow(spec, world.runMs(spec.id));
-    const record = { spec, submittedAt: world.clock.now as Wall, state: 'accepted', startTerm: 1 } as const;
+    const record = { spec, submittedAt: world.clock.now as WallClockTime, state: 'accepted', startTerm: 1 } as const;
     const value = encodeJob({ ...record, startZone: null, startZones: null, done: new RangeSet() }, 8192);
     world.state.overwrite(jobKey(spec.id), value);
   },
--- a/test/sim/rules.ts
+++ b/test/sim/rules.ts
@@ -1,5 +1,5 @@
-import type { JobStatus, UserAnswer } from '../../src/core/messages.js';
-import type { JobId, JobSpec, MachineId, MachineType, Team, ZoneName } from '../../src/core/types.js';
+import type { JobStatus, UserResponse } from '../../src/core/messages.js';
+import type { JobId, JobSpec, MachineId, MachineType, TeamQuota, ZoneName } from '../../src/core/types.js';
 import type { Clock } from './clock.js';
 
 interface OnMachine {
@@ -17,7 +17,7 @@
   const byClass = new Map<string, JobSpec[]>();
   for (const spec of specs) byClass.set(spec.jobClass, [...(byClass.get(spec.jobClass) ?? []), spec]);
   return [...byClass.values()].flatMap((jobs) => {
-    const largestFirst = jobs.sort((a, b) => b.tasks - a.tasks);
+    const largestFirst = jobs.sort((a, b) => b.taskCount - a.taskCount);
     return largestFirst.slice(0, Math.ceil(largestFirst.length / 10));
   });
 }
@@ -57,7 +57,7 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly teams: readonly Team[],
+    private readonly teams: readonly TeamQuota[],
     private readonly cancelMs: number,
   ) {}
 
@@ -109,7 +109,7 @@
       if (served) tally.served += 1;
       counts.set(key, tally);
     };
-    const finite = this.wantedJobs().filter((spec) => spec.shape !== 'service');
+    const finite = this.wantedJobs().filter((spec) => spec.kind !== 'service');
     for (const spec of finite) {
       count(`class ${spec.jobClass}`, this.isDone(spec.id));
       count(`team ${spec.team}`, this.isDone(spec.id));
@@ -166,7 +166,7 @@
     const places = tasks.get(index) ?? [];
     if (places.length > 0) this.breakRule('ran_twice', `${job}/${index} on ${machine} and ${places[0]?.machine}`);
     this.checkPlace(spec, type, zone, spot);
-    if (spec.sameZone || spec.spread) {
+    if (spec.singleZone || spec.zoneSpread) {
       const zones = [...tasks.values()].flat().map((place) => place.zone);
       this.checkZones(spec, zone, zones);
     }
@@ -178,18 +178,18 @@
 
   private checkPlace(spec: JobSpec, type: MachineType, zone: ZoneName, spot: boolean): void {
     const { id } = spec;
-    const wrongType = spec.types !== null && !spec.types.includes(type.name);
+    const wrongType = spec.allowedMachineTypes !== null && !spec.allowedMachineTypes.includes(type.name);
     if (wrongType) this.breakRule('wrong_place', `${id} on type ${type.name}`);
     if (spec.zone !== null && spec.zone !== zone) this.breakRule('wrong_place', `${id} in zone ${zone}`);
-    if (spot && !spec.spotOk) this.breakRule('wrong_place', `${id} on a spot machine`);
+    if (spot && !spec.toleratesSpot) this.breakRule('wrong_place', `${id} on a spot machine`);
   }
 
   /** `others`: the zones of the job's other tasks. */
   private checkZones(spec: JobSpec, zone: ZoneName, others: readonly ZoneName[]): void {
     const { id } = spec;
-    if (spec.sameZone && others.some((other) => other !== zone)) this.breakRule('wrong_place', `${id} in two zones`);
+    if (spec.singleZone && others.some((other) => other !== zone)) this.breakRule('wrong_place', `${id} in two zones`);
     const here = others.filter((other) => other === zone).length + 1;
-    const tooMany = spec.spread && here > Math.ceil(spec.tasks / 2);
+    const tooMany = spec.zoneSpread && here > Math.ceil(spec.taskCount / 2);
     if (tooMany) this.breakRule('wrong_place', `${id} has too many tasks in zone ${zone}`);
   }
 
@@ -219,7 +219,7 @@
   }
 
   isDone(job: JobId): boolean {
-    return (this.done.get(job)?.size ?? 0) >= (this.submitted.get(job)?.tasks ?? Number.POSITIVE_INFINITY);
+    return (this.done.get(job)?.size ?? 0) >= (this.submitted.get(job)?.taskCount ?? Number.POSITIVE_INFINITY);
   }
 
   finalOf(job: JobId): string | undefined {
@@ -237,7 +237,7 @@
 
   private checkQuota(spec: JobSpec): void {
     const team = this.teams.find((each) => each.name === spec.team);
-    if (!team || (team.cpusMax <= 0 && team.gpusMax <= 0)) return;
+    if (!team || (team.cpuLimit <= 0 && team.gpuLimit <= 0)) return;
     let cpus = 0;
     let gpus = 0;
     for (const [id, tasks] of this.tasksOnMachines) {
@@ -247,12 +247,12 @@
       cpus += count * other.cpus;
       gpus += count * other.gpus;
     }
-    if (team.cpusMax > 0 && cpus > team.cpusMax + 1e-6) this.breakRule('quota', `${team.name}: ${cpus} cpus`);
-    if (team.gpusMax > 0 && gpus > team.gpusMax + 1e-6) this.breakRule('quota', `${team.name}: ${gpus} gpus`);
+    if (team.cpuLimit > 0 && cpus > team.cpuLimit + 1e-6) this.breakRule('quota', `${team.name}: ${cpus} cpus`);
+    if (team.gpuLimit > 0 && gpus > team.gpuLimit + 1e-6) this.breakRule('quota', `${team.name}: ${gpus} gpus`);
   }
 
   /** An answer that reached a user. One that a node gave before the user was told of an end may still say otherwise. */
-  onAnswer(job: JobId, answer: UserAnswer, givenAt = this.clock.now): void {
+  onAnswer(job: JobId, answer: UserResponse, givenAt = this.clock.now): void {
     if (!('jobStatus' in answer)) this.onRefusal(job, answer.status);
     else if (this.neverRuns.has(job)) this.breakRule('taken', `${job} can't run or lacks a field`);
     else this.onJobStatus(job, answer.jobStatus, givenAt);
--- a/test/sim/sample_messages.ts
+++ b/test/sim/sample_messages.ts
@@ -1,5 +1,5 @@
-import type { UserAnswer, UserRequest } from '../../src/core/messages.js';
-import type { Attempt, MachineId, NodeName, Token } from '../../src/core/types.js';
+import type { UserRequest, UserResponse } from '../../src/core/messages.js';
+import type { Attempt, ControllerName, FencingToken, MachineId } from '../../src/core/types.js';
 import { decodeJob } from '../../src/io/codecs/user_codec.js';
 import { decodeReport } from '../../src/io/codecs/worker_codec.js';
 import type { PeerFrame } from '../../src/io/peer/peer_codec.js';
@@ -48,26 +48,26 @@
 export const spec = decodeJob(job);
 /** Frames between nodes of every kind, with every shape of their payloads. */
 export const frames: PeerFrame[] = [
-  { kind: 'hello', node: 'perch-1' as NodeName },
+  { kind: 'hello', node: 'perch-1' as ControllerName },
   {
     kind: 'status',
     status: {
-      leading: true,
-      storeOk: false,
-      workersHeardMs: 1234,
-      reportsPerS: 12.5,
-      takesReports: true,
+      isLeader: true,
+      stateStoreReachable: false,
+      sinceLastHeartbeatMs: 1234,
+      heartbeatsPerSecond: 12.5,
+      prefersDirectHeartbeats: true,
       acknowledgesCancellations: false,
     },
   },
   {
     kind: 'status',
     status: {
-      leading: false,
-      storeOk: true,
-      workersHeardMs: -1,
-      reportsPerS: 0,
-      takesReports: false,
+      isLeader: false,
+      stateStoreReachable: true,
+      sinceLastHeartbeatMs: -1,
+      heartbeatsPerSecond: 0,
+      prefersDirectHeartbeats: false,
       acknowledgesCancellations: true,
     },
   },
@@ -78,41 +78,53 @@
   {
     kind: 'request',
     id: 8,
-    request: { op: 'submit', id: spec.id, spec: { ...spec, types: null, deadlineS: null }, problem: '' },
+    request: {
+      op: 'submit',
+      id: spec.id,
+      spec: { ...spec, allowedMachineTypes: null, deadlineSeconds: null },
+      problem: '',
+    },
   },
   { kind: 'request', id: 9, request: { op: 'poll', id: spec.id } as UserRequest },
-  { kind: 'requestAnswer', id: 7, answer: { status: 201, id: spec.id, jobStatus: 'queued', done: 0, running: 0 } },
-  { kind: 'requestAnswer', id: 8, answer: { status: 503, problem: 'später', retryAfterS: 1 } as UserAnswer },
-  { kind: 'requestAnswer', id: 9, answer: { status: 404, problem: 'no such job' } },
+  { kind: 'requestAnswer', id: 7, response: { status: 201, id: spec.id, jobStatus: 'queued', done: 0, running: 0 } },
+  { kind: 'requestAnswer', id: 8, response: { status: 503, problem: 'später', retryAfterSeconds: 1 } as UserResponse },
+  { kind: 'requestAnswer', id: 9, response: { status: 404, problem: 'no such job' } },
 ];
 
 frames.push(
-  { kind: 'report', id: 2 ** 50 + 1, report: decodeReport(report) },
+  { kind: 'report', id: 2 ** 50 + 1, heartbeat: decodeReport(report) },
   {
     kind: 'report',
     id: 11,
-    report: {
+    heartbeat: {
       ...decodeReport({ ...report, chicks: [] }),
-      noticeS: 7.5,
+      interruptionNoticeSeconds: 7.5,
       spot: false,
-      token: ((1n << 64n) - 1n) as Token,
+      fencingToken: ((1n << 64n) - 1n) as FencingToken,
       tasks: [
-        { job: spec.id, index: 99_999, attempt: (1n << 60n) as Attempt, phase: 'exited', reason: 'alone', saved: true },
+        {
+          job: spec.id,
+          index: 99_999,
+          attempt: (1n << 60n) as Attempt,
+          phase: 'exited',
+          exitReason: 'alone',
+          checkpointSaved: true,
+        },
       ],
     },
   },
-  { kind: 'reportAnswer', id: 11, machine: 'i-1' as MachineId, answer: { status: 503 } },
-  { kind: 'reportAnswer', id: 12, machine: 'i-1' as MachineId, answer: { status: 421, reportTo: null } },
+  { kind: 'reportAnswer', id: 11, machine: 'i-1' as MachineId, response: { status: 503 } },
+  { kind: 'reportAnswer', id: 12, machine: 'i-1' as MachineId, response: { status: 421, redirectTo: null } },
   {
     kind: 'reportAnswer',
     id: 13,
     machine: 'i-1' as MachineId,
-    answer: {
+    response: {
       status: 200,
-      token: ((1n << 63n) + 1n) as Token,
+      fencingToken: ((1n << 63n) + 1n) as FencingToken,
       commands: [
         { op: 'start', job: spec.id, index: 3, attempt: 5n as Attempt },
-        { op: 'stop', job: spec.id, index: 4, attempt: 6n as Attempt, graceS: 2.5 },
+        { op: 'stop', job: spec.id, index: 4, attempt: 6n as Attempt, gracePeriodSeconds: 2.5 },
         { op: 'forget', job: spec.id, index: 5, attempt: 7n as Attempt },
       ],
     },
--- a/test/sim/scenario.ts
+++ b/test/sim/scenario.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from 'node:fs';
 import { basename } from 'node:path';
-import type { MachineType, Team, TeamName, TypeName, ZoneName } from '../../src/core/types.js';
+import type { MachineType, MachineTypeName, TeamName, TeamQuota, ZoneName } from '../../src/core/types.js';
 import { type Build, PRESENT } from './build.js';
 import { num, readOptions } from './job_options.js';
 import { checks } from './scenario_checks.js';
@@ -68,27 +68,27 @@
     name: 'c8',
     cpus: 8,
     gpus: 0,
-    memGb: 32,
-    cacheGb: 50,
-    fetchGbPerS: 0.5,
-    price: 0.4,
-    spotPrice: 0.1,
-    bootS: 20,
+    memoryGb: 32,
+    imageCacheGb: 50,
+    imagePullGbPerSecond: 0.5,
+    pricePerHour: 0.4,
+    spotPricePerHour: 0.1,
+    bootSeconds: 20,
     zones: [],
   },
   {
     name: 'g4',
     cpus: 24,
     gpus: 4,
-    memGb: 144,
-    cacheGb: 60,
-    fetchGbPerS: 0.5,
-    price: 10,
-    spotPrice: 3,
-    bootS: 25,
+    memoryGb: 144,
+    imageCacheGb: 60,
+    imagePullGbPerSecond: 0.5,
+    pricePerHour: 10,
+    spotPricePerHour: 3,
+    bootSeconds: 25,
     zones: [],
   },
-].map((t) => ({ ...t, name: t.name as TypeName }));
+].map((t) => ({ ...t, name: t.name as MachineTypeName }));
 
 export const { tuning } = PRESENT;
 
@@ -121,19 +121,21 @@
   return Number(linesOf(scenario, statement)[0]?.words[1] ?? otherwise);
 }
 
-function readTeams(scenario: Scenario): Team[] {
+function readTeams(scenario: Scenario): TeamQuota[] {
   const teams = linesOf(scenario, 'team').map(({ words }) => {
     const options = readOptions(words.slice(2));
     const amount = (key: string): number => num(options, key, 0);
     return {
       name: words[1] as TeamName,
-      cpus: amount('cpus'),
-      gpus: amount('gpus'),
-      cpusMax: amount('cpusMax'),
-      gpusMax: amount('gpusMax'),
+      guaranteedCpus: amount('cpus'),
+      guaranteedGpus: amount('gpus'),
+      cpuLimit: amount('cpusMax'),
+      gpuLimit: amount('gpusMax'),
     };
   });
-  return teams.length > 0 ? teams : [{ name: 'crew' as TeamName, cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 }];
+  return teams.length > 0
+    ? teams
+    : [{ name: 'crew' as TeamName, guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: 0, gpuLimit: 0 }];
 }
 
 function makeWorld(scenario: Scenario, oldVersions: ReadonlyMap<string, Build>): World {
--- a/test/sim/scenario_events.ts
+++ b/test/sim/scenario_events.ts
@@ -1,4 +1,4 @@
-import type { Output, StoreOp } from '../../src/core/messages.js';
+import type { Output, StateStoreOperation } from '../../src/core/messages.js';
 import type { JobId } from '../../src/core/types.js';
 import { type Build, PRESENT, PRESENT_BUILDS } from './build.js';
 import { sendInvalidRequest } from './invalid_requests.js';
@@ -64,25 +64,25 @@
 }
 
 /** At which call a node ends: before or after its lease is granted, or a transaction carried out. */
-const TRIPS: Readonly<Record<string, (op: StoreOp, carriedOut: boolean) => boolean>> = {
+const TRIPS: Readonly<Record<string, (op: StateStoreOperation, carriedOut: boolean) => boolean>> = {
   'before-grant': (op, after) => op.op === 'grant' && !after,
   'after-grant': (op, after) => op.op === 'grant' && after,
   'before-take': (op, after) => takesLead(op) && !after,
   'after-take': (op, after) => takesLead(op) && after,
   'before-results': (op, after) => writesResults(op) && !after,
 };
-const writesResults = (op: StoreOp): boolean =>
+const writesResults = (op: StateStoreOperation): boolean =>
   op.op === 'txn' && op.changes.some((change) => 'put' in change && hasResults(change.value));
 const hasResults = (value: unknown): boolean => ((value as { done?: unknown[] }).done?.length ?? 0) > 0;
-const takesLead = (op: StoreOp): boolean =>
+const takesLead = (op: StateStoreOperation): boolean =>
   op.op === 'txn' && op.changes.some((change) => 'put' in change && change.put === 'leader');
 
 /** Outputs that only a leader may make. */
 const SENT: Readonly<Record<string, (output: Output) => boolean>> = {
-  return: (output) => output.kind === 'cloud' && output.op.op === 'delete',
-  rent: (output) => output.kind === 'cloud' && output.op.op === 'rent',
-  commands: (output) => output.kind === 'worker' && output.op.commands.length > 0,
-  answers: (output) => output.kind === 'answerWorker' && output.answer.status === 200,
+  return: (output) => output.kind === 'cloud' && output.operation.op === 'delete',
+  rent: (output) => output.kind === 'cloud' && output.operation.op === 'rent',
+  commands: (output) => output.kind === 'worker' && output.operation.commands.length > 0,
+  answers: (output) => output.kind === 'answerWorker' && output.response.status === 200,
 };
 
 export const events: Readonly<Record<string, Event>> = {
--- a/test/sim/state_service.ts
+++ b/test/sim/state_service.ts
@@ -1,4 +1,10 @@
-import type { Result, StoredItem, StoreEvent, StoreOp, StoreValue } from '../../src/core/messages.js';
+import type {
+  Result,
+  StateStoreOperation,
+  StateStoreResponse,
+  StoredEntry,
+  WatchEvent,
+} from '../../src/core/messages.js';
 import { type LeaseId, type Revision, revision } from '../../src/core/types.js';
 import type { Clock } from './clock.js';
 import { RateLimit } from './rate_limit.js';
@@ -9,12 +15,12 @@
   readonly keys: Set<string>;
 }
 
-type Transaction = Extract<StoreOp, { op: 'txn' }>;
-type Reply = (result: Result<StoreValue>) => void;
-const no = (why: 'refused' | 'conflict' | 'gone' | 'rejected'): Result<StoreValue> => ({ ok: false, why });
-const yes = (value: StoreValue): Result<StoreValue> => ({ ok: true, value });
+type Transaction = Extract<StateStoreOperation, { op: 'txn' }>;
+type Reply = (result: Result<StateStoreResponse>) => void;
+const no = (why: 'refused' | 'conflict' | 'gone' | 'rejected'): Result<StateStoreResponse> => ({ ok: false, why });
+const yes = (value: StateStoreResponse): Result<StateStoreResponse> => ({ ok: true, value });
 
-const tellsOfJobs = (op: StoreOp): boolean =>
+const tellsOfJobs = (op: StateStoreOperation): boolean =>
   ((op.op === 'watch' || op.op === 'list') && op.prefix === 'j/') || (op.op === 'get' && op.key.startsWith('j/'));
 
 /** Our stand-in for the state service, by its protocol: versions, leases, watches, outages, and refusals of one node. */
@@ -22,8 +28,8 @@
   private rev = 100n;
   private leases = new Map<bigint, Lease>();
   private lastLease = 0n;
-  private readonly items = new Map<string, { item: StoredItem; lease: bigint | null }>();
-  private events: StoreEvent[] = [];
+  private readonly items = new Map<string, { item: StoredEntry; lease: bigint | null }>();
+  private events: WatchEvent[] = [];
   private watchers = new Set<() => void>();
   private down = false;
   private lateShare = 0;
@@ -45,7 +51,7 @@
   /** Called after a transaction that changed these keys. */
   onChanged: (keys: readonly string[]) => void = () => {};
   /** Called before an operation is carried out and once more before its answer leaves. */
-  onOp: (from: string, op: StoreOp, carriedOut: boolean) => void = () => {};
+  onOp: (from: string, op: StateStoreOperation, carriedOut: boolean) => void = () => {};
 
   constructor(
     private readonly clock: Clock,
@@ -64,7 +70,7 @@
     });
   }
 
-  item(key: string): StoredItem | null {
+  item(key: string): StoredEntry | null {
     return this.items.get(key)?.item ?? null;
   }
 
@@ -94,13 +100,13 @@
     this.writeRate = new RateLimit(this.clock, limits.writeRps);
   }
 
-  private withinRates(op: StoreOp): boolean {
+  private withinRates(op: StateStoreOperation): boolean {
     const within = this.callRate.allows(1) && (op.op !== 'txn' || this.writeRate.allows(op.changes.length));
     if (!within) this.throttled += 1;
     return within;
   }
 
-  private carryOutLate(op: StoreOp): void {
+  private carryOutLate(op: StateStoreOperation): void {
     if (this.down) {
       this.clock.in(1000, () => this.carryOutLate(op));
       return;
@@ -109,7 +115,7 @@
     this.run('late', op, () => {});
   }
 
-  serve(from: string, op: StoreOp, reply: Reply): void {
+  serve(from: string, op: StateStoreOperation, reply: Reply): void {
     const latency = this.clock.between(1, 6) * this.slowness;
     this.clock.in(latency, () => {
       if (this.down || this.refused.has(from)) return reply(no('refused'));
@@ -154,7 +160,7 @@
     for (const watcher of [...this.watchers]) watcher();
   }
 
-  private run(from: string, op: StoreOp, reply: Reply): void {
+  private run(from: string, op: StateStoreOperation, reply: Reply): void {
     this.expire();
     switch (op.op) {
       case 'get': {
@@ -164,7 +170,7 @@
       }
       case 'list': {
         const keys = this.keys(op.prefix).filter((key) => op.after === null || key > op.after);
-        const items = keys.slice(0, op.limit).map((key) => this.items.get(key)?.item as StoredItem);
+        const items = keys.slice(0, op.limit).map((key) => this.items.get(key)?.item as StoredEntry);
         reply(yes({ items, more: keys.length > op.limit, revision: revision(this.rev) }));
         return;
       }
@@ -203,7 +209,7 @@
     if (!this.down) this.expire();
   }
 
-  private txn(from: string, op: Transaction): Result<StoreValue> {
+  private txn(from: string, op: Transaction): Result<StateStoreResponse> {
     const tooMany = op.changes.length > this.limits.txnOps || op.conditions.length > 4 * this.limits.txnOps;
     const bytes = op.changes.map((change) => ('put' in change ? JSON.stringify(change.value).length : 0));
     const longest = Math.max(0, ...bytes);
@@ -248,9 +254,9 @@
   }
 
   private watch(from: string, prefix: string, after: Revision, waitMs: number, reply: Reply): void {
-    const news = (): StoreEvent[] => {
+    const news = (): WatchEvent[] => {
       let from = this.events.length;
-      while (from > 0 && (this.events[from - 1] as StoreEvent).version > after) from -= 1;
+      while (from > 0 && (this.events[from - 1] as WatchEvent).version > after) from -= 1;
       return this.events.slice(from).filter((event) => ('drop' in event ? event.drop : event.put).startsWith(prefix));
     };
     let open = true;
--- a/test/sim/task_execution.ts
+++ b/test/sim/task_execution.ts
@@ -11,7 +11,7 @@
     endSave(world, worker, task);
     return;
   }
-  if (spec.shape === 'gang' && !gangGoesOn(world, worker, task, spec)) return;
+  if (spec.kind === 'gang' && !gangGoesOn(world, worker, task, spec)) return;
   work(world, worker, task, spec, tickMs);
 }
 
@@ -21,7 +21,7 @@
   if (clock.now < task.imageAt) return false;
   worker.images.add(spec.image);
   rules.started(task.job, task.index, worker.id, worker.type, worker.zone, worker.spot);
-  task.phase = spec.shape === 'gang' ? 'waiting' : 'running';
+  task.phase = spec.kind === 'gang' ? 'waiting' : 'running';
   task.waitingSince = clock.now;
   worker.changed = true;
   const hasResult = rules.done.get(task.job)?.has(task.index) ?? false;
@@ -43,11 +43,11 @@
   const present = world.gangMembers(task.job, task.attempt).filter((member) => member.task.phase !== 'exited');
   if (task.phase === 'waiting') {
     const ready = present.filter(({ task: other }) => other.phase === 'waiting' || other.phase === 'running');
-    if (ready.length === spec.tasks) for (const member of ready) member.task.phase = 'running';
+    if (ready.length === spec.taskCount) for (const member of ready) member.task.phase = 'running';
     else if (clock.now - (task.waitingSince ?? clock.now) > settings.gangWait) worker.exit(task, 'alone');
     return false;
   }
-  if (present.length < spec.tasks || present.some((member) => member.worker.hung)) {
+  if (present.length < spec.taskCount || present.some((member) => member.worker.hung)) {
     task.waitingSince ??= clock.now;
     task.savedAt ??= clock.now;
     if (clock.now - task.savedAt > settings.gangPeer) worker.exit(task, 'peers_gone');
@@ -60,12 +60,12 @@
 function work(world: World, worker: Worker, task: Task, spec: JobSpec, tickMs: number): void {
   const before = task.workMs;
   task.workMs += tickMs * worker.speed;
-  const checkpointMs = spec.checkpointS * 1000;
+  const checkpointMs = spec.checkpointIntervalSeconds * 1000;
   if (checkpointMs > 0 && Math.floor(before / checkpointMs) < Math.floor(task.workMs / checkpointMs)) {
     world.saveProgress(task.job, task.index, Math.floor(task.workMs / checkpointMs) * checkpointMs);
   }
   if (task.workMs < world.runMs(task.job)) return;
-  if (spec.shape !== 'gang') {
+  if (spec.kind !== 'gang') {
     worker.exit(task, 'done');
     return;
   }
--- a/test/sim/uptime.ts
+++ b/test/sim/uptime.ts
@@ -26,9 +26,9 @@
         if (task.phase === 'running') running.set(task.job, (running.get(task.job) ?? 0) + 1);
     }
     for (const spec of rules.submitted.values()) {
-      if (spec.shape !== 'service' || !rules.isAccepted(spec.id) || rules.cancelAsked.has(spec.id)) continue;
+      if (spec.kind !== 'service' || !rules.isAccepted(spec.id) || rules.cancelAsked.has(spec.id)) continue;
       const of = this.samples.get(spec.id) ?? [];
-      of.push({ at: clock.now, up: Math.min(1, (running.get(spec.id) ?? 0) / spec.tasks) });
+      of.push({ at: clock.now, up: Math.min(1, (running.get(spec.id) ?? 0) / spec.taskCount) });
       this.samples.set(spec.id, of);
     }
   }
--- a/test/sim/wire_trace.ts
+++ b/test/sim/wire_trace.ts
@@ -26,20 +26,24 @@
 function sentOutput(build: Build, output: Output): Sent | null {
   switch (output.kind) {
     case 'answerUser': {
-      const retryAfterS = 'retryAfterS' in output.answer ? (output.answer.retryAfterS ?? 0) : 0;
-      const line = `${output.answer.status} ${retryAfterS}`;
-      return { to: 'user', line, body: encode(encodeUserAnswer(output.answer)) };
+      const retryAfterS = 'retryAfterSeconds' in output.response ? (output.response.retryAfterSeconds ?? 0) : 0;
+      const line = `${output.response.status} ${retryAfterS}`;
+      return { to: 'user', line, body: encode(encodeUserAnswer(output.response)) };
     }
     case 'answerWorker':
-      return { to: 'worker', line: `${output.answer.status}`, body: encode(encodeWorkerAnswer(output.answer)) };
+      return { to: 'worker', line: `${output.response.status}`, body: encode(encodeWorkerAnswer(output.response)) };
     case 'store':
-      return sentCall('state', encodeStoreCall(output.op));
+      return sentCall('state', encodeStoreCall(output.operation));
     case 'cloud':
-      return sentCall('cloud', encodeCloudCall(output.op));
+      return sentCall('cloud', encodeCloudCall(output.operation));
     case 'worker':
-      return sentCall(output.op.addr, { method: 'POST', path: COMMANDS_PATH, body: encodeCommands(output.op) });
+      return sentCall(output.operation.address, {
+        method: 'POST',
+        path: COMMANDS_PATH,
+        body: encodeCommands(output.operation),
+      });
     case 'peer':
-      return { to: output.to, line: 'frame', body: build.encodeFrame(output.message) };
+      return { to: output.recipient, line: 'frame', body: build.encodeFrame(build.ownMessage(output.message)) };
     case 'log':
       return null;
   }
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -1,17 +1,17 @@
-import type { WorkerAnswer, WorkerOp, WorkerValue } from '../../src/core/messages.js';
+import type { CommandPush, CommandPushResponse, HeartbeatResponse } from '../../src/core/messages.js';
 import type {
+  AgentEpoch,
   Attempt,
   Command,
+  ControllerName,
   ExitReason,
+  FencingToken,
+  Heartbeat,
   JobId,
   MachineId,
   MachineType,
-  NodeName,
-  Seq,
-  Session,
+  SequenceNumber,
   TaskPhase,
-  Token,
-  WorkerReport,
   ZoneName,
 } from '../../src/core/types.js';
 import { advanceTask } from './task_execution.js';
@@ -107,7 +107,7 @@
     task.saved = saved;
     this.changed = true;
     // A replica that ends has no result.
-    const service = this.world.rules.specOf(task.job)?.shape === 'service';
+    const service = this.world.rules.specOf(task.job)?.kind === 'service';
     if (reason === 'done' && !service) this.world.rules.completed(task.job, task.index);
   }
 
@@ -128,25 +128,25 @@
     if (!this.reporting && (this.now >= this.nextReportAt || early)) this.report();
   }
 
-  private makeReport(): WorkerReport {
+  private makeReport(): Heartbeat {
     this.seq += 1n;
     return {
       machine: this.id,
-      addr: this.id,
+      address: this.id,
       type: this.type.name,
       zone: this.zone,
       spot: this.spot,
-      session: this.session as Session,
-      seq: this.seq as Seq,
-      token: this.token as Token,
-      noticeS: this.noticeAt === null ? null : Math.max(0, (this.noticeAt - this.now) / 1000),
+      agentEpoch: this.session as AgentEpoch,
+      sequence: this.seq as SequenceNumber,
+      fencingToken: this.token as FencingToken,
+      interruptionNoticeSeconds: this.noticeAt === null ? null : Math.max(0, (this.noticeAt - this.now) / 1000),
       tasks: [...this.tasks.values()].map((task) => ({
         job: task.job,
         index: task.index,
         attempt: task.attempt,
         phase: task.phase,
-        reason: task.reason,
-        saved: task.saved,
+        exitReason: task.reason,
+        checkpointSaved: task.saved,
       })),
     };
   }
@@ -180,7 +180,7 @@
       const other = world.clock.pick(world.nodes);
       world.clock.in(world.clock.between(1000, 60_000), () => other.report(report, () => {}));
     }
-    world.network.call<WorkerAnswer>(
+    world.network.call<HeartbeatResponse>(
       this.id,
       node.name,
       4000,
@@ -190,13 +190,13 @@
         this.reporting = false;
         this.nextReportAt = this.now + world.settings.report * world.clock.between(0.75, 1.25);
         if (answer?.status === 200 && !this.hung) this.accept(answer, sentAt, session);
-        else if (answer?.status === 421 && answer.reportTo !== null) this.moveTo(answer.reportTo);
+        else if (answer?.status === 421 && answer.redirectTo !== null) this.moveTo(answer.redirectTo);
         else if (answer?.status !== 200) this.nextNode();
       },
     );
   }
 
-  private moveTo(name: NodeName): void {
+  private moveTo(name: ControllerName): void {
     const index = this.world.nodes.findIndex((node) => node.name === name);
     if (index < 0 || index === this.nodeIndex) {
       this.nextNode();
@@ -211,9 +211,9 @@
     this.nextReportAt = this.now + 1000;
   }
 
-  private accept(answer: Extract<WorkerAnswer, { status: 200 }>, sentAt: number, session: bigint): void {
-    if (session !== this.session || answer.token < this.token) return;
-    this.raise(answer.token);
+  private accept(answer: Extract<HeartbeatResponse, { status: 200 }>, sentAt: number, session: bigint): void {
+    if (session !== this.session || answer.fencingToken < this.token) return;
+    this.raise(answer.fencingToken);
     this.leaseFrom = Math.max(this.leaseFrom, sentAt);
     for (const command of answer.commands) this.execute(command);
   }
@@ -227,19 +227,19 @@
   }
 
   /** A direct command; a hanging machine takes it when it goes on. */
-  takeCommands(op: WorkerOp, reply: (value: WorkerValue) => void): void {
+  takeCommands(op: CommandPush, reply: (value: CommandPushResponse) => void): void {
     if (!this.alive) return;
     if (this.hung) {
       this.world.clock.in(this.hungUntil - this.now + 1, () => this.takeCommands(op, reply));
       return;
     }
-    const executed = op.token >= this.token && op.session === this.session;
+    const executed = op.fencingToken >= this.token && op.agentEpoch === this.session;
     if (executed) {
       this.world.orders.directCall(op);
-      this.raise(op.token);
+      this.raise(op.fencingToken);
       for (const command of op.commands) this.execute(command);
     }
-    reply({ executed, report: this.makeReport() });
+    reply({ executed, heartbeat: this.makeReport() });
   }
 
   /** A task runs here that no controller started, as far as this world knows. */
@@ -261,7 +261,7 @@
         this.world.removeGangMember(this, task);
       }
     } else if (command.op === 'stop') {
-      if (task && task.attempt === command.attempt) this.stop(task, command.graceS);
+      if (task && task.attempt === command.attempt) this.stop(task, command.gracePeriodSeconds);
     } else if (!task || task.attempt !== command.attempt) this.start(command.job, command.index, command.attempt, task);
   }
 
@@ -272,9 +272,9 @@
       if (graceS === 0) this.exit(task, 'stopped');
       return;
     }
-    if (task.phase === 'running' && spec.checkpointS > 0 && graceS >= spec.saveS) {
+    if (task.phase === 'running' && spec.checkpointIntervalSeconds > 0 && graceS >= spec.checkpointDurationSeconds) {
       task.phase = 'saving';
-      task.savedAt = this.now + spec.saveS * 1000;
+      task.savedAt = this.now + spec.checkpointDurationSeconds * 1000;
       this.changed = true;
     } else this.exit(task, 'stopped');
   }
@@ -312,6 +312,7 @@
       task.reason = 'no_room';
       return;
     }
-    task.imageAt = this.now + (this.images.has(spec.image) ? 0 : (spec.imageGb / this.type.fetchGbPerS) * 1000);
+    task.imageAt =
+      this.now + (this.images.has(spec.image) ? 0 : (spec.imageGb / this.type.imagePullGbPerSecond) * 1000);
   }
 }
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -1,20 +1,20 @@
-import type { UserAnswer, UserRequest } from '../../src/core/messages.js';
+import type { UserRequest, UserResponse } from '../../src/core/messages.js';
 import * as records from '../../src/core/records.js';
 import type { Settings, Tuning } from '../../src/core/settings.js';
 import type {
   Attempt,
+  ControllerName,
   JobId,
   JobSpec,
   MachineId,
   MachineType,
-  NodeName,
-  Team,
+  TeamQuota,
   ZoneName,
 } from '../../src/core/types.js';
 import { type Build, isPresent, PRESENT } from './build.js';
 import { Clock } from './clock.js';
 import { Cloud } from './cloud.js';
-import { Controller } from './controller.js';
+import { ControllerProcess } from './controller.js';
 import { IdleRoom } from './idle_room.js';
 import { Meters } from './meters.js';
 import { Network } from './network.js';
@@ -68,7 +68,7 @@
   readonly seed: number;
   readonly nodes: number;
   readonly zones: readonly ZoneName[];
-  readonly teams: readonly Team[];
+  readonly teams: readonly TeamQuota[];
   readonly types: readonly MachineType[];
   readonly capacity: number;
   readonly tuning: Tuning;
@@ -98,7 +98,7 @@
   readonly state: StateService;
   readonly cloud: Cloud;
   readonly rules: Rules;
-  readonly nodes: Controller[] = [];
+  readonly nodes: ControllerProcess[] = [];
   readonly workers = new Map<MachineId, Worker>();
   readonly faulty = new Set<JobId>();
   readonly errors: string[] = [];
@@ -157,11 +157,11 @@
     };
     new IdleRoom(this);
     this.uptime.begin();
-    const names = Array.from({ length: options.nodes }, (_, i) => `perch-${i}` as NodeName);
+    const names = Array.from({ length: options.nodes }, (_, i) => `perch-${i}` as ControllerName);
     const builds = options.builds ?? [PRESENT];
     names.forEach((name, i) => {
       const build = builds[i % builds.length] as Build;
-      this.nodes.push(new Controller(this, name, (build) => makeSettings(name, names, options, build), build));
+      this.nodes.push(new ControllerProcess(this, name, (build) => makeSettings(name, names, options, build), build));
     });
     this.cloud = new Cloud(this.clock, options.types, options.capacity, 3000, {
       boot: (id, type, zone, spot) => this.boot(id, type, zone, spot),
@@ -199,7 +199,7 @@
   }
 
   /** The leader as the store knows it. */
-  leader(): Controller | undefined {
+  leader(): ControllerProcess | undefined {
     const value = this.state.item('leader')?.value as { node?: string } | undefined;
     return this.nodes.find((node) => node.name === value?.node);
   }
@@ -247,7 +247,7 @@
 
   private ask(
     request: UserRequest,
-    done: (answer: UserAnswer | null, asked?: Build, givenAt?: number, leftAt?: number) => void,
+    done: (answer: UserResponse | null, asked?: Build, givenAt?: number, leftAt?: number) => void,
   ): void {
     // As the load balancer sees it: healthy nodes, else any that is up.
     const up = this.nodes.filter((node) => node.up);
@@ -262,19 +262,19 @@
   }
 
   private askNode(
-    node: Controller,
+    node: ControllerProcess,
     request: UserRequest,
-    done: (answer: UserAnswer | null, givenAt: number, leftAt: number) => void,
+    done: (answer: UserResponse | null, givenAt: number, leftAt: number) => void,
   ): void {
     let givenAt = this.clock.now;
-    const serve = (reply: (answer: UserAnswer) => void): void =>
+    const serve = (reply: (answer: UserResponse) => void): void =>
       node.user(request, (answer) => {
         givenAt = this.clock.now;
         reply(answer);
       });
     // With one question at a time an answer that arrives is the newest; only close looks overtake each other.
     const closeLooks = this.closeLooksUntil > 0;
-    this.network.call<UserAnswer>('users', node.name, USER_TIMEOUT_MS, serve, (answer) =>
+    this.network.call<UserResponse>('users', node.name, USER_TIMEOUT_MS, serve, (answer) =>
       done(answer, closeLooks ? givenAt : this.clock.now, givenAt),
     );
   }
@@ -359,7 +359,7 @@
     });
   }
 
-  pollUnknown(id: JobId, seen: (answer: UserAnswer | null) => void): void {
+  pollUnknown(id: JobId, seen: (answer: UserResponse | null) => void): void {
     this.ask({ op: 'poll', id }, (answer) => {
       if (answer) this.rules.onAnswer(id, answer);
       seen(answer);
@@ -368,35 +368,51 @@
 }
 
 export function makeSettings(
-  name: NodeName,
-  names: readonly NodeName[],
+  name: ControllerName,
+  names: readonly ControllerName[],
   options: WorldOptions,
   build: Build,
 ): Settings {
   const zone = options.zones[0] as ZoneName;
   const limits = options.limits ?? LIMITS;
-  const { rps, writeRps, nextRps, nextWriteRps, nextValueBytes, nextTxnOps, valueBytes, txnOps, cloudRps } = limits;
-  const { reportMs, leaseMs, cancelMs, cpuShare } = limits;
+  const {
+    rps: requestsPerSecond,
+    writeRps: writesPerSecond,
+    nextRps,
+    nextWriteRps,
+    nextValueBytes,
+    nextTxnOps,
+    valueBytes,
+    txnOps,
+    cloudRps,
+  } = limits;
+  const { reportMs: heartbeatIntervalMs, leaseMs, cancelMs: cancellationTimeoutMs, cpuShare } = limits;
   return {
-    node: name,
+    controller: name,
     zone,
     peers: names.filter((peer) => peer !== name).map((peer) => ({ name: peer, zone })),
-    nodes: names.length,
+    controllerCount: names.length,
     zones: options.zones,
-    skewMs: 25,
-    teams: options.teams,
+    clockSkewMs: 25,
+    teamQuotas: options.teams,
     objectives: [],
-    workers: { reportMs, leaseMs, gangWaitMs: 40_000, gangPeerMs: 5000, cancelMs },
-    store: {
-      rps,
-      writeRps,
-      nextRps: nextRps || rps,
-      nextWriteRps: nextWriteRps || writeRps,
+    workers: {
+      heartbeatIntervalMs,
+      leaseMs,
+      gangBarrierTimeoutMs: 40_000,
+      gangPeerTimeoutMs: 5000,
+      cancellationTimeoutMs,
+    },
+    stateStore: {
+      requestsPerSecond,
+      writesPerSecond,
+      announcedRequestsPerSecond: nextRps || requestsPerSecond,
+      announcedWritesPerSecond: nextWriteRps || writesPerSecond,
       // Builds before it know nothing of limits announced for later.
-      valueBytes: build.readsAnnouncedLimits ? Math.min(valueBytes, nextValueBytes || valueBytes) : valueBytes,
-      txnOps: build.readsAnnouncedLimits ? Math.min(txnOps, nextTxnOps || txnOps) : txnOps,
+      maxValueBytes: build.readsAnnouncedLimits ? Math.min(valueBytes, nextValueBytes || valueBytes) : valueBytes,
+      maxChangesPerTransaction: build.readsAnnouncedLimits ? Math.min(txnOps, nextTxnOps || txnOps) : txnOps,
     },
-    cloud: { rps: cloudRps, listLagMs: 3000 },
-    limits: { cpuShare, connections: 2000 },
+    cloud: { requestsPerSecond: cloudRps, listStalenessMs: 3000 },
+    limits: { cpuShare, maxConnections: 2000 },
   };
 }
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -2,10 +2,11 @@
 import { test } from 'node:test';
 import { RangeSet } from '../src/core/jobs/range_set.js';
 import * as records from '../src/core/records.js';
-import type { ImageName, MachineId, TypeName, Wall, ZoneName } from '../src/core/types.js';
+import type { ImageName, MachineId, MachineTypeName, WallClockTime, ZoneName } from '../src/core/types.js';
 import { decode, encode } from '../src/io/codecs/cbor.js';
 import { encodeFrame, FrameSplitter, type PeerFrame } from '../src/io/peer/peer_codec.js';
 import type { Build } from './sim/build.js';
+import { oldJobRecord, oldMachineRecord } from './sim/old_names.js';
 import { loadOldVersions, oldFrame } from './sim/old_versions.js';
 import { frames, spec } from './sim/sample_messages.js';
 
@@ -18,7 +19,7 @@
 const jobs: records.JobRecord[] = (['accepted', 'done', 'cancelled'] as const).flatMap((state) => [
   {
     spec,
-    submittedAt: 1_790_000_000_123 as Wall,
+    submittedAt: 1_790_000_000_123 as WallClockTime,
     state,
     startTerm: 0,
     startZone: null,
@@ -26,8 +27,16 @@
     done: new RangeSet(),
   },
   {
-    spec: { ...spec, shape: 'array', tasks: 100, types: null, zone: 'a' as ZoneName, deadlineS: null, spotOk: true },
-    submittedAt: 1_790_000_000_000 as Wall,
+    spec: {
+      ...spec,
+      kind: 'array',
+      taskCount: 100,
+      allowedMachineTypes: null,
+      zone: 'a' as ZoneName,
+      deadlineSeconds: null,
+      toleratesSpot: true,
+    },
+    submittedAt: 1_790_000_000_000 as WallClockTime,
     state,
     startTerm: 7,
     startZone: 'a' as ZoneName,
@@ -43,30 +52,32 @@
 const machines: records.MachineRecord[] = [
   {
     id: 'i-000231' as MachineId,
-    addr: '10.1.0.232:9000',
-    type: 'g8' as TypeName,
+    address: '10.1.0.232:9000',
+    type: 'g8' as MachineTypeName,
     zone: 'a' as ZoneName,
     spot: true,
     images: ['img-1', 'img-2'] as ImageName[],
-    fetchSpeed: 0.83,
+    imagePullSpeed: 0.83,
   },
   {
     id: 'i-000232' as MachineId,
-    addr: '',
-    type: 'c8' as TypeName,
+    address: '',
+    type: 'c8' as MachineTypeName,
     zone: 'b' as ZoneName,
     spot: false,
     images: [],
-    fetchSpeed: 1,
+    imagePullSpeed: 1,
   },
 ];
 
+const oldMachines = machines.map(oldMachineRecord);
+
 const comparable = (record: records.JobRecord | null): unknown =>
   record && { ...record, done: record.done.pairs(VALUE_BYTES) };
 
 /** A record as a version reads it that knows nothing of the zones in which jobs were started. */
 function withoutZones(record: records.JobRecord): unknown {
-  const { startZones: _, ...known } = record;
+  const { startZones: _, ...known } = oldJobRecord(record);
   return { ...known, done: record.done.pairs(VALUE_BYTES) };
 }
 
@@ -81,7 +92,7 @@
     assert.equal(old.records.jobKey(spec.id), records.jobKey(spec.id));
     assert.equal(old.records.pageKey(3), records.pageKey(3));
     for (const record of jobs) {
-      const oldValue = stored(old.records.encodeJob(record, VALUE_BYTES));
+      const oldValue = stored(old.records.encodeJob(oldJobRecord(record), VALUE_BYTES));
       const newValue = stored(records.encodeJob(record, VALUE_BYTES));
       assert.deepEqual(newValue, oldValue);
       assert.deepEqual(comparable(records.decodeJob(oldValue)), comparable(record));
@@ -102,12 +113,12 @@
   });
 
   test(`${name}: registry pages are written alike and read by both`, () => {
-    const oldValue = stored(old.records.encodePage(machines, 16));
+    const oldValue = stored(old.records.encodePage(oldMachines, 16));
     const newValue = stored(records.encodePage(machines, 16));
     assert.deepEqual(newValue, oldValue);
     assert.deepEqual(records.decodePage(oldValue), { machines, complete: true });
     const decoded = old.records.decodePage(newValue) as unknown;
-    assert.deepEqual(decoded, old.hasPresentNames ? { machines, complete: true } : machines);
+    assert.deepEqual(decoded, old.names === 'names-2' ? { machines: oldMachines, complete: true } : oldMachines);
   });
 
   test(`${name}: the leader key is read by both as it stands`, () => {
@@ -132,7 +143,7 @@
 }
 
 test('a service that an old leader put on record as done is read as accepted, with all of its replicas to run', () => {
-  const service = { ...spec, shape: 'service' as const, tasks: 3 };
+  const service = { ...spec, kind: 'service' as const, taskCount: 3 };
   const done = {
     ...(jobs[0] as records.JobRecord),
     spec: service,
@@ -140,10 +151,12 @@
     done: RangeSet.from([[0, 2]]),
   };
   for (const { records: old } of oldVersions.values()) {
-    const read = records.decodeJob(stored(old.encodeJob(done, VALUE_BYTES)));
+    const read = records.decodeJob(stored(old.encodeJob(oldJobRecord(done), VALUE_BYTES)));
     assert.equal(read?.state, 'accepted');
     assert.equal(read?.done.count, 0);
-    const cancelled = records.decodeJob(stored(old.encodeJob({ ...done, state: 'cancelled' }, VALUE_BYTES)));
+    const cancelled = records.decodeJob(
+      stored(old.encodeJob({ ...oldJobRecord(done), state: 'cancelled' }, VALUE_BYTES)),
+    );
     assert.equal(cancelled?.state, 'cancelled');
   }
 });
