--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -3,7 +3,7 @@
 import { JobCache } from './jobs/job_cache.js';
 import { Election } from './leadership/election.js';
 import { Leader } from './leadership/leader.js';
-import { Catalog } from './machines/catalog.js';
+import { MachineTypeCatalog } from './machines/machine_type_catalog.js';
 import type { Input, Output, PeerMessage, RequestId, UserRequest } from './messages.js';
 import { CancellationBroadcasts } from './peers/cancellation_broadcasts.js';
 import { HeartbeatForwarding } from './peers/heartbeat_forwarding.js';
@@ -35,7 +35,7 @@
   private readonly election: Election;
   private readonly requestHandler: RequestHandler;
   private readonly jobCache: JobCache;
-  private readonly catalog: Catalog;
+  private readonly catalog: MachineTypeCatalog;
   private readonly peers: PeerTable;
   private readonly requestForwarding: RequestForwarding;
   private readonly heartbeatForwarding: HeartbeatForwarding;
@@ -64,7 +64,7 @@
     this.heartbeatForwarding = new HeartbeatForwarding(context, this.peers, ids);
     this.cancellationBroadcasts = new CancellationBroadcasts(context, this.peers, ids);
     this.jobCache = new JobCache(context, (job) => this.leader?.onJobRecord(job));
-    this.catalog = new Catalog(context, (types) => this.leader?.setTypes(types));
+    this.catalog = new MachineTypeCatalog(context, (types) => this.leader?.setTypes(types));
     this.election = this.makeElection(incarnation);
     this.heartbeatRouter = new ReportRouter(
       context,
@@ -97,7 +97,7 @@
 
   private setIsLeader(leading: boolean): void {
     this.context.setIsLeader(leading);
-    this.jobCache.setLeading(leading);
+    this.jobCache.setIsLeader(leading);
   }
 
   private makeRequestHandler(): RequestHandler {
--- a/src/core/jobs/failure_history.ts
+++ b/src/core/jobs/failure_history.ts
@@ -1,19 +1,19 @@
 import type { MachineId, MonotonicTime } from '../types.js';
 
 /** A job that failed on so many machines, and has not done well on any, is more likely at fault than they. */
-const FAULTY_AFTER_MACHINES = 2;
+const FAULTY_AFTER_MACHINE_COUNT = 2;
 /** A machine that failed the job is avoided for so long: no job may wait for ever beside room. */
 const AVOID_MS = 45_000;
 /** Pause before a faulty job is tried again; it doubles with each try that fails. */
-const FIRST_PAUSE_MS = 2000;
-const MAX_PAUSE_DOUBLINGS = 5;
+const INITIAL_BACKOFF_MS = 2000;
+const MAX_BACKOFF_DOUBLINGS = 5;
 /** Well below the time that a job may be left waiting beside room. */
-const MAX_PAUSE_MS = 45_000;
+const MAX_BACKOFF_MS = 45_000;
 /** Nothing is rented for a faulty job until it has not been tried for so long: there may be no machine for it any more. */
-const RENT_AFTER_MS = 150_000;
+const SCALE_OUT_AFTER_MS = 150_000;
 /** A task that runs for so many times as long as the longest failure took, and a little more, does well. */
-const WELL_AFTER_FACTOR = 2;
-const WELL_AFTER_EXTRA_MS = 4000;
+const HEALTHY_AFTER_FACTOR = 2;
+const HEALTHY_AFTER_EXTRA_MS = 4000;
 
 /** A task's failure, as far as it bears on the job. */
 export interface TaskFailure {
@@ -22,7 +22,7 @@
   readonly ranMs: number;
   readonly now: MonotonicTime;
   /** Other jobs have failed on the machine too: it says nothing of this one. */
-  readonly machineInDoubt: boolean;
+  readonly machineSuspected: boolean;
 }
 
 /**
@@ -31,38 +31,38 @@
  */
 export class FailureHistory {
   /** When it last failed on each machine. */
-  private readonly machines = new Map<MachineId, MonotonicTime>();
+  private readonly failedAtByMachine = new Map<MachineId, MonotonicTime>();
   /** Machines that failed it while no other job had failed there. */
-  private readonly soundMachines = new Set<MachineId>();
+  private readonly unsuspectedMachines = new Set<MachineId>();
   private succeeded = false;
-  private failedTries = 0;
+  private failedAttempts = 0;
   private lastFailureAt = Number.NEGATIVE_INFINITY as MonotonicTime;
   private longestFailureMs = 0;
 
-  noteFailure(machine: MachineId, { placedAt, ranMs, now, machineInDoubt }: TaskFailure): void {
-    this.machines.set(machine, now);
-    if (!machineInDoubt) this.soundMachines.add(machine);
+  recordFailure(machine: MachineId, { placedAt, ranMs, now, machineSuspected }: TaskFailure): void {
+    this.failedAtByMachine.set(machine, now);
+    if (!machineSuspected) this.unsuspectedMachines.add(machine);
     this.longestFailureMs = Math.max(this.longestFailureMs, ranMs);
     // Tasks that were placed together and fail together are one try.
-    if (placedAt >= this.lastFailureAt) this.failedTries += 1;
+    if (placedAt >= this.lastFailureAt) this.failedAttempts += 1;
     this.lastFailureAt = now;
   }
 
   /** Some task has done well: it completed, saved progress, or ran for much longer than the failed ones. */
-  noteSuccess(): void {
+  recordSuccess(): void {
     this.succeeded = true;
-    this.failedTries = 0;
+    this.failedAttempts = 0;
   }
 
   /** Forgets the machines that failed the job. */
-  forgetMachines(): void {
-    this.machines.clear();
-    this.soundMachines.clear();
+  clearMachines(): void {
+    this.failedAtByMachine.clear();
+    this.unsuspectedMachines.clear();
   }
 
   /** Whether running for so long shows that a task does well. */
-  isWellAfter(ranMs: number): boolean {
-    return ranMs > this.longestFailureMs * WELL_AFTER_FACTOR + WELL_AFTER_EXTRA_MS;
+  isHealthyAfter(ranMs: number): boolean {
+    return ranMs > this.longestFailureMs * HEALTHY_AFTER_FACTOR + HEALTHY_AFTER_EXTRA_MS;
   }
 
   /** Whether a task has done well anywhere. */
@@ -71,33 +71,33 @@
   }
 
   get hasFailed(): boolean {
-    return this.machines.size > 0;
+    return this.failedAtByMachine.size > 0;
   }
 
   /** Whether the job itself, rather than the machines that failed it, is likely at fault. */
   get isFaulty(): boolean {
-    return !this.succeeded && this.soundMachines.size >= FAULTY_AFTER_MACHINES;
+    return !this.succeeded && this.unsuspectedMachines.size >= FAULTY_AFTER_MACHINE_COUNT;
   }
 
   /** How long to wait before a faulty job is tried again. */
-  get pauseMs(): number {
-    const doublings = Math.min(MAX_PAUSE_DOUBLINGS, Math.max(0, this.failedTries - 1));
-    return Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** doublings);
+  get backoffMs(): number {
+    const doublings = Math.min(MAX_BACKOFF_DOUBLINGS, Math.max(0, this.failedAttempts - 1));
+    return Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** doublings);
   }
 
   /** Whether machines may be rented for the job. */
-  mayDriveRentals(now: MonotonicTime): boolean {
-    return !this.isFaulty || now - this.lastFailureAt > RENT_AFTER_MS;
+  mayTriggerScaleOut(now: MonotonicTime): boolean {
+    return !this.isFaulty || now - this.lastFailureAt > SCALE_OUT_AFTER_MS;
   }
 
   /** Whether the machine failed the job lately, and the job isn't at fault itself. */
   avoids(machine: MachineId, now: MonotonicTime): boolean {
-    const failedAt = this.machines.get(machine);
+    const failedAt = this.failedAtByMachine.get(machine);
     return failedAt !== undefined && !this.isFaulty && now - failedAt < AVOID_MS;
   }
 
   /** The machines that the job avoids. */
-  *avoided(now: MonotonicTime): Iterable<MachineId> {
-    for (const machine of this.machines.keys()) if (this.avoids(machine, now)) yield machine;
+  *avoidedMachines(now: MonotonicTime): Iterable<MachineId> {
+    for (const machine of this.failedAtByMachine.keys()) if (this.avoids(machine, now)) yield machine;
   }
 }
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -32,12 +32,12 @@
   readonly attempt: Attempt;
   phase: PlacementPhase;
   /** The report in whose answer the start last went out; null: it went out directly, or not yet. */
-  sentInReplyTo: SequenceNumber | null;
+  sentInResponseTo: SequenceNumber | null;
   readonly since: MonotonicTime;
   runningSince: MonotonicTime | null;
   /** It was running when this leader first heard of it: nobody here knows for how long. */
   readonly foundRunning: boolean;
-  stop: { readonly graceS: number; readonly since: MonotonicTime } | null;
+  pendingStop: { readonly gracePeriodSeconds: number; readonly since: MonotonicTime } | null;
 }
 
 /** A job as the leader holds it: its record, and where its tasks are. */
@@ -47,7 +47,7 @@
   state: JobState;
   version: Revision;
   /** What the store is known to hold. */
-  durableDone: RangeSet;
+  durableDoneTasks: RangeSet;
   durableState: JobState;
   durableStartTerm: number;
   /** The term in which its first start was allowed, 0 before. */
@@ -55,15 +55,15 @@
   startZone: ZoneName | null;
   /** Zones in which it may have been started, this leader's starts included; null: any. */
   startZones: Set<ZoneName> | null = null;
-  private durableZones: ReadonlySet<ZoneName> = new Set();
+  private durableStartZones: ReadonlySet<ZoneName> = new Set();
   /** While tasks of it may be on machines that have told nothing yet, only those in `located` may be started. */
-  mayRunUnseen = false;
+  mayRunUnreconciled = false;
   /** Tasks that this leader has found on machines: wherever they are now, they are on no other. */
-  readonly located = new Set<number>();
+  readonly locatedTasks = new Set<number>();
   /** Tasks that are also on a machine where they don't belong, and on how many. */
-  readonly strays = new Map<number, number>();
+  readonly unexpectedTasks = new Map<number, number>();
   /** What is known to be complete, durable or not. */
-  readonly done: RangeSet;
+  readonly doneTasks: RangeSet;
   readonly placements = new Map<number, Placement>();
   /** A gang's present attempt can't complete any more: all of it has to leave. */
   gangBroken = false;
@@ -71,15 +71,15 @@
   lastWriteAt = 0 as MonotonicTime;
   /** After failures: not started before this time. */
   notBefore = 0 as MonotonicTime;
-  failures = 0;
+  failureCount = 0;
   readonly failureHistory = new FailureHistory();
   /** Machines on which a task of it took far longer than expected. */
-  readonly slowOn = new Set<MachineId>();
+  readonly slowMachines = new Set<MachineId>();
   /** How often it was moved to machines that hold its image, and how often lower work was stopped for it. */
-  migrations = 0;
-  preemptions = 0;
+  migrationCount = 0;
+  preemptionCount = 0;
   /** Of a service: replicas that ended soon after their start, one after the other. */
-  shortRuns = 0;
+  shortRunCount = 0;
   lastShortRunAt = 0 as MonotonicTime;
   /** Of a service: since when a replica has waited for a place. */
   replicaPendingSince: MonotonicTime | null = null;
@@ -94,12 +94,12 @@
     this.version = version;
     this.state = record.state;
     this.durableState = record.state;
-    this.durableDone = record.done;
+    this.durableDoneTasks = record.done;
     this.durableStartTerm = record.startTerm;
     this.startTerm = record.startTerm;
     this.startZone = record.startZone;
-    this.done = RangeSet.from(record.done.pairs());
-    if (this.done.count > 0) this.failureHistory.noteSuccess();
+    this.doneTasks = RangeSet.from(record.done.toPairs());
+    if (this.doneTasks.count > 0) this.failureHistory.recordSuccess();
   }
 
   get id(): JobId {
@@ -119,98 +119,98 @@
     if (version < this.version) return;
     this.version = version;
     this.durableState = record.state;
-    this.durableDone = record.done;
+    this.durableDoneTasks = record.done;
     this.durableStartTerm = record.startTerm;
-    this.onZonesStored(record.startZones);
+    this.onStartZonesStored(record.startZones);
     if (record.startTerm > 0 && this.startTerm === 0) {
       this.startTerm = record.startTerm;
       this.startZone = record.startZone;
     }
     if (record.state !== 'accepted') this.state = record.state;
-    this.done.addAll(record.done);
-    if (this.done.count > 0) this.failureHistory.noteSuccess();
+    this.doneTasks.addAll(record.done);
+    if (this.doneTasks.count > 0) this.failureHistory.recordSuccess();
   }
 
   /** The zones of its record are to be believed, and kept up. */
-  restoreZones(zones: readonly ZoneName[] | null): void {
+  restoreStartZones(zones: readonly ZoneName[] | null): void {
     this.startZones = zones && new Set(zones);
-    this.durableZones = new Set(zones);
+    this.durableStartZones = new Set(zones);
   }
 
   /** Its first start is allowed. `keepsZones`: the zones of its starts go on record. */
-  noteFirstStart(term: number, zone: ZoneName, keepsZones: boolean): void {
+  recordFirstStart(term: number, zone: ZoneName, keepsZones: boolean): void {
     this.startTerm = term;
     this.startZone = zone;
     this.startZones = keepsZones ? new Set() : null;
   }
 
   /** What a transaction has put on record. */
-  onZonesStored(zones: readonly ZoneName[] | null): void {
-    if (zones !== null) this.durableZones = new Set(zones);
+  onStartZonesStored(zones: readonly ZoneName[] | null): void {
+    if (zones !== null) this.durableStartZones = new Set(zones);
   }
 
   /** Whether the store knows that it is started, and that it may be started in the zone. */
   isStartDurable(zone: ZoneName): boolean {
-    return this.durableStartTerm > 0 && (this.startZones === null || this.durableZones.has(zone));
+    return this.durableStartTerm > 0 && (this.startZones === null || this.durableStartZones.has(zone));
   }
 
-  private get hasUnrecordedZone(): boolean {
-    return this.startZones !== null && this.startZones.size > this.durableZones.size;
+  private get hasUnstoredStartZone(): boolean {
+    return this.startZones !== null && this.startZones.size > this.durableStartZones.size;
   }
 
   /** How many tasks wait for a place; of a gang all or none. */
   get pendingCount(): number {
     if (this.state !== 'accepted') return 0;
-    if (this.isGang) return this.placements.size === 0 && this.done.count === 0 ? this.spec.taskCount : 0;
-    return this.spec.taskCount - this.done.count - this.placements.size;
+    if (this.isGang) return this.placements.size === 0 && this.doneTasks.count === 0 ? this.spec.taskCount : 0;
+    return this.spec.taskCount - this.doneTasks.count - this.placements.size;
   }
 
   /** How many tasks wait for a place and may be given one now. */
   get startableCount(): number {
     const pending = this.pendingCount;
-    if (pending === 0 || (!this.mayRunUnseen && this.strays.size === 0)) return pending;
+    if (pending === 0 || (!this.mayRunUnreconciled && this.unexpectedTasks.size === 0)) return pending;
     if (this.isGang) return 0;
-    if (this.mayRunUnseen) return this.locatedPending;
-    return pending - [...this.strays.keys()].filter((index) => this.isPending(index)).length;
+    if (this.mayRunUnreconciled) return this.locatedPendingCount;
+    return pending - [...this.unexpectedTasks.keys()].filter((index) => this.isPending(index)).length;
   }
 
   private isPending(index: number): boolean {
-    return !this.placements.has(index) && !this.done.has(index);
+    return !this.placements.has(index) && !this.doneTasks.has(index);
   }
 
   /** How many tasks were found in this term and wait for a place again. */
-  get locatedPending(): number {
+  get locatedPendingCount(): number {
     let count = 0;
-    for (const index of this.located) if (this.isPending(index) && !this.strays.has(index)) count += 1;
+    for (const index of this.locatedTasks) if (this.isPending(index) && !this.unexpectedTasks.has(index)) count += 1;
     return count;
   }
 
   /** Tasks of which nothing is known in this term: neither done nor found on any machine. */
-  get unaccounted(): number {
-    if (this.isGang && this.done.count > 0) return 0;
-    if (this.isGang) return this.spec.taskCount - this.located.size;
-    return this.spec.taskCount - this.done.count - this.placements.size - this.locatedPending;
+  get unaccountedCount(): number {
+    if (this.isGang && this.doneTasks.count > 0) return 0;
+    if (this.isGang) return this.spec.taskCount - this.locatedTasks.size;
+    return this.spec.taskCount - this.doneTasks.count - this.placements.size - this.locatedPendingCount;
   }
 
   /** Whether the store lacks something that must be there before anything else can happen. */
-  get needsWrite(): 'no' | 'soon' | 'now' {
+  get writeUrgency(): 'no' | 'soon' | 'now' {
     if (this.durableState !== 'accepted') return 'no';
-    if (this.state === 'done' || this.startTerm !== this.durableStartTerm || this.hasUnrecordedZone) return 'now';
-    return this.done.count > this.durableDone.count ? 'soon' : 'no';
+    if (this.state === 'done' || this.startTerm !== this.durableStartTerm || this.hasUnstoredStartZone) return 'now';
+    return this.doneTasks.count > this.durableDoneTasks.count ? 'soon' : 'no';
   }
 
   /** Nothing of it is left to write or to stop. */
   get isSettled(): boolean {
-    return this.state !== 'accepted' && this.placements.size === 0 && this.needsWrite === 'no';
+    return this.state !== 'accepted' && this.placements.size === 0 && this.writeUrgency === 'no';
   }
 
   isDone(index: number): boolean {
-    return this.done.has(index);
+    return this.doneTasks.has(index);
   }
 
   /** Whether the result of a task may be dropped from its worker. */
   isResultDurable(index: number): boolean {
-    return this.durableState !== 'accepted' || this.durableDone.has(index);
+    return this.durableState !== 'accepted' || this.durableDoneTasks.has(index);
   }
 
   /** Whether it fails wherever it runs: then it is the job itself that is at fault. */
@@ -221,14 +221,14 @@
   markDone(index: number): void {
     // A replica that ends has to run again, whatever it says of itself.
     if (this.isService) return;
-    if (this.isGang) for (let task = 0; task < this.spec.taskCount; task++) this.done.add(task);
-    else this.done.add(index);
-    this.failureHistory.noteSuccess();
-    if (this.done.count >= this.spec.taskCount && this.state === 'accepted') this.state = 'done';
+    if (this.isGang) for (let task = 0; task < this.spec.taskCount; task++) this.doneTasks.add(task);
+    else this.doneTasks.add(index);
+    this.failureHistory.recordSuccess();
+    if (this.doneTasks.count >= this.spec.taskCount && this.state === 'accepted') this.state = 'done';
   }
 
   /** A task has lost its place. */
-  noteReleased(index: number): void {
+  onTaskReleased(index: number): void {
     if (index < this.firstPossiblyPending) this.firstPossiblyPending = index;
   }
 
@@ -237,17 +237,17 @@
     const found: number[] = [];
     for (let index = this.firstPossiblyPending; index < this.spec.taskCount && found.length < limit; index++) {
       if (this.isStartable(index)) found.push(index);
-      else if (found.length === 0 && !this.isPending(index)) this.noteNotPending(index);
+      else if (found.length === 0 && !this.isPending(index)) this.skipNotPending(index);
     }
     return found;
   }
 
   private isStartable(index: number): boolean {
-    if (!this.isPending(index) || this.strays.has(index)) return false;
-    return !this.mayRunUnseen || this.located.has(index);
+    if (!this.isPending(index) || this.unexpectedTasks.has(index)) return false;
+    return !this.mayRunUnreconciled || this.locatedTasks.has(index);
   }
 
-  private noteNotPending(index: number): void {
+  private skipNotPending(index: number): void {
     if (index === this.firstPossiblyPending) this.firstPossiblyPending = index + 1;
   }
 
@@ -257,21 +257,21 @@
     return count;
   }
 
-  replicasOn(machine: Machine): number {
+  replicaCountOn(machine: Machine): number {
     let count = 0;
     for (const placement of this.placements.values()) if (placement.machine === machine) count += 1;
     return count;
   }
 
   /** How many of its tasks may be in each zone now. */
-  zoneCounts(): Map<ZoneName, number> {
+  taskCountByZone(): Map<ZoneName, number> {
     const counts = new Map<ZoneName, number>();
     for (const { machine } of this.placements.values()) counts.set(machine.zone, (counts.get(machine.zone) ?? 0) + 1);
     return counts;
   }
 
   /** The largest number of its tasks that one zone may hold. */
-  get zoneLimit(): number {
+  get maxTasksPerZone(): number {
     return this.spec.zoneSpread ? Math.ceil(this.spec.taskCount / 2) : this.spec.taskCount;
   }
 }
--- a/src/core/jobs/job_cache.ts
+++ b/src/core/jobs/job_cache.ts
@@ -9,10 +9,10 @@
 /** The leader asks more often: what starts depends on how fresh its view of cancellations is. */
 const LEADER_WATCH_MS = 1000;
 /** So many watches fit into the greatest age that the leader's view may have. */
-const WATCHES_A_VIEW = 4;
+const WATCHES_PER_MAX_VIEW_AGE = 4;
 /** How long after one answer of the watch the next is asked for: each costs a call, and brings all that came meanwhile. */
-const LEADER_PAUSE_MS = 120;
-const FOLLOWER_PAUSE_MS = 800;
+const LEADER_WATCH_PAUSE_MS = 120;
+const FOLLOWER_WATCH_PAUSE_MS = 800;
 const WATCH_GRACE_MS = 2000;
 const WATCH_QUEUE_MS = 5000;
 const WATCH_RETRY_MS = 250;
@@ -32,14 +32,14 @@
 export class JobCache {
   private readonly jobs = new Map<JobId, CachedJob>();
   /** Jobs on record whose records aren't understood: a later release may have written them. */
-  readonly unreadable = new Set<JobId>();
+  readonly unreadableJobs = new Set<JobId>();
   /** The revision from which the watch goes on; null: all has to be read first. */
-  private watchFrom: Revision | null = null;
-  private reading = false;
-  private readAgain = false;
+  private watchRevision: Revision | null = null;
+  private readInFlight = false;
+  private rereadRequested = false;
   private readCallbacks: OnRead[] = [];
-  private watching = false;
-  private leading = false;
+  private watchInFlight = false;
+  private isLeader = false;
   private readonly leaderWatchMs: number;
   /** What the store held before this is known: when the last answered watch was sent, or when one without news ended. */
   currentAsOf: MonotonicTime;
@@ -50,7 +50,7 @@
     private readonly onRecord: (job: CachedJob) => void,
   ) {
     // Where `cancel_s` leaves little time, the view has to be the fresher (tight-cancel.txt).
-    this.leaderWatchMs = Math.min(LEADER_WATCH_MS, maxJobViewAgeMs(context.settings) / WATCHES_A_VIEW);
+    this.leaderWatchMs = Math.min(LEADER_WATCH_MS, maxJobViewAgeMs(context.settings) / WATCHES_PER_MAX_VIEW_AGE);
     this.currentAsOf = context.now.monotonic;
   }
 
@@ -66,26 +66,26 @@
     return this.jobs.size;
   }
 
-  setLeading(leading: boolean): void {
-    this.leading = leading;
+  setIsLeader(leading: boolean): void {
+    this.isLeader = leading;
   }
 
   /** Reads everything anew, beginning after this moment; `done` hears once that has worked or failed. */
   read(done: OnRead = () => {}): void {
     this.readCallbacks.push(done);
     // A reading under way may have begun too early for this caller.
-    if (this.reading) this.readAgain = true;
+    if (this.readInFlight) this.rereadRequested = true;
     else this.readAll();
   }
 
   onTimer(): void {
-    if (this.watchFrom !== null) this.watch(this.watchFrom);
-    else if (!this.reading) this.readAll();
+    if (this.watchRevision !== null) this.watch(this.watchRevision);
+    else if (!this.readInFlight) this.readAll();
   }
 
   private readAll(): void {
-    this.reading = true;
-    this.readAgain = false;
+    this.readInFlight = true;
+    this.rereadRequested = false;
     const sentAt = this.context.now.monotonic;
     readPrefix(this.context, JOB_PREFIX, (read) => {
       if (read) this.onAllRead(read, sentAt);
@@ -95,35 +95,36 @@
 
   private onAllRead({ items, revision }: PrefixRead, sentAt: MonotonicTime): void {
     for (const item of items) this.update(item);
-    if (revision !== null && (this.watchFrom === null || revision > this.watchFrom)) this.watchFrom = revision;
+    if (revision !== null && (this.watchRevision === null || revision > this.watchRevision))
+      this.watchRevision = revision;
     if (sentAt > this.currentAsOf) this.currentAsOf = sentAt;
   }
 
   private onReadDone(ok: boolean): void {
-    this.reading = false;
-    if (this.readAgain) {
+    this.readInFlight = false;
+    if (this.rereadRequested) {
       this.readAll();
       return;
     }
     const callbacks = this.readCallbacks;
     this.readCallbacks = [];
     for (const done of callbacks) done(ok);
-    this.scheduleNext(ok ? 1 : READ_RETRY_MS);
+    this.scheduleNextWatch(ok ? 1 : READ_RETRY_MS);
   }
 
-  private scheduleNext(ms: number): void {
-    if (this.watching && this.watchFrom !== null) return;
+  private scheduleNextWatch(ms: number): void {
+    if (this.watchInFlight && this.watchRevision !== null) return;
     this.context.timers.set('jobCache', this.context.after(ms));
   }
 
   private watch(after: Revision): void {
-    if (this.watching) return;
-    this.watching = true;
-    const waitMs = this.leading ? this.leaderWatchMs : FOLLOWER_WATCH_MS;
+    if (this.watchInFlight) return;
+    this.watchInFlight = true;
+    const waitMs = this.isLeader ? this.leaderWatchMs : FOLLOWER_WATCH_MS;
     let sentAt = this.context.now.monotonic;
     const onResult = (result: Result<StateStoreResponse>): void => {
-      this.watching = false;
-      if (result.ok) this.onNews(result.value, sentAt, waitMs);
+      this.watchInFlight = false;
+      if (result.ok) this.onWatchAnswered(result.value, sentAt, waitMs);
       else this.onWatchFailed(result.why === 'gone');
     };
     this.context.callStateStore({ op: 'watch', prefix: JOB_PREFIX, after, waitMs }, 1, onResult, {
@@ -135,23 +136,24 @@
     });
   }
 
-  private onNews({ events = [], revision }: StateStoreResponse, sentAt: MonotonicTime, waitMs: number): void {
+  private onWatchAnswered({ events = [], revision }: StateStoreResponse, sentAt: MonotonicTime, waitMs: number): void {
     // A watch without news has waited for its whole time first.
     const knownAt = events.length > 0 ? sentAt : addMilliseconds(sentAt, waitMs * (1 - CLOCK_DRIFT));
     const currentAsOf = Math.min(knownAt, this.context.now.monotonic) as MonotonicTime;
     if (currentAsOf > this.currentAsOf) this.currentAsOf = currentAsOf;
     for (const event of events) this.applyEvent(event);
-    if (revision !== undefined && this.watchFrom !== null && revision > this.watchFrom) this.watchFrom = revision;
-    this.scheduleNext(this.leading ? LEADER_PAUSE_MS : FOLLOWER_PAUSE_MS);
+    if (revision !== undefined && this.watchRevision !== null && revision > this.watchRevision)
+      this.watchRevision = revision;
+    this.scheduleNextWatch(this.isLeader ? LEADER_WATCH_PAUSE_MS : FOLLOWER_WATCH_PAUSE_MS);
   }
 
   private onWatchFailed(tooFarBehind: boolean): void {
     if (!tooFarBehind) {
-      this.scheduleNext(WATCH_RETRY_MS);
+      this.scheduleNextWatch(WATCH_RETRY_MS);
       return;
     }
-    this.watchFrom = null;
-    if (!this.reading) this.readAll();
+    this.watchRevision = null;
+    if (!this.readInFlight) this.readAll();
   }
 
   private applyEvent(event: WatchEvent): void {
@@ -166,11 +168,11 @@
     if (known && known.version >= item.version) return known;
     const record = decodeJob(item.value);
     if (!record) {
-      if (!this.unreadable.has(id)) this.context.log('error', 'job record not understood', { key: item.key });
-      this.unreadable.add(id);
+      if (!this.unreadableJobs.has(id)) this.context.log('error', 'job record not understood', { key: item.key });
+      this.unreadableJobs.add(id);
       return null;
     }
-    this.unreadable.delete(id);
+    this.unreadableJobs.delete(id);
     const job = { record, version: item.version };
     this.jobs.set(id, job);
     this.onRecord(job);
--- a/src/core/jobs/range_set.ts
+++ b/src/core/jobs/range_set.ts
@@ -6,21 +6,21 @@
 /** A set of task numbers kept as sorted, disjoint, inclusive ranges: what the store holds of a job's completions. */
 export class RangeSet {
   private readonly ranges: Range[] = [];
-  private total = 0;
+  private size = 0;
 
   /** The pairs must be sorted and disjoint. */
   static from(pairs: readonly (readonly [number, number])[]): RangeSet {
     const set = new RangeSet();
     for (const [first, last] of pairs) {
       set.ranges.push([first, last]);
-      set.total += last - first + 1;
+      set.size += last - first + 1;
     }
     return set;
   }
 
   /** How many numbers are in the set. */
   get count(): number {
-    return this.total;
+    return this.size;
   }
 
   /** Index of the first range that ends at or after the number. */
@@ -59,7 +59,7 @@
     } else {
       this.ranges.splice(index, 0, [number, number]);
     }
-    this.total += 1;
+    this.size += 1;
     return true;
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** The first ranges, as many as fit into so many bytes of text: a record must fit the store's limit for a value. */
-  pairs(bytes = Number.POSITIVE_INFINITY): [number, number][] {
+  toPairs(bytes = Number.POSITIVE_INFINITY): [number, number][] {
     const fitting: [number, number][] = [];
     let left = bytes;
     for (const [first, last] of this.ranges) {
--- a/src/core/leadership/cluster.ts
+++ b/src/core/leadership/cluster.ts
@@ -1,10 +1,10 @@
 import type { Certainty, ZonesKeptSince } from '../../recovery/index.js';
-import { Estimates } from '../jobs/estimates.js';
 import { Job, type Placement, type PlacementPhase } from '../jobs/job.js';
-import { BootTimes } from '../machines/boot_times.js';
-import type { MachineTypes } from '../machines/catalog.js';
+import { RuntimeEstimator } from '../jobs/runtime_estimator.js';
+import { BootTimeEstimator } from '../machines/boot_time_estimator.js';
 import { type Machine, taskKey } from '../machines/machine.js';
-import { SpotInterruptionRate } from '../machines/spot_interruptions.js';
+import type { MachineTypes } from '../machines/machine_type_catalog.js';
+import { SpotInterruptionRate } from '../machines/spot_interruption_rate.js';
 import type { JobRecord } from '../records.js';
 import { Quotas } from '../scheduler/quotas.js';
 import type { StepContext } from '../step_context.js';
@@ -39,8 +39,8 @@
   readonly earlierTerms: EarlierTerms;
   /** Jobs whose records this version can't read. */
   unreadableJobs: ReadonlySet<JobId> = new Set();
-  readonly estimates = new Estimates();
-  readonly bootTimes = new BootTimes();
+  readonly estimates = new RuntimeEstimator();
+  readonly bootTimes = new BootTimeEstimator();
   readonly spotInterruptions = new SpotInterruptionRate();
   /** The largest tasks seen that use an image, and its size. */
   readonly largestImageUsers = new Map<ImageName, Resources>();
@@ -147,18 +147,18 @@
 
   place(job: Job, index: number, machine: Machine, attempt: Attempt, phase: PlacementPhase): Placement {
     const now = this.context.now.monotonic;
-    if (phase !== 'planned' && this.earlierTerms.recovery) job.located.add(index);
+    if (phase !== 'planned' && this.earlierTerms.recovery) job.locatedTasks.add(index);
     const placement: Placement = {
       job,
       index,
       machine,
       attempt,
       phase,
-      sentInReplyTo: null,
+      sentInResponseTo: null,
       since: now,
       runningSince: phase === 'running' ? now : null,
       foundRunning: phase === 'running',
-      stop: null,
+      pendingStop: null,
     };
     job.placements.set(index, placement);
     machine.addPlacement(placement);
@@ -187,7 +187,7 @@
     if (job.placements.size === 0) job.inactiveSince = this.context.now.monotonic;
     machine.removePlacement(placement, this.context.now.monotonic);
     this.quotas.add(job.spec, -1);
-    job.noteReleased(index);
+    job.onTaskReleased(index);
     return true;
   }
 
@@ -222,9 +222,9 @@
     if (job.placements.size === 0) job.gangBroken = false;
   }
 
-  stop(placement: Placement, graceS: number): void {
-    if (placement.stop && placement.stop.graceS <= graceS) return;
-    placement.stop = { graceS, since: this.context.now.monotonic };
+  stop(placement: Placement, gracePeriodSeconds: number): void {
+    if (placement.pendingStop && placement.pendingStop.gracePeriodSeconds <= gracePeriodSeconds) return;
+    placement.pendingStop = { gracePeriodSeconds, since: this.context.now.monotonic };
     this.requestStops(placement.machine);
   }
 
@@ -258,12 +258,12 @@
   isOverdue(machine: Machine): boolean {
     const now = this.context.now.monotonic;
     const { phase, type, zone } = machine;
-    return phase === 'booting' && this.bootTimes.isOverdue(type, zone, machine.ageS(now), now);
+    return phase === 'booting' && this.bootTimes.isOverdue(type, zone, machine.ageSeconds(now), now);
   }
 
   /** Whether the machine is on its way, and may be counted on. */
   isExpected(machine: Machine): boolean {
-    return machine.isComing() && !this.isOverdue(machine);
+    return machine.isProvisioning() && !this.isOverdue(machine);
   }
 
   /** The machine is proven gone, with everything on it. */
--- a/src/core/leadership/earlier_terms.ts
+++ b/src/core/leadership/earlier_terms.ts
@@ -51,7 +51,7 @@
 
   onJobLearned(job: Job, startZones: readonly ZoneName[] | null): void {
     this.recovery?.onRecorded(job.id);
-    job.restoreZones(believedZones(job.startTerm, startZones, this.zonesKeptSince));
+    job.restoreStartZones(believedZones(job.startTerm, startZones, this.zonesKeptSince));
     if (this.isEarlier(job) && job.state !== 'done') this.jobs.add(job);
   }
 
@@ -101,7 +101,7 @@
 
   private *factsOfJobs(): Iterable<EarlierJob> {
     for (const job of this.jobs) {
-      if (job.unaccounted === 0) this.jobs.delete(job);
+      if (job.unaccountedCount === 0) this.jobs.delete(job);
       else yield factsOf(job);
     }
   }
@@ -122,7 +122,7 @@
 
   /** Notes whether tasks of a job may run unseen, and returns how many of it may be given places now. */
   startable(job: Job): number {
-    job.mayRunUnseen = this.mayRunUnseen(job);
+    job.mayRunUnreconciled = this.mayRunUnseen(job);
     return job.startableCount;
   }
 
@@ -143,7 +143,7 @@
 
   private countMissing(): number {
     let missing = 0;
-    for (const job of this.jobs) if (job.state === 'accepted') missing += job.unaccounted;
+    for (const job of this.jobs) if (job.state === 'accepted') missing += job.unaccountedCount;
     this.jobs.clear();
     return missing;
   }
@@ -179,7 +179,7 @@
 
 function factsOf(job: Job): EarlierJob {
   const { id, team, allowedMachineTypes, zone, toleratesSpot, cpus, gpus } = job.spec;
-  const { startTerm, startZones, unaccounted } = job;
+  const { startTerm, startZones, unaccountedCount } = job;
   return {
     id,
     team,
@@ -190,6 +190,6 @@
     gpus,
     startTerm,
     startZones,
-    unaccounted,
+    unaccounted: unaccountedCount,
   };
 }
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -1,10 +1,10 @@
 import type { RecoverySummary } from '../../recovery/index.js';
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
 import { Autoscaler } from '../machines/autoscaler.js';
-import type { MachineTypes } from '../machines/catalog.js';
 import { HealthChecks } from '../machines/health_checks.js';
 import type { Machine } from '../machines/machine.js';
-import { Registry } from '../machines/registry.js';
+import { MachineRegistry } from '../machines/machine_registry.js';
+import type { MachineTypes } from '../machines/machine_type_catalog.js';
 import type { StoredEntry } from '../messages.js';
 import type { TaskCounts } from '../requests/job_reader.js';
 import { migrateToCachedImages } from '../scheduler/migration.js';
@@ -77,7 +77,7 @@
   private readonly reconciliation: Reconciliation;
   private readonly commandSender: CommandSender;
   private readonly healthChecks: HealthChecks;
-  private readonly registry: Registry;
+  private readonly registry: MachineRegistry;
   private readonly loader: StateLoader;
   private readonly restorer: StateRestorer;
   private readonly recordLookup: RecordLookup;
@@ -100,7 +100,7 @@
     this.leadingSince = context.now.monotonic;
     this.cluster = new Cluster(context, leadership.term, leadership.zonesKeptSince);
     this.cluster.types = types;
-    this.registry = new Registry(context.settings.stateStore.maxValueBytes);
+    this.registry = new MachineRegistry(context.settings.stateStore.maxValueBytes);
     this.recordWriter = new RecordWriter(this.cluster, leadership, this.registry, {
       mayWrite: () => this.isLeaseValid() && this.loaded,
       onRecordRead: (item) => void this.jobCache.update(item),
@@ -271,7 +271,7 @@
     this.lastRoundSteps = round.steps;
     migrateToCachedImages(this.cluster);
     preempt(this.cluster, round);
-    this.autoscaler.rentForNeed(round);
+    this.autoscaler.runScaleOut(round);
     this.recordWriter.flush();
     this.reportHandler.releaseHeld();
   }
@@ -288,8 +288,8 @@
     this.healthChecks.run();
     this.cluster.earlierTerms.finishIfCertain();
     this.reconciliation.probe();
-    this.autoscaler.returnMachines(this.leadingSince);
-    this.registry.collectHints();
+    this.autoscaler.runScaleIn(this.leadingSince);
+    this.registry.collectImageChanges();
     this.recordWriter.flush();
     this.resignIfUnreachable();
   }
@@ -297,7 +297,7 @@
   /** Where most machines report but don't hear this node, another should lead. */
   private resignIfUnreachable(): void {
     const now = this.context.now.monotonic;
-    if (!this.healthChecks.isLeaderUnreachable()) {
+    if (!this.healthChecks.isLeaderIsolated()) {
       this.unreachableSince = null;
       return;
     }
@@ -310,6 +310,6 @@
   taskCounts(id: JobId): TaskCounts | null {
     if (!this.isLeaseValid() || !this.loaded) return null;
     const job = this.cluster.jobs.get(id);
-    return job ? { done: job.done.count, running: job.runningCount() } : null;
+    return job ? { done: job.doneTasks.count, running: job.runningCount() } : null;
   }
 }
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -1,7 +1,7 @@
 import type { Job } from '../jobs/job.js';
 import { RangeSet } from '../jobs/range_set.js';
 import type { Machine } from '../machines/machine.js';
-import type { Page, Registry } from '../machines/registry.js';
+import type { MachineRegistry, RegistryPage } from '../machines/machine_registry.js';
 import type { Result, StateChange, StateStoreResponse, StoredEntry, VersionCondition } from '../messages.js';
 import { encodeJob, type JobState, jobKey, pageKey } from '../records.js';
 import type { StepContext } from '../step_context.js';
@@ -39,7 +39,7 @@
 
 /** A page of the registry as one transaction writes it. */
 interface PageSnapshot {
-  readonly page: Page;
+  readonly page: RegistryPage;
   readonly machines: readonly Machine[];
 }
 
@@ -75,7 +75,7 @@
   constructor(
     private readonly cluster: Cluster,
     private readonly leadership: Leadership,
-    private readonly registry: Registry,
+    private readonly registry: MachineRegistry,
     private readonly callbacks: RecordWriterCallbacks,
   ) {
     this.context = cluster.context;
@@ -125,12 +125,12 @@
   }
 
   /** Takes from both lists what fits into one transaction: urgent pages, then jobs, then other pages. */
-  private nextBatch(jobs: Job[], pages: Page[], now: MonotonicTime): Batch {
+  private nextBatch(jobs: Job[], pages: RegistryPage[], now: MonotonicTime): Batch {
     const conditions = [leaderCondition(this.leadership)];
     const batch: Batch = { conditions, changes: [], jobs: [], pages: [], bytes: 0, urgent: false };
-    while (pages[0]?.urgent && this.hasRoom(batch)) this.addPage(batch, pages.shift() as Page);
+    while (pages[0]?.urgent && this.hasRoom(batch)) this.addPage(batch, pages.shift() as RegistryPage);
     while (jobs.length > 0 && this.hasRoom(batch)) this.addJob(batch, jobs.shift() as Job, now);
-    while (pages.length > 0 && this.hasRoom(batch)) this.addPage(batch, pages.shift() as Page);
+    while (pages.length > 0 && this.hasRoom(batch)) this.addPage(batch, pages.shift() as RegistryPage);
     return batch;
   }
 
@@ -138,33 +138,36 @@
     const due: Job[] = [];
     const lazyMs = hasSpareWrites ? LAZY_WRITE_MS : SCARCE_LAZY_FACTOR * LAZY_WRITE_MS;
     for (const job of this.cluster.activeJobs) {
-      const need = job.needsWrite;
+      const need = job.writeUrgency;
       if (need === 'no') this.cluster.deactivateIfSettled(job);
       else if (!job.writeInFlight && (need === 'now' || now - job.lastWriteAt >= lazyMs)) due.push(job);
     }
-    return due.sort((a, b) => Number(b.needsWrite === 'now') - Number(a.needsWrite === 'now'));
+    return due.sort((a, b) => Number(b.writeUrgency === 'now') - Number(a.writeUrgency === 'now'));
   }
 
   private hasRoom(batch: Batch): boolean {
     return batch.changes.length < this.maxChanges && batch.bytes < MAX_TRANSACTION_BYTES;
   }
 
-  private addPage(batch: Batch, page: Page): void {
+  private addPage(batch: Batch, page: RegistryPage): void {
     if (page.urgent) batch.urgent = true;
     const { change, bytes, machines } = this.registry.beginWrite(page, this.context.now.monotonic);
     batch.bytes += bytes;
     batch.pages.push({ page, machines });
-    batch.conditions.push({ key: pageKey(page.no), version: page.version });
+    batch.conditions.push({ key: pageKey(page.index), version: page.version });
     batch.changes.push(change);
   }
 
   private addJob(batch: Batch, job: Job, now: MonotonicTime): void {
-    if (job.needsWrite === 'now') batch.urgent = true;
+    if (job.writeUrgency === 'now') batch.urgent = true;
     job.writeInFlight = true;
     job.lastWriteAt = now;
-    const { spec, submittedAt, state, startTerm, startZone, done } = job;
+    const { spec, submittedAt, state, startTerm, startZone, doneTasks } = job;
     const startZones = job.startZones && [...job.startZones];
-    const value = encodeJob({ spec, submittedAt, state, startTerm, startZone, startZones, done }, this.valueBytes);
+    const value = encodeJob(
+      { spec, submittedAt, state, startTerm, startZone, startZones, done: doneTasks },
+      this.valueBytes,
+    );
     batch.bytes += JOB_RECORD_BYTES + value.done.length * DONE_RANGE_BYTES;
     batch.jobs.push({ job, state, startTerm, startZones, done: value.done });
     batch.conditions.push({ key: jobKey(job.id), version: job.version });
@@ -202,11 +205,11 @@
       job.version = version;
       job.durableState = state;
       job.durableStartTerm = startTerm;
-      job.onZonesStored(startZones);
-      job.durableDone = RangeSet.from(done);
+      job.onStartZonesStored(startZones);
+      job.durableDoneTasks = RangeSet.from(done);
     }
     this.cluster.deactivateIfSettled(job);
-    if (job.needsWrite === 'now') this.scheduleFlush();
+    if (job.writeUrgency === 'now') this.scheduleFlush();
   }
 
   private onBatchFailed(batch: Batch, result: Result<StateStoreResponse>): void {
@@ -226,7 +229,7 @@
     const changes = batch.changes.length;
     if (changes > 1) this.maxChanges = Math.max(1, Math.floor(changes / 2));
     else this.valueBytes = Math.max(MIN_VALUE_BYTES, Math.floor(this.valueBytes * VALUE_SHRINK_FACTOR));
-    this.registry.limitPages(this.valueBytes);
+    this.registry.setValueLimit(this.valueBytes);
     this.pausedUntil = this.context.after(REJECTED_PAUSE_MS);
     this.context.log('info', 'state service refuses a write for its size: writing less at a time', {
       changes: this.maxChanges,
@@ -246,9 +249,9 @@
   }
 
   /** Only the version matters: the page is written anew, on the condition that nothing has come in between. */
-  private rereadPage(page: Page): void {
+  private rereadPage(page: RegistryPage): void {
     page.writeInFlight = true;
-    this.context.callStateStore({ op: 'get', key: pageKey(page.no) }, URGENT_PRIORITY, (result) => {
+    this.context.callStateStore({ op: 'get', key: pageKey(page.index) }, URGENT_PRIORITY, (result) => {
       page.writeInFlight = false;
       if (this.stopped) return;
       if (result.ok) {
--- a/src/core/leadership/state_restorer.ts
+++ b/src/core/leadership/state_restorer.ts
@@ -1,6 +1,6 @@
 import type { JobCache } from '../jobs/job_cache.js';
 import { Machine } from '../machines/machine.js';
-import type { Registry } from '../machines/registry.js';
+import type { MachineRegistry } from '../machines/machine_registry.js';
 import type { StoredEntry } from '../messages.js';
 import type { MachineRecord } from '../records.js';
 import type { MachineId, MonotonicTime } from '../types.js';
@@ -11,7 +11,7 @@
   /** `lastRenewalOf`: when anybody may last have renewed a machine's lease before this leader knows of the machine. */
   constructor(
     private readonly cluster: Cluster,
-    private readonly registry: Registry,
+    private readonly registry: MachineRegistry,
     private readonly jobCache: JobCache,
     private readonly lastRenewalOf: (machine: MachineId) => MonotonicTime,
   ) {}
@@ -19,12 +19,12 @@
   /** `pages`: the registry's. */
   restore(pages: readonly StoredEntry[]): void {
     const { context, earlierTerms, machines } = this.cluster;
-    this.cluster.unreadableJobs = this.jobCache.unreadable;
+    this.cluster.unreadableJobs = this.jobCache.unreadableJobs;
     for (const job of this.jobCache.all()) this.cluster.learnJob(job.record, job.version);
     for (const item of pages) this.restorePage(item);
-    this.registry.spreadAll();
+    this.registry.splitOversizedPages();
     context.log('info', 'state read', { jobs: this.jobCache.size, machines: machines.size });
-    earlierTerms.onLoaded(this.jobCache.unreadable.size);
+    earlierTerms.onLoaded(this.jobCache.unreadableJobs.size);
   }
 
   private restorePage(item: StoredEntry): void {
@@ -47,7 +47,7 @@
     const type = types.get(record.type);
     // A record that isn't understood stays as it is: its page is never written without it. Its machine may run anything.
     if (!type) {
-      this.registry.keepUnknown(key, record);
+      this.registry.keepUnknownMachine(key, record);
       earlierTerms.onUnreadablePage();
       return;
     }
@@ -56,7 +56,7 @@
     // Rented by an earlier leader and not known to be up: it may still boot (boots-leader-change.txt), or have come up just
     // now, so that it counts as unreconciled all the same.
     const phase = address === '' ? 'booting' : 'up';
-    const machine = new Machine({ id, type, zone, spot, addr: address, reconciled: false, phase, now });
+    const machine = new Machine({ id, type, zone, spot, address, reconciled: false, phase, now });
     machine.images.restore(record.images, record.imagePullSpeed, imageGb, now);
     if (earlierTerms.recovery) machine.leaseRenewedAt = this.lastRenewalOf(id);
     machines.set(id, machine);
--- a/src/core/machines/autoscaler.ts
+++ b/src/core/machines/autoscaler.ts
@@ -1,78 +1,78 @@
 import type { Cluster } from '../leadership/cluster.js';
 import type { RoundResult } from '../scheduler/round.js';
 import type { MachineType, MachineTypeName, MonotonicTime } from '../types.js';
-import { Guarantees } from './guarantees.js';
+import { GuaranteedCapacity } from './guaranteed_capacity.js';
 import type { Machine } from './machine.js';
 import { MachineList } from './machine_list.js';
-import { MachineReturns } from './machine_returns.js';
-import { RentalNeed } from './rental_need.js';
-import { Rentals } from './rentals.js';
+import { ScaleIn } from './scale_in.js';
+import { ScaleOut } from './scale_out.js';
+import { ScaleOutDemand } from './scale_out_demand.js';
 
 /** Losses of spot machines are reckoned over at most so many seconds at once. */
-const MAX_OBSERVED_S = 5;
+const MAX_OBSERVED_SECONDS = 5;
 /** So much of a machine's worth of work on demand is worth a spot machine ... */
-const MIN_SPOT_SHARE = 0.7;
+const MIN_SPOT_ELIGIBLE_MACHINES = 0.7;
 /** ... where its price is at most this part of the other. */
-const MAX_SPOT_PRICE_SHARE = 0.6;
+const MAX_SPOT_PRICE_RATIO = 0.6;
 
 /** Keeps the record of machines that the store holds. */
-export interface MachineRecords {
+export interface MachineRegistrar {
   registerMachine(machine: Machine): void;
   unregisterMachine(machine: Machine): void;
 }
 
 /** Rents machines for planned need, returns those that are of no use, and keeps the list of machines true. */
 export class Autoscaler {
-  private readonly list: MachineList;
-  private readonly rentals: Rentals;
-  private readonly returns: MachineReturns;
-  private readonly guarantees: Guarantees;
+  private readonly machineList: MachineList;
+  private readonly scaleOut: ScaleOut;
+  private readonly scaleIn: ScaleIn;
+  private readonly guaranteedCapacity: GuaranteedCapacity;
   private spotObservedAt: MonotonicTime;
 
   constructor(
     private readonly cluster: Cluster,
-    records: MachineRecords,
+    records: MachineRegistrar,
   ) {
-    this.rentals = new Rentals(cluster, (machine) => records.registerMachine(machine));
-    this.guarantees = new Guarantees(cluster, this.rentals);
-    this.returns = new MachineReturns(
+    this.scaleOut = new ScaleOut(cluster, (machine) => records.registerMachine(machine));
+    this.guaranteedCapacity = new GuaranteedCapacity(cluster, this.scaleOut);
+    this.scaleIn = new ScaleIn(
       cluster,
       (machine) => records.unregisterMachine(machine),
-      (machine) => this.countInterruption(machine),
+      (machine) => this.recordInterruption(machine),
     );
-    this.list = new MachineList(
+    this.machineList = new MachineList(
       cluster,
-      (machine) => this.returns.request(machine, 'failed'),
-      () => this.returns.send(),
+      (machine) => this.scaleIn.requestTermination(machine, 'failed'),
+      () => this.scaleIn.sendTerminations(),
     );
     this.spotObservedAt = cluster.context.now.monotonic;
   }
 
   listMachines(): void {
-    this.list.read();
+    this.machineList.read();
   }
 
   /** Once a second: returns machines that should go. */
-  returnMachines(leadingSince: MonotonicTime): void {
-    this.list.readIfDue();
+  runScaleIn(leadingSince: MonotonicTime): void {
+    this.machineList.readIfDue();
     this.observeSpotMachines();
-    this.returns.run(leadingSince, this.guarantees.missing());
+    this.scaleIn.run(leadingSince, this.guaranteedCapacity.deficit());
   }
 
   /** Once a round: rents what would start waiting work sooner than the plan can. */
-  rentForNeed(round: RoundResult): void {
-    this.guarantees.noteWork();
+  runScaleOut(round: RoundResult): void {
+    this.guaranteedCapacity.noteActiveWork();
     // Without the list, machines may be there that nobody knows of here.
-    if (!this.list.readOnce) return;
-    new RentalNeed(this.cluster, this.rentals, round).rent();
-    this.guarantees.rentMissing();
-    this.replaceWithSpot();
+    if (!this.machineList.isComplete) return;
+    new ScaleOutDemand(this.cluster, this.scaleOut, round).provision();
+    this.guaranteedCapacity.provisionDeficit();
+    this.provisionSpotReplacements();
   }
 
-  private countInterruption(machine: Machine): void {
-    if (!machine.spot || machine.interruptionCounted) return;
-    machine.interruptionCounted = true;
-    this.cluster.spotInterruptions.lost();
+  private recordInterruption(machine: Machine): void {
+    if (!machine.spot || machine.interruptionRecorded) return;
+    machine.interruptionRecorded = true;
+    this.cluster.spotInterruptions.recordInterruption();
   }
 
   private observeSpotMachines(): void {
@@ -81,29 +81,34 @@
     for (const machine of this.cluster.machines.values()) {
       if (!machine.spot || machine.phase !== 'up') continue;
       machines += 1;
-      if (machine.interruptionAt !== null) this.countInterruption(machine);
+      if (machine.interruptionAt !== null) this.recordInterruption(machine);
     }
-    const seconds = Math.min(MAX_OBSERVED_S, (now - this.spotObservedAt) / 1000);
+    const seconds = Math.min(MAX_OBSERVED_SECONDS, (now - this.spotObservedAt) / 1000);
     this.spotObservedAt = now;
-    this.cluster.spotInterruptions.pass(machines, seconds);
+    this.cluster.spotInterruptions.observe(machines, seconds);
   }
 
   /**
    * Work that may run on spot machines but sits on others is paid several times over: while there is a machine's worth of
    * it, a spot machine is asked for. New work then prefers it, and the others fall idle and are returned.
    */
-  private replaceWithSpot(): void {
-    for (const [name, share] of this.spotWorkOnDemand()) {
+  private provisionSpotReplacements(): void {
+    for (const [name, share] of this.spotEligibleMachinesByType()) {
       const type = this.cluster.types.get(name);
-      if (!type || share < MIN_SPOT_SHARE || type.spotPricePerHour > MAX_SPOT_PRICE_SHARE * type.pricePerHour) continue;
-      if (this.isSpotComing(type)) continue;
-      const zone = type.zones.find((candidate) => !this.rentals.isRefused({ type, zone: candidate, spot: true }));
-      if (zone) this.rentals.rent({ type, zone, spot: true }, 1);
+      if (
+        !type ||
+        share < MIN_SPOT_ELIGIBLE_MACHINES ||
+        type.spotPricePerHour > MAX_SPOT_PRICE_RATIO * type.pricePerHour
+      )
+        continue;
+      if (this.isSpotProvisioning(type)) continue;
+      const zone = type.zones.find((candidate) => !this.scaleOut.isBackedOff({ type, zone: candidate, spot: true }));
+      if (zone) this.scaleOut.provision({ type, zone, spot: true }, 1);
     }
   }
 
   /** By type, how many machines' worth of work sits on machines on demand and might be on spot ones. */
-  private spotWorkOnDemand(): Map<MachineTypeName, number> {
+  private spotEligibleMachinesByType(): Map<MachineTypeName, number> {
     const shares = new Map<MachineTypeName, number>();
     for (const machine of this.cluster.machines.values()) {
       if (machine.spot || machine.phase !== 'up') continue;
@@ -118,8 +123,8 @@
     return shares;
   }
 
-  private isSpotComing(type: MachineType): boolean {
-    for (const { kind } of this.rentals.underWay()) if (kind.spot && kind.type.name === type.name) return true;
+  private isSpotProvisioning(type: MachineType): boolean {
+    for (const { pool } of this.scaleOut.pendingRequests()) if (pool.spot && pool.type.name === type.name) return true;
     for (const { typeName, spot, phase } of this.cluster.machines.values()) {
       if (typeName === type.name && spot && phase === 'booting') return true;
     }
--- a/src/core/machines/boot_times.ts
+++ b/src/core/machines/boot_time_estimator.ts
@@ -3,7 +3,7 @@
 /** The nominal boot time counts as so many boots seen. */
 const PRIOR_BOOTS = 2;
 /** How long what was seen counts: troubles of the cloud pass within minutes. */
-const MEMORY_MS = 120_000;
+const DECAY_MS = 120_000;
 /** One boot counts as no more than so many times too long or too short. */
 const MAX_LOG_RATIO = Math.log(8);
 const MIN_LOG_RATIO = -Math.log(30);
@@ -14,72 +14,72 @@
 const SOON_SHARE = 0.15;
 const LATE_SHARE = 0.5;
 /** The least time that a boot is expected to take. */
-const MIN_BOOT_S = 1;
+const MIN_BOOT_SECONDS = 1;
 /** With each machine given up in a row, rented after the one before, the next is given so many times as long. */
-const PATIENCE_FACTOR = 1.5;
-const MAX_PATIENCE = 4;
+const TIMEOUT_BACKOFF_FACTOR = 1.5;
+const MAX_TIMEOUT_FACTOR = 4;
 
 /** What was seen of machines of one type in one zone. */
 class BootHistory {
-  private boots = 0;
-  private logRatios = 0;
-  private failures = 0;
+  private bootCount = 0;
+  private logRatioSum = 0;
+  private overdueCount = 0;
   private updatedAt: MonotonicTime;
   /** How many times as long machines are given that were rented since, or before, the last one that was given up. */
-  private patience = 1;
-  private patienceBefore = 1;
-  private lastGivenUpAt = Number.NEGATIVE_INFINITY as MonotonicTime;
+  private timeoutFactor = 1;
+  private previousTimeoutFactor = 1;
+  private lastAbandonedAt = Number.NEGATIVE_INFINITY as MonotonicTime;
 
   constructor(now: MonotonicTime) {
     this.updatedAt = now;
   }
 
-  private fade(now: MonotonicTime): void {
-    const keep = Math.exp(-(now - this.updatedAt) / MEMORY_MS);
-    this.boots *= keep;
-    this.logRatios *= keep;
-    this.failures *= keep;
+  private decay(now: MonotonicTime): void {
+    const keep = Math.exp(-(now - this.updatedAt) / DECAY_MS);
+    this.bootCount *= keep;
+    this.logRatioSum *= keep;
+    this.overdueCount *= keep;
     this.updatedAt = now;
   }
 
-  noteUp(ratio: number, now: MonotonicTime): void {
-    this.fade(now);
-    this.boots += 1;
-    this.logRatios += Math.min(MAX_LOG_RATIO, Math.max(MIN_LOG_RATIO, Math.log(ratio)));
-    this.patience = 1;
+  recordBoot(ratio: number, now: MonotonicTime): void {
+    this.decay(now);
+    this.bootCount += 1;
+    this.logRatioSum += Math.min(MAX_LOG_RATIO, Math.max(MIN_LOG_RATIO, Math.log(ratio)));
+    this.timeoutFactor = 1;
   }
 
-  noteOverdue(now: MonotonicTime): void {
-    this.fade(now);
-    this.failures += 1;
+  recordOverdue(now: MonotonicTime): void {
+    this.decay(now);
+    this.overdueCount += 1;
   }
 
-  noteGivenUp(rentedAt: MonotonicTime, now: MonotonicTime): void {
-    if (rentedAt < this.lastGivenUpAt) return;
-    this.lastGivenUpAt = now;
-    this.patienceBefore = this.patience;
-    this.patience = Math.min(MAX_PATIENCE, this.patience * PATIENCE_FACTOR);
+  recordAbandoned(rentedAt: MonotonicTime, now: MonotonicTime): void {
+    if (rentedAt < this.lastAbandonedAt) return;
+    this.lastAbandonedAt = now;
+    this.previousTimeoutFactor = this.timeoutFactor;
+    this.timeoutFactor = Math.min(MAX_TIMEOUT_FACTOR, this.timeoutFactor * TIMEOUT_BACKOFF_FACTOR);
   }
 
   /** How many times the nominal time a boot takes lately. */
-  ratio(now: MonotonicTime): number {
-    this.fade(now);
-    return Math.exp(this.logRatios / (this.boots + PRIOR_BOOTS));
+  bootTimeRatio(now: MonotonicTime): number {
+    this.decay(now);
+    return Math.exp(this.logRatioSum / (this.bootCount + PRIOR_BOOTS));
   }
 
   /** The part of the machines seen lately that were overdue. */
   overdueShare(now: MonotonicTime): number {
-    this.fade(now);
-    return this.failures / (this.boots + this.failures + PRIOR_BOOTS);
+    this.decay(now);
+    return this.overdueCount / (this.bootCount + this.overdueCount + PRIOR_BOOTS);
   }
 
-  patienceWith(rentedAt: MonotonicTime): number {
-    return rentedAt < this.lastGivenUpAt ? this.patienceBefore : this.patience;
+  timeoutFactorFor(rentedAt: MonotonicTime): number {
+    return rentedAt < this.lastAbandonedAt ? this.previousTimeoutFactor : this.timeoutFactor;
   }
 }
 
 /** How long machines take to come up, by type and zone, as seen lately: late ones are replaced, and some never come. */
-export class BootTimes {
+export class BootTimeEstimator {
   private readonly histories = new Map<string, BootHistory>();
 
   private history(type: MachineType, zone: ZoneName, now: MonotonicTime): BootHistory {
@@ -93,50 +93,53 @@
   }
 
   /** A machine is up, so long after it was rented. */
-  noteUp(type: MachineType, zone: ZoneName, seconds: number, now: MonotonicTime): void {
-    this.history(type, zone, now).noteUp(Math.max(MIN_BOOT_S, seconds) / type.bootSeconds, now);
+  recordBoot(type: MachineType, zone: ZoneName, seconds: number, now: MonotonicTime): void {
+    this.history(type, zone, now).recordBoot(Math.max(MIN_BOOT_SECONDS, seconds) / type.bootSeconds, now);
   }
 
   /** A machine has become overdue. */
-  noteOverdue(type: MachineType, zone: ZoneName, now: MonotonicTime): void {
-    this.history(type, zone, now).noteOverdue(now);
+  recordOverdue(type: MachineType, zone: ZoneName, now: MonotonicTime): void {
+    this.history(type, zone, now).recordOverdue(now);
   }
 
   /** A machine is returned because it did not come up. */
-  noteGivenUp(type: MachineType, zone: ZoneName, rentedAt: MonotonicTime, now: MonotonicTime): void {
-    this.history(type, zone, now).noteGivenUp(rentedAt, now);
+  recordAbandoned(type: MachineType, zone: ZoneName, rentedAt: MonotonicTime, now: MonotonicTime): void {
+    this.history(type, zone, now).recordAbandoned(rentedAt, now);
   }
 
   /** Seconds that a machine rented now is expected to take. */
-  expectedS(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
-    return Math.max(MIN_BOOT_S, type.bootSeconds * this.history(type, zone, now).ratio(now) * EXPECTED_FACTOR);
+  expectedSeconds(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
+    return Math.max(
+      MIN_BOOT_SECONDS,
+      type.bootSeconds * this.history(type, zone, now).bootTimeRatio(now) * EXPECTED_FACTOR,
+    );
   }
 
   /** Seconds after which a machine is overdue. Where boots are quick lately, one rented before may take the usual time. */
-  private overdueAfterS(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
-    return OVERDUE_FACTOR * Math.max(type.bootSeconds, this.expectedS(type, zone, now));
+  private overdueAfterSeconds(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
+    return OVERDUE_FACTOR * Math.max(type.bootSeconds, this.expectedSeconds(type, zone, now));
   }
 
   isOverdue(type: MachineType, zone: ZoneName, ageS: number, now: MonotonicTime): boolean {
-    return ageS > this.overdueAfterS(type, zone, now);
+    return ageS > this.overdueAfterSeconds(type, zone, now);
   }
 
   /** Seconds until a machine of that age is expected to be up. */
-  remainingS(type: MachineType, zone: ZoneName, ageS: number, now: MonotonicTime): number {
-    const expectedS = this.expectedS(type, zone, now);
+  remainingSeconds(type: MachineType, zone: ZoneName, ageS: number, now: MonotonicTime): number {
+    const expectedS = this.expectedSeconds(type, zone, now);
     const usualS =
       ageS > OVERDUE_FACTOR * expectedS ? Math.max(type.bootSeconds * EXPECTED_FACTOR, expectedS) : expectedS;
     if (ageS < usualS * (1 - SOON_SHARE)) return usualS - ageS;
     const lateS = Math.max(0, ageS - usualS);
-    const overdueS = ageS - this.overdueAfterS(type, zone, now);
+    const overdueS = ageS - this.overdueAfterSeconds(type, zone, now);
     // Beyond what is usual a machine rented now would be up sooner.
     return overdueS > 0 ? usualS + overdueS : usualS * SOON_SHARE + lateS * LATE_SHARE;
   }
 
   /** How many times as long as usual a machine may take before it is given up. */
-  patience(type: MachineType, zone: ZoneName, rentedAt: MonotonicTime, now: MonotonicTime): number {
+  timeoutFactor(type: MachineType, zone: ZoneName, rentedAt: MonotonicTime, now: MonotonicTime): number {
     const history = this.history(type, zone, now);
-    return Math.max(1, history.ratio(now)) * history.patienceWith(rentedAt);
+    return Math.max(1, history.bootTimeRatio(now)) * history.timeoutFactorFor(rentedAt);
   }
 
   /** The part of the machines rented lately that did not come up in time. */
--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -4,22 +4,22 @@
 import { moveReplica } from '../scheduler/services.js';
 import { type AgentEpoch, addMilliseconds, type JobId, type MonotonicTime, type SequenceNumber } from '../types.js';
 import type { Machine } from './machine.js';
-import { type Evidence, SLOW_FACTOR, WRONG_ESTIMATE_MACHINES } from './slowness.js';
+import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO, type StragglerEvidence } from './straggler_detector.js';
 
 /** One suspicion at a time: if everything seems slow, it isn't the machines. Of more machines, more may be replaced. */
-const SLOW_PAUSE_MS = 30_000;
-const MACHINES_A_SLOW_PAUSE = 30;
+const STRAGGLER_DRAIN_INTERVAL_MS = 30_000;
+const MACHINES_PER_STRAGGLER_DRAIN = 30;
 /** So many machines must have reported before what they don't hear says anything of this node. */
-const MIN_MACHINES_FOR_SELF_CHECK = 3;
+const MIN_MACHINES_FOR_ISOLATION_CHECK = 3;
 /** Work on a draining machine without a notice may take so long to end; work not yet begun is reckoned so much longer. */
-const DRAIN_S = 20;
-const START_S = 5;
+const DRAIN_SECONDS = 20;
+const TASK_START_SECONDS = 5;
 /** Work is left to end where it should be over after this share of the time left. */
-const LET_END_SHARE = 0.6;
+const FINISH_IN_TIME_SHARE = 0.6;
 
 /** What a leader looks after once a second: silence, slow machines, and work on machines about to go. */
 export class HealthChecks {
-  private nextSlowAt = 0 as MonotonicTime;
+  private nextStragglerDrainAt = 0 as MonotonicTime;
 
   constructor(
     private readonly cluster: Cluster,
@@ -28,21 +28,21 @@
 
   run(): void {
     const now = this.cluster.context.now.monotonic;
-    this.checkSilence(now);
+    this.checkHeartbeats(now);
     this.breakIncompleteGangs();
-    this.noteTasksThatDoWell(now);
+    this.recordHealthyTasks(now);
     this.drainFaultyMachines();
-    this.noteOverdueMachines(now);
-    this.drainOneSlowMachine(now);
-    this.moveWorkOffLeavingMachines(now);
+    this.recordOverdueBoots(now);
+    this.drainOneStraggler(now);
+    this.evictFromLeavingMachines(now);
   }
 
-  private checkSilence(now: MonotonicTime): void {
+  private checkHeartbeats(now: MonotonicTime): void {
     const { settings } = this.cluster.context;
     const leaseExpiryMs = workerLeaseExpiryMs(settings);
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase === 'booting' && machine.reconciled) continue;
-      if (machine.phase === 'up' && machine.isSilent(now, settings.workers.heartbeatIntervalMs))
+      if (machine.phase === 'up' && machine.isHeartbeatOverdue(now, settings.workers.heartbeatIntervalMs))
         this.cluster.releasePlanned(machine);
       const mayHoldTasks = !machine.reconciled || !machine.isEmpty;
       if (mayHoldTasks && now - machine.leaseRenewedAt > leaseExpiryMs) this.onLeaseExpired(machine);
@@ -66,30 +66,31 @@
   }
 
   /** A job that has failed is cleared by a task that runs for much longer than it took the others to fail. */
-  private noteTasksThatDoWell(now: MonotonicTime): void {
+  private recordHealthyTasks(now: MonotonicTime): void {
     for (const { failureHistory, placements } of this.cluster.activeJobs) {
       if (!failureHistory.hasFailed || failureHistory.hasSucceeded) continue;
       for (const { phase, runningSince } of placements.values()) {
-        const doesWell = phase === 'running' && runningSince !== null && failureHistory.isWellAfter(now - runningSince);
-        if (doesWell) failureHistory.noteSuccess();
+        const doesWell =
+          phase === 'running' && runningSince !== null && failureHistory.isHealthyAfter(now - runningSince);
+        if (doesWell) failureHistory.recordSuccess();
       }
     }
   }
 
-  private noteOverdueMachines(now: MonotonicTime): void {
+  private recordOverdueBoots(now: MonotonicTime): void {
     for (const machine of this.cluster.machines.values()) {
-      if (machine.phase !== 'booting' || machine.overdueNoted || !this.cluster.isOverdue(machine)) continue;
-      machine.overdueNoted = true;
-      this.cluster.bootTimes.noteOverdue(machine.type, machine.zone, now);
+      if (machine.phase !== 'booting' || machine.bootOverdueRecorded || !this.cluster.isOverdue(machine)) continue;
+      machine.bootOverdueRecorded = true;
+      this.cluster.bootTimes.recordOverdue(machine.type, machine.zone, now);
     }
   }
 
   private drainFaultyMachines(): void {
     const { context, machines } = this.cluster;
     for (const machine of machines.values()) {
-      if (!machine.taskFailures.any || machine.draining !== null) continue;
+      if (!machine.taskFailures.hasFailures || machine.drainReason !== null) continue;
       if (!machine.taskFailures.isMachineAtFault(context.tuning.machines.error_limit, context.now.monotonic)) continue;
-      machine.draining = 'fails its tasks';
+      machine.drainReason = 'fails its tasks';
       context.log('info', 'machine fails what it starts: taking it out of use', { machine: machine.id });
     }
   }
@@ -105,10 +106,10 @@
       reconciled: machine.reconciled,
     });
     this.cluster.releaseAll(machine);
-    if (machine.session !== null) {
-      machine.session = (machine.session + 1n) as AgentEpoch;
-      machine.seq = 0n as SequenceNumber;
-      machine.lastReportSeq = null;
+    if (machine.agentEpoch !== null) {
+      machine.agentEpoch = (machine.agentEpoch + 1n) as AgentEpoch;
+      machine.sequence = 0n as SequenceNumber;
+      machine.lastHeartbeatSequence = null;
     }
     machine.unconfirmedStarts.clear();
     this.cluster.markReconciled(machine, 'leaseEnded');
@@ -116,26 +117,26 @@
   }
 
   /** If most machines hear nothing of what is sent, it is this node that is cut off: another should lead. */
-  isLeaderUnreachable(): boolean {
+  isLeaderIsolated(): boolean {
     let reporting = 0;
     let unresponsive = 0;
     for (const machine of this.cluster.machines.values()) {
-      if (machine.phase !== 'up' || machine.firstReportAt === null) continue;
+      if (machine.phase !== 'up' || machine.firstHeartbeatAt === null) continue;
       reporting += 1;
       if (machine.unresponsiveSince !== null) unresponsive += 1;
     }
-    return reporting >= MIN_MACHINES_FOR_SELF_CHECK && unresponsive * 2 > reporting;
+    return reporting >= MIN_MACHINES_FOR_ISOLATION_CHECK && unresponsive * 2 > reporting;
   }
 
   /** A machine that takes several times as long for everything is replaced, one at a time. */
-  private drainOneSlowMachine(now: MonotonicTime): void {
-    if (now < this.nextSlowAt) return;
+  private drainOneStraggler(now: MonotonicTime): void {
+    if (now < this.nextStragglerDrainAt) return;
     for (const machine of this.cluster.machines.values()) {
-      if (machine.phase !== 'up' || machine.draining !== null || machine.deletionInFlight) continue;
-      if (!machine.slowness.isSlow(this.overdueWork(machine, now))) continue;
-      machine.draining = 'slow';
-      const allowance = Math.max(1, this.cluster.machines.size / MACHINES_A_SLOW_PAUSE);
-      this.nextSlowAt = addMilliseconds(now, SLOW_PAUSE_MS / allowance);
+      if (machine.phase !== 'up' || machine.drainReason !== null || machine.terminationInFlight) continue;
+      if (!machine.stragglerDetector.isStraggler(this.overrunEvidence(machine, now))) continue;
+      machine.drainReason = 'slow';
+      const allowance = Math.max(1, this.cluster.machines.size / MACHINES_PER_STRAGGLER_DRAIN);
+      this.nextStragglerDrainAt = addMilliseconds(now, STRAGGLER_DRAIN_INTERVAL_MS / allowance);
       this.cluster.context.log('info', 'machine is much slower than others: taking it out of use', {
         machine: machine.id,
       });
@@ -145,52 +146,52 @@
   }
 
   /** What runs on a machine and has already taken longer than expected. */
-  private overdueWork(machine: Machine, now: MonotonicTime): ReadonlyMap<JobId, Evidence> {
-    let found: Map<JobId, Evidence> | null = null;
+  private overrunEvidence(machine: Machine, now: MonotonicTime): ReadonlyMap<JobId, StragglerEvidence> {
+    let found: Map<JobId, StragglerEvidence> | null = null;
     for (const placement of machine.placements.values()) {
-      const surprise = this.surpriseOf(placement, now);
+      const logRatio = this.overrunLogRatio(placement, now);
       const { job } = placement;
-      if (surprise <= (found?.get(job.id)?.surprise ?? 0)) continue;
+      if (logRatio <= (found?.get(job.id)?.logRatio ?? 0)) continue;
       found ??= new Map();
-      found.set(job.id, { surprise, spread: this.cluster.estimates.spread(job.spec) });
-      if (surprise > SLOW_FACTOR) job.slowOn.add(machine.id);
+      found.set(job.id, { logRatio, logStandardDeviation: this.cluster.estimates.logStandardDeviation(job.spec) });
+      if (logRatio > STRAGGLER_LOG_RATIO) job.slowMachines.add(machine.id);
     }
-    return found ?? NOTHING;
+    return found ?? NO_EVIDENCE;
   }
 
   /** log(time run / time expected) of a task that has run too long already; 0 where it says nothing of its machine. */
-  private surpriseOf({ job, phase, runningSince }: Placement, now: MonotonicTime): number {
+  private overrunLogRatio({ job, phase, runningSince }: Placement, now: MonotonicTime): number {
     if (phase !== 'running' || runningSince === null) return 0;
     // A service runs for as long as its user wants, and a gang is as slow as its slowest machine.
     if (job.isService || (job.isGang && job.spec.taskCount > 1)) return 0;
-    if (job.slowOn.size >= WRONG_ESTIMATE_MACHINES) return 0;
+    if (job.slowMachines.size >= MISESTIMATED_AFTER_MACHINES) return 0;
     const ranS = (now - runningSince) / 1000;
-    return Math.max(0, Math.log(ranS / this.cluster.estimates.expectS(job.spec)));
+    return Math.max(0, Math.log(ranS / this.cluster.estimates.expectedSeconds(job.spec)));
   }
 
   /** Work on a machine about to go is saved where that helps; what would end in time is left alone. */
-  private moveWorkOffLeavingMachines(now: MonotonicTime): void {
+  private evictFromLeavingMachines(now: MonotonicTime): void {
     for (const machine of this.cluster.machines.values()) {
-      if (machine.interruptionAt === null && machine.draining === null) continue;
+      if (machine.interruptionAt === null && machine.drainReason === null) continue;
       for (const placement of [...machine.placements.values()]) {
-        if (placement.stop === null) this.moveOff(placement, now);
+        if (placement.pendingStop === null) this.evictFromLeavingMachine(placement, now);
       }
     }
   }
 
-  private moveOff(placement: Placement, now: MonotonicTime): void {
+  private evictFromLeavingMachine(placement: Placement, now: MonotonicTime): void {
     if (placement.phase === 'planned') this.cluster.release(placement);
     else if (placement.job.isService) moveReplica(this.cluster, placement);
-    else if (!this.endsInTime(placement, now)) this.cluster.stopSaving(placement);
+    else if (!this.finishesInTime(placement, now)) this.cluster.stopSaving(placement);
   }
 
-  private endsInTime({ job, machine, phase, runningSince }: Placement, now: MonotonicTime): boolean {
-    if (phase !== 'running' || machine.draining === 'slow') return false;
-    const leftS = machine.interruptionAt === null ? DRAIN_S : (machine.interruptionAt - now) / 1000;
-    const expectedS = this.cluster.estimates.expectS(job.spec);
-    const remainingS = runningSince === null ? expectedS + START_S : expectedS - (now - runningSince) / 1000;
-    return remainingS < leftS * LET_END_SHARE;
+  private finishesInTime({ job, machine, phase, runningSince }: Placement, now: MonotonicTime): boolean {
+    if (phase !== 'running' || machine.drainReason === 'slow') return false;
+    const leftS = machine.interruptionAt === null ? DRAIN_SECONDS : (machine.interruptionAt - now) / 1000;
+    const expectedS = this.cluster.estimates.expectedSeconds(job.spec);
+    const remainingS = runningSince === null ? expectedS + TASK_START_SECONDS : expectedS - (now - runningSince) / 1000;
+    return remainingS < leftS * FINISH_IN_TIME_SHARE;
   }
 }
 
-const NOTHING: ReadonlyMap<JobId, Evidence> = new Map();
+const NO_EVIDENCE: ReadonlyMap<JobId, StragglerEvidence> = new Map();
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -13,7 +13,7 @@
   ZoneName,
 } from '../types.js';
 import { ImageCache } from './image_cache.js';
-import { Slowness } from './slowness.js';
+import { StragglerDetector } from './straggler_detector.js';
 import { TaskFailures } from './task_failures.js';
 
 export type TaskKey = string;
@@ -30,18 +30,18 @@
   readonly index: number;
   readonly attempt: Attempt;
   /** Whether it has a result to be put on record. */
-  readonly done: boolean;
+  readonly isDone: boolean;
 }
 
 /** A task on a machine that has no place there. */
-export interface StrayTask {
+export interface UnexpectedTask {
   readonly job: JobId;
   readonly index: number;
   readonly attempt: Attempt;
   /** Whether it is to be stopped; otherwise it is left alone until more is known. */
-  readonly stop: boolean;
+  readonly shouldStop: boolean;
   /** Null where the job isn't known. */
-  readonly owner: Job | null;
+  readonly knownJob: Job | null;
 }
 
 /** Why a machine gets no new work and is returned once it is empty. */
@@ -61,18 +61,18 @@
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  readonly addr: string;
+  readonly address: string;
   readonly reconciled: boolean;
   readonly phase: 'booting' | 'up';
   /** What this leader rented itself can't be a late copy of something gone. A list may well show what is (listed-but-gone.txt). */
-  readonly rentedHere?: boolean;
+  readonly provisionedByThisLeader?: boolean;
   readonly now: MonotonicTime;
 }
 
 /** After so many report periods without a report a machine gets no new work. */
-export const SILENT_AFTER_REPORTS = 2.5;
+export const HEARTBEAT_OVERDUE_AFTER_PERIODS = 2.5;
 /** After so many answers in a row that had no effect a machine counts as unresponsive. */
-export const UNRESPONSIVE_AFTER_IGNORED = 2;
+export const UNRESPONSIVE_AFTER_IGNORED_RESPONSES = 2;
 
 /** A rented machine and its worker, as the leader knows them. */
 export class Machine {
@@ -80,54 +80,54 @@
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  addr: string;
+  address: string;
   phase: 'booting' | 'up';
   /** On record in the store: before that, no command goes to it. */
   registered = false;
   /** False while it may hold tasks of an earlier leader that are not known here: its own list has yet to come. */
   reconciled: boolean;
 
-  session: AgentEpoch | null = null;
-  seq: SequenceNumber | null = null;
+  agentEpoch: AgentEpoch | null = null;
+  sequence: SequenceNumber | null = null;
   /** Highest token that the worker has shown. */
-  tokenSeen = 0n;
+  highestFencingToken = 0n;
   /** The last sign of life: a report newer than any before, or an answer to a direct command. */
-  lastSeenAt: MonotonicTime;
+  lastContactAt: MonotonicTime;
   /** When its lease may last have begun anew: by a report that was answered, or a new session. */
   leaseRenewedAt: MonotonicTime;
   /** Its last report, not counting answers to direct commands. */
-  lastReportAt: MonotonicTime;
+  lastHeartbeatAt: MonotonicTime;
   /** The newest report of the present session; answers to direct commands are numbered in the same row. */
-  lastReportSeq: SequenceNumber | null = null;
-  firstReportAt: MonotonicTime | null = null;
+  lastHeartbeatSequence: SequenceNumber | null = null;
+  firstHeartbeatAt: MonotonicTime | null = null;
 
   /** False for one known only from a list or a report that may be a late copy, until something sent reaches it. */
-  confirmed: boolean;
+  reachabilityConfirmed: boolean;
   /** Reports answered in this term that still carried an earlier leader's token. */
-  staleTokenReports = 0;
+  staleTokenHeartbeats = 0;
   /** How many answers in a row had no effect. */
-  ignoredAnswers = 0;
+  ignoredResponses = 0;
   /** Since when it reports but doesn't react to answers: it gets no work. */
   unresponsiveSince: MonotonicTime | null = null;
   nextProbeAt = 0 as MonotonicTime;
 
-  rentedAt: MonotonicTime;
+  provisionedAt: MonotonicTime;
   /** Rented by this leader: when it comes up tells how long boots take. */
-  readonly rentedHere: boolean;
+  readonly provisionedByThisLeader: boolean;
   /** It was noted that it did not come up in time. */
-  overdueNoted = false;
+  bootOverdueRecorded = false;
   idleSince: MonotonicTime;
   /** When the cloud takes it away, if it has given notice. */
   interruptionAt: MonotonicTime | null = null;
-  draining: DrainReason | null = null;
+  drainReason: DrainReason | null = null;
   /** Failures since a task last did well here; after each it gets nothing new for a moment. */
   readonly taskFailures = new TaskFailures();
-  suspectUntil = 0 as MonotonicTime;
-  readonly slowness = new Slowness();
-  deletionInFlight = false;
+  quarantinedUntil = 0 as MonotonicTime;
+  readonly stragglerDetector = new StragglerDetector();
+  terminationInFlight = false;
   /** A deletion was asked for, whose outcome may be unknown. */
-  deletionRequested = false;
-  interruptionCounted = false;
+  terminationRequested = false;
+  interruptionRecorded = false;
 
   commandInFlight = false;
   /** It left a direct command without an answer: no other before this time. */
@@ -139,14 +139,14 @@
   private reservation: { readonly job: JobId; readonly until: MonotonicTime } | null = null;
   readonly placements = new Map<TaskKey, Placement>();
   /** Tasks on it that have no place there: their jobs aren't known, or they are somewhere else too. */
-  strays: ReadonlyMap<TaskKey, StrayTask> = new Map();
+  unexpectedTasks: ReadonlyMap<TaskKey, UnexpectedTask> = new Map();
   exitedTasks: ExitedTask[] = [];
   /** The ends that the list before this one showed. */
-  endsBefore: ReadonlySet<StartKey> = new Set();
+  previousExits: ReadonlySet<StartKey> = new Set();
   readonly images: ImageCache;
   usedCpus = 0;
   usedGpus = 0;
-  usedMemGb = 0;
+  usedMemoryGb = 0;
 
   constructor(init: MachineInit) {
     const { now } = init;
@@ -154,16 +154,16 @@
     this.type = init.type;
     this.zone = init.zone;
     this.spot = init.spot;
-    this.addr = init.addr;
+    this.address = init.address;
     this.phase = init.phase;
     this.reconciled = init.reconciled;
-    this.rentedHere = init.rentedHere ?? false;
-    this.confirmed = this.rentedHere;
+    this.provisionedByThisLeader = init.provisionedByThisLeader ?? false;
+    this.reachabilityConfirmed = this.provisionedByThisLeader;
     this.images = new ImageCache(init.type);
-    this.lastSeenAt = now;
+    this.lastContactAt = now;
     this.leaseRenewedAt = now;
-    this.lastReportAt = now;
-    this.rentedAt = now;
+    this.lastHeartbeatAt = now;
+    this.provisionedAt = now;
     this.idleSince = now;
   }
 
@@ -174,15 +174,15 @@
   /** Something sent has reached it. Returns whether it had counted as unresponsive. */
   confirmReachable(): boolean {
     const wasUnresponsive = this.unresponsiveSince !== null;
-    this.ignoredAnswers = 0;
-    this.confirmed = true;
+    this.ignoredResponses = 0;
+    this.reachabilityConfirmed = true;
     this.unresponsiveSince = null;
     return wasUnresponsive;
   }
 
   /** Whether no report has come for so long that it gets no new work. */
-  isSilent(now: MonotonicTime, reportMs: number): boolean {
-    return now - this.lastReportAt >= SILENT_AFTER_REPORTS * reportMs;
+  isHeartbeatOverdue(now: MonotonicTime, reportMs: number): boolean {
+    return now - this.lastHeartbeatAt >= HEARTBEAT_OVERDUE_AFTER_PERIODS * reportMs;
   }
 
   /**
@@ -192,44 +192,44 @@
   isSchedulable(now: MonotonicTime, reportMs: number): boolean {
     return (
       this.phase === 'up' &&
-      !this.isSilent(now, reportMs) &&
+      !this.isHeartbeatOverdue(now, reportMs) &&
       this.reconciled &&
-      this.confirmed &&
+      this.reachabilityConfirmed &&
       this.unresponsiveSince === null &&
-      this.draining === null &&
-      this.strays.size === 0 &&
+      this.drainReason === null &&
+      this.unexpectedTasks.size === 0 &&
       this.interruptionAt === null &&
-      !this.deletionInFlight &&
-      this.suspectUntil <= now
+      !this.terminationInFlight &&
+      this.quarantinedUntil <= now
     );
   }
 
   /** Whether it was rented by an earlier leader and has yet to report to this one. */
-  get isInheritedUnheard(): boolean {
-    return this.phase === 'booting' && this.registered && !this.rentedHere;
+  get isInheritedUnreported(): boolean {
+    return this.phase === 'booting' && this.registered && !this.provisionedByThisLeader;
   }
 
   /** Whether it is on its way and will take work. */
-  isComing(): boolean {
-    return this.phase === 'booting' && !this.deletionInFlight && this.draining === null;
+  isProvisioning(): boolean {
+    return this.phase === 'booting' && !this.terminationInFlight && this.drainReason === null;
   }
 
   /** Seconds since it was rented. */
-  ageS(now: MonotonicTime): number {
-    return (now - this.rentedAt) / 1000;
+  ageSeconds(now: MonotonicTime): number {
+    return (now - this.provisionedAt) / 1000;
   }
 
-  hasRoomFor(task: Resources): boolean {
+  hasFreeCapacityFor(task: Resources): boolean {
     return (
       this.usedCpus + task.cpus <= this.type.cpus + RESOURCE_TOLERANCE &&
       this.usedGpus + task.gpus <= this.type.gpus + RESOURCE_TOLERANCE &&
-      this.usedMemGb + task.memoryGb <= this.type.memoryGb + RESOURCE_TOLERANCE
+      this.usedMemoryGb + task.memoryGb <= this.type.memoryGb + RESOURCE_TOLERANCE
     );
   }
 
   /** Whether no task is on it, or on its way, as far as is known. */
   get isEmpty(): boolean {
-    return this.placements.size === 0 && this.strays.size === 0;
+    return this.placements.size === 0 && this.unexpectedTasks.size === 0;
   }
 
   /** Whether work that asks for GPUs is there, or the machine is kept for some. */
@@ -272,7 +272,7 @@
     this.placements.set(taskKey(placement.job.id, placement.index), placement);
     this.usedCpus += spec.cpus;
     this.usedGpus += spec.gpus;
-    this.usedMemGb += spec.memoryGb;
+    this.usedMemoryGb += spec.memoryGb;
   }
 
   removePlacement(placement: Placement, now: MonotonicTime): void {
@@ -282,18 +282,18 @@
     this.placements.delete(key);
     this.usedCpus -= spec.cpus;
     this.usedGpus -= spec.gpus;
-    this.usedMemGb -= spec.memoryGb;
+    this.usedMemoryGb -= spec.memoryGb;
     if (this.placements.size > 0) return;
     // Sums of decimal amounts leave a rest.
     this.usedCpus = 0;
     this.usedGpus = 0;
-    this.usedMemGb = 0;
+    this.usedMemoryGb = 0;
     this.idleSince = now;
   }
 
   /** A fetch is given up once no task waits for it. */
-  dropAbandonedFetches(): void {
-    this.images.dropAbandonedFetches((image) => {
+  dropAbandonedPulls(): void {
+    this.images.dropAbandonedPulls((image) => {
       for (const { job } of this.placements.values()) if (job.spec.image === image) return true;
       return false;
     });
--- a/src/core/machines/machine_list.ts
+++ b/src/core/machines/machine_list.ts
@@ -4,23 +4,23 @@
 
 const LIST_PERIOD_MS = 6000;
 const LIST_PRIORITY = 2;
-const MAX_LISTED = 20_000;
+const MAX_LISTED_MACHINES = 20_000;
 
 /** Reads the cloud's list of machines, which is late: what it lacks proves nothing, what it has may be news. */
 export class MachineList {
-  private reading = false;
+  private readInFlight = false;
   private lastReadAt = 0 as MonotonicTime;
   private complete = false;
 
   /** `onFailed` is told of machines that have stopped by themselves, `onApplied` when a list has been taken in. */
   constructor(
     private readonly cluster: Cluster,
-    private readonly onFailed: (machine: Machine) => void,
+    private readonly onMachineStopped: (machine: Machine) => void,
     private readonly onApplied: () => void,
   ) {}
 
   /** Whether a whole list was read at least once. */
-  get readOnce(): boolean {
+  get isComplete(): boolean {
     return this.complete;
   }
 
@@ -29,21 +29,21 @@
   }
 
   read(): void {
-    if (this.reading) return;
-    this.reading = true;
+    if (this.readInFlight) return;
+    this.readInFlight = true;
     this.readPage(null, []);
   }
 
   private readPage(after: MachineId | null, before: readonly CloudMachine[]): void {
     this.cluster.context.callCloud({ op: 'list', after }, LIST_PRIORITY, (result) => {
       if (!result.ok) {
-        this.reading = false;
+        this.readInFlight = false;
         return;
       }
       const all = [...before, ...(result.value.machines ?? [])];
       const last = all[all.length - 1];
-      if (result.value.more && last && all.length < MAX_LISTED) return this.readPage(last.id, all);
-      this.reading = false;
+      if (result.value.more && last && all.length < MAX_LISTED_MACHINES) return this.readPage(last.id, all);
+      this.readInFlight = false;
       this.complete = true;
       this.lastReadAt = this.cluster.context.now.monotonic;
       for (const listed of all) this.apply(listed);
@@ -54,19 +54,19 @@
   private apply(listed: CloudMachine): void {
     const machine = this.cluster.machines.get(listed.id) ?? this.addUnknown(listed);
     if (!machine) return;
-    if (listed.address && !machine.addr) machine.addr = listed.address;
+    if (listed.address && !machine.address) machine.address = listed.address;
     const rentedAt = (this.cluster.context.now.monotonic - listed.ageSeconds * 1000) as MonotonicTime;
-    if (rentedAt < machine.rentedAt) machine.rentedAt = rentedAt;
-    if (listed.phase === 'running' && machine.isInheritedUnheard) this.onListedRunning(machine);
-    if (listed.phase === 'failed' && !machine.deletionInFlight) this.onStopped(machine);
+    if (rentedAt < machine.provisionedAt) machine.provisionedAt = rentedAt;
+    if (listed.phase === 'running' && machine.isInheritedUnreported) this.onListedRunning(machine);
+    if (listed.phase === 'failed' && !machine.terminationInFlight) this.handleStopped(machine);
   }
 
   /** An earlier leader's machine that is up and hasn't been heard by this one: from now on its silence counts. */
   private onListedRunning(machine: Machine): void {
     const now = this.cluster.context.now.monotonic;
     machine.phase = 'up';
-    machine.lastSeenAt = now;
-    machine.lastReportAt = now;
+    machine.lastContactAt = now;
+    machine.lastHeartbeatAt = now;
   }
 
   /** Rented by an earlier leader, or by a request carried out late: taken into use like any other. */
@@ -74,7 +74,7 @@
     const type = this.cluster.types.get(typeName);
     if (!type || this.cluster.removedMachines.has(id)) return null;
     const now = this.cluster.context.now.monotonic;
-    const machine = new Machine({ id, type, zone, spot, addr: address, reconciled: true, phase: 'booting', now });
+    const machine = new Machine({ id, type, zone, spot, address, reconciled: true, phase: 'booting', now });
     this.cluster.machines.set(id, machine);
     this.cluster.earlierTerms.recovery?.onUnlistedMachine();
     this.cluster.context.log('info', 'machine found in the list', { machine: id, phase });
@@ -82,10 +82,10 @@
   }
 
   /** A failed machine has stopped by itself: nothing is on it any more. */
-  private onStopped(machine: Machine): void {
+  private handleStopped(machine: Machine): void {
     this.cluster.context.log('info', 'machine failed', { machine: machine.id, tasks: machine.placements.size });
     this.cluster.releaseAll(machine);
     this.cluster.markReconciled(machine, 'gone');
-    this.onFailed(machine);
+    this.onMachineStopped(machine);
   }
 }
--- a/src/core/machines/registry.ts
+++ b/src/core/machines/machine_registry.ts
@@ -14,26 +14,26 @@
 const PAGE_SHARE = 0.95;
 const PAGE_SHARE_WITH_IMAGES = 0.97;
 /** What one machine with its images is reckoned at. */
-const MACHINE_BYTES = 190;
+const ESTIMATED_MACHINE_BYTES = 190;
 const MAX_IMAGES = 16;
 /** Changes of images alone are written this rarely. */
-const HINTS_MS = 8000;
+const IMAGE_WRITE_INTERVAL_MS = 8000;
 
 /** A page of the registry: a value of the store that lists many machines. */
-export interface Page {
-  readonly no: number;
+export interface RegistryPage {
+  readonly index: number;
   readonly machines: Set<Machine>;
   /** What else is on it, kept as it is. */
   readonly keptRecords: MachineRecord[];
   /** Machines on their way to another page: they stay on this one until that is on record. */
-  readonly leaving: Map<Machine, Page>;
+  readonly departing: Map<Machine, RegistryPage>;
   version: Revision;
   /** A machine in it must be on record before it may be used. */
   urgent: boolean;
   /** A machine in it is gone, or has come from another page. */
   needsRewrite: boolean;
   /** Only the images that its machines hold have changed. */
-  hintsChanged: boolean;
+  imagesChanged: boolean;
   writeInFlight: boolean;
   /** The outcome of a write is unknown: the version has to be read before the next. */
   versionUnknown: boolean;
@@ -47,20 +47,20 @@
   readonly machines: readonly Machine[];
 }
 
-const NOTHING_UNDERSTOOD: DecodedMachinePage = { machines: [], complete: false };
+const UNREADABLE_PAGE: DecodedMachinePage = { machines: [], complete: false };
 
 const pageNumber = (key: string): number => Number(key.slice(MACHINE_PREFIX.length));
 
-function emptyPage(no: number, version: Revision): Page {
+function emptyPage(index: number, version: Revision): RegistryPage {
   return {
-    no,
+    index,
     machines: new Set(),
     keptRecords: [],
-    leaving: new Map(),
+    departing: new Map(),
     version,
     urgent: false,
     needsRewrite: false,
-    hintsChanged: false,
+    imagesChanged: false,
     writeInFlight: false,
     versionUnknown: false,
     writtenAt: 0 as MonotonicTime,
@@ -71,9 +71,9 @@
  * The machines that may ever be sent a command, as the store holds them: pages of many machines each, so that renting a
  * hundred costs a few changes and a new leader reads a few records.
  */
-export class Registry {
-  private readonly pages = new Map<number, Page>();
-  private readonly pageOf = new Map<MachineId, Page>();
+export class MachineRegistry {
+  private readonly pages = new Map<number, RegistryPage>();
+  private readonly pageOf = new Map<MachineId, RegistryPage>();
   /** Numbers of pages that aren't understood: a later release may have written them. */
   private readonly unreadablePages = new Set<number>();
   private machinesPerPage = 1;
@@ -81,7 +81,7 @@
 
   /** `valueBytes`: the store's limit for one value. */
   constructor(valueBytes: number) {
-    this.limitPages(valueBytes);
+    this.setValueLimit(valueBytes);
   }
 
   // ---- what was stored
@@ -89,7 +89,7 @@
   /** Takes in a stored page. One that isn't understood in full stays as it is: it is never written over. */
   load(item: StoredEntry): DecodedMachinePage {
     const no = pageNumber(item.key);
-    const page = decodePage(item.value) ?? NOTHING_UNDERSTOOD;
+    const page = decodePage(item.value) ?? UNREADABLE_PAGE;
     if (page.complete && Number.isSafeInteger(no)) this.pages.set(no, emptyPage(no, item.version));
     else this.unreadablePages.add(no);
     return page;
@@ -105,7 +105,7 @@
   }
 
   /** A machine of a type that is not known now: its record stays as it is. */
-  keepUnknown(key: string, record: MachineRecord): void {
+  keepUnknownMachine(key: string, record: MachineRecord): void {
     this.pages.get(pageNumber(key))?.keptRecords.push(record);
   }
 
@@ -118,24 +118,24 @@
   // ---- page sizes
 
   /** Pages are kept to so much text from now on; larger ones are spread over others, machine by machine. */
-  limitPages(valueBytes: number): void {
+  setValueLimit(valueBytes: number): void {
     this.valueBytes = valueBytes;
-    this.machinesPerPage = Math.max(1, Math.floor((valueBytes * PAGE_SHARE) / MACHINE_BYTES));
-    this.spreadAll();
+    this.machinesPerPage = Math.max(1, Math.floor((valueBytes * PAGE_SHARE) / ESTIMATED_MACHINE_BYTES));
+    this.splitOversizedPages();
   }
 
   /** Earlier releases, or other limits, may have left pages larger than may be written now. */
-  spreadAll(): void {
-    for (const page of [...this.pages.values()]) this.spread(page);
+  splitOversizedPages(): void {
+    for (const page of [...this.pages.values()]) this.splitIfOversized(page);
   }
 
-  private spread(page: Page): void {
-    if (page.leaving.size > 0) return;
+  private splitIfOversized(page: RegistryPage): void {
+    if (page.departing.size > 0) return;
     const staying = [...page.machines];
     while (staying.length > 1 && !this.fits(staying)) {
       const machine = staying.pop() as Machine;
       if (machine.registered) {
-        page.leaving.set(machine, this.assignPage(machine, page));
+        page.departing.set(machine, this.assignPage(machine, page));
       } else {
         page.machines.delete(machine);
         this.assignPage(machine, page).urgent = true;
@@ -149,7 +149,7 @@
   }
 
   /** Puts a machine on the fullest page with room, other than `except`; the page is written before long. */
-  private assignPage(machine: Machine, except: Page | null): Page {
+  private assignPage(machine: Machine, except: RegistryPage | null): RegistryPage {
     const page = this.fullestPageFor(machine, except) ?? this.newPage();
     page.machines.add(machine);
     page.needsRewrite = true;
@@ -157,17 +157,17 @@
     return page;
   }
 
-  private fullestPageFor(machine: Machine, except: Page | null): Page | null {
-    let fullest: Page | null = null;
+  private fullestPageFor(machine: Machine, except: RegistryPage | null): RegistryPage | null {
+    let fullest: RegistryPage | null = null;
     for (const page of this.pages.values()) {
-      if (page === except || page.leaving.size > 0) continue;
+      if (page === except || page.departing.size > 0) continue;
       if (fullest !== null && page.machines.size <= fullest.machines.size) continue;
       if (this.fits([...page.machines, machine])) fullest = page;
     }
     return fullest;
   }
 
-  private newPage(): Page {
+  private newPage(): RegistryPage {
     let no = this.pages.size;
     while (this.pages.has(no) || this.unreadablePages.has(no)) no += 1;
     const page = emptyPage(no, ABSENT_VERSION);
@@ -188,54 +188,54 @@
     for (const machine of page.machines) if (machine.id === id) page.machines.delete(machine);
     page.needsRewrite = true;
     for (const from of this.pages.values()) {
-      for (const machine of from.leaving.keys()) if (machine.id === id) this.finishLeaving(from, machine);
+      for (const machine of from.departing.keys()) if (machine.id === id) this.finishDeparture(from, machine);
     }
   }
 
-  private finishLeaving(from: Page, machine: Machine): void {
-    from.leaving.delete(machine);
+  private finishDeparture(from: RegistryPage, machine: Machine): void {
+    from.departing.delete(machine);
     from.machines.delete(machine);
     from.needsRewrite = true;
   }
 
   /** Notes on which pages the images held have changed. */
-  collectHints(): void {
+  collectImageChanges(): void {
     for (const page of this.pages.values()) {
-      page.hintsChanged ||= [...page.machines].some((machine) => machine.images.changed);
+      page.imagesChanged ||= [...page.machines].some((machine) => machine.images.isDirty);
     }
   }
 
   // ---- writing
 
   /** Pages to write, the most pressing first; without spare writes only what can't wait. */
-  duePages(now: MonotonicTime, hasSpareWrites: boolean): Page[] {
+  duePages(now: MonotonicTime, hasSpareWrites: boolean): RegistryPage[] {
     const due = [...this.pages.values()].filter((page) => this.isDue(page, now, hasSpareWrites));
     return due.sort((a, b) => Number(b.urgent) - Number(a.urgent) || Number(b.needsRewrite) - Number(a.needsRewrite));
   }
 
-  private isDue(page: Page, now: MonotonicTime, hasSpareWrites: boolean): boolean {
+  private isDue(page: RegistryPage, now: MonotonicTime, hasSpareWrites: boolean): boolean {
     // One that is being spread is too large to be written until the others have left.
-    if (page.writeInFlight || page.versionUnknown || page.leaving.size > 0) return false;
+    if (page.writeInFlight || page.versionUnknown || page.departing.size > 0) return false;
     if (page.urgent || page.needsRewrite) return true;
-    return page.hintsChanged && hasSpareWrites && now - page.writtenAt > HINTS_MS;
+    return page.imagesChanged && hasSpareWrites && now - page.writtenAt > IMAGE_WRITE_INTERVAL_MS;
   }
 
-  pagesToReread(): Page[] {
+  pagesToReread(): RegistryPage[] {
     return [...this.pages.values()].filter((page) => page.versionUnknown && !page.writeInFlight);
   }
 
   /** The change that brings the store up to date with a page. */
-  beginWrite(page: Page, now: MonotonicTime): PageWrite {
+  beginWrite(page: RegistryPage, now: MonotonicTime): PageWrite {
     page.writeInFlight = true;
     page.writtenAt = now;
     page.urgent = false;
     page.needsRewrite = false;
-    page.hintsChanged = false;
+    page.imagesChanged = false;
     const machines = [...page.machines];
     const records = [...page.keptRecords, ...machines.map(recordOf)];
-    for (const machine of machines) machine.images.changed = false;
+    for (const machine of machines) machine.images.isDirty = false;
     const value = this.encode(records);
-    return { change: { put: pageKey(page.no), value: value.page }, bytes: value.bytes, machines };
+    return { change: { put: pageKey(page.index), value: value.page }, bytes: value.bytes, machines };
   }
 
   /** With as many of the images as there is room for: a hint less is no loss, a page that the store refuses would be. */
@@ -248,22 +248,22 @@
   }
 
   /** A page is on record as it was with these machines: those that came from other pages may leave them. */
-  onPageStored(page: Page, machines: readonly Machine[], version: Revision): void {
+  onPageStored(page: RegistryPage, machines: readonly Machine[], version: Revision): void {
     if (version > page.version) page.version = version;
     for (const machine of machines) if (page.machines.has(machine)) machine.registered = true;
     for (const from of this.pages.values()) {
-      if (from.leaving.size === 0) continue;
-      for (const machine of machines) if (from.leaving.get(machine) === page) this.finishLeaving(from, machine);
+      if (from.departing.size === 0) continue;
+      for (const machine of machines) if (from.departing.get(machine) === page) this.finishDeparture(from, machine);
     }
   }
 }
 
 const recordOf = (machine: Machine): MachineRecord => ({
   id: machine.id,
-  address: machine.addr,
+  address: machine.address,
   type: machine.typeName,
   zone: machine.zone,
   spot: machine.spot,
-  images: machine.images.heldByLastUse(),
-  imagePullSpeed: machine.images.fetchSpeed,
+  images: machine.images.presentImagesByLastUse(),
+  imagePullSpeed: machine.images.pullSpeed,
 });
--- a/src/core/machines/catalog.ts
+++ b/src/core/machines/machine_type_catalog.ts
@@ -9,13 +9,13 @@
 export type MachineTypes = ReadonlyMap<MachineTypeName, MachineType>;
 
 /** The machine types that the cloud rents; empty until it has told them. */
-export class Catalog {
+export class MachineTypeCatalog {
   types: MachineTypes = new Map();
   private readAt: MonotonicTime;
 
   constructor(
     private readonly context: StepContext,
-    private readonly onTypes: (types: MachineTypes) => void,
+    private readonly onChange: (types: MachineTypes) => void,
   ) {
     this.readAt = context.now.monotonic;
   }
@@ -34,7 +34,7 @@
       }
       this.readAt = this.context.now.monotonic;
       this.types = new Map(result.value.machineTypes.map((type) => [type.name, type]));
-      this.onTypes(this.types);
+      this.onChange(this.types);
       this.context.timers.set(
         'catalog',
         this.context.after(this.context.isLeader ? LEADER_REFRESH_MS : FOLLOWER_REFRESH_MS),
--- /dev/null
+++ b/src/core/machines/scale_out.ts
@@ -0,0 +1,122 @@
+import type { Cluster } from '../leadership/cluster.js';
+import type { MachineId, MonotonicTime } from '../types.js';
+import { type CapacityPool, capacityPoolKey } from './capacity_pool.js';
+import { Machine } from './machine.js';
+
+/** What the cloud takes in one request. */
+const MAX_MACHINES_PER_REQUEST = 50;
+/** So many requests are open at once; more would only wait for tokens. */
+const MAX_PENDING_REQUESTS = 12;
+const PROVISION_PRIORITY = 1;
+/** A request without an answer is repeated for so long; its name makes that safe. */
+const RETRY_WINDOW_MS = 20_000;
+const BACKOFF_FACTOR = 1.5;
+const MAX_BACKOFF_STEPS = 4;
+
+/** A request for machines that has yet to be answered. */
+export interface ProvisioningRequest {
+  readonly pool: CapacityPool;
+  readonly requestId: string;
+  readonly count: number;
+  readonly requestedAt: MonotonicTime;
+}
+
+interface CapacityBackoff {
+  readonly until: MonotonicTime;
+  readonly refusalCount: number;
+}
+
+/** Requests to rent machines, and the kinds of which the cloud lately had none. */
+export class ScaleOut {
+  private readonly pending = new Map<string, ProvisioningRequest>();
+  private readonly backoffs = new Map<string, CapacityBackoff>();
+  private requestCount = 0;
+
+  constructor(
+    private readonly cluster: Cluster,
+    private readonly register: (machine: Machine) => void,
+  ) {}
+
+  pendingRequests(): Iterable<ProvisioningRequest> {
+    return this.pending.values();
+  }
+
+  hasPendingRequests(): boolean {
+    return this.pending.size > 0;
+  }
+
+  /** Whether the cloud lately had no machine of this kind. */
+  isBackedOff(kind: CapacityPool): boolean {
+    const refusal = this.backoffs.get(capacityPoolKey(kind));
+    return refusal !== undefined && refusal.until > this.cluster.context.now.monotonic;
+  }
+
+  /** Asks for so many machines, in as many requests as it takes; what is left is asked for in the next round. */
+  provision(kind: CapacityPool, count: number): void {
+    for (let left = count; left > 0 && this.pending.size < MAX_PENDING_REQUESTS; left -= MAX_MACHINES_PER_REQUEST) {
+      this.request(kind, Math.min(left, MAX_MACHINES_PER_REQUEST));
+    }
+  }
+
+  private request(pool: CapacityPool, count: number): void {
+    this.requestCount += 1;
+    // The term makes the name unique among all nodes; a name is never used for a second request.
+    const requestId = `r-${this.cluster.term}-${this.requestCount}`;
+    const requestedAt = this.cluster.context.now.monotonic;
+    const rental: ProvisioningRequest = { pool, requestId, count, requestedAt };
+    this.pending.set(requestId, rental);
+    this.send(rental);
+  }
+
+  private send(rental: ProvisioningRequest): void {
+    const { pool, requestId, count, requestedAt } = rental;
+    const { context } = this.cluster;
+    const op = {
+      op: 'rent',
+      idempotencyKey: requestId,
+      machineType: pool.type.name,
+      zone: pool.zone,
+      spot: pool.spot,
+      count,
+    } as const;
+    context.callCloud(op, PROVISION_PRIORITY, (result) => {
+      if (result.ok) return this.onProvisioned(rental, result.value.provisioned ?? []);
+      if (result.why === 'unknown' && context.now.monotonic - requestedAt < RETRY_WINDOW_MS) return this.send(rental);
+      this.pending.delete(requestId);
+      if (result.why === 'no_capacity') this.backOff(pool);
+    });
+  }
+
+  private onProvisioned({ pool, requestId, count, requestedAt }: ProvisioningRequest, ids: readonly MachineId[]): void {
+    const { type, zone, spot } = pool;
+    this.pending.delete(requestId);
+    if (ids.length < count) this.backOff(pool);
+    else this.backoffs.delete(capacityPoolKey(pool));
+    this.cluster.context.log('info', 'rented', { type: type.name, zone, spot, asked: count, got: ids.length });
+    for (const id of ids) {
+      if (this.cluster.machines.has(id) || this.cluster.removedMachines.has(id)) continue;
+      const known = {
+        id,
+        type,
+        zone,
+        spot,
+        address: '',
+        reconciled: true,
+        phase: 'booting',
+        provisionedByThisLeader: true,
+      } as const;
+      const machine = new Machine({ ...known, now: requestedAt });
+      this.cluster.machines.set(id, machine);
+      this.register(machine);
+    }
+  }
+
+  /** Each refusal in a row makes the pause before the next request longer. */
+  private backOff(kind: CapacityPool): void {
+    const key = capacityPoolKey(kind);
+    const refusalCount = Math.min(MAX_BACKOFF_STEPS, (this.backoffs.get(key)?.refusalCount ?? 0) + 1);
+    const { refused_backoff_s } = this.cluster.context.tuning.machines;
+    const pauseMs = refused_backoff_s * 1000 * BACKOFF_FACTOR ** (refusalCount - 1);
+    this.backoffs.set(key, { until: this.cluster.context.after(pauseMs), refusalCount });
+  }
+}
--- a/src/core/machines/rental_need.ts
+++ b/src/core/machines/scale_out_demand.ts
@@ -4,9 +4,9 @@
 import type { RoundResult } from '../scheduler/round.js';
 import { type GpuDemand, gpuDemand, spareOfType } from '../scheduler/spare_room.js';
 import type { MachineType, MachineTypeName, ZoneName } from '../types.js';
-import { fetchTimeS } from './image_cache.js';
-import { kindKey, type MachineKind } from './machine_kind.js';
-import type { Rentals } from './rentals.js';
+import { type CapacityPool, capacityPoolKey } from './capacity_pool.js';
+import { pullSeconds } from './image_cache.js';
+import type { ScaleOut } from './scale_out.js';
 
 /** Spot machines are lost now and then: their price counts so much more. */
 const SPOT_PRICE_FACTOR = 1.1;
@@ -18,7 +18,7 @@
 const UNBOUNDED_TASKS = 1000;
 
 /** Waiting tasks for which machines may have to be rented. */
-interface LateTasks {
+interface DelayedTasks {
   readonly job: PlanJob;
   readonly tasks: number;
   /** Some of them fit no machine of the plan at all. */
@@ -26,21 +26,21 @@
 }
 
 /** Machines of one kind that would start waiting work sooner. */
-interface Need {
-  readonly kind: MachineKind;
+interface PoolDemand {
+  readonly pool: CapacityPool;
   machines: number;
   minimum: number;
 }
 
 /** Reckons, once a round, which machines would start waiting work sooner than the plan can. */
-export class RentalNeed {
-  private readonly needs = new Map<string, Need>();
+export class ScaleOutDemand {
+  private readonly demandByPool = new Map<string, PoolDemand>();
   private readonly machineCounts: ReadonlyMap<string, number>;
   private readonly gpuDemand: GpuDemand;
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly rentals: Rentals,
+    private readonly scaleOut: ScaleOut,
     private readonly round: RoundResult,
   ) {
     this.machineCounts = this.countMachines();
@@ -48,47 +48,47 @@
   }
 
   /** Rents what is needed and not under way already. */
-  rent(): void {
-    for (const late of this.lateTasks()) this.addLate(late);
+  provision(): void {
+    for (const late of this.delayedTasks()) this.addDelayed(late);
     this.addUnplanned();
     const { rent_round_up } = this.cluster.context.tuning.machines;
-    const underWay = this.countUnderWay();
-    for (const { kind, machines, minimum } of this.needs.values()) {
+    const underWay = this.countPending();
+    for (const { pool, machines, minimum } of this.demandByPool.values()) {
       const needed = Math.max(minimum, Math.floor(machines + rent_round_up));
-      const coming = underWay.get(kind.type.name) ?? 0;
+      const coming = underWay.get(pool.type.name) ?? 0;
       const covered = Math.min(needed, coming);
-      underWay.set(kind.type.name, coming - covered);
-      if (needed > covered) this.rentals.rent(kind, needed - covered);
+      underWay.set(pool.type.name, coming - covered);
+      if (needed > covered) this.scaleOut.provision(pool, needed - covered);
     }
   }
 
   /** Machines being rented before this round, by type: what it rents itself for one need doesn't meet another. */
-  private countUnderWay(): Map<MachineTypeName, number> {
+  private countPending(): Map<MachineTypeName, number> {
     const counts = new Map<MachineTypeName, number>();
-    for (const { kind, count } of this.rentals.underWay()) {
-      counts.set(kind.type.name, (counts.get(kind.type.name) ?? 0) + count);
+    for (const { pool, count } of this.scaleOut.pendingRequests()) {
+      counts.set(pool.type.name, (counts.get(pool.type.name) ?? 0) + count);
     }
     return counts;
   }
 
-  private add(kind: MachineKind, machines: number, minimum: number): void {
-    const key = kindKey(kind);
-    const need = this.needs.get(key) ?? { kind, machines: 0, minimum: 0 };
+  private add(pool: CapacityPool, machines: number, minimum: number): void {
+    const key = capacityPoolKey(pool);
+    const need = this.demandByPool.get(key) ?? { pool, machines: 0, minimum: 0 };
     need.machines += machines;
     need.minimum = Math.max(need.minimum, minimum);
-    this.needs.set(key, need);
+    this.demandByPool.set(key, need);
   }
 
-  private addLate({ job, tasks, unplaced }: LateTasks): void {
+  private addDelayed({ job, tasks, unplaced }: DelayedTasks): void {
     // Work that no machine can take gets one, however little it is: rounding must not starve it.
     const minimum = unplaced ? 1 : 0;
     const fullZones = new Set<ZoneName>();
     for (let left = tasks; left > 0; ) {
-      const kind = this.cheapestKind(job, left, fullZones);
+      const kind = this.cheapestPool(job, left, fullZones);
       if (!kind) return;
       // What is spread over zones needs machines in several at once.
       const here = Math.min(left, job.zoneRoom?.get(kind.zone) ?? left);
-      this.add(kind, this.machinesFor(job, kind.type, here), minimum);
+      this.add(kind, this.machinesNeeded(job, kind.type, here), minimum);
       fullZones.add(kind.zone);
       left -= here;
     }
@@ -96,11 +96,11 @@
 
   /** Jobs beyond those that the round planned in full: machines on their way that the plan leaves free take some. */
   private addUnplanned(): void {
-    const unused = this.unusedComing();
+    const unused = this.unusedProvisioning();
     for (const { job, tasks } of this.round.beyond) {
-      const kind = this.mayDriveRentals(job) ? this.cheapestKind(job, tasks) : null;
+      const kind = this.mayTriggerScaleOut(job) ? this.cheapestPool(job, tasks) : null;
       if (!kind) continue;
-      const machines = this.machinesFor(job, kind.type, tasks);
+      const machines = this.machinesNeeded(job, kind.type, tasks);
       const free = unused.get(kind.type.name) ?? 0;
       const taken = Math.min(machines, free);
       unused.set(kind.type.name, free - taken);
@@ -109,7 +109,7 @@
   }
 
   /** Booting machines, by type, on which the plan starts nothing. */
-  private unusedComing(): Map<MachineTypeName, number> {
+  private unusedProvisioning(): Map<MachineTypeName, number> {
     const used = new Set(this.round.capacity.starts.map((start) => start.machine));
     const unused = new Map<MachineTypeName, number>();
     this.round.machines.forEach((machine, slot) => {
@@ -119,7 +119,7 @@
     return unused;
   }
 
-  private lateTasks(): LateTasks[] {
+  private delayedTasks(): DelayedTasks[] {
     const { capacity, planJobs } = this.round;
     const marginS = this.cluster.context.tuning.machines.rent_margin_s;
     const late = new Map<number, number>();
@@ -128,7 +128,7 @@
     };
     for (const start of capacity.starts) {
       const job = planJobs[start.job] as PlanJob;
-      if (start.startAtS > this.soonestOnNewMachineS(job) + marginS) add(start.job, start.tasks);
+      if (start.startAtS > this.soonestOnNewMachineSeconds(job) + marginS) add(start.job, start.tasks);
     }
     for (const [slot, tasks] of capacity.unplaced) add(slot, tasks);
     return [...late]
@@ -137,32 +137,32 @@
         tasks,
         unplaced: (capacity.unplaced.get(slot) ?? 0) > 0,
       }))
-      .filter(({ job }) => this.mayDriveRentals(job));
+      .filter(({ job }) => this.mayTriggerScaleOut(job));
   }
 
   /** Jobs that fail wherever they run are tried on what is there. */
-  private mayDriveRentals({ slot }: PlanJob): boolean {
+  private mayTriggerScaleOut({ slot }: PlanJob): boolean {
     const job = this.round.jobs[slot];
-    return job === undefined || job.failureHistory.mayDriveRentals(this.cluster.context.now.monotonic);
+    return job === undefined || job.failureHistory.mayTriggerScaleOut(this.cluster.context.now.monotonic);
   }
 
   /** Seconds until a machine rented now could start the job. */
-  private soonestOnNewMachineS(job: PlanJob): number {
+  private soonestOnNewMachineSeconds(job: PlanJob): number {
     const { bootTimes, context, types } = this.cluster;
     let soonest = Number.POSITIVE_INFINITY;
     for (const type of types.values()) {
       if (!this.canRun(job, type)) continue;
-      const fetchS = fetchTimeS(job.imageGb, type.imagePullGbPerSecond);
+      const fetchS = pullSeconds(job.imageGb, type.imagePullGbPerSecond);
       for (const zone of type.zones) {
         if (!isOpenZone(job, zone)) continue;
-        soonest = Math.min(soonest, bootTimes.expectedS(type, zone, context.now.monotonic) + fetchS);
+        soonest = Math.min(soonest, bootTimes.expectedSeconds(type, zone, context.now.monotonic) + fetchS);
       }
     }
     return soonest;
   }
 
   /** How many machines work off the tasks within the horizon; of a gang as many as it takes at once. */
-  private machinesFor(job: PlanJob, type: MachineType, tasks: number): number {
+  private machinesNeeded(job: PlanJob, type: MachineType, tasks: number): number {
     const perMachine = tasksPerMachine(job, type);
     if (job.gang) return tasks / perMachine;
     const horizonS = this.cluster.context.tuning.machines.rent_horizon_s;
@@ -171,12 +171,12 @@
   }
 
   /** The kind that takes the job's tasks at the lowest price a task, among those not lately refused. */
-  private cheapestKind(job: PlanJob, tasks: number, fullZones?: ReadonlySet<ZoneName>): MachineKind | null {
+  private cheapestPool(job: PlanJob, tasks: number, fullZones?: ReadonlySet<ZoneName>): CapacityPool | null {
     const { bootTimes, context } = this.cluster;
-    let cheapest: MachineKind | null = null;
+    let cheapest: CapacityPool | null = null;
     let lowestCost = Number.POSITIVE_INFINITY;
-    for (const kind of this.possibleKinds(job)) {
-      if (this.rentals.isRefused(kind) || fullZones?.has(kind.zone)) continue;
+    for (const kind of this.feasiblePools(job)) {
+      if (this.scaleOut.isBackedOff(kind) || fullZones?.has(kind.zone)) continue;
       const { type, zone, spot } = kind;
       const price = spot ? type.spotPricePerHour * SPOT_PRICE_FACTOR : type.pricePerHour;
       const crowding = 1 + CROWDED_ZONE_FACTOR * (this.machineCounts.get(countKey(type.name, zone)) ?? 0);
@@ -201,7 +201,7 @@
     return spare.cpus + RESOURCE_TOLERANCE >= job.cpus && spare.memGb + RESOURCE_TOLERANCE >= job.memoryGb;
   }
 
-  private *possibleKinds(job: PlanJob): Iterable<MachineKind> {
+  private *feasiblePools(job: PlanJob): Iterable<CapacityPool> {
     const types = [...this.cluster.types.values()].filter((type) => this.canRun(job, type));
     // Machines with GPUs are rented for work without only where nothing else runs it.
     const avoidGpus = job.gpus === 0 && types.some((type) => type.gpus === 0);
@@ -222,7 +222,7 @@
       counts.set(key, (counts.get(key) ?? 0) + count);
     };
     for (const { typeName, zone } of this.cluster.machines.values()) add(typeName, zone, 1);
-    for (const { kind, count } of this.rentals.underWay()) add(kind.type.name, kind.zone, count);
+    for (const { pool, count } of this.scaleOut.pendingRequests()) add(pool.type.name, pool.zone, count);
     return counts;
   }
 }
--- a/src/core/machines/task_failures.ts
+++ b/src/core/machines/task_failures.ts
@@ -6,8 +6,8 @@
  * its tasks on other machines have failed too.
  */
 const SETTLE_MS = 2500;
-const FIRST_PAUSE_MS = 3000;
-const MAX_PAUSE_DOUBLINGS = 3;
+const INITIAL_QUARANTINE_MS = 3000;
+const MAX_QUARANTINE_DOUBLINGS = 3;
 
 /**
  * What failed on a machine since a task last did well there. A failure speaks against the machine if the job does well
@@ -15,31 +15,31 @@
  */
 export class TaskFailures {
   /** Failed tasks by the histories of their jobs. */
-  private readonly counts = new Map<FailureHistory, number>();
+  private readonly taskCountByJob = new Map<FailureHistory, number>();
 
   private lastFailureAt = 0 as MonotonicTime;
 
-  note(job: FailureHistory, now: MonotonicTime): void {
+  record(job: FailureHistory, now: MonotonicTime): void {
     this.lastFailureAt = now;
-    this.counts.set(job, (this.counts.get(job) ?? 0) + 1);
+    this.taskCountByJob.set(job, (this.taskCountByJob.get(job) ?? 0) + 1);
   }
 
   clear(): void {
-    this.counts.clear();
+    this.taskCountByJob.clear();
   }
 
-  get any(): boolean {
-    return this.counts.size > 0;
+  get hasFailures(): boolean {
+    return this.taskCountByJob.size > 0;
   }
 
   /** How long the machine gets no new work after a failure: longer with each further job. */
-  get pauseMs(): number {
-    return FIRST_PAUSE_MS * 2 ** Math.min(MAX_PAUSE_DOUBLINGS, this.counts.size - 1);
+  get quarantineMs(): number {
+    return INITIAL_QUARANTINE_MS * 2 ** Math.min(MAX_QUARANTINE_DOUBLINGS, this.taskCountByJob.size - 1);
   }
 
   /** Whether jobs other than this one have failed here that aren't at fault themselves. */
-  anyOfOthers(than: FailureHistory): boolean {
-    for (const job of this.counts.keys()) if (job !== than && !job.isFaulty) return true;
+  hasFailuresOfOtherJobs(than: FailureHistory): boolean {
+    for (const job of this.taskCountByJob.keys()) if (job !== than && !job.isFaulty) return true;
     return false;
   }
 
@@ -47,7 +47,7 @@
   isMachineAtFault(limit: number, now: MonotonicTime): boolean {
     const isSettled = now - this.lastFailureAt >= SETTLE_MS;
     let jobs = 0;
-    for (const [job, tasks] of this.counts) {
+    for (const [job, tasks] of this.taskCountByJob) {
       if (job.isFaulty) continue;
       if (job.hasSucceeded && tasks >= limit) return true;
       if (job.hasSucceeded || isSettled) jobs += 1;
--- a/src/core/requests/request_handler.ts
+++ b/src/core/requests/request_handler.ts
@@ -1,6 +1,6 @@
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
 import { RangeSet } from '../jobs/range_set.js';
-import type { MachineTypes } from '../machines/catalog.js';
+import type { MachineTypes } from '../machines/machine_type_catalog.js';
 import type { OnStateStoreResult, StateChange, UserRequest, UserResponse } from '../messages.js';
 import { encodeJob, type JobRecord, jobKey } from '../records.js';
 import type { StepContext } from '../step_context.js';
--- a/src/core/scheduler/hosting.ts
+++ b/src/core/scheduler/hosting.ts
@@ -28,8 +28,10 @@
 /** How many more tasks of a spread job each zone may take; null: no such limit. */
 export function roomByZone({ context }: Cluster, job: Job): Map<ZoneName, number> | null {
   if (!job.spec.zoneSpread) return null;
-  const counts = job.zoneCounts();
-  return new Map(context.settings.zones.map((zone) => [zone, Math.max(0, job.zoneLimit - (counts.get(zone) ?? 0))]));
+  const counts = job.taskCountByZone();
+  return new Map(
+    context.settings.zones.map((zone) => [zone, Math.max(0, job.maxTasksPerZone - (counts.get(zone) ?? 0))]),
+  );
 }
 
 /** Whether a job allows the machine: its type, its zone and its kind. */
@@ -41,7 +43,7 @@
 export function mayHostInstead({ context }: Cluster, job: Job, machine: Machine): boolean {
   return (
     machine.isSchedulable(context.now.monotonic, context.settings.workers.heartbeatIntervalMs) &&
-    machine.hasRoomFor(job.spec) &&
+    machine.hasFreeCapacityFor(job.spec) &&
     allows(job, machine)
   );
 }
@@ -50,7 +52,7 @@
 export function mayHost(cluster: Cluster, job: Job, machine: Machine): boolean {
   if (!mayHostInstead(cluster, job, machine) || cluster.quotas.room(job.spec) < 1) return false;
   if (job.spec.singleZone && !isOnlyIn(job, machine.zone)) return false;
-  return !job.spec.zoneSpread || (job.zoneCounts().get(machine.zone) ?? 0) < job.zoneLimit;
+  return !job.spec.zoneSpread || (job.taskCountByZone().get(machine.zone) ?? 0) < job.maxTasksPerZone;
 }
 
 /** Whether all tasks of the job that have a place are in the zone. */
@@ -62,6 +64,6 @@
 /** Gives the task its place: its start goes out once the job's first start is on record. */
 export function placeTask(cluster: Cluster, job: Job, index: number, machine: Machine, attempt: Attempt): void {
   cluster.place(job, index, machine, attempt, 'planned');
-  if (job.startTerm === 0) job.noteFirstStart(cluster.term, machine.zone, cluster.earlierTerms.keepsZonesOf(job));
+  if (job.startTerm === 0) job.recordFirstStart(cluster.term, machine.zone, cluster.earlierTerms.keepsZonesOf(job));
   job.startZones?.add(machine.zone);
 }
--- a/src/core/scheduler/migration.ts
+++ b/src/core/scheduler/migration.ts
@@ -20,7 +20,7 @@
     if (!mayMigrate(job) || fetchLeftS(cluster, job) < MIN_GAIN_S) continue;
     const targets = machinesWithImage(cluster, job);
     if (!targets) continue;
-    job.migrations += 1;
+    job.migrationCount += 1;
     for (const machine of targets) machine.reserve(job.id, context.after(RESERVATION_MS));
     context.log('debug', 'moving to where the image is', { job: job.id, to: targets.map(({ id }) => id) });
     cluster.breakGang(job);
@@ -30,7 +30,7 @@
 function mayMigrate(job: Job): boolean {
   if (!job.isGang || job.isFaulty || job.state !== 'accepted' || job.gangBroken) return false;
   // Spreading isn't worth its rules here.
-  if (job.spec.zoneSpread || job.migrations >= MAX_MIGRATIONS) return false;
+  if (job.spec.zoneSpread || job.migrationCount >= MAX_MIGRATIONS) return false;
   return job.placements.size === job.spec.taskCount;
 }
 
@@ -38,9 +38,9 @@
 function fetchLeftS({ context }: Cluster, job: Job): number {
   const { image, imageGb } = job.spec;
   let longest = 0;
-  for (const { phase, stop, machine } of job.placements.values()) {
-    if (phase !== 'fetching' || stop !== null) return 0;
-    longest = Math.max(longest, machine.images.fetchSeconds(image, imageGb, context.now.monotonic));
+  for (const { phase, pendingStop, machine } of job.placements.values()) {
+    if (phase !== 'fetching' || pendingStop !== null) return 0;
+    longest = Math.max(longest, machine.images.remainingPullSeconds(image, imageGb, context.now.monotonic));
   }
   return longest;
 }
@@ -51,7 +51,7 @@
   const now = cluster.context.now.monotonic;
   const byZone = new Map<ZoneName | null, Machine[]>();
   for (const machine of cluster.machines.values()) {
-    if (!machine.images.holds(spec.image) || !mayHostInstead(cluster, job, machine)) continue;
+    if (!machine.images.has(spec.image) || !mayHostInstead(cluster, job, machine)) continue;
     if (machine.isReservedForOther(job.id, now)) continue;
     const zone = spec.singleZone ? machine.zone : null;
     const found = byZone.get(zone) ?? [];
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -1,8 +1,8 @@
 import type { Job, Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
+import { capacityPoolKey } from '../machines/capacity_pool.js';
 import type { Machine } from '../machines/machine.js';
-import { kindKey } from '../machines/machine_kind.js';
-import { spotDelayS } from '../machines/spot_interruptions.js';
+import { expectedSpotDelaySeconds } from '../machines/spot_interruption_rate.js';
 import type { JobId, MachineId, MachineTypeName, MonotonicTime, ZoneName } from '../types.js';
 import { couldHost, fitsTypesWithoutGpus, roomByZone } from './hosting.js';
 import { machineShare } from './plan_machine.js';
@@ -40,7 +40,7 @@
     const now = cluster.context.now.monotonic;
     const { heartbeatIntervalMs } = cluster.context.settings.workers;
     this.machines = [...cluster.machines.values()].filter(
-      (machine) => machine.isComing() || machine.isSchedulable(now, heartbeatIntervalMs),
+      (machine) => machine.isProvisioning() || machine.isSchedulable(now, heartbeatIntervalMs),
     );
     this.slotOf = new Map(this.machines.map(({ id }, slot) => [id, slot]));
     this.planMachines = planMachines(cluster, this.machines, ranked);
@@ -78,7 +78,7 @@
   private planJob(job: Job, tasks: number, waitedS: number, zones: ZoneName[], slot: number): PlanJob {
     const { spec } = job;
     const { estimates, spotInterruptions, context } = this.cluster;
-    const durationS = estimates.expectS(spec);
+    const durationS = estimates.expectedSeconds(spec);
     const isBound = spec.singleZone && job.placements.size > 0;
     return {
       slot,
@@ -93,7 +93,7 @@
       types: spec.allowedMachineTypes,
       fitsTypesWithoutGpus: fitsTypesWithoutGpus(this.cluster, job),
       spotOk: spec.toleratesSpot,
-      spotDelayS: spotDelayS(spotInterruptions.perS, durationS, spec.checkpointIntervalSeconds),
+      spotDelayS: expectedSpotDelaySeconds(spotInterruptions.perSecond, durationS, spec.checkpointIntervalSeconds),
       sameZone: spec.singleZone,
       zoneRoom: roomByZone(this.cluster, job),
       zones,
@@ -108,7 +108,7 @@
   private slotsToAvoid(job: Job): Set<number> | null {
     const slots = new Set<number>();
     for (const reservation of this.reservations) if (reservation.job !== job.id) slots.add(reservation.slot);
-    for (const id of job.failureHistory.avoided(this.cluster.context.now.monotonic)) {
+    for (const id of job.failureHistory.avoidedMachines(this.cluster.context.now.monotonic)) {
       const slot = this.slotOf.get(id);
       if (slot !== undefined) slots.add(slot);
     }
@@ -143,7 +143,7 @@
     for (const zone of type.zones) {
       for (const spot of [false, true]) {
         const isAwaited = gpuJobs.some(({ job }) => (job.spec.toleratesSpot || !spot) && couldHost(job, type, zone));
-        if (isAwaited) kinds.add(kindKey({ type, zone, spot }));
+        if (isAwaited) kinds.add(capacityPoolKey({ type, zone, spot }));
       }
     }
   }
@@ -166,9 +166,9 @@
     ...freeRoom(cluster, machine),
     spareCpus: spare.cpus,
     spareMemGb: spare.memGb,
-    servesGpuWork: awaitedKinds.has(kindKey(machine)) || machine.hasGpuWork(now),
+    servesGpuWork: awaitedKinds.has(capacityPoolKey(machine)) || machine.hasGpuWork(now),
     reservedForGangs: !machine.spot && reservedTypes.has(machine.typeName),
-    fetchS: (image, gb) => machine.images.fetchSeconds(image, gb, now),
+    fetchS: (image, gb) => machine.images.remainingPullSeconds(image, gb, now),
     largestCachedShare: largestCachedShare(cluster, machine),
   };
 }
@@ -179,7 +179,7 @@
   const times = [machine.phase === 'booting' ? bootingS(cluster, machine, now) : 0];
   const cpus = [machine.type.cpus - machine.usedCpus];
   const gpus = [machine.type.gpus - machine.usedGpus];
-  const memGb = [machine.type.memoryGb - machine.usedMemGb];
+  const memGb = [machine.type.memoryGb - machine.usedMemoryGb];
   const ends = [...machine.placements.values()]
     .map((placement) => ({ atS: remainingS(cluster, placement, now), spec: placement.job.spec }))
     .sort((a, b) => a.atS - b.atS);
@@ -202,12 +202,13 @@
 
 /** Seconds until a task is expected to leave its machine. */
 function remainingS({ context, estimates }: Cluster, placement: Placement, now: MonotonicTime): number {
-  const { job, machine, stop, runningSince } = placement;
+  const { job, machine, pendingStop, runningSince } = placement;
   const reportS = context.settings.workers.heartbeatIntervalMs / 1000;
-  if (stop !== null) return Math.max(reportS, stop.graceS);
-  const expectedS = estimates.expectS(job.spec);
+  if (pendingStop !== null) return Math.max(reportS, pendingStop.gracePeriodSeconds);
+  const expectedS = estimates.expectedSeconds(job.spec);
   if (job.isService) return expectedS;
-  if (runningSince === null) return machine.images.fetchSeconds(job.spec.image, job.spec.imageGb, now) + expectedS;
+  if (runningSince === null)
+    return machine.images.remainingPullSeconds(job.spec.image, job.spec.imageGb, now) + expectedS;
   const elapsedS = (now - runningSince) / 1000;
   // The longer work has run over what was expected, the longer it is likely to go on: taking overdue work to end at once
   // makes others wait for gaps that never come.
@@ -216,12 +217,12 @@
 
 /** When a machine that was rented but hasn't reported is expected, in seconds from now. */
 function bootingS({ bootTimes }: Cluster, machine: Machine, now: MonotonicTime): number {
-  return bootTimes.remainingS(machine.type, machine.zone, machine.ageS(now), now);
+  return bootTimes.remainingSeconds(machine.type, machine.zone, machine.ageSeconds(now), now);
 }
 
 function largestCachedShare(cluster: Cluster, machine: Machine): number {
   let largest = 0;
-  for (const image of machine.images.heldImages()) {
+  for (const image of machine.images.presentImages()) {
     const user = cluster.largestImageUsers.get(image);
     if (user) largest = Math.max(largest, machineShare(user, machine.type));
   }
@@ -245,7 +246,7 @@
 function oneOfEachKind(machines: readonly PlanMachine[]): PlanMachine[] {
   const kinds = new Map<string, PlanMachine>();
   for (const machine of machines) {
-    const key = kindKey(machine);
+    const key = capacityPoolKey(machine);
     if (!kinds.has(key)) kinds.set(key, machine);
   }
   return [...kinds.values()];
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -39,7 +39,7 @@
     const options = cheapestOptions(cluster, job);
     if (!options) continue;
     gangs += 1;
-    job.preemptions += 1;
+    job.preemptionCount += 1;
     for (const option of options) evictFor(cluster, job, option);
     cluster.context.log('debug', 'lower work makes room', { job: job.id, machines: options.length });
   }
@@ -68,7 +68,7 @@
     !spec.zoneSpread &&
     job.placements.size === 0 &&
     !job.gangBroken &&
-    job.preemptions < MAX_PREEMPTIONS &&
+    job.preemptionCount < MAX_PREEMPTIONS &&
     waitedS(cluster, job) >= MIN_WAITED_S &&
     cluster.quotas.room(spec) >= spec.taskCount
   );
@@ -111,16 +111,16 @@
   if (!machine.isSchedulable(now, context.settings.workers.heartbeatIntervalMs) || !allows(job, machine)) return null;
   if (machine.isReservedForOther(job.id, now)) return null;
   // What is being stopped already comes free by itself, and not for this job.
-  for (const { stop } of machine.placements.values()) if (stop !== null) return null;
+  for (const { pendingStop } of machine.placements.values()) if (pendingStop !== null) return null;
   const { type } = machine;
   let cpus = type.cpus - machine.usedCpus;
   let gpus = type.gpus - machine.usedGpus;
-  let memGb = type.memoryGb - machine.usedMemGb;
+  let memGb = type.memoryGb - machine.usedMemoryGb;
   const hasRoom = (): boolean =>
     cpus + RESOURCE_TOLERANCE >= spec.cpus &&
     gpus + RESOURCE_TOLERANCE >= spec.gpus &&
     memGb + RESOURCE_TOLERANCE >= spec.memoryGb;
-  const fetchS = machine.images.fetchSeconds(spec.image, spec.imageGb, now);
+  const fetchS = machine.images.remainingPullSeconds(spec.image, spec.imageGb, now);
   let cost = fetchS * Math.max(spec.gpus, CPU_WORK_WEIGHT);
   const victims: Placement[] = [];
   for (const { placement, lost } of lowerWork(machine, job, now)) {
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -1,6 +1,6 @@
 import type { Job } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
-import { fetchTimeS } from '../machines/image_cache.js';
+import { pullSeconds } from '../machines/image_cache.js';
 import type { TeamName } from '../types.js';
 import { couldHost } from './hosting.js';
 import { rankValue, urgency } from './priority.js';
@@ -52,10 +52,10 @@
 /** Whether teams' unfinished work fits their guarantees: then it need not wait for others. */
 function teamsWithinGuarantee(cluster: Cluster): Set<TeamName> {
   const demands = new Map<TeamName, { cpus: number; gpus: number }>();
-  for (const { spec, state, done } of cluster.activeJobs) {
+  for (const { spec, state, doneTasks } of cluster.activeJobs) {
     if (state !== 'accepted') continue;
     const demand = demands.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    const unfinished = spec.taskCount - done.count;
+    const unfinished = spec.taskCount - doneTasks.count;
     demand.cpus += unfinished * spec.cpus;
     demand.gpus += unfinished * spec.gpus;
     demands.set(spec.team, demand);
@@ -77,7 +77,7 @@
   for (const type of cluster.types.values()) {
     if (type.zones.some((zone) => couldHost(job, type, zone))) slowest = Math.min(slowest, type.imagePullGbPerSecond);
   }
-  return Number.isFinite(slowest) ? fetchTimeS(job.spec.imageGb, slowest) : 0;
+  return Number.isFinite(slowest) ? pullSeconds(job.spec.imageGb, slowest) : 0;
 }
 
 /** The design's ranking, sooner where an aim or deadline comes near; smallest goes first. */
@@ -85,7 +85,7 @@
   const { settings, tuning } = cluster.context;
   const { priority_base, urgency: most, urgency_horizon_s: horizonS } = tuning.scheduler;
   const waited = waitedS(cluster, job);
-  const runS = cluster.estimates.expectS(job.spec);
+  const runS = cluster.estimates.expectedSeconds(job.spec);
   const fetchS = slowestFetchS(cluster, job);
   const rank = rankValue(job.spec, tasks, runS, waited, priority_base);
   return rank / urgency(job.spec, settings.objectives, waited, fetchS, runS, { most, horizonS });
--- a/src/core/scheduler/services.ts
+++ b/src/core/scheduler/services.ts
@@ -79,10 +79,10 @@
 }
 
 const hasZoneRoom = (zoneRoom: ZoneRoom, zone: ZoneName, job: Job): boolean =>
-  zoneRoom === null || (zoneRoom.get(zone) ?? job.zoneLimit) > 0;
+  zoneRoom === null || (zoneRoom.get(zone) ?? job.maxTasksPerZone) > 0;
 
 function takeZoneRoom(zoneRoom: ZoneRoom, zone: ZoneName, job: Job): void {
-  zoneRoom?.set(zone, (zoneRoom.get(zone) ?? job.zoneLimit) - 1);
+  zoneRoom?.set(zone, (zoneRoom.get(zone) ?? job.maxTasksPerZone) - 1);
 }
 
 /** Whether a machine may take a replica now, as far as other claims to it go. */
@@ -136,20 +136,24 @@
 /** Seconds until a replica would be there, with what it had rather avoid. */
 function startDelayS({ context, spotInterruptions }: Cluster, job: Job, machine: Machine): number {
   const { image, imageGb } = job.spec;
-  const fetchS = machine.images.fetchSeconds(image, imageGb, context.now.monotonic);
-  let delayS = fetchS + SHARED_PENALTY_S * job.replicasOn(machine);
+  const fetchS = machine.images.remainingPullSeconds(image, imageGb, context.now.monotonic);
+  let delayS = fetchS + SHARED_PENALTY_S * job.replicaCountOn(machine);
   if (needsNoGpuOf(job, machine)) delayS += GPU_PENALTY_S;
   if (machine.spot) {
-    const lossChance = 1 - Math.exp(-SPOT_LOSS_HORIZON_S * spotInterruptions.perS);
+    const lossChance = 1 - Math.exp(-SPOT_LOSS_HORIZON_S * spotInterruptions.perSecond);
     delayS += SPOT_LOSS_PENALTY_S * lossChance;
   }
   return delayS;
 }
 
 /** The part of its scarcest resource that a machine has free. */
-function scarcestFreeShare({ type, usedCpus, usedGpus, usedMemGb }: Machine): number {
+function scarcestFreeShare({ type, usedCpus, usedGpus, usedMemoryGb }: Machine): number {
   const freeShare = (used: number, capacity: number): number => (capacity > 0 ? (capacity - used) / capacity : 1);
-  return Math.min(freeShare(usedCpus, type.cpus), freeShare(usedGpus, type.gpus), freeShare(usedMemGb, type.memoryGb));
+  return Math.min(
+    freeShare(usedCpus, type.cpus),
+    freeShare(usedGpus, type.gpus),
+    freeShare(usedMemoryGb, type.memoryGb),
+  );
 }
 
 /** Stops lower arrays on the machine where least is lost; the replica follows when they are gone. */
@@ -184,7 +188,7 @@
     if (job.spec.singleZone && !isOnlyIn(job, machine.zone)) continue;
     const option = evictionOption(cluster, job, machine);
     if (!option || option.victims.length === 0) continue;
-    const cost = option.cost + SHARED_COST * job.replicasOn(machine);
+    const cost = option.cost + SHARED_COST * job.replicaCountOn(machine);
     if (cost >= lowestCost) continue;
     cheapest = option;
     lowestCost = cost;
@@ -198,12 +202,12 @@
  */
 export function moveReplica(cluster: Cluster, placement: Placement): void {
   const { job, machine: from } = placement;
-  const moving = [...job.placements.values()].filter(({ stop }) => stop !== null).length;
+  const moving = [...job.placements.values()].filter(({ pendingStop }) => pendingStop !== null).length;
   const maxMoving = Math.max(1, Math.ceil(job.spec.taskCount * MAX_MOVING_SHARE));
   if (moving + job.pendingCount >= maxMoving) return;
   const zoneRoom = roomByZone(cluster, job);
   // Its own place comes free with the move.
-  zoneRoom?.set(from.zone, (zoneRoom.get(from.zone) ?? job.zoneLimit) + 1);
+  zoneRoom?.set(from.zone, (zoneRoom.get(from.zone) ?? job.maxTasksPerZone) + 1);
   const mayTakeGpuCores = gpuCoreCheck(cluster, job);
   const mayTake = (machine: Machine): boolean =>
     machine !== from && mayHostInstead(cluster, job, machine) && mayTakeGpuCores(machine);
--- a/src/core/workers/command_sender.ts
+++ b/src/core/workers/command_sender.ts
@@ -46,13 +46,14 @@
       anyLeft = true;
       if (!this.mayCommand(machine)) continue;
       if (this.context.openCommandPushCount >= MAX_OPEN_COMMANDS) break;
-      this.command(machine, machine.session, stops, planned);
+      this.command(machine, machine.agentEpoch, stops, planned);
     }
     if (anyLeft) this.context.timers.set('workerCommands', this.context.after(REPEAT_MS));
   }
 
-  private mayCommand(machine: Machine): machine is Machine & { session: AgentEpoch } {
-    if (!machine.reconciled || !machine.addr || machine.session === null || machine.deletionInFlight) return false;
+  private mayCommand(machine: Machine): machine is Machine & { agentEpoch: AgentEpoch } {
+    if (!machine.reconciled || !machine.address || machine.agentEpoch === null || machine.terminationInFlight)
+      return false;
     return !machine.commandInFlight && machine.nextCommandAt <= this.context.now.monotonic;
   }
 
@@ -60,7 +61,8 @@
   private dueStops(machine: Machine): Command[] {
     const { machinesWithStops } = this.cluster;
     if (!machinesWithStops.has(machine)) return [];
-    const isDue = ({ phase, stop }: Placement): boolean => phase !== 'saving' || stop?.graceS === 0;
+    const isDue = ({ phase, pendingStop }: Placement): boolean =>
+      phase !== 'saving' || pendingStop?.gracePeriodSeconds === 0;
     const stops = this.cluster.isKnown(machine) ? stopCommands(machine, isDue) : [];
     if (stops.length === 0) machinesWithStops.delete(machine);
     return stops;
@@ -91,7 +93,7 @@
   private start(placement: Placement): Command {
     this.cluster.earlierTerms.onStart();
     placement.phase = 'sent';
-    placement.sentInReplyTo = null;
+    placement.sentInResponseTo = null;
     placement.machine.unconfirmedStarts.add(startKeyOf(placement));
     return { op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt };
   }
@@ -103,14 +105,17 @@
     starts: readonly StartKey[],
   ): void {
     machine.commandInFlight = true;
-    this.context.pushCommands({ address: machine.addr, fencingToken: this.token, agentEpoch, commands }, (result) => {
-      machine.commandInFlight = false;
-      if (result.ok) for (const start of starts) machine.unconfirmedStarts.delete(start);
-      else machine.nextCommandAt = this.context.after(UNANSWERED_PAUSE_MS);
-      if (this.stopped || !result.ok || result.value.heartbeat.machine !== machine.id) return;
-      if (!this.cluster.isKnown(machine)) return;
-      this.reconciliation.take(machine, result.value.heartbeat, 'commandAnswer');
-      if (result.value.executed) this.reconciliation.onReachable(machine);
-    });
+    this.context.pushCommands(
+      { address: machine.address, fencingToken: this.token, agentEpoch, commands },
+      (result) => {
+        machine.commandInFlight = false;
+        if (result.ok) for (const start of starts) machine.unconfirmedStarts.delete(start);
+        else machine.nextCommandAt = this.context.after(UNANSWERED_PAUSE_MS);
+        if (this.stopped || !result.ok || result.value.heartbeat.machine !== machine.id) return;
+        if (!this.cluster.isKnown(machine)) return;
+        this.reconciliation.take(machine, result.value.heartbeat, 'commandAnswer');
+        if (result.value.executed) this.reconciliation.onReachable(machine);
+      },
+    );
   }
 }
--- a/src/core/workers/commands.ts
+++ b/src/core/workers/commands.ts
@@ -10,9 +10,9 @@
 /** What to tell a worker in the answer to its report: results to drop first, then stops, then starts. */
 export function compileCommands(cluster: Cluster, machine: Machine): Command[] {
   const commands = [...forgetCommands(cluster, machine), ...stopCommands(machine)];
-  for (const { job, index, attempt, phase, stop } of machine.placements.values()) {
+  for (const { job, index, attempt, phase, pendingStop } of machine.placements.values()) {
     if (commands.length >= MAX_COMMANDS) break;
-    const toStart = stop === null && (phase === 'planned' || phase === 'sent');
+    const toStart = pendingStop === null && (phase === 'planned' || phase === 'sent');
     if (toStart) commands.push({ op: 'start', job: job.id, index, attempt });
   }
   return commands;
@@ -21,11 +21,11 @@
 /** Ended tasks whose results are on record, or that have none. */
 function forgetCommands(cluster: Cluster, machine: Machine): Command[] {
   const commands: Command[] = [];
-  for (const { job: id, index, attempt, done } of machine.exitedTasks) {
+  for (const { job: id, index, attempt, isDone } of machine.exitedTasks) {
     // Once forgotten, a start of the same attempt that is still on its way would run it again.
     if (machine.unconfirmedStarts.has(startKey(id, index, attempt))) continue;
     const job = cluster.jobs.get(id);
-    const mayForget = job ? !done || job.isResultDurable(index) : mayForgetUnknown(cluster, id);
+    const mayForget = job ? !isDone || job.isResultDurable(index) : mayForgetUnknown(cluster, id);
     if (mayForget) commands.push({ op: 'forget', job: id, index, attempt });
   }
   return commands;
@@ -35,12 +35,12 @@
 export function stopCommands(machine: Machine, isDue: (placement: Placement) => boolean = () => true): Command[] {
   const commands: Command[] = [];
   for (const placement of machine.placements.values()) {
-    const { job, index, attempt, phase, stop } = placement;
-    if (stop === null || phase === 'planned' || !isDue(placement)) continue;
-    commands.push({ op: 'stop', job: job.id, index, attempt, gracePeriodSeconds: stop.graceS });
+    const { job, index, attempt, phase, pendingStop } = placement;
+    if (pendingStop === null || phase === 'planned' || !isDue(placement)) continue;
+    commands.push({ op: 'stop', job: job.id, index, attempt, gracePeriodSeconds: pendingStop.gracePeriodSeconds });
   }
-  for (const { job, index, attempt, stop } of machine.strays.values()) {
-    if (stop) commands.push({ op: 'stop', job, index, attempt, gracePeriodSeconds: 0 });
+  for (const { job, index, attempt, shouldStop } of machine.unexpectedTasks.values()) {
+    if (shouldStop) commands.push({ op: 'stop', job, index, attempt, gracePeriodSeconds: 0 });
   }
   return commands;
 }
--- a/src/core/workers/reconciliation.ts
+++ b/src/core/workers/reconciliation.ts
@@ -1,6 +1,6 @@
 import type { Cluster } from '../leadership/cluster.js';
 import type { LeaderState } from '../leadership/leader.js';
-import { type Machine, UNRESPONSIVE_AFTER_IGNORED } from '../machines/machine.js';
+import { type Machine, UNRESPONSIVE_AFTER_IGNORED_RESPONSES } from '../machines/machine.js';
 import type { StepContext } from '../step_context.js';
 import type { AgentEpoch, FencingToken, Heartbeat } from '../types.js';
 import { applyReport, type ReportSource } from './report_processing.js';
@@ -43,14 +43,14 @@
   /** Asks every registered machine for its list. A few at a time: their own reports raise most tokens meanwhile. */
   reconcileAll(): void {
     for (const machine of this.cluster.machines.values()) {
-      if (!machine.reconciled && machine.addr && !this.willTell(machine)) this.waiting.push(machine);
+      if (!machine.reconciled && machine.address && !this.willTell(machine)) this.waiting.push(machine);
     }
     this.reconcileNext();
   }
 
   /** One that has reported to this leader shows its token with the next report, and needs no question. */
   private willTell(machine: Machine): boolean {
-    return this.cluster.earlierTerms.recovery !== null && machine.firstReportAt !== null;
+    return this.cluster.earlierTerms.recovery !== null && machine.firstHeartbeatAt !== null;
   }
 
   private reconcileNext(): void {
@@ -69,7 +69,7 @@
   private ask(machine: Machine, agentEpoch: AgentEpoch, tries: number, done: () => void): void {
     machine.commandInFlight = true;
     this.context.pushCommands(
-      { address: machine.addr, fencingToken: this.token, agentEpoch, commands: [] },
+      { address: machine.address, fencingToken: this.token, agentEpoch, commands: [] },
       (result) => {
         machine.commandInFlight = false;
         if (this.stopped || !this.cluster.isKnown(machine)) return done();
@@ -88,28 +88,28 @@
     const now = this.context.now.monotonic;
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase !== 'up' || machine.nextProbeAt > now || !this.needsProbe(machine)) continue;
-      if (machine.commandInFlight || !machine.addr || machine.deletionInFlight) continue;
+      if (machine.commandInFlight || !machine.address || machine.terminationInFlight) continue;
       if (this.context.openCommandPushCount >= MAX_OPEN_COMMANDS) return;
       machine.nextProbeAt = this.context.after(PROBE_PERIOD_MS);
-      this.ask(machine, machine.session ?? FIRST_SESSION, MAX_TRIES, () => {});
+      this.ask(machine, machine.agentEpoch ?? FIRST_SESSION, MAX_TRIES, () => {});
     }
   }
 
   private needsProbe(machine: Machine): boolean {
-    if (machine.unresponsiveSince !== null || !machine.confirmed) return true;
+    if (machine.unresponsiveSince !== null || !machine.reachabilityConfirmed) return true;
     // Whether the machine of a replica is gone decides when the replica runs elsewhere.
     const overdueMs = REPORT_MISSED_AFTER * this.context.settings.workers.heartbeatIntervalMs;
-    return this.context.now.monotonic - machine.lastSeenAt >= overdueMs && machine.hasReplica();
+    return this.context.now.monotonic - machine.lastContactAt >= overdueMs && machine.hasReplica();
   }
 
   /** Takes in a list of tasks, from a report or from the answer to a direct command. Returns whether room came free. */
   take(machine: Machine, report: Heartbeat, source: ReportSource): boolean {
-    if (report.fencingToken === this.token && machine.tokenSeen < this.token) this.onReachable(machine);
+    if (report.fencingToken === this.token && machine.highestFencingToken < this.token) this.onReachable(machine);
     const freed = applyReport(this.cluster, machine, report, this.token, source);
-    if (source === 'commandAnswer') machine.lastSeenAt = this.context.now.monotonic;
+    if (source === 'commandAnswer') machine.lastContactAt = this.context.now.monotonic;
     if (freed) this.leader.scheduleRoundSoon();
     this.leader.readSuspectedOrphans();
-    const ignores = machine.ignoredAnswers >= UNRESPONSIVE_AFTER_IGNORED;
+    const ignores = machine.ignoredResponses >= UNRESPONSIVE_AFTER_IGNORED_RESPONSES;
     if (ignores && machine.unresponsiveSince === null) this.markUnresponsive(machine);
     return freed;
   }
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -1,7 +1,7 @@
 import { type Classification, classify, type OtherPlace, type StoredJob } from '../../recovery/index.js';
 import type { Job, Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
-import { type Machine, type StartKey, type StrayTask, startKey, taskKey } from '../machines/machine.js';
+import { type Machine, type StartKey, startKey, taskKey, type UnexpectedTask } from '../machines/machine.js';
 import type { JobId, LiveTaskStatus, TaskStatus } from '../types.js';
 import { addStray } from './stray_tasks.js';
 
@@ -15,7 +15,7 @@
   cluster: Cluster,
   machine: Machine,
   task: LiveTaskStatus,
-  strays: StrayTask[],
+  strays: UnexpectedTask[],
 ): Placement | null {
   const job = cluster.jobs.get(task.job) ?? null;
   const elsewhere = job && sentElsewhere(cluster, job, task.index);
@@ -95,15 +95,15 @@
 function displace(cluster: Cluster, placement: Placement): void {
   const { job, index, attempt, machine } = placement;
   cluster.detach(placement);
-  addStray(cluster, machine, { job: job.id, index, attempt, stop: true, owner: job });
+  addStray(cluster, machine, { job: job.id, index, attempt, shouldStop: true, knownJob: job });
 }
 
-const strayOf = ({ job, index, attempt }: TaskStatus, owner: Job | null, stop: boolean): StrayTask => ({
+const strayOf = ({ job, index, attempt }: TaskStatus, knownJob: Job | null, shouldStop: boolean): UnexpectedTask => ({
   job,
   index,
   attempt,
-  stop,
-  owner,
+  shouldStop,
+  knownJob,
 });
 
 /** Lists repeat what doesn't change: a stray is counted with the first list that shows it as what it is. */
@@ -113,14 +113,14 @@
   task: TaskStatus,
   { taskClass, action }: Classification,
 ): void {
-  const before = machine.strays.get(taskKey(task.job, task.index));
-  const isRepeated = before?.attempt === task.attempt && before.stop === (action === 'stop');
+  const before = machine.unexpectedTasks.get(taskKey(task.job, task.index));
+  const isRepeated = before?.attempt === task.attempt && before.shouldStop === (action === 'stop');
   if (!isRepeated) earlierTerms.recovery?.count(taskClass);
 }
 
 function logDuplicate({ context }: Cluster, machine: Machine, task: TaskStatus, other: Placement | null): void {
   const { job, index, attempt } = task;
-  if (machine.strays.get(taskKey(job, index))?.attempt === attempt) return;
+  if (machine.unexpectedTasks.get(taskKey(job, index))?.attempt === attempt) return;
   context.log('error', 'task reported by two machines', {
     task: taskKey(job, index),
     machines: [machine.id, ...(other ? [other.machine.id] : [])],
@@ -131,5 +131,5 @@
 /** Whether an end without a place is news; workers repeat it until they are told to forget it. */
 export function isNewEnd(machine: Machine, { job, index, attempt }: TaskStatus): boolean {
   const key: StartKey = startKey(job, index, attempt);
-  return !machine.endsBefore.has(key);
+  return !machine.previousExits.has(key);
 }
--- a/src/core/workers/report_handler.ts
+++ b/src/core/workers/report_handler.ts
@@ -1,7 +1,7 @@
 import { LeaseRenewals } from '../../recovery/index.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { LeaderState } from '../leadership/leader.js';
-import { Machine, UNRESPONSIVE_AFTER_IGNORED } from '../machines/machine.js';
+import { Machine, UNRESPONSIVE_AFTER_IGNORED_RESPONSES } from '../machines/machine.js';
 import type { HeartbeatResponse } from '../messages.js';
 import type { StepContext } from '../step_context.js';
 import type { Command, FencingToken, Heartbeat, MonotonicTime, SequenceNumber } from '../types.js';
@@ -108,9 +108,9 @@
   private takeList({ machine, report, reply, isFirst }: UnreadList): void {
     const newer = isNewer(machine, report);
     const freed = this.reconciliation.take(machine, report, 'report');
-    machine.lastReportSeq = report.sequence;
+    machine.lastHeartbeatSequence = report.sequence;
     if (reply === null) return;
-    const taken = newer && machine.seq === report.sequence && machine.session === report.agentEpoch;
+    const taken = newer && machine.sequence === report.sequence && machine.agentEpoch === report.agentEpoch;
     if (taken) this.answerOrHold(machine, report, reply, freed || isFirst);
     else reply(this.emptyAnswer);
   }
@@ -165,31 +165,31 @@
 
   /** A machine that may be long gone, and goes on to show an old token, is not answered any more. */
   private isNotListening(machine: Machine, report: Heartbeat): boolean {
-    if (!this.isStale(report) || machine.confirmed) return false;
-    machine.staleTokenReports += 1;
-    return machine.staleTokenReports > MAX_STALE_TOKEN_REPORTS;
+    if (!this.isStale(report) || machine.reachabilityConfirmed) return false;
+    machine.staleTokenHeartbeats += 1;
+    return machine.staleTokenHeartbeats > MAX_STALE_TOKEN_REPORTS;
   }
 
   /** Signs that the last answers have not arrived: an old token after one, or a lease that ran out all the same. */
   private noteIgnoredAnswer(machine: Machine, report: Heartbeat): void {
-    if (machine.firstReportAt === null) return;
+    if (machine.firstHeartbeatAt === null) return;
     const answeredLately =
       this.context.now.monotonic - machine.leaseRenewedAt < this.context.settings.workers.leaseMs / 2;
-    const isNewSession = machine.session !== null && report.agentEpoch > machine.session;
-    if (isNewSession && answeredLately) machine.ignoredAnswers = UNRESPONSIVE_AFTER_IGNORED;
-    else if (this.isStale(report)) machine.ignoredAnswers += 1;
+    const isNewSession = machine.agentEpoch !== null && report.agentEpoch > machine.agentEpoch;
+    if (isNewSession && answeredLately) machine.ignoredResponses = UNRESPONSIVE_AFTER_IGNORED_RESPONSES;
+    else if (this.isStale(report)) machine.ignoredResponses += 1;
   }
 
   /** Returns whether it is the machine's first report to this leader. */
   private recordSignOfLife(machine: Machine, report: Heartbeat): boolean {
     const { monotonic } = this.context.now;
-    machine.lastSeenAt = monotonic;
+    machine.lastContactAt = monotonic;
     machine.leaseRenewedAt = monotonic;
-    machine.lastReportAt = monotonic;
-    if (report.address) machine.addr = report.address;
+    machine.lastHeartbeatAt = monotonic;
+    if (report.address) machine.address = report.address;
     if (machine.phase === 'booting') this.onUp(machine);
-    if (machine.firstReportAt !== null) return false;
-    machine.firstReportAt = monotonic;
+    if (machine.firstHeartbeatAt !== null) return false;
+    machine.firstHeartbeatAt = monotonic;
     machine.idleSince = monotonic;
     return true;
   }
@@ -197,15 +197,15 @@
   private onUp(machine: Machine): void {
     machine.phase = 'up';
     const { monotonic } = this.context.now;
-    if (machine.rentedHere) {
-      this.cluster.bootTimes.noteUp(machine.type, machine.zone, machine.ageS(monotonic), monotonic);
+    if (machine.provisionedByThisLeader) {
+      this.cluster.bootTimes.recordBoot(machine.type, machine.zone, machine.ageSeconds(monotonic), monotonic);
     }
     this.context.log('info', 'machine is up', {
       machine: machine.id,
       type: machine.typeName,
       zone: machine.zone,
       spot: machine.spot,
-      afterS: Math.round(machine.ageS(monotonic)),
+      afterS: Math.round(machine.ageSeconds(monotonic)),
     });
   }
 
@@ -217,7 +217,7 @@
     const type = this.cluster.types.get(typeName);
     if (!type) return null;
     const now = this.context.now.monotonic;
-    const machine = new Machine({ id, type, zone, spot, addr: address, reconciled: true, phase: 'up', now });
+    const machine = new Machine({ id, type, zone, spot, address, reconciled: true, phase: 'up', now });
     this.cluster.machines.set(id, machine);
     this.cluster.earlierTerms.recovery?.onUnlistedMachine();
     this.context.log('info', 'report of a machine that was not listed', { machine: id });
@@ -232,7 +232,7 @@
    */
   private mayHoldIdle(machine: Machine, report: Heartbeat): boolean {
     const hasNothing = machine.isEmpty && machine.exitedTasks.length === 0;
-    return hasNothing && report.fencingToken === this.token && machine.draining === null;
+    return hasNothing && report.fencingToken === this.token && machine.drainReason === null;
   }
 
   private idleHoldMs(): number {
@@ -284,7 +284,7 @@
       return;
     }
     const all = machine.reconciled ? compileCommands(this.cluster, machine) : [];
-    const mayStartTasks = this.leader.mayStartTasks() && machine.seq === seq;
+    const mayStartTasks = this.leader.mayStartTasks() && machine.sequence === seq;
     const commands = all.filter((command) => {
       if (command.op !== 'start') return true;
       return mayStartTasks && this.markSent(machine, command, seq);
@@ -298,15 +298,15 @@
     if (!placement || !mayStart(placement.job, machine)) return false;
     if (placement.job.isGang && placement.phase === 'planned' && !isGangStartDue(this.cluster, placement)) return false;
     placement.phase = 'sent';
-    placement.sentInReplyTo = seq;
+    placement.sentInResponseTo = seq;
     this.cluster.earlierTerms.onStart();
     return true;
   }
 }
 
 /** One report is in flight at a time, and numbers rise: whatever isn't newer than the last is a copy or came too late. */
-function isDuplicate({ session, lastReportSeq }: Machine, report: Heartbeat): boolean {
-  if (session === null) return false;
-  if (report.agentEpoch !== session) return report.agentEpoch < session;
-  return lastReportSeq !== null && report.sequence <= lastReportSeq;
+function isDuplicate({ agentEpoch, lastHeartbeatSequence }: Machine, report: Heartbeat): boolean {
+  if (agentEpoch === null) return false;
+  if (report.agentEpoch !== agentEpoch) return report.agentEpoch < agentEpoch;
+  return lastHeartbeatSequence !== null && report.sequence <= lastHeartbeatSequence;
 }
--- a/src/core/workers/report_processing.ts
+++ b/src/core/workers/report_processing.ts
@@ -3,11 +3,11 @@
 import {
   type Machine,
   type StartKey,
-  type StrayTask,
   startKey,
   startKeyOf,
   type TaskKey,
   taskKey,
+  type UnexpectedTask,
 } from '../machines/machine.js';
 import { addMilliseconds, type FencingToken, type Heartbeat, type LiveTaskStatus, type TaskStatus } from '../types.js';
 import { recoverLiveTask } from './recovered_tasks.js';
@@ -20,9 +20,9 @@
 const isLive = (task: TaskStatus): task is LiveTaskStatus => task.phase !== 'exited';
 
 /** Whether a report is newer than anything seen of this machine. */
-export function isNewer({ session, seq }: Machine, report: Heartbeat): boolean {
-  if (session === null || seq === null) return true;
-  return report.agentEpoch > session || (report.agentEpoch === session && report.sequence > seq);
+export function isNewer({ agentEpoch, sequence }: Machine, report: Heartbeat): boolean {
+  if (agentEpoch === null || sequence === null) return true;
+  return report.agentEpoch > agentEpoch || (report.agentEpoch === agentEpoch && report.sequence > sequence);
 }
 
 /**
@@ -36,32 +36,33 @@
   token: FencingToken,
   source: ReportSource,
 ): boolean {
-  if (report.fencingToken > machine.tokenSeen) machine.tokenSeen = report.fencingToken;
+  if (report.fencingToken > machine.highestFencingToken) machine.highestFencingToken = report.fencingToken;
   if (!isNewer(machine, report)) return false;
   // Without our token the list may be older than a command of an earlier leader that is still on its way.
   // And what nobody has listed may be long gone: a late copy of its list must not bring back tasks that ended.
-  if (report.fencingToken !== token && (machine.registered || !machine.reconciled || !machine.confirmed)) return false;
+  if (report.fencingToken !== token && (machine.registered || !machine.reconciled || !machine.reachabilityConfirmed))
+    return false;
   const newSession = applySession(cluster, machine, report);
   const becameReconciled = !machine.reconciled;
   if (becameReconciled) cluster.markReconciled(machine, 'listed');
   const firstNotice = applyNotice(cluster, machine, report);
   const tasksChanged = applyTasks(cluster, machine, report, source);
-  machine.dropAbandonedFetches();
+  machine.dropAbandonedPulls();
   return newSession || becameReconciled || firstNotice || tasksChanged;
 }
 
 /** Returns whether a new session ended what was on the machine. */
 function applySession(cluster: Cluster, machine: Machine, report: Heartbeat): boolean {
-  const before = machine.session;
+  const before = machine.agentEpoch;
   const isNewSession = before !== null && report.agentEpoch > before;
   if (isNewSession) onNewSession(cluster, machine, report);
   if (before !== report.agentEpoch) {
-    machine.lastReportSeq = null;
+    machine.lastHeartbeatSequence = null;
     // The answer to a direct command may be the first to tell of a session: its lease began some time before now.
     machine.leaseRenewedAt = cluster.context.now.monotonic;
   }
-  machine.session = report.agentEpoch;
-  machine.seq = report.sequence;
+  machine.agentEpoch = report.agentEpoch;
+  machine.sequence = report.sequence;
   return isNewSession;
 }
 
@@ -73,7 +74,7 @@
   });
   cluster.releaseAll(machine);
   machine.unconfirmedStarts.clear();
-  machine.images.dropAbandonedFetches(() => false);
+  machine.images.dropAbandonedPulls(() => false);
 }
 
 /** Returns whether it is the first notice that the cloud will take the machine. */
@@ -93,8 +94,8 @@
 function applyTasks(cluster: Cluster, machine: Machine, report: Heartbeat, source: ReportSource): boolean {
   let freed = false;
   const live = new Set<TaskKey>();
-  const strays: StrayTask[] = [];
-  machine.endsBefore = endsShown(machine);
+  const strays: UnexpectedTask[] = [];
+  machine.previousExits = endsShown(machine);
   machine.exitedTasks = [];
   for (const task of report.tasks) {
     if (isLive(task)) {
@@ -137,7 +138,7 @@
       if (takeBackStart(cluster, placement)) freed = true;
     }
   }
-  if (startDropped) machine.ignoredAnswers += 1;
+  if (startDropped) machine.ignoredResponses += 1;
   return freed;
 }
 
@@ -147,39 +148,44 @@
  * reports say (late-starts.txt).
  */
 function isStartDropped(placement: Placement, report: Heartbeat, source: ReportSource): boolean {
-  const { sentInReplyTo, machine } = placement;
-  if (source !== 'report' || sentInReplyTo === null || report.sequence <= sentInReplyTo) return false;
+  const { sentInResponseTo, machine } = placement;
+  if (source !== 'report' || sentInResponseTo === null || report.sequence <= sentInResponseTo) return false;
   return !machine.unconfirmedStarts.has(startKeyOf(placement));
 }
 
 /** The start goes out again, unless the task is not to run any more. Returns whether room came free. */
 function takeBackStart(cluster: Cluster, placement: Placement): boolean {
-  const { job, stop } = placement;
+  const { job, pendingStop } = placement;
   placement.phase = 'planned';
-  placement.sentInReplyTo = null;
-  const unwanted = stop !== null || job.gangBroken || job.state !== 'accepted';
+  placement.sentInResponseTo = null;
+  const unwanted = pendingStop !== null || job.gangBroken || job.state !== 'accepted';
   if (unwanted) cluster.release(placement);
   return unwanted;
 }
 
 /** Takes in what a report shows of a task that has not ended. */
-function processLiveTask(cluster: Cluster, machine: Machine, task: LiveTaskStatus, strays: StrayTask[]): void {
+function processLiveTask(cluster: Cluster, machine: Machine, task: LiveTaskStatus, strays: UnexpectedTask[]): void {
   const placement = placementOf(cluster, machine, task, strays);
   if (!placement) return;
   const now = cluster.context.now.monotonic;
   const { job } = placement;
   const hasJustStarted = placement.phase === 'sent';
-  if (hasJustStarted) machine.ignoredAnswers = 0;
+  if (hasJustStarted) machine.ignoredResponses = 0;
   placement.phase = task.phase;
-  if (task.phase === 'fetching') machine.images.onFetching(job.spec, hasJustStarted, now);
-  else machine.images.onHeld(job.spec, now);
+  if (task.phase === 'fetching') machine.images.onPulling(job.spec, hasJustStarted, now);
+  else machine.images.onPresent(job.spec, now);
   if (task.phase !== 'running' || placement.runningSince !== null) return;
   placement.runningSince = now;
   logRunning(cluster, placement);
 }
 
 /** The placement that a live task belongs to, made where there is none; null where the task can't be accounted for. */
-function placementOf(cluster: Cluster, machine: Machine, task: LiveTaskStatus, strays: StrayTask[]): Placement | null {
+function placementOf(
+  cluster: Cluster,
+  machine: Machine,
+  task: LiveTaskStatus,
+  strays: UnexpectedTask[],
+): Placement | null {
   const known = cluster.findPlacement(machine, task.job, task.index);
   if (known?.attempt === task.attempt) return known;
   if (known) {
@@ -220,6 +226,6 @@
     imageGb: job.spec.imageGb,
     placedAgoS: (context.now.monotonic - since) / 1000,
     submittedAgoS: (context.now.wallClock - job.submittedAt) / 1000,
-    fetchSpeed: machine.images.fetchSpeed,
+    fetchSpeed: machine.images.pullSpeed,
   });
 }
--- a/src/core/workers/start_checks.ts
+++ b/src/core/workers/start_checks.ts
@@ -23,7 +23,7 @@
  */
 export function isGangStartDue({ context }: Cluster, { job, machine }: Placement): boolean {
   const { image, imageGb } = job.spec;
-  const fetchLeftS = (on: Machine): number => on.images.fetchSeconds(image, imageGb, context.now.monotonic);
+  const fetchLeftS = (on: Machine): number => on.images.remainingPullSeconds(image, imageGb, context.now.monotonic);
   const toleranceS = (GATHER_SHARE * context.settings.workers.gangBarrierTimeoutMs) / 1000;
   const latestS = fetchLeftS(machine) + toleranceS;
   for (const other of job.placements.values()) if (fetchLeftS(other.machine) > latestS) return false;
--- a/src/core/workers/stray_tasks.ts
+++ b/src/core/workers/stray_tasks.ts
@@ -1,28 +1,28 @@
 import type { Cluster } from '../leadership/cluster.js';
-import { type Machine, type StrayTask, type TaskKey, taskKey } from '../machines/machine.js';
+import { type Machine, type TaskKey, taskKey, type UnexpectedTask } from '../machines/machine.js';
 
 /*
  * Tasks that a worker reports and that have no place on its machine: those of jobs that aren't known, and those found on two
  * machines at once. While one is there its machine gets nothing new, and the same task is started nowhere.
  */
 
-const strayKey = ({ job, index }: StrayTask): TaskKey => taskKey(job, index);
+const strayKey = ({ job, index }: UnexpectedTask): TaskKey => taskKey(job, index);
 
 /** The strays that a new list shows, instead of those of the one before. */
-export function replaceStrays(cluster: Cluster, machine: Machine, strays: readonly StrayTask[]): void {
-  if (strays.length === 0 && machine.strays.size === 0) return;
-  const before = machine.strays;
-  machine.strays = new Map(strays.map((stray) => [strayKey(stray), stray]));
-  for (const stray of machine.strays.values()) count(cluster, stray, 1);
+export function replaceStrays(cluster: Cluster, machine: Machine, strays: readonly UnexpectedTask[]): void {
+  if (strays.length === 0 && machine.unexpectedTasks.size === 0) return;
+  const before = machine.unexpectedTasks;
+  machine.unexpectedTasks = new Map(strays.map((stray) => [strayKey(stray), stray]));
+  for (const stray of machine.unexpectedTasks.values()) count(cluster, stray, 1);
   for (const stray of before.values()) count(cluster, stray, -1);
-  const change = Number(hasUnknown(machine.strays)) - Number(hasUnknown(before));
+  const change = Number(hasUnknown(machine.unexpectedTasks)) - Number(hasUnknown(before));
   if (change !== 0) cluster.quotas.addUnattributed(machine.type, change > 0 ? 1 : -1);
-  if (strays.some(({ stop }) => stop)) cluster.requestStops(machine);
+  if (strays.some(({ shouldStop }) => shouldStop)) cluster.requestStops(machine);
 }
 
 /** Whether tasks of jobs that aren't known are among them. */
-function hasUnknown(strays: ReadonlyMap<TaskKey, StrayTask>): boolean {
-  for (const { owner } of strays.values()) if (!owner) return true;
+function hasUnknown(strays: ReadonlyMap<TaskKey, UnexpectedTask>): boolean {
+  for (const { knownJob } of strays.values()) if (!knownJob) return true;
   return false;
 }
 
@@ -32,15 +32,15 @@
 }
 
 /** A place turned out to be left over from an earlier start: its task is stopped, and it counts until it is gone. */
-export function addStray(cluster: Cluster, machine: Machine, stray: StrayTask): void {
-  replaceStrays(cluster, machine, [...machine.strays.values(), stray]);
+export function addStray(cluster: Cluster, machine: Machine, stray: UnexpectedTask): void {
+  replaceStrays(cluster, machine, [...machine.unexpectedTasks.values(), stray]);
 }
 
 /** Strays of known jobs count against their team's limit, and keep the same task from being started again. */
-function count({ quotas }: Cluster, { owner, index }: StrayTask, change: 1 | -1): void {
-  if (!owner) return;
-  quotas.add(owner.spec, change);
-  const onMachines = (owner.strays.get(index) ?? 0) + change;
-  if (onMachines > 0) owner.strays.set(index, onMachines);
-  else owner.strays.delete(index);
+function count({ quotas }: Cluster, { knownJob, index }: UnexpectedTask, change: 1 | -1): void {
+  if (!knownJob) return;
+  quotas.add(knownJob.spec, change);
+  const onMachines = (knownJob.unexpectedTasks.get(index) ?? 0) + change;
+  if (onMachines > 0) knownJob.unexpectedTasks.set(index, onMachines);
+  else knownJob.unexpectedTasks.delete(index);
 }
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -1,7 +1,7 @@
 import type { Job, Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
 import { type Machine, taskKey } from '../machines/machine.js';
-import { SLOW_FACTOR, WRONG_ESTIMATE_MACHINES } from '../machines/slowness.js';
+import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO } from '../machines/straggler_detector.js';
 import type { MonotonicTime, TaskStatus } from '../types.js';
 import { isNewEnd, recoverEndedTask } from './recovered_tasks.js';
 
@@ -24,7 +24,7 @@
   const job = cluster.jobs.get(task.job);
   const { index, attempt } = task;
   const hasResult = task.exitReason === 'done' && !job?.isService;
-  machine.exitedTasks.push({ job: task.job, index, attempt, done: hasResult });
+  machine.exitedTasks.push({ job: task.job, index, attempt, isDone: hasResult });
   const found = cluster.findPlacement(machine, task.job, index);
   const placement = found?.attempt === attempt ? found : null;
   if (!placement && cluster.earlierTerms.recovery) recordMissedEnd(cluster, machine, task);
@@ -44,7 +44,7 @@
   cluster.earlierTerms.recovery?.count(taskClass);
   const job = cluster.jobs.get(task.job);
   if (!job) return;
-  job.located.add(task.index);
+  job.locatedTasks.add(task.index);
   if (action !== 'requeue' || job.isService) return;
   const now = cluster.context.now.monotonic;
   const placement = { job, machine, since: now, runningSince: now };
@@ -68,16 +68,17 @@
 
 /** Learns from how long a task took, unless it ran in several parts. */
 function recordRunTime(cluster: Cluster, { job, machine, runningSince, foundRunning }: Placement): void {
-  if (runningSince === null || job.failures > 0) return;
+  if (runningSince === null || job.failureCount > 0) return;
   const { estimates, context, earlierTerms } = cluster;
   // How long it ran before this leader found it isn't known: taken for its whole time it would make estimates too short.
   if (foundRunning && earlierTerms.recovery) return;
-  const spread = estimates.spread(job.spec);
-  const surprise = estimates.observe(job.spec, (context.now.monotonic - runningSince) / 1000);
+  const logStandardDeviation = estimates.logStandardDeviation(job.spec);
+  const logRatio = estimates.observe(job.spec, (context.now.monotonic - runningSince) / 1000);
   // A gang is as slow as its slowest machine: only a gang of one says which that is.
   if (job.isGang && job.spec.taskCount > 1) return;
-  if (surprise > SLOW_FACTOR) job.slowOn.add(machine.id);
-  if (job.slowOn.size < WRONG_ESTIMATE_MACHINES) machine.slowness.note(job.id, { surprise, spread });
+  if (logRatio > STRAGGLER_LOG_RATIO) job.slowMachines.add(machine.id);
+  if (job.slowMachines.size < MISESTIMATED_AFTER_MACHINES)
+    machine.stragglerDetector.record(job.id, { logRatio, logStandardDeviation });
 }
 
 /**
@@ -90,8 +91,8 @@
   const now = cluster.context.now.monotonic;
   const ranSteadily = runningSince !== null && now - runningSince >= STEADY_RUN_MS;
   if (ranSteadily) {
-    job.failureHistory.forgetMachines();
-    job.shortRuns = 0;
+    job.failureHistory.clearMachines();
+    job.shortRunCount = 0;
   } else if (task.exitReason === 'done' || task.exitReason === 'error') {
     recordShortRun(cluster, placement);
   }
@@ -106,21 +107,21 @@
   noteJobFailure(placement, context.now.monotonic);
   // Replicas that began together and end together have failed once.
   if (since >= job.lastShortRunAt) {
-    job.shortRuns += 1;
+    job.shortRunCount += 1;
     job.lastShortRunAt = context.now.monotonic;
   }
-  const doublings = Math.min(MAX_RESTART_DOUBLINGS, job.shortRuns - SHORT_RUNS_WITHOUT_PAUSE);
+  const doublings = Math.min(MAX_RESTART_DOUBLINGS, job.shortRunCount - SHORT_RUNS_WITHOUT_PAUSE);
   const pauseMs = doublings <= 0 ? 0 : FIRST_RESTART_PAUSE_MS * 2 ** doublings;
   job.notBefore = context.after(Math.min(MAX_RESTART_PAUSE_MS, pauseMs));
 }
 
 function noteJobFailure({ job, machine, since, runningSince }: EndedPlace, now: MonotonicTime): void {
   const { failureHistory } = job;
-  failureHistory.noteFailure(machine.id, {
+  failureHistory.recordFailure(machine.id, {
     placedAt: since,
     ranMs: runningSince === null ? 0 : now - runningSince,
     now,
-    machineInDoubt: machine.taskFailures.anyOfOthers(failureHistory),
+    machineSuspected: machine.taskFailures.hasFailuresOfOtherJobs(failureHistory),
   });
 }
 
@@ -129,8 +130,8 @@
   const { job, machine, runningSince } = placement;
   const { exitReason } = task;
   if (exitReason === 'stopped' || exitReason === 'peers_gone') {
-    if (runningSince !== null) job.failures += 1;
-    if (task.checkpointSaved) job.failureHistory.noteSuccess();
+    if (runningSince !== null) job.failureCount += 1;
+    if (task.checkpointSaved) job.failureHistory.recordSuccess();
     return;
   }
   context.log('info', 'task ended early', {
@@ -138,7 +139,7 @@
     machine: machine.id,
     reason: exitReason,
   });
-  job.failures += 1;
+  job.failureCount += 1;
   if (exitReason === 'no_room' || exitReason === 'busy' || exitReason === 'unknown') {
     job.notBefore = context.after(REFUSED_START_PAUSE_MS);
     return;
@@ -152,12 +153,12 @@
 /** What has not been sent yet is held back; later tries are of one task at a time (ranking.ts). */
 function pauseFaultyJob(cluster: Cluster, job: Job): void {
   const { failureHistory } = job;
-  job.notBefore = cluster.context.after(failureHistory.pauseMs);
+  job.notBefore = cluster.context.after(failureHistory.backoffMs);
   for (const other of [...job.placements.values()]) if (other.phase === 'planned') cluster.release(other);
 }
 
 /** Whether the machine is at fault is judged once it is known how the job does elsewhere (health_checks.ts). */
 function recordMachineError({ context }: Cluster, machine: Machine, job: Job): void {
-  machine.taskFailures.note(job.failureHistory, context.now.monotonic);
-  machine.suspectUntil = context.after(machine.taskFailures.pauseMs);
+  machine.taskFailures.record(job.failureHistory, context.now.monotonic);
+  machine.quarantinedUntil = context.after(machine.taskFailures.quarantineMs);
 }
--- a/src/core/workers/unread_lists.ts
+++ b/src/core/workers/unread_lists.ts
@@ -48,7 +48,7 @@
     replaced?.reply?.(UNAVAILABLE);
     if (this.backlog.admit(this.context.now.monotonic)) return false;
     this.backlog.add(machine.id, list);
-    machine.lastReportSeq = report.sequence;
+    machine.lastHeartbeatSequence = report.sequence;
     this.context.timers.setIfUnset('reportBacklog', this.backlog.nextAt() ?? this.context.now.monotonic);
     return true;
   }
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -3,14 +3,14 @@
 import { xoroshiro128plus } from 'pure-rand';
 import { CallQueue } from '../src/core/calls/call_queue.js';
 import { TokenBucket } from '../src/core/calls/token_bucket.js';
-import { Estimates } from '../src/core/jobs/estimates.js';
 import { Job } from '../src/core/jobs/job.js';
 import { RangeSet } from '../src/core/jobs/range_set.js';
+import { RuntimeEstimator } from '../src/core/jobs/runtime_estimator.js';
 import { Cluster } from '../src/core/leadership/cluster.js';
 import { Machine } from '../src/core/machines/machine.js';
-import { Registry } from '../src/core/machines/registry.js';
-import { type Evidence, Slowness } from '../src/core/machines/slowness.js';
-import { SpotInterruptionRate, spotDelayS } from '../src/core/machines/spot_interruptions.js';
+import { MachineRegistry } from '../src/core/machines/machine_registry.js';
+import { expectedSpotDelaySeconds, SpotInterruptionRate } from '../src/core/machines/spot_interruption_rate.js';
+import { StragglerDetector, type StragglerEvidence } from '../src/core/machines/straggler_detector.js';
 import { encodeJob, encodePage, fitsWithStartZones, type MachineRecord } from '../src/core/records.js';
 import { Evolution } from '../src/core/scheduler/evolution.js';
 import { reserveForOverdueGangs } from '../src/core/scheduler/gang_reservation.js';
@@ -37,16 +37,16 @@
 test('range sets: any order of additions gives the same few ranges', () => {
   const set = new RangeSet();
   for (const n of [5, 3, 4, 9, 0, 1, 2, 4]) set.add(n);
-  assert.deepEqual(set.pairs(), [
+  assert.deepEqual(set.toPairs(), [
     [0, 5],
     [9, 9],
   ]);
   assert.equal(set.count, 7);
   assert.ok(set.has(4) && !set.has(6));
-  assert.deepEqual(RangeSet.from(set.pairs()).pairs(), set.pairs());
+  assert.deepEqual(RangeSet.from(set.toPairs()).toPairs(), set.toPairs());
   const many = new RangeSet();
   for (let n = 0; n < 100_000; n++) many.add((n * 7919) % 100_000);
-  assert.deepEqual(many.pairs(), [[0, 99_999]]);
+  assert.deepEqual(many.toPairs(), [[0, 99_999]]);
 });
 
 test('token buckets: renewals pass an empty bucket, the rest goes by priority, nothing waits for ever', () => {
@@ -77,14 +77,14 @@
 });
 
 test('estimates: a class that runs long is expected to, with care while little was seen', () => {
-  const estimates = new Estimates();
+  const estimates = new RuntimeEstimator();
   const spec = makeSpec('job-1', 'array', { estimate: '10' });
-  assert.equal(estimates.expectS(spec), 10);
+  assert.equal(estimates.expectedSeconds(spec), 10);
   estimates.observe(spec, 40);
-  const once = estimates.expectS(spec);
+  const once = estimates.expectedSeconds(spec);
   assert.ok(once > 10 && once < 15);
   for (let i = 0; i < 100; i++) estimates.observe(spec, 40);
-  assert.ok(Math.abs(estimates.expectS(spec) - 40) < 5);
+  assert.ok(Math.abs(estimates.expectedSeconds(spec) - 40) < 5);
 });
 
 test('ranking: at the same wait a step of priority makes up for four times the size', () => {
@@ -96,32 +96,38 @@
 
 test('slowness: a slow machine is told from a wrong estimate by several jobs, weighed by how sure they are', () => {
   const job = (n: number): JobId => `job-${n}` as JobId;
-  const none = new Map<JobId, Evidence>();
-  const sure = new Slowness();
-  sure.note(job(1), { surprise: Math.log(4), spread: 0.2 });
-  assert.ok(!sure.isSlow(none));
-  sure.note(job(2), { surprise: Math.log(4), spread: 0.2 });
-  assert.ok(sure.isSlow(none));
-  const unsure = new Slowness();
-  for (let i = 0; i < 2; i++) unsure.note(job(i), { surprise: Math.log(4), spread: 0.8 });
-  assert.ok(!unsure.isSlow(none));
-  for (let i = 0; i < 6; i++) unsure.note(job(i), { surprise: Math.log(4), spread: 0.8 });
-  assert.ok(unsure.isSlow(none));
-  const usual = new Slowness();
-  for (let i = 0; i < 50; i++) usual.note(job(i), { surprise: i % 2 === 0 ? 0.3 : -0.3, spread: 0.2 });
-  assert.ok(!usual.isSlow(new Map([[job(99), { surprise: Math.log(3), spread: 0.5 }]])));
+  const none = new Map<JobId, StragglerEvidence>();
+  const sure = new StragglerDetector();
+  sure.record(job(1), { logRatio: Math.log(4), logStandardDeviation: 0.2 });
+  assert.ok(!sure.isStraggler(none));
+  sure.record(job(2), { logRatio: Math.log(4), logStandardDeviation: 0.2 });
+  assert.ok(sure.isStraggler(none));
+  const unsure = new StragglerDetector();
+  for (let i = 0; i < 2; i++) unsure.record(job(i), { logRatio: Math.log(4), logStandardDeviation: 0.8 });
+  assert.ok(!unsure.isStraggler(none));
+  for (let i = 0; i < 6; i++) unsure.record(job(i), { logRatio: Math.log(4), logStandardDeviation: 0.8 });
+  assert.ok(unsure.isStraggler(none));
+  const usual = new StragglerDetector();
+  for (let i = 0; i < 50; i++) usual.record(job(i), { logRatio: i % 2 === 0 ? 0.3 : -0.3, logStandardDeviation: 0.2 });
+  assert.ok(!usual.isStraggler(new Map([[job(99), { logRatio: Math.log(3), logStandardDeviation: 0.5 }]])));
 });
 
 test('spot losses: long work without checkpoints is the dearer to start there the more machines are lost', () => {
   const interruptions = new SpotInterruptionRate();
-  interruptions.pass(4, 60);
-  const calm = interruptions.perS;
-  for (let i = 0; i < 3; i++) interruptions.lost();
-  assert.ok(interruptions.perS > 5 * calm);
-  assert.ok(spotDelayS(interruptions.perS, 100, 0) > spotDelayS(interruptions.perS, 100, 10));
-  assert.ok(spotDelayS(interruptions.perS, 100, 0) > 4 * spotDelayS(interruptions.perS, 30, 0));
-  for (let i = 0; i < 100; i++) interruptions.pass(4, 10);
-  assert.ok(interruptions.perS < 2 * calm);
+  interruptions.observe(4, 60);
+  const calm = interruptions.perSecond;
+  for (let i = 0; i < 3; i++) interruptions.recordInterruption();
+  assert.ok(interruptions.perSecond > 5 * calm);
+  assert.ok(
+    expectedSpotDelaySeconds(interruptions.perSecond, 100, 0) >
+      expectedSpotDelaySeconds(interruptions.perSecond, 100, 10),
+  );
+  assert.ok(
+    expectedSpotDelaySeconds(interruptions.perSecond, 100, 0) >
+      4 * expectedSpotDelaySeconds(interruptions.perSecond, 30, 0),
+  );
+  for (let i = 0; i < 100; i++) interruptions.observe(4, 10);
+  assert.ok(interruptions.perSecond < 2 * calm);
 });
 
 test('ranking: small and short first, and waiting makes up for size', () => {
@@ -196,20 +202,20 @@
 
 const machineOf = (
   id: string,
-  addr: string,
+  address: string,
   phase: 'booting' | 'up',
   now: MonotonicTime,
-  rentedHere: boolean,
+  provisionedByThisLeader: boolean,
 ): Machine =>
   new Machine({
     id: id as MachineId,
     type: type('g4', 24, 4),
     zone: zoneA,
     spot: false,
-    addr,
+    address,
     reconciled: true,
     phase,
-    rentedHere,
+    provisionedByThisLeader,
     now,
   });
 
@@ -335,7 +341,7 @@
 });
 
 test('registry: a page that is understood only in part is never written over; its machines are known and need no other', () => {
-  const registry = new Registry(8192);
+  const registry = new MachineRegistry(8192);
   const known = { id: 'i-1', address: 'i-1', type: 'c8', zone: 'a', spot: false, images: [], imagePullSpeed: 1 };
   const value = encodePage([known as unknown as MachineRecord], 0) as { machines: unknown[] };
   const odd = { key: 'm/0', value: { ...value, machines: [...value.machines, { later: 1 }] }, version: revision(7) };
@@ -352,7 +358,7 @@
   registry.add(machineOf('i-2', 'i-2', 'up', 0 as MonotonicTime, false));
   const due = registry.duePages(0 as MonotonicTime, true);
   assert.deepEqual(
-    due.map(({ no }) => no),
+    due.map(({ index }) => index),
     [1],
   );
   registry.remove(restored.id);
