--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -64,7 +64,7 @@
     this.heartbeatForwarding = new HeartbeatForwarding(context, this.peers, ids);
     this.cancellationBroadcasts = new CancellationBroadcasts(context, this.peers, ids);
     this.jobCache = new JobCache(context, (job) => this.leader?.onJobRecord(job));
-    this.catalog = new MachineTypeCatalog(context, (types) => this.leader?.setTypes(types));
+    this.catalog = new MachineTypeCatalog(context, (types) => this.leader?.setMachineTypes(types));
     this.election = this.makeElection(incarnation);
     this.heartbeatRouter = new ReportRouter(
       context,
@@ -106,7 +106,7 @@
       taskCounts: (id) => this.leader?.taskCounts(id) ?? null,
       forward: (request, answer) => this.requestForwarding.forward(request, answer),
       broadcastCancellation: (id, done) => {
-        this.leader?.onCancellationNotice(id);
+        this.leader?.onCancellationBroadcast(id);
         this.cancellationBroadcasts.broadcast(id, done);
       },
     });
@@ -186,7 +186,7 @@
         this.election.onTimer();
         return;
       case 'renew':
-        this.election.renew();
+        this.election.renewLease();
         return;
       case 'peerStatus':
         this.onStatusTimer();
@@ -207,22 +207,22 @@
         this.leader?.loadState();
         return;
       case 'round':
-        this.leader?.runRound();
+        this.leader?.runPlanningRound();
         return;
       case 'servicePlacement':
         this.leader?.placeServices();
         return;
       case 'reportBacklog':
-        this.leader?.takeBacklog();
+        this.leader?.processHeartbeatBacklog();
         return;
       case 'reconciliation':
-        this.leader?.reconcileSilentMachines();
+        this.leader?.reconcileAllMachines();
         return;
       case 'recordFlush':
         this.leader?.flushRecords();
         return;
       case 'heldReports':
-        this.leader?.releaseHeldReports();
+        this.leader?.releaseDeferredResponses();
         return;
       case 'workerCommands':
         this.leader?.sendCommands();
@@ -241,7 +241,7 @@
     this.context.timers.set('peerStatus', this.context.after(STATUS_INTERVAL_MS));
     this.statusExchange.sendStatus();
     this.requestForwarding.expire();
-    this.heartbeatForwarding.expire(this.election.holderName());
+    this.heartbeatForwarding.expire(this.election.leaderName());
     this.statusExchange.resignIfIsolated();
   }
 
@@ -272,7 +272,7 @@
         this.heartbeatForwarding.onResponse(from, message.id, message.machine, message.response);
         return;
       case 'cancellation':
-        this.leader?.onCancellationNotice(message.job);
+        this.leader?.onCancellationBroadcast(message.job);
         this.context.sendToPeer(from, { kind: 'cancellationAck', id: message.id });
         return;
       case 'cancellationAck':
--- a/src/core/leadership/cluster.ts
+++ b/src/core/leadership/cluster.ts
@@ -10,17 +10,17 @@
 import type { StepContext } from '../step_context.js';
 import type { Attempt, ImageName, JobId, MachineId, MonotonicTime, Resources, Revision } from '../types.js';
 import { dropStrays } from '../workers/stray_tasks.js';
-import { EarlierTerms } from './earlier_terms.js';
+import { PreviousTerms } from './previous_terms.js';
 
-const MAX_EARLY_CANCELLATIONS = 10_000;
+const MAX_CANCELLED_BEFORE_RECORD = 10_000;
 /** Least spacing of placements of replicas, and how long one waits for more to place. */
-const SERVICE_SPACING_MS = 100;
-const SERVICE_GATHER_MS = 10;
+const SERVICE_PLACEMENT_SPACING_MS = 100;
+const SERVICE_PLACEMENT_BATCHING_MS = 10;
 /** Attempts of one term are numbered within so many bits. */
-const ATTEMPT_BITS = 24n;
+const ATTEMPTS_PER_TERM_BITS = 24n;
 /** A task is given more time to save than it says it needs. */
-const SAVE_TIME_FACTOR = 1.5;
-const SAVE_TIME_EXTRA_S = 1;
+const CHECKPOINT_TIME_FACTOR = 1.5;
+const CHECKPOINT_TIME_EXTRA_SECONDS = 1;
 
 /** What the leader knows: jobs, machines, and which task may be on which machine. */
 export class Cluster {
@@ -33,23 +33,23 @@
   /** Machines proven gone in this term: a late report of theirs brings nothing back. */
   readonly removedMachines = new Set<MachineId>();
   /** Machines with tasks that were told to stop, or with replicas to start: only these need direct commands. */
-  readonly machinesWithStops = new Set<Machine>();
-  readonly machinesWithStarts = new Set<Machine>();
+  readonly machinesWithPendingStops = new Set<Machine>();
+  readonly machinesWithPendingStarts = new Set<Machine>();
   readonly quotas: Quotas;
-  readonly earlierTerms: EarlierTerms;
+  readonly previousTerms: PreviousTerms;
   /** Jobs whose records this version can't read. */
-  unreadableJobs: ReadonlySet<JobId> = new Set();
-  readonly estimates = new RuntimeEstimator();
-  readonly bootTimes = new BootTimeEstimator();
+  unreadableJobIds: ReadonlySet<JobId> = new Set();
+  readonly runtimeEstimator = new RuntimeEstimator();
+  readonly bootTimeEstimator = new BootTimeEstimator();
   readonly spotInterruptions = new SpotInterruptionRate();
   /** The largest tasks seen that use an image, and its size. */
-  readonly largestImageUsers = new Map<ImageName, Resources>();
-  readonly imageGb = new Map<ImageName, number>();
-  types: MachineTypes = new Map();
+  readonly largestTaskByImage = new Map<ImageName, Resources>();
+  readonly imageSizesGb = new Map<ImageName, number>();
+  machineTypes: MachineTypes = new Map();
   lastServicePlacementAt = 0 as MonotonicTime;
   /** Jobs of whose cancellation a notice came before their records were known here. */
-  private readonly cancelledBeforeKnown = new Set<JobId>();
-  private attempts = 0n;
+  private readonly cancelledBeforeRecord = new Set<JobId>();
+  private attemptCount = 0n;
 
   constructor(
     readonly context: StepContext,
@@ -57,23 +57,23 @@
     zonesKeptSince: ZonesKeptSince = null,
   ) {
     this.quotas = new Quotas(context.settings.teamQuotas);
-    this.earlierTerms = new EarlierTerms(this, zonesKeptSince);
+    this.previousTerms = new PreviousTerms(this, zonesKeptSince);
   }
 
   /** Higher than any attempt of an earlier term, and than any earlier one of this term. */
   nextAttempt(): Attempt {
-    this.attempts += 1n;
-    return ((BigInt(this.term) << ATTEMPT_BITS) + this.attempts) as Attempt;
+    this.attemptCount += 1n;
+    return ((BigInt(this.term) << ATTEMPTS_PER_TERM_BITS) + this.attemptCount) as Attempt;
   }
 
   // ---- jobs
 
   /** Takes over a job's record, whether or not the job is known. */
-  learnJob(record: JobRecord, version: Revision): void {
+  applyJobRecord(record: JobRecord, version: Revision): void {
     const known = this.jobs.get(record.spec.id);
     if (!known) {
       const job = new Job(record, version);
-      this.earlierTerms.onJobLearned(job, record.startZones);
+      this.previousTerms.onJobAdded(job, record.startZones);
       this.addJob(job);
       return;
     }
@@ -83,10 +83,10 @@
   }
 
   private addJob(job: Job): void {
-    if (this.cancelledBeforeKnown.delete(job.id) && job.state === 'accepted') job.state = 'cancelled';
+    if (this.cancelledBeforeRecord.delete(job.id) && job.state === 'accepted') job.state = 'cancelled';
     job.inactiveSince = this.context.now.monotonic;
     this.jobs.set(job.id, job);
-    this.noteImageUser(job);
+    this.recordImageUse(job);
     if (job.state !== 'accepted') return;
     this.activeJobs.add(job);
     if (!job.isService) return;
@@ -94,17 +94,17 @@
     this.scheduleServicePlacement();
   }
 
-  private noteImageUser({ spec }: Job): void {
-    this.imageGb.set(spec.image, spec.imageGb);
-    const largest = this.largestImageUsers.get(spec.image);
-    if (!largest || largest.gpus < spec.gpus || largest.cpus < spec.cpus) this.largestImageUsers.set(spec.image, spec);
+  private recordImageUse({ spec }: Job): void {
+    this.imageSizesGb.set(spec.image, spec.imageGb);
+    const largest = this.largestTaskByImage.get(spec.image);
+    if (!largest || largest.gpus < spec.gpus || largest.cpus < spec.cpus) this.largestTaskByImage.set(spec.image, spec);
   }
 
   /** A node says that the job's cancellation is on record: it never turns back, so nothing more is started at once. */
-  cancelOnNotice(id: JobId): void {
+  applyCancellationBroadcast(id: JobId): void {
     const job = this.jobs.get(id);
     if (!job) {
-      if (this.cancelledBeforeKnown.size < MAX_EARLY_CANCELLATIONS) this.cancelledBeforeKnown.add(id);
+      if (this.cancelledBeforeRecord.size < MAX_CANCELLED_BEFORE_RECORD) this.cancelledBeforeRecord.add(id);
       return;
     }
     if (job.state !== 'accepted') return;
@@ -137,8 +137,8 @@
     if (!this.hasPendingReplicas()) return;
     const earliest = Math.max(
       at,
-      this.lastServicePlacementAt + SERVICE_SPACING_MS,
-      this.context.after(SERVICE_GATHER_MS),
+      this.lastServicePlacementAt + SERVICE_PLACEMENT_SPACING_MS,
+      this.context.after(SERVICE_PLACEMENT_BATCHING_MS),
     ) as MonotonicTime;
     this.context.timers.bringForward('servicePlacement', earliest);
   }
@@ -147,7 +147,7 @@
 
   place(job: Job, index: number, machine: Machine, attempt: Attempt, phase: PlacementPhase): Placement {
     const now = this.context.now.monotonic;
-    if (phase !== 'planned' && this.earlierTerms.recovery) job.locatedTasks.add(index);
+    if (phase !== 'planned' && this.previousTerms.recovery) job.locatedTasks.add(index);
     const placement: Placement = {
       job,
       index,
@@ -191,7 +191,7 @@
     return true;
   }
 
-  releaseAll(machine: Machine): void {
+  releaseEverything(machine: Machine): void {
     dropStrays(this, machine);
     for (const placement of [...machine.placements.values()]) this.release(placement);
     machine.exitedTasks = [];
@@ -225,20 +225,23 @@
   stop(placement: Placement, gracePeriodSeconds: number): void {
     if (placement.pendingStop && placement.pendingStop.gracePeriodSeconds <= gracePeriodSeconds) return;
     placement.pendingStop = { gracePeriodSeconds, since: this.context.now.monotonic };
-    this.requestStops(placement.machine);
+    this.scheduleStopCommands(placement.machine);
   }
 
   /** Stops of tasks on the machine go out directly. */
-  requestStops(machine: Machine): void {
-    this.machinesWithStops.add(machine);
+  scheduleStopCommands(machine: Machine): void {
+    this.machinesWithPendingStops.add(machine);
     this.context.timers.set('workerCommands', this.context.now.monotonic);
   }
 
   /** Stops a task so that its work is saved where it can be; a gang is stopped as a whole. */
-  stopSaving(placement: Placement): void {
+  evictWithCheckpoint(placement: Placement): void {
     const { job } = placement;
     const { checkpointIntervalSeconds, checkpointDurationSeconds } = job.spec;
-    const graceS = checkpointIntervalSeconds > 0 ? checkpointDurationSeconds * SAVE_TIME_FACTOR + SAVE_TIME_EXTRA_S : 0;
+    const graceS =
+      checkpointIntervalSeconds > 0
+        ? checkpointDurationSeconds * CHECKPOINT_TIME_FACTOR + CHECKPOINT_TIME_EXTRA_SECONDS
+        : 0;
     if (job.isGang) this.evictGang(job, graceS);
     else this.evict(placement, graceS);
   }
@@ -255,28 +258,28 @@
   }
 
   /** Whether a machine on its way will not be up when it should be. */
-  isOverdue(machine: Machine): boolean {
+  isBootOverdue(machine: Machine): boolean {
     const now = this.context.now.monotonic;
     const { phase, type, zone } = machine;
-    return phase === 'booting' && this.bootTimes.isOverdue(type, zone, machine.ageSeconds(now), now);
+    return phase === 'booting' && this.bootTimeEstimator.isOverdue(type, zone, machine.ageSeconds(now), now);
   }
 
   /** Whether the machine is on its way, and may be counted on. */
   isExpected(machine: Machine): boolean {
-    return machine.isProvisioning() && !this.isOverdue(machine);
+    return machine.isProvisioning() && !this.isBootOverdue(machine);
   }
 
   /** The machine is proven gone, with everything on it. */
   removeMachine(machine: Machine): void {
-    this.releaseAll(machine);
+    this.releaseEverything(machine);
     this.machines.delete(machine.id);
     this.removedMachines.add(machine.id);
-    this.earlierTerms.onCertain(machine, 'gone');
+    this.previousTerms.onMachineReconciled(machine, 'gone');
   }
 
   /** Nothing of an earlier leader can be on the machine that isn't known here. */
   markReconciled(machine: Machine, how: Certainty): void {
     machine.reconciled = true;
-    this.earlierTerms.onCertain(machine, how);
+    this.previousTerms.onMachineReconciled(machine, how);
   }
 }
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -19,21 +19,21 @@
 import type { ReportReply } from '../workers/unread_lists.js';
 import { Cluster } from './cluster.js';
 import type { Election, Leadership } from './election.js';
+import { JobRecordLookup } from './job_record_lookup.js';
 import { maxJobViewAgeMs } from './lease_bounds.js';
-import { RecordLookup } from './record_lookup.js';
 import { RecordWriter } from './record_writer.js';
 import { StateLoader } from './state_loader.js';
 import { StateRestorer } from './state_restorer.js';
 
-const HEALTH_CHECK_MS = 1000;
-const FIRST_ROUND_MS = 50;
+const HEALTH_CHECK_INTERVAL_MS = 1000;
+const FIRST_PLANNING_ROUND_MS = 50;
 const FIRST_HEALTH_CHECK_MS = 500;
 /** A round that something calls for waits a moment for more of it. */
-const ROUND_GATHER_MS = 20;
+const PLANNING_ROUND_BATCHING_MS = 20;
 /** Sets the random choices of one round apart from those of the next. */
-const ROUND_SEED_STEP = 7919;
+const PLANNING_ROUND_SEED_STEP = 7919;
 /** A start is based on a view of jobs that is at most so old: a cancellation may be on record since. */
-const START_VIEW_MS = 4000;
+const MAX_JOB_VIEW_AGE_FOR_STARTS_MS = 4000;
 
 const OWN_TIMERS: readonly TimerName[] = [
   'round',
@@ -58,11 +58,11 @@
   /** Whether what earlier leaders left has been read. */
   isLoaded(): boolean;
   /** Whether records are being written that a start may wait for. */
-  writesInFlight(): boolean;
+  hasWritesInFlight(): boolean;
   registerMachine(machine: Machine): void;
-  scheduleRoundSoon(): void;
+  schedulePlanningRoundSoon(): void;
   /** Jobs that workers report and that aren't known are looked up. */
-  readSuspectedOrphans(): void;
+  lookUpSuspectedOrphans(): void;
 }
 
 /**
@@ -73,20 +73,20 @@
   private readonly cluster: Cluster;
   private readonly autoscaler: Autoscaler;
   private readonly recordWriter: RecordWriter;
-  private readonly reportHandler: ReportHandler;
+  private readonly heartbeatHandler: ReportHandler;
   private readonly reconciliation: Reconciliation;
   private readonly commandSender: CommandSender;
   private readonly healthChecks: HealthChecks;
   private readonly registry: MachineRegistry;
-  private readonly loader: StateLoader;
-  private readonly restorer: StateRestorer;
-  private readonly recordLookup: RecordLookup;
-  private readonly leadingSince: MonotonicTime;
+  private readonly stateLoader: StateLoader;
+  private readonly stateRestorer: StateRestorer;
+  private readonly jobRecordLookup: JobRecordLookup;
+  private readonly electedAt: MonotonicTime;
   private loaded = false;
   private stopped = false;
-  private lastRoundAt = 0 as MonotonicTime;
-  private rounds = 0;
-  private lastRoundSteps = 0;
+  private lastPlanningRoundAt = 0 as MonotonicTime;
+  private planningRounds = 0;
+  private lastPlanningRoundSteps = 0;
   private unreachableSince: MonotonicTime | null = null;
 
   constructor(
@@ -97,57 +97,57 @@
     types: MachineTypes,
     private readonly seed: number,
   ) {
-    this.leadingSince = context.now.monotonic;
-    this.cluster = new Cluster(context, leadership.term, leadership.zonesKeptSince);
-    this.cluster.types = types;
+    this.electedAt = context.now.monotonic;
+    this.cluster = new Cluster(context, leadership.term, leadership.startZonesRecordedSince);
+    this.cluster.machineTypes = types;
     this.registry = new MachineRegistry(context.settings.stateStore.maxValueBytes);
     this.recordWriter = new RecordWriter(this.cluster, leadership, this.registry, {
       mayWrite: () => this.isLeaseValid() && this.loaded,
       onRecordRead: (item) => void this.jobCache.update(item),
-      onWritten: () => {
-        this.reportHandler.releaseHeld();
+      onWriteFinished: () => {
+        this.heartbeatHandler.releaseHeld();
         this.commandSender.send();
       },
     });
-    this.reconciliation = new Reconciliation(this.cluster, leadership.token, this);
-    this.reportHandler = new ReportHandler(this.cluster, leadership.token, this.reconciliation, this);
-    this.commandSender = new CommandSender(this.cluster, leadership.token, this.reconciliation, this);
-    this.healthChecks = new HealthChecks(this.cluster, () => this.scheduleRoundSoon());
+    this.reconciliation = new Reconciliation(this.cluster, leadership.fencingToken, this);
+    this.heartbeatHandler = new ReportHandler(this.cluster, leadership.fencingToken, this.reconciliation, this);
+    this.commandSender = new CommandSender(this.cluster, leadership.fencingToken, this.reconciliation, this);
+    this.healthChecks = new HealthChecks(this.cluster, () => this.schedulePlanningRoundSoon());
     this.autoscaler = new Autoscaler(this.cluster, this.recordWriter);
     // Earlier leaders answered nobody after this one took the lead; it has itself answered some while it read the state.
-    this.restorer = new StateRestorer(this.cluster, this.registry, jobCache, (machine) =>
-      this.reportHandler.renewedWhileLoading.lastOf(machine, this.leadingSince),
+    this.stateRestorer = new StateRestorer(this.cluster, this.registry, jobCache, (machine) =>
+      this.heartbeatHandler.renewedWhileLoading.lastRenewalAt(machine, this.electedAt),
     );
-    this.recordLookup = new RecordLookup(context, jobCache, this.cluster.earlierTerms);
-    this.loader = new StateLoader(context, jobCache, (pages) => this.takeOver(pages));
+    this.jobRecordLookup = new JobRecordLookup(context, jobCache, this.cluster.previousTerms);
+    this.stateLoader = new StateLoader(context, jobCache, (pages) => this.restoreState(pages));
     this.loadState();
-    context.timers.set('healthChecks', context.after(HEALTH_CHECK_MS));
+    context.timers.set('healthChecks', context.after(HEALTH_CHECK_INTERVAL_MS));
   }
 
   get machineCount(): number {
     return this.cluster.machines.size;
   }
 
-  setTypes(types: MachineTypes): void {
-    this.cluster.types = types;
+  setMachineTypes(types: MachineTypes): void {
+    this.cluster.machineTypes = types;
     this.loadState();
   }
 
   stop(): void {
     this.stopped = true;
-    this.loader.stop();
-    this.recordLookup.stop();
+    this.stateLoader.stop();
+    this.jobRecordLookup.stop();
     this.recordWriter.stop();
     this.reconciliation.stop();
     this.commandSender.stop();
-    this.reportHandler.stop();
+    this.heartbeatHandler.stop();
     for (const timer of OWN_TIMERS) this.context.timers.clear(timer);
   }
 
   // ---- what the parts ask
 
   isLeaseValid(): boolean {
-    return !this.stopped && this.election.isValid();
+    return !this.stopped && this.election.isLeaseValid();
   }
 
   /**
@@ -155,32 +155,32 @@
    * count for nothing then, and it lets go of the lead (no-job-news.txt).
    */
   hasRecentJobView(): boolean {
-    const knownAt = this.loaded ? this.jobCache.currentAsOf : this.leadingSince;
+    const knownAt = this.loaded ? this.jobCache.currentAsOf : this.electedAt;
     return this.context.now.monotonic - knownAt < maxJobViewAgeMs(this.context.settings);
   }
 
   mayStartTasks(): boolean {
-    return this.context.now.monotonic - this.jobCache.currentAsOf < START_VIEW_MS;
+    return this.context.now.monotonic - this.jobCache.currentAsOf < MAX_JOB_VIEW_AGE_FOR_STARTS_MS;
   }
 
   isLoaded(): boolean {
     return this.loaded;
   }
 
-  writesInFlight(): boolean {
-    return this.recordWriter.busy;
+  hasWritesInFlight(): boolean {
+    return this.recordWriter.hasWritesInFlight;
   }
 
   registerMachine(machine: Machine): void {
     this.recordWriter.registerMachine(machine);
   }
 
-  scheduleRoundSoon(): void {
+  schedulePlanningRoundSoon(): void {
     this.cluster.scheduleServicePlacement();
     const { spacing_ms, spacing_per_machine_ms, spacing_per_step_ms } = this.context.tuning.scheduler;
-    const costMs = spacing_per_machine_ms * this.machineCount + spacing_per_step_ms * this.lastRoundSteps;
-    const earliest = this.lastRoundAt + spacing_ms + costMs;
-    const at = Math.max(earliest, this.context.after(ROUND_GATHER_MS)) as MonotonicTime;
+    const costMs = spacing_per_machine_ms * this.machineCount + spacing_per_step_ms * this.lastPlanningRoundSteps;
+    const earliest = this.lastPlanningRoundAt + spacing_ms + costMs;
+    const at = Math.max(earliest, this.context.after(PLANNING_ROUND_BATCHING_MS)) as MonotonicTime;
     this.context.timers.bringForward('round', at);
   }
 
@@ -188,16 +188,16 @@
 
   /** Begins, or begins again, to read what earlier leaders left. */
   loadState(): void {
-    if (!this.loaded && this.cluster.types.size > 0) this.loader.load();
+    if (!this.loaded && this.cluster.machineTypes.size > 0) this.stateLoader.load();
   }
 
-  private takeOver(pages: readonly StoredEntry[]): void {
-    this.restorer.restore(pages);
+  private restoreState(pages: readonly StoredEntry[]): void {
+    this.stateRestorer.restore(pages);
     this.loaded = true;
     this.autoscaler.listMachines();
-    if (this.cluster.earlierTerms.recovery === null) this.reconciliation.reconcileAll();
+    if (this.cluster.previousTerms.recovery === null) this.reconciliation.reconcileAll();
     else this.context.timers.set('reconciliation', this.context.after(this.context.features.recovery.ask_after_ms));
-    this.context.timers.set('round', this.context.after(FIRST_ROUND_MS));
+    this.context.timers.set('round', this.context.after(FIRST_PLANNING_ROUND_MS));
     this.context.timers.set('healthChecks', this.context.after(FIRST_HEALTH_CHECK_MS));
   }
 
@@ -206,39 +206,39 @@
     if (!this.loaded || this.stopped) return;
     const known = this.cluster.jobs.get(job.record.spec.id);
     if (known && known.version >= job.version) return;
-    this.cluster.learnJob(job.record, job.version);
-    this.scheduleRoundSoon();
+    this.cluster.applyJobRecord(job.record, job.version);
+    this.schedulePlanningRoundSoon();
   }
 
   /** A node has put a cancellation on record; the store's own news of it may take long to come through. */
-  onCancellationNotice(id: JobId): void {
-    if (!this.stopped) this.cluster.cancelOnNotice(id);
+  onCancellationBroadcast(id: JobId): void {
+    if (!this.stopped) this.cluster.applyCancellationBroadcast(id);
   }
 
   // ---- workers
 
-  onReport(report: Heartbeat, reply: ReportReply): void {
-    this.reportHandler.onReport(report, reply);
+  onHeartbeat(report: Heartbeat, reply: ReportReply): void {
+    this.heartbeatHandler.onReport(report, reply);
   }
 
-  releaseHeldReports(): void {
-    this.reportHandler.releaseHeld();
+  releaseDeferredResponses(): void {
+    this.heartbeatHandler.releaseHeld();
   }
 
-  takeBacklog(): void {
-    this.reportHandler.takeBacklog();
+  processHeartbeatBacklog(): void {
+    this.heartbeatHandler.takeBacklog();
   }
 
-  reconcileSilentMachines(): void {
+  reconcileAllMachines(): void {
     if (this.isLeaseValid()) this.reconciliation.reconcileAll();
   }
 
-  readSuspectedOrphans(): void {
-    this.recordLookup.readSuspected();
+  lookUpSuspectedOrphans(): void {
+    this.jobRecordLookup.lookUpSuspectedOrphans();
   }
 
   recoverySummary(): RecoverySummary | null {
-    return this.cluster.earlierTerms.summary();
+    return this.cluster.previousTerms.summary();
   }
 
   sendCommands(): void {
@@ -261,41 +261,41 @@
   }
 
   /** One planning round, and what follows from it. */
-  runRound(): void {
+  runPlanningRound(): void {
     this.context.timers.set('round', this.context.after(this.context.tuning.scheduler.period_ms));
-    this.lastRoundAt = this.context.now.monotonic;
+    this.lastPlanningRoundAt = this.context.now.monotonic;
     if (!this.isLeaseValid() || !this.loaded) return;
-    this.rounds += 1;
+    this.planningRounds += 1;
     this.placeServices();
-    const round = scheduleRound(this.cluster, (this.seed + this.rounds * ROUND_SEED_STEP) | 0);
-    this.lastRoundSteps = round.steps;
+    const round = scheduleRound(this.cluster, (this.seed + this.planningRounds * PLANNING_ROUND_SEED_STEP) | 0);
+    this.lastPlanningRoundSteps = round.steps;
     migrateToCachedImages(this.cluster);
     preempt(this.cluster, round);
     this.autoscaler.runScaleOut(round);
     this.recordWriter.flush();
-    this.reportHandler.releaseHeld();
+    this.heartbeatHandler.releaseHeld();
   }
 
   /** Once a second: silence, losses, returns. */
   runHealthChecks(): void {
-    this.context.timers.set('healthChecks', this.context.after(HEALTH_CHECK_MS));
+    this.context.timers.set('healthChecks', this.context.after(HEALTH_CHECK_INTERVAL_MS));
     if (!this.isLeaseValid()) return;
     if (!this.hasRecentJobView()) {
-      this.election.resign('what is known of jobs is too old');
+      this.election.stepDown('what is known of jobs is too old');
       return;
     }
     if (!this.loaded) return;
     this.healthChecks.run();
-    this.cluster.earlierTerms.finishIfCertain();
+    this.cluster.previousTerms.finishIfReconciled();
     this.reconciliation.probe();
-    this.autoscaler.runScaleIn(this.leadingSince);
+    this.autoscaler.runScaleIn(this.electedAt);
     this.registry.collectImageChanges();
     this.recordWriter.flush();
-    this.resignIfUnreachable();
+    this.stepDownIfUnreachable();
   }
 
   /** Where most machines report but don't hear this node, another should lead. */
-  private resignIfUnreachable(): void {
+  private stepDownIfUnreachable(): void {
     const now = this.context.now.monotonic;
     if (!this.healthChecks.isLeaderIsolated()) {
       this.unreachableSince = null;
@@ -303,7 +303,7 @@
     }
     this.unreachableSince ??= now;
     if (now - this.unreachableSince < this.context.tuning.leadership.resign_after_ms) return;
-    this.election.resign('machines report but hear nothing from this node');
+    this.election.stepDown('machines report but hear nothing from this node');
   }
 
   /** Counts for display, where this node knows them. */
--- a/src/core/leadership/lease_bounds.ts
+++ b/src/core/leadership/lease_bounds.ts
@@ -8,11 +8,12 @@
 /** Clocks of different machines drift apart by up to 0.05 %; both ends may be off. */
 export const CLOCK_DRIFT = 0.001;
 /** What workers and answers take on top of their times: a tick, a late timer, a message on its way. */
-const SLACK_MS = 1000;
-const MIN_VIEW_AGE_MS = 1000;
+const TIMER_AND_NETWORK_MARGIN_MS = 1000;
+const MIN_JOB_VIEW_AGE_BOUND_MS = 1000;
 
 /** How long after its last answered report was sent a worker that is not answered again may still have tasks. */
-export const workerLeaseExpiryMs = ({ workers }: Settings): number => workers.leaseMs * (1 + CLOCK_DRIFT) + SLACK_MS;
+export const workerLeaseExpiryMs = ({ workers }: Settings): number =>
+  workers.leaseMs * (1 + CLOCK_DRIFT) + TIMER_AND_NETWORK_MARGIN_MS;
 
 /**
  * How old a leader's view of jobs may be while its answers still renew workers' leases. A task of a job that was cancelled
@@ -20,7 +21,7 @@
  * `cancel_s`, whatever happens to the state service, the links and the leader meanwhile.
  */
 export function maxJobViewAgeMs(settings: Settings): number {
-  return Math.max(MIN_VIEW_AGE_MS, settings.workers.cancellationTimeoutMs - workerLeaseExpiryMs(settings));
+  return Math.max(MIN_JOB_VIEW_AGE_BOUND_MS, settings.workers.cancellationTimeoutMs - workerLeaseExpiryMs(settings));
 }
 
 /** The leader's own lease: the share that the operators chose, shortened where `cancel_s` leaves less room. */
--- a/src/core/leadership/earlier_terms.ts
+++ b/src/core/leadership/previous_terms.ts
@@ -20,19 +20,19 @@
 const UNKNOWN_CAPACITY = { cpus: Number.POSITIVE_INFINITY, gpus: Number.POSITIVE_INFINITY };
 
 /** What a leader knows of the work of earlier ones: which jobs must wait, and what counts against teams' limits meanwhile. */
-export class EarlierTerms {
+export class PreviousTerms {
   /** Null where the feature is off: then every job begun earlier waits until all machines have told their lists. */
   readonly recovery: Recovery | null;
   private readonly context: StepContext;
   private readonly quotas: Quotas;
   /** Jobs begun in earlier terms of which tasks may be anywhere. */
   private readonly jobs = new Set<Job>();
-  private unreconciled = 0;
-  private recordsToRead: JobId[] = [];
+  private unreconciledCount = 0;
+  private recordsToLookUp: JobId[] = [];
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly zonesKeptSince: ZonesKeptSince,
+    private readonly startZonesRecordedSince: ZonesKeptSince,
   ) {
     this.context = cluster.context;
     this.quotas = cluster.quotas;
@@ -41,21 +41,21 @@
   }
 
   /** Whether the zones in which the job is started go on record: asked as it is started for the first time. */
-  keepsZonesOf(job: Job): boolean {
-    if (this.zonesKeptSince === null) return false;
+  recordsStartZones(job: Job): boolean {
+    if (this.startZonesRecordedSince === null) return false;
     const { zones, stateStore } = this.context.settings;
     return fitsWithStartZones(job, zones, stateStore.maxValueBytes);
   }
 
   // ---- what was stored
 
-  onJobLearned(job: Job, startZones: readonly ZoneName[] | null): void {
+  onJobAdded(job: Job, startZones: readonly ZoneName[] | null): void {
     this.recovery?.onRecorded(job.id);
-    job.restoreStartZones(believedZones(job.startTerm, startZones, this.zonesKeptSince));
-    if (this.isEarlier(job) && job.state !== 'done') this.jobs.add(job);
+    job.restoreStartZones(believedZones(job.startTerm, startZones, this.startZonesRecordedSince));
+    if (this.isFromPreviousTerm(job) && job.state !== 'done') this.jobs.add(job);
   }
 
-  private isEarlier({ startTerm }: Job): boolean {
+  private isFromPreviousTerm({ startTerm }: Job): boolean {
     return startTerm > 0 && startTerm < this.cluster.term;
   }
 
@@ -70,43 +70,43 @@
   onLoaded(unreadableJobs: number): void {
     for (let i = 0; i < unreadableJobs; i++) this.recovery?.onUnreadableJob();
     this.recovery?.onLoaded();
-    this.update();
-    this.finishIfCertain();
+    this.updateUnreconciled();
+    this.finishIfReconciled();
   }
 
   // ---- what becomes certain
 
-  onCertain(machine: Machine, how: Certainty): void {
+  onMachineReconciled(machine: Machine, how: Certainty): void {
     // What counts against teams' limits is reckoned anew before places are given; until then it is rather too much.
-    if (this.recovery) this.recovery.onCertain(machine.id, how);
-    else this.updateUnreconciled();
-    this.finishIfCertain();
+    if (this.recovery) this.recovery.onMachineReconciled(machine.id, how);
+    else this.updateUnreconciledCount();
+    this.finishIfReconciled();
   }
 
   /** Counts the machines that may hold anybody's tasks, and holds against each limited team what may be its own there. */
-  update(): number {
+  updateUnreconciled(): number {
     if (this.recovery) this.updateExposure(this.recovery);
-    else this.updateUnreconciled();
-    return this.unreconciled;
+    else this.updateUnreconciledCount();
+    return this.unreconciledCount;
   }
 
   private updateExposure(recovery: Recovery): void {
-    const before = this.unreconciled;
-    this.unreconciled = recovery.uncertainMachines;
-    if (before === 0 && this.unreconciled === 0 && recovery.isFinished) return;
+    const before = this.unreconciledCount;
+    this.unreconciledCount = recovery.unreconciledMachines;
+    if (before === 0 && this.unreconciledCount === 0 && recovery.isFinished) return;
     const { monotonic } = this.context.now;
-    this.quotas.unreconciled = recovery.uncertainCapacity(monotonic) ?? UNKNOWN_CAPACITY;
-    this.quotas.exposure = this.quotas.isAnyLimited ? recovery.teamExposure(this.factsOfJobs(), monotonic) : null;
+    this.quotas.unreconciled = recovery.unreconciledCapacity(monotonic) ?? UNKNOWN_CAPACITY;
+    this.quotas.exposure = this.quotas.isAnyLimited ? recovery.teamExposure(this.previousTermJobs(), monotonic) : null;
   }
 
-  private *factsOfJobs(): Iterable<EarlierJob> {
+  private *previousTermJobs(): Iterable<EarlierJob> {
     for (const job of this.jobs) {
       if (job.unaccountedCount === 0) this.jobs.delete(job);
-      else yield factsOf(job);
+      else yield toPreviousTermJob(job);
     }
   }
 
-  private updateUnreconciled(): void {
+  private updateUnreconciledCount(): void {
     let count = 0;
     let cpus = 0;
     let gpus = 0;
@@ -116,29 +116,29 @@
       cpus += type.cpus;
       gpus += type.gpus;
     }
-    this.unreconciled = count;
+    this.unreconciledCount = count;
     this.quotas.unreconciled = { cpus, gpus };
   }
 
   /** Notes whether tasks of a job may run unseen, and returns how many of it may be given places now. */
-  startable(job: Job): number {
+  startableTasks(job: Job): number {
     job.mayRunUnreconciled = this.mayRunUnseen(job);
     return job.startableCount;
   }
 
   /** Whether tasks of the job may be on a machine whose list has yet to come. */
   mayRunUnseen(job: Job): boolean {
-    if (!this.isEarlier(job)) return false;
-    if (!this.recovery) return this.unreconciled > 0;
-    return !this.recovery.isFinished && this.recovery.mayRunUnseen(factsOf(job), this.context.now.monotonic);
+    if (!this.isFromPreviousTerm(job)) return false;
+    if (!this.recovery) return this.unreconciledCount > 0;
+    return !this.recovery.isFinished && this.recovery.mayRunUnseen(toPreviousTermJob(job), this.context.now.monotonic);
   }
 
   /** Says once that everything is certain, and what was found. */
-  finishIfCertain(): void {
+  finishIfReconciled(): void {
     const { recovery } = this;
     if (!recovery?.finish(this.context.now.monotonic, () => this.countMissing())) return;
     this.context.log('info', 'recovery finished', summaryFields(recovery.summary()));
-    this.update();
+    this.updateUnreconciled();
   }
 
   private countMissing(): number {
@@ -149,8 +149,8 @@
   }
 
   /** A start goes out. */
-  onStart(): void {
-    this.recovery?.onStart(this.context.now.monotonic);
+  onTaskStarted(): void {
+    this.recovery?.onTaskStarted(this.context.now.monotonic);
   }
 
   summary(): RecoverySummary | null {
@@ -161,23 +161,24 @@
 
   /** A worker has a task of a job that isn't known: whether there is a record is asked for, once. */
   suspectOrphan(job: JobId, machine: Machine): void {
-    if (this.recovery?.onUnknownJob(job, machine.id, this.context.now.monotonic)) this.recordsToRead.push(job);
+    if (this.recovery?.onUnknownJobReported(job, machine.id, this.context.now.monotonic))
+      this.recordsToLookUp.push(job);
   }
 
-  takeRecordsToRead(): JobId[] {
-    const jobs = this.recordsToRead;
-    this.recordsToRead = [];
+  takeRecordsToLookUp(): JobId[] {
+    const jobs = this.recordsToLookUp;
+    this.recordsToLookUp = [];
     return jobs;
   }
 
   /** `exists`: whether the store holds a record of the job; null: it didn't say. */
-  onRecordRead(job: JobId, exists: boolean | null): void {
-    if (!this.recovery?.onRecordRead(job, exists)) return;
+  onRecordLookedUp(job: JobId, exists: boolean | null): void {
+    if (!this.recovery?.onRecordLookedUp(job, exists)) return;
     this.context.log('error', 'worker runs a task of a job that is not on record: stopping it', { job });
   }
 }
 
-function factsOf(job: Job): EarlierJob {
+function toPreviousTermJob(job: Job): EarlierJob {
   const { id, team, allowedMachineTypes, zone, toleratesSpot, cpus, gpus } = job.spec;
   const { startTerm, startZones, unaccountedCount } = job;
   return {
@@ -190,6 +191,6 @@
     gpus,
     startTerm,
     startZones,
-    unaccounted: unaccountedCount,
+    unaccountedTasks: unaccountedCount,
   };
 }
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -10,21 +10,21 @@
 import { type Leadership, leaderCondition } from './election.js';
 
 /** Results that nobody waits for are written this rarely, and more rarely still where writes are scarce. */
-const LAZY_WRITE_MS = 4000;
-const SCARCE_LAZY_FACTOR = 4;
+const LAZY_WRITE_INTERVAL_MS = 4000;
+const SCARCE_WRITES_INTERVAL_FACTOR = 4;
 /** Completions come in crowds: a moment's gathering puts them into one transaction. */
-const GATHER_MS = 30;
-const RETRY_MS = 150;
+const BATCHING_MS = 30;
+const WRITE_RETRY_MS = 150;
 const REREAD_RETRY_MS = 200;
-const AFTER_REREAD_MS = 1;
+const FLUSH_AFTER_REREAD_MS = 1;
 /** After a write that was refused for its size. */
 const REJECTED_PAUSE_MS = 1000;
 const MIN_VALUE_BYTES = 512;
 const VALUE_SHRINK_FACTOR = 0.75;
 /** A transaction may have 64 KiB; sizes are estimated. */
 const MAX_TRANSACTION_BYTES = 48_000;
-const JOB_RECORD_BYTES = 700;
-const DONE_RANGE_BYTES = 14;
+const ESTIMATED_JOB_RECORD_BYTES = 700;
+const ESTIMATED_DONE_RANGE_BYTES = 14;
 const URGENT_PRIORITY = 1;
 const LAZY_PRIORITY = 3;
 
@@ -34,7 +34,7 @@
   readonly state: JobState;
   readonly startTerm: number;
   readonly startZones: readonly ZoneName[] | null;
-  readonly done: [number, number][];
+  readonly doneTasks: [number, number][];
 }
 
 /** A page of the registry as one transaction writes it. */
@@ -43,13 +43,13 @@
   readonly machines: readonly Machine[];
 }
 
-interface Batch {
+interface WriteBatch {
   readonly conditions: VersionCondition[];
   readonly changes: StateChange[];
   readonly jobs: JobSnapshot[];
   readonly pages: PageSnapshot[];
   bytes: number;
-  urgent: boolean;
+  isUrgent: boolean;
 }
 
 export interface RecordWriterCallbacks {
@@ -57,7 +57,7 @@
   /** A record as the store was found to hold it. */
   onRecordRead(item: StoredEntry): void;
   /** Something that others may wait for is now on record, or has failed to be. */
-  onWritten(): void;
+  onWriteFinished(): void;
 }
 
 /**
@@ -66,10 +66,10 @@
  */
 export class RecordWriter {
   private readonly context: StepContext;
-  private inFlight = 0;
+  private writesInFlight = 0;
   private stopped = false;
   private maxChanges: number;
-  private valueBytes: number;
+  private maxValueBytes: number;
   private pausedUntil = 0 as MonotonicTime;
 
   constructor(
@@ -80,11 +80,11 @@
   ) {
     this.context = cluster.context;
     this.maxChanges = this.context.settings.stateStore.maxChangesPerTransaction;
-    this.valueBytes = this.context.settings.stateStore.maxValueBytes;
+    this.maxValueBytes = this.context.settings.stateStore.maxValueBytes;
   }
 
-  get busy(): boolean {
-    return this.inFlight > 0;
+  get hasWritesInFlight(): boolean {
+    return this.writesInFlight > 0;
   }
 
   stop(): void {
@@ -102,10 +102,10 @@
   }
 
   private scheduleFlush(): void {
-    this.context.timers.bringForward('recordFlush', this.context.after(GATHER_MS));
+    this.context.timers.bringForward('recordFlush', this.context.after(BATCHING_MS));
   }
 
-  private flushIn(ms: number): void {
+  private rescheduleFlush(ms: number): void {
     this.context.timers.set('recordFlush', this.context.after(ms));
   }
 
@@ -125,18 +125,18 @@
   }
 
   /** Takes from both lists what fits into one transaction: urgent pages, then jobs, then other pages. */
-  private nextBatch(jobs: Job[], pages: RegistryPage[], now: MonotonicTime): Batch {
+  private nextBatch(jobs: Job[], pages: RegistryPage[], now: MonotonicTime): WriteBatch {
     const conditions = [leaderCondition(this.leadership)];
-    const batch: Batch = { conditions, changes: [], jobs: [], pages: [], bytes: 0, urgent: false };
-    while (pages[0]?.urgent && this.hasRoom(batch)) this.addPage(batch, pages.shift() as RegistryPage);
-    while (jobs.length > 0 && this.hasRoom(batch)) this.addJob(batch, jobs.shift() as Job, now);
-    while (pages.length > 0 && this.hasRoom(batch)) this.addPage(batch, pages.shift() as RegistryPage);
+    const batch: WriteBatch = { conditions, changes: [], jobs: [], pages: [], bytes: 0, isUrgent: false };
+    while (pages[0]?.urgent && this.hasSpace(batch)) this.addPage(batch, pages.shift() as RegistryPage);
+    while (jobs.length > 0 && this.hasSpace(batch)) this.addJob(batch, jobs.shift() as Job, now);
+    while (pages.length > 0 && this.hasSpace(batch)) this.addPage(batch, pages.shift() as RegistryPage);
     return batch;
   }
 
   private dueJobs(now: MonotonicTime, hasSpareWrites: boolean): Job[] {
     const due: Job[] = [];
-    const lazyMs = hasSpareWrites ? LAZY_WRITE_MS : SCARCE_LAZY_FACTOR * LAZY_WRITE_MS;
+    const lazyMs = hasSpareWrites ? LAZY_WRITE_INTERVAL_MS : SCARCE_WRITES_INTERVAL_FACTOR * LAZY_WRITE_INTERVAL_MS;
     for (const job of this.cluster.activeJobs) {
       const need = job.writeUrgency;
       if (need === 'no') this.cluster.deactivateIfSettled(job);
@@ -145,12 +145,12 @@
     return due.sort((a, b) => Number(b.writeUrgency === 'now') - Number(a.writeUrgency === 'now'));
   }
 
-  private hasRoom(batch: Batch): boolean {
+  private hasSpace(batch: WriteBatch): boolean {
     return batch.changes.length < this.maxChanges && batch.bytes < MAX_TRANSACTION_BYTES;
   }
 
-  private addPage(batch: Batch, page: RegistryPage): void {
-    if (page.urgent) batch.urgent = true;
+  private addPage(batch: WriteBatch, page: RegistryPage): void {
+    if (page.urgent) batch.isUrgent = true;
     const { change, bytes, machines } = this.registry.beginWrite(page, this.context.now.monotonic);
     batch.bytes += bytes;
     batch.pages.push({ page, machines });
@@ -158,41 +158,41 @@
     batch.changes.push(change);
   }
 
-  private addJob(batch: Batch, job: Job, now: MonotonicTime): void {
-    if (job.writeUrgency === 'now') batch.urgent = true;
+  private addJob(batch: WriteBatch, job: Job, now: MonotonicTime): void {
+    if (job.writeUrgency === 'now') batch.isUrgent = true;
     job.writeInFlight = true;
     job.lastWriteAt = now;
     const { spec, submittedAt, state, startTerm, startZone, doneTasks } = job;
     const startZones = job.startZones && [...job.startZones];
     const value = encodeJob(
       { spec, submittedAt, state, startTerm, startZone, startZones, done: doneTasks },
-      this.valueBytes,
+      this.maxValueBytes,
     );
-    batch.bytes += JOB_RECORD_BYTES + value.done.length * DONE_RANGE_BYTES;
-    batch.jobs.push({ job, state, startTerm, startZones, done: value.done });
+    batch.bytes += ESTIMATED_JOB_RECORD_BYTES + value.done.length * ESTIMATED_DONE_RANGE_BYTES;
+    batch.jobs.push({ job, state, startTerm, startZones, doneTasks: value.done });
     batch.conditions.push({ key: jobKey(job.id), version: job.version });
     batch.changes.push({ put: jobKey(job.id), value });
   }
 
-  private send(batch: Batch): void {
+  private send(batch: WriteBatch): void {
     const { conditions, changes } = batch;
-    this.inFlight += 1;
+    this.writesInFlight += 1;
     this.context.callStateStore(
       { op: 'txn', conditions, changes },
-      batch.urgent ? URGENT_PRIORITY : LAZY_PRIORITY,
+      batch.isUrgent ? URGENT_PRIORITY : LAZY_PRIORITY,
       (result) => {
-        this.inFlight -= 1;
+        this.writesInFlight -= 1;
         for (const { job } of batch.jobs) job.writeInFlight = false;
         for (const { page } of batch.pages) page.writeInFlight = false;
         if (this.stopped) return;
         if (result.ok && result.value.revision !== undefined) this.onBatchWritten(batch, result.value.revision);
         else this.onBatchFailed(batch, result);
-        this.callbacks.onWritten();
+        this.callbacks.onWriteFinished();
       },
     );
   }
 
-  private onBatchWritten(batch: Batch, version: Revision): void {
+  private onBatchWritten(batch: WriteBatch, version: Revision): void {
     for (const snapshot of batch.jobs) this.onJobWritten(snapshot, version);
     for (const { page, machines } of batch.pages) {
       this.registry.onPageStored(page, machines, version);
@@ -200,19 +200,19 @@
     }
   }
 
-  private onJobWritten({ job, state, startTerm, startZones, done }: JobSnapshot, version: Revision): void {
+  private onJobWritten({ job, state, startTerm, startZones, doneTasks }: JobSnapshot, version: Revision): void {
     if (version > job.version) {
       job.version = version;
       job.durableState = state;
       job.durableStartTerm = startTerm;
       job.onStartZonesStored(startZones);
-      job.durableDoneTasks = RangeSet.from(done);
+      job.durableDoneTasks = RangeSet.from(doneTasks);
     }
     this.cluster.deactivateIfSettled(job);
     if (job.writeUrgency === 'now') this.scheduleFlush();
   }
 
-  private onBatchFailed(batch: Batch, result: Result<StateStoreResponse>): void {
+  private onBatchFailed(batch: WriteBatch, result: Result<StateStoreResponse>): void {
     // Only what was refused has certainly not been carried out.
     const outcomeUnknown = result.ok || result.why !== 'refused';
     for (const { page } of batch.pages) {
@@ -220,20 +220,20 @@
       page.versionUnknown = outcomeUnknown;
     }
     if (outcomeUnknown) for (const { job } of batch.jobs) this.rereadJob(job);
-    if (!result.ok && result.why === 'rejected') this.shrinkWrites(batch);
-    this.flushIn(RETRY_MS);
+    if (!result.ok && result.why === 'rejected') this.reduceWriteSize(batch);
+    this.rescheduleFlush(WRITE_RETRY_MS);
   }
 
   /** The service calls a transaction malformed: it may take less than was announced. The same one is never sent again. */
-  private shrinkWrites(batch: Batch): void {
+  private reduceWriteSize(batch: WriteBatch): void {
     const changes = batch.changes.length;
     if (changes > 1) this.maxChanges = Math.max(1, Math.floor(changes / 2));
-    else this.valueBytes = Math.max(MIN_VALUE_BYTES, Math.floor(this.valueBytes * VALUE_SHRINK_FACTOR));
-    this.registry.setValueLimit(this.valueBytes);
+    else this.maxValueBytes = Math.max(MIN_VALUE_BYTES, Math.floor(this.maxValueBytes * VALUE_SHRINK_FACTOR));
+    this.registry.setValueLimit(this.maxValueBytes);
     this.pausedUntil = this.context.after(REJECTED_PAUSE_MS);
     this.context.log('info', 'state service refuses a write for its size: writing less at a time', {
       changes: this.maxChanges,
-      valueBytes: this.valueBytes,
+      maxValueBytes: this.maxValueBytes,
     });
   }
 
@@ -258,7 +258,7 @@
         page.version = result.value.item ? result.value.item.version : ABSENT_VERSION;
         page.versionUnknown = false;
       }
-      this.flushIn(result.ok ? AFTER_REREAD_MS : REREAD_RETRY_MS);
+      this.rescheduleFlush(result.ok ? FLUSH_AFTER_REREAD_MS : REREAD_RETRY_MS);
     });
   }
 }
--- a/src/core/leadership/state_loader.ts
+++ b/src/core/leadership/state_loader.ts
@@ -8,8 +8,8 @@
 
 /** Reads what earlier leaders left: machines and jobs as they stand after the leader key was taken. */
 export class StateLoader {
-  private loading = false;
-  private stopped = false;
+  private isLoading = false;
+  private isStopped = false;
 
   /** `onLoaded` is given the registry's pages once jobs and machines are read. */
   constructor(
@@ -19,17 +19,17 @@
   ) {}
 
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
   /** Tried again until it works. */
   load(): void {
-    if (this.loading || this.stopped) return;
-    this.loading = true;
+    if (this.isLoading || this.isStopped) return;
+    this.isLoading = true;
     let pages: readonly StoredEntry[] | null = null;
     let jobsRead = false;
     const onPart = (ok: boolean): void => {
-      if (this.stopped || !this.loading) return;
+      if (this.isStopped || !this.isLoading) return;
       if (!ok) this.retry();
       else if (pages !== null && jobsRead) this.finish(pages);
     };
@@ -44,13 +44,13 @@
   }
 
   private retry(): void {
-    this.loading = false;
+    this.isLoading = false;
     this.context.timers.set('loadState', this.context.after(RETRY_MS));
   }
 
   private finish(pages: readonly StoredEntry[]): void {
-    this.loading = false;
-    this.stopped = true;
+    this.isLoading = false;
+    this.isStopped = true;
     this.onLoaded(pages);
   }
 }
--- a/src/core/leadership/state_restorer.ts
+++ b/src/core/leadership/state_restorer.ts
@@ -13,42 +13,42 @@
     private readonly cluster: Cluster,
     private readonly registry: MachineRegistry,
     private readonly jobCache: JobCache,
-    private readonly lastRenewalOf: (machine: MachineId) => MonotonicTime,
+    private readonly lastLeaseRenewalAt: (machine: MachineId) => MonotonicTime,
   ) {}
 
   /** `pages`: the registry's. */
   restore(pages: readonly StoredEntry[]): void {
-    const { context, earlierTerms, machines } = this.cluster;
-    this.cluster.unreadableJobs = this.jobCache.unreadableJobs;
-    for (const job of this.jobCache.all()) this.cluster.learnJob(job.record, job.version);
+    const { context, previousTerms, machines } = this.cluster;
+    this.cluster.unreadableJobIds = this.jobCache.unreadableJobs;
+    for (const job of this.jobCache.all()) this.cluster.applyJobRecord(job.record, job.version);
     for (const item of pages) this.restorePage(item);
     this.registry.splitOversizedPages();
     context.log('info', 'state read', { jobs: this.jobCache.size, machines: machines.size });
-    earlierTerms.onLoaded(this.jobCache.unreadableJobs.size);
+    previousTerms.onLoaded(this.jobCache.unreadableJobs.size);
   }
 
   private restorePage(item: StoredEntry): void {
-    const { context, earlierTerms } = this.cluster;
+    const { context, previousTerms } = this.cluster;
     const page = this.registry.load(item);
     const { key } = item;
     if (!page.complete) {
       context.log('error', 'registry page not understood: left as it is', { key });
-      earlierTerms.onUnreadablePage();
+      previousTerms.onUnreadablePage();
     }
     for (const record of page.machines) this.restoreMachine(record, key);
   }
 
   private restoreMachine(record: MachineRecord, key: string): void {
-    const { context, earlierTerms, machines, types, imageGb } = this.cluster;
+    const { context, previousTerms, machines, machineTypes, imageSizesGb } = this.cluster;
     if (machines.has(record.id)) {
       this.registry.rewriteWithoutDuplicates(key);
       return;
     }
-    const type = types.get(record.type);
+    const type = machineTypes.get(record.type);
     // A record that isn't understood stays as it is: its page is never written without it. Its machine may run anything.
     if (!type) {
       this.registry.keepUnknownMachine(key, record);
-      earlierTerms.onUnreadablePage();
+      previousTerms.onUnreadablePage();
       return;
     }
     const now = context.now.monotonic;
@@ -57,10 +57,10 @@
     // now, so that it counts as unreconciled all the same.
     const phase = address === '' ? 'booting' : 'up';
     const machine = new Machine({ id, type, zone, spot, address, reconciled: false, phase, now });
-    machine.images.restore(record.images, record.imagePullSpeed, imageGb, now);
-    if (earlierTerms.recovery) machine.leaseRenewedAt = this.lastRenewalOf(id);
+    machine.images.restore(record.images, record.imagePullSpeed, imageSizesGb, now);
+    if (previousTerms.recovery) machine.leaseRenewedAt = this.lastLeaseRenewalAt(id);
     machines.set(id, machine);
     this.registry.restore(machine, key);
-    earlierTerms.onMachineRestored(machine);
+    previousTerms.onMachineRestored(machine);
   }
 }
--- a/src/core/machines/autoscaler.ts
+++ b/src/core/machines/autoscaler.ts
@@ -94,7 +94,7 @@
    */
   private provisionSpotReplacements(): void {
     for (const [name, share] of this.spotEligibleMachinesByType()) {
-      const type = this.cluster.types.get(name);
+      const type = this.cluster.machineTypes.get(name);
       if (
         !type ||
         share < MIN_SPOT_ELIGIBLE_MACHINES ||
--- a/src/core/machines/guaranteed_capacity.ts
+++ b/src/core/machines/guaranteed_capacity.ts
@@ -41,7 +41,7 @@
     };
     for (const machine of this.cluster.machines.values()) {
       const isUsable = machine.drainReason === null && !machine.terminationInFlight;
-      if (isUsable && !this.cluster.isOverdue(machine)) subtract(machine.type, 1);
+      if (isUsable && !this.cluster.isBootOverdue(machine)) subtract(machine.type, 1);
     }
     for (const { pool, count } of this.scaleOut.pendingRequests()) subtract(pool.type, count);
     return {
@@ -78,7 +78,7 @@
   private cheapestPool(gain: (type: MachineType) => number): CapacityPool | null {
     let cheapest: CapacityPool | null = null;
     let lowestCost = Number.POSITIVE_INFINITY;
-    for (const type of this.cluster.types.values()) {
+    for (const type of this.cluster.machineTypes.values()) {
       if (gain(type) <= 0) continue;
       for (const kind of poolsOf(type)) {
         const cost = type.pricePerHour / gain(type) + (kind.spot ? SPOT_PENALTY : 0);
--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -54,13 +54,13 @@
    * it is certain not to be anywhere, and that part would wait in vain (gang-half-placed.txt).
    */
   private breakIncompleteGangs(): void {
-    const { earlierTerms } = this.cluster;
-    const unreconciled = earlierTerms.update();
-    if (unreconciled > 0 && earlierTerms.recovery === null) return;
+    const { previousTerms } = this.cluster;
+    const unreconciled = previousTerms.updateUnreconciled();
+    if (unreconciled > 0 && previousTerms.recovery === null) return;
     for (const job of this.cluster.activeJobs) {
       const { size } = job.placements;
       const isIncomplete = job.isGang && size > 0 && size < job.spec.taskCount;
-      if (!isIncomplete || job.state !== 'accepted' || earlierTerms.mayRunUnseen(job)) continue;
+      if (!isIncomplete || job.state !== 'accepted' || previousTerms.mayRunUnseen(job)) continue;
       this.cluster.breakGang(job);
     }
   }
@@ -79,9 +79,9 @@
 
   private recordOverdueBoots(now: MonotonicTime): void {
     for (const machine of this.cluster.machines.values()) {
-      if (machine.phase !== 'booting' || machine.bootOverdueRecorded || !this.cluster.isOverdue(machine)) continue;
+      if (machine.phase !== 'booting' || machine.bootOverdueRecorded || !this.cluster.isBootOverdue(machine)) continue;
       machine.bootOverdueRecorded = true;
-      this.cluster.bootTimes.recordOverdue(machine.type, machine.zone, now);
+      this.cluster.bootTimeEstimator.recordOverdue(machine.type, machine.zone, now);
     }
   }
 
@@ -105,7 +105,7 @@
       tasks: machine.placements.size,
       reconciled: machine.reconciled,
     });
-    this.cluster.releaseAll(machine);
+    this.cluster.releaseEverything(machine);
     if (machine.agentEpoch !== null) {
       machine.agentEpoch = (machine.agentEpoch + 1n) as AgentEpoch;
       machine.sequence = 0n as SequenceNumber;
@@ -153,7 +153,10 @@
       const { job } = placement;
       if (logRatio <= (found?.get(job.id)?.logRatio ?? 0)) continue;
       found ??= new Map();
-      found.set(job.id, { logRatio, logStandardDeviation: this.cluster.estimates.logStandardDeviation(job.spec) });
+      found.set(job.id, {
+        logRatio,
+        logStandardDeviation: this.cluster.runtimeEstimator.logStandardDeviation(job.spec),
+      });
       if (logRatio > STRAGGLER_LOG_RATIO) job.slowMachines.add(machine.id);
     }
     return found ?? NO_EVIDENCE;
@@ -166,7 +169,7 @@
     if (job.isService || (job.isGang && job.spec.taskCount > 1)) return 0;
     if (job.slowMachines.size >= MISESTIMATED_AFTER_MACHINES) return 0;
     const ranS = (now - runningSince) / 1000;
-    return Math.max(0, Math.log(ranS / this.cluster.estimates.expectedSeconds(job.spec)));
+    return Math.max(0, Math.log(ranS / this.cluster.runtimeEstimator.expectedSeconds(job.spec)));
   }
 
   /** Work on a machine about to go is saved where that helps; what would end in time is left alone. */
@@ -182,13 +185,13 @@
   private evictFromLeavingMachine(placement: Placement, now: MonotonicTime): void {
     if (placement.phase === 'planned') this.cluster.release(placement);
     else if (placement.job.isService) moveReplica(this.cluster, placement);
-    else if (!this.finishesInTime(placement, now)) this.cluster.stopSaving(placement);
+    else if (!this.finishesInTime(placement, now)) this.cluster.evictWithCheckpoint(placement);
   }
 
   private finishesInTime({ job, machine, phase, runningSince }: Placement, now: MonotonicTime): boolean {
     if (phase !== 'running' || machine.drainReason === 'slow') return false;
     const leftS = machine.interruptionAt === null ? DRAIN_SECONDS : (machine.interruptionAt - now) / 1000;
-    const expectedS = this.cluster.estimates.expectedSeconds(job.spec);
+    const expectedS = this.cluster.runtimeEstimator.expectedSeconds(job.spec);
     const remainingS = runningSince === null ? expectedS + TASK_START_SECONDS : expectedS - (now - runningSince) / 1000;
     return remainingS < leftS * FINISH_IN_TIME_SHARE;
   }
--- a/src/core/machines/scale_in.ts
+++ b/src/core/machines/scale_in.ts
@@ -88,9 +88,9 @@
 
   private hasBootTimedOut(machine: Machine, now: MonotonicTime): boolean {
     const { type, zone } = machine;
-    const { bootTimes, context } = this.cluster;
+    const { bootTimeEstimator, context } = this.cluster;
     const factor =
-      context.tuning.machines.boot_give_up * bootTimes.timeoutFactor(type, zone, machine.provisionedAt, now);
+      context.tuning.machines.boot_give_up * bootTimeEstimator.timeoutFactor(type, zone, machine.provisionedAt, now);
     return machine.ageSeconds(now) > Math.max(MIN_BOOT_TIMEOUT_SECONDS, type.bootSeconds * factor);
   }
 
@@ -128,7 +128,7 @@
   }
 
   private recordAbandonedBoot({ type, zone, provisionedAt }: Machine): void {
-    this.cluster.bootTimes.recordAbandoned(type, zone, provisionedAt, this.cluster.context.now.monotonic);
+    this.cluster.bootTimeEstimator.recordAbandoned(type, zone, provisionedAt, this.cluster.context.now.monotonic);
   }
 
   /** Returns what was marked, as many to a request as the cloud takes. */
--- a/src/core/machines/scale_out_demand.ts
+++ b/src/core/machines/scale_out_demand.ts
@@ -148,14 +148,14 @@
 
   /** Seconds until a machine rented now could start the job. */
   private soonestOnNewMachineSeconds(job: PlanJob): number {
-    const { bootTimes, context, types } = this.cluster;
+    const { bootTimeEstimator, context, machineTypes } = this.cluster;
     let soonest = Number.POSITIVE_INFINITY;
-    for (const type of types.values()) {
+    for (const type of machineTypes.values()) {
       if (!this.canRun(job, type)) continue;
       const fetchS = pullSeconds(job.imageGb, type.imagePullGbPerSecond);
       for (const zone of type.zones) {
         if (!isOpenZone(job, zone)) continue;
-        soonest = Math.min(soonest, bootTimes.expectedSeconds(type, zone, context.now.monotonic) + fetchS);
+        soonest = Math.min(soonest, bootTimeEstimator.expectedSeconds(type, zone, context.now.monotonic) + fetchS);
       }
     }
     return soonest;
@@ -172,7 +172,7 @@
 
   /** The kind that takes the job's tasks at the lowest price a task, among those not lately refused. */
   private cheapestPool(job: PlanJob, tasks: number, fullZones?: ReadonlySet<ZoneName>): CapacityPool | null {
-    const { bootTimes, context } = this.cluster;
+    const { bootTimeEstimator, context } = this.cluster;
     let cheapest: CapacityPool | null = null;
     let lowestCost = Number.POSITIVE_INFINITY;
     for (const kind of this.feasiblePools(job)) {
@@ -181,7 +181,7 @@
       const price = spot ? type.spotPricePerHour * SPOT_PRICE_FACTOR : type.pricePerHour;
       const crowding = 1 + CROWDED_ZONE_FACTOR * (this.machineCounts.get(countKey(type.name, zone)) ?? 0);
       // Where machines lately came up late or never, others that fit are tried first.
-      const unreliable = 1 + UNRELIABLE_FACTOR * bootTimes.overdueShare(type, zone, context.now.monotonic);
+      const unreliable = 1 + UNRELIABLE_FACTOR * bootTimeEstimator.overdueShare(type, zone, context.now.monotonic);
       const cost = (price / Math.min(tasks, tasksPerMachine(job, type))) * crowding * unreliable;
       if (cost >= lowestCost) continue;
       lowestCost = cost;
@@ -202,7 +202,7 @@
   }
 
   private *feasiblePools(job: PlanJob): Iterable<CapacityPool> {
-    const types = [...this.cluster.types.values()].filter((type) => this.canRun(job, type));
+    const types = [...this.cluster.machineTypes.values()].filter((type) => this.canRun(job, type));
     // Machines with GPUs are rented for work without only where nothing else runs it.
     const avoidGpus = job.gpus === 0 && types.some((type) => type.gpus === 0);
     const spotChoices = job.spotOk ? [true, false] : [false];
--- a/src/core/peers/status_exchange.ts
+++ b/src/core/peers/status_exchange.ts
@@ -20,7 +20,7 @@
     this.router.updateRate();
     const heardMs = this.router.workersHeardMs;
     const status: PeerStatus = {
-      isLeader: this.election.isValid(),
+      isLeader: this.election.isLeaseValid(),
       stateStoreReachable: this.context.stateStoreFailingSince === null,
       sinceLastHeartbeatMs: heardMs === null ? NO_HEARTBEAT_YET : Math.round(heardMs),
       heartbeatsPerSecond: this.router.reportsPerS,
@@ -32,7 +32,7 @@
 
   /** A leader that no worker reaches, while they reach a peer, keeps the lead from being of use: it resigns. */
   resignIfIsolated(): void {
-    if (!this.election.current) return;
+    if (!this.election.leadership) return;
     const { monotonic } = this.context.now;
     const limitMs = this.context.tuning.leadership.resign_after_ms;
     const ledMs = monotonic - this.election.electedAt;
@@ -43,7 +43,7 @@
       // A peer that has just come back heard its workers without us; now it passes their reports on.
       if (monotonic - peer.reachableSince < limitMs) continue;
       if (this.peers.isReachable(peer) && sinceLastHeartbeatMs >= 0 && sinceLastHeartbeatMs < limitMs / 2) {
-        this.election.resign('workers reach a peer but not this node');
+        this.election.stepDown('workers reach a peer but not this node');
         return;
       }
     }
--- a/src/core/scheduler/hosting.ts
+++ b/src/core/scheduler/hosting.ts
@@ -17,9 +17,9 @@
 }
 
 /** Whether a job asks for no GPUs and fits a type without any. */
-export function fitsTypesWithoutGpus({ types }: Cluster, job: Job): boolean {
+export function fitsTypesWithoutGpus({ machineTypes }: Cluster, job: Job): boolean {
   if (job.spec.gpus > 0) return false;
-  for (const type of types.values()) {
+  for (const type of machineTypes.values()) {
     if (type.gpus === 0 && type.zones.some((zone) => couldHost(job, type, zone))) return true;
   }
   return false;
@@ -64,6 +64,7 @@
 /** Gives the task its place: its start goes out once the job's first start is on record. */
 export function placeTask(cluster: Cluster, job: Job, index: number, machine: Machine, attempt: Attempt): void {
   cluster.place(job, index, machine, attempt, 'planned');
-  if (job.startTerm === 0) job.recordFirstStart(cluster.term, machine.zone, cluster.earlierTerms.keepsZonesOf(job));
+  if (job.startTerm === 0)
+    job.recordFirstStart(cluster.term, machine.zone, cluster.previousTerms.recordsStartZones(job));
   job.startZones?.add(machine.zone);
 }
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -72,13 +72,15 @@
 
   /** Zones in which a machine for the job could be rented. */
   private rentableZones(job: Job): ZoneName[] {
-    return [...this.cluster.types.values()].flatMap((type) => type.zones.filter((zone) => couldHost(job, type, zone)));
+    return [...this.cluster.machineTypes.values()].flatMap((type) =>
+      type.zones.filter((zone) => couldHost(job, type, zone)),
+    );
   }
 
   private planJob(job: Job, tasks: number, waitedS: number, zones: ZoneName[], slot: number): PlanJob {
     const { spec } = job;
-    const { estimates, spotInterruptions, context } = this.cluster;
-    const durationS = estimates.expectedSeconds(spec);
+    const { runtimeEstimator, spotInterruptions, context } = this.cluster;
+    const durationS = runtimeEstimator.expectedSeconds(spec);
     const isBound = spec.singleZone && job.placements.size > 0;
     return {
       slot,
@@ -138,7 +140,7 @@
 function kindsAwaitedByGpuWork(cluster: Cluster, waiting: readonly RankedJob[]): Set<string> {
   const kinds = new Set<string>();
   const gpuJobs = waiting.filter(({ job }) => job.spec.gpus > 0 && !job.isFaulty);
-  for (const type of cluster.types.values()) {
+  for (const type of cluster.machineTypes.values()) {
     if (type.gpus === 0) continue;
     for (const zone of type.zones) {
       for (const spot of [false, true]) {
@@ -201,11 +203,11 @@
 }
 
 /** Seconds until a task is expected to leave its machine. */
-function remainingS({ context, estimates }: Cluster, placement: Placement, now: MonotonicTime): number {
+function remainingS({ context, runtimeEstimator }: Cluster, placement: Placement, now: MonotonicTime): number {
   const { job, machine, pendingStop, runningSince } = placement;
   const reportS = context.settings.workers.heartbeatIntervalMs / 1000;
   if (pendingStop !== null) return Math.max(reportS, pendingStop.gracePeriodSeconds);
-  const expectedS = estimates.expectedSeconds(job.spec);
+  const expectedS = runtimeEstimator.expectedSeconds(job.spec);
   if (job.isService) return expectedS;
   if (runningSince === null)
     return machine.images.remainingPullSeconds(job.spec.image, job.spec.imageGb, now) + expectedS;
@@ -216,14 +218,14 @@
 }
 
 /** When a machine that was rented but hasn't reported is expected, in seconds from now. */
-function bootingS({ bootTimes }: Cluster, machine: Machine, now: MonotonicTime): number {
-  return bootTimes.remainingSeconds(machine.type, machine.zone, machine.ageSeconds(now), now);
+function bootingS({ bootTimeEstimator }: Cluster, machine: Machine, now: MonotonicTime): number {
+  return bootTimeEstimator.remainingSeconds(machine.type, machine.zone, machine.ageSeconds(now), now);
 }
 
 function largestCachedShare(cluster: Cluster, machine: Machine): number {
   let largest = 0;
   for (const image of machine.images.presentImages()) {
-    const user = cluster.largestImageUsers.get(image);
+    const user = cluster.largestTaskByImage.get(image);
     if (user) largest = Math.max(largest, machineShare(user, machine.type));
   }
   return largest;
@@ -234,7 +236,7 @@
   const found = new Set<MachineTypeName>();
   for (const { job } of waiting) {
     if (!job.isGang || job.spec.toleratesSpot) continue;
-    for (const type of cluster.types.values()) {
+    for (const type of cluster.machineTypes.values()) {
       const needsWhole = machineShare(job.spec, type) > WHOLE_MACHINE_SHARE;
       if (needsWhole && type.zones.some((zone) => couldHost(job, type, zone))) found.add(type.name);
     }
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -74,7 +74,7 @@
 /** A fetch at the pace of the slowest type that could host the job: how long it takes if nothing is cached. */
 function slowestFetchS(cluster: Cluster, job: Job): number {
   let slowest = Number.POSITIVE_INFINITY;
-  for (const type of cluster.types.values()) {
+  for (const type of cluster.machineTypes.values()) {
     if (type.zones.some((zone) => couldHost(job, type, zone))) slowest = Math.min(slowest, type.imagePullGbPerSecond);
   }
   return Number.isFinite(slowest) ? pullSeconds(job.spec.imageGb, slowest) : 0;
@@ -85,7 +85,7 @@
   const { settings, tuning } = cluster.context;
   const { priority_base, urgency: most, urgency_horizon_s: horizonS } = tuning.scheduler;
   const waited = waitedS(cluster, job);
-  const runS = cluster.estimates.expectedSeconds(job.spec);
+  const runS = cluster.runtimeEstimator.expectedSeconds(job.spec);
   const fetchS = slowestFetchS(cluster, job);
   const rank = rankValue(job.spec, tasks, runS, waited, priority_base);
   return rank / urgency(job.spec, settings.objectives, waited, fetchS, runS, { most, horizonS });
@@ -103,7 +103,7 @@
 function mayStartNow(cluster: Cluster, job: Job): boolean {
   // Services have been placed before, by best fit outside the search (services.ts).
   if (job.isService || job.pendingCount <= 0 || job.notBefore > cluster.context.now.monotonic) return false;
-  return cluster.earlierTerms.startable(job) > 0;
+  return cluster.previousTerms.startableTasks(job) > 0;
 }
 
 /** How many of the job's waiting tasks its team's limit allows now; of a gang all or none. */
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -43,7 +43,7 @@
 /** One planning round: rank, search zones, plan, and give places to what can start now. */
 export function scheduleRound(cluster: Cluster, seed: number): RoundResult {
   const tuning = cluster.context.tuning.scheduler;
-  cluster.earlierTerms.update();
+  cluster.previousTerms.updateUnreconciled();
   const ranked = rankWaitingJobs(cluster);
   const input = new PlanInput(cluster, ranked);
   for (const job of ranked.slice(0, tuning.jobs_planned + MAX_FILL_JOBS)) input.add(job);
--- a/src/core/scheduler/services.ts
+++ b/src/core/scheduler/services.ts
@@ -33,7 +33,7 @@
 export function waitingServices(cluster: Cluster): Job[] {
   const now = cluster.context.now.monotonic;
   const waiting = [...cluster.services].filter(
-    (job) => job.notBefore <= now && cluster.earlierTerms.startable(job) > 0,
+    (job) => job.notBefore <= now && cluster.previousTerms.startableTasks(job) > 0,
   );
   return waiting.sort(
     (a, b) => b.spec.priorityLevel - a.spec.priorityLevel || a.submittedAt - b.submittedAt || (a.id < b.id ? -1 : 1),
@@ -48,7 +48,7 @@
  */
 export function placeServices(cluster: Cluster): number {
   if (!cluster.hasPendingReplicas()) return 0;
-  cluster.earlierTerms.update();
+  cluster.previousTerms.updateUnreconciled();
   let placed = 0;
   let stoppedFor = 0;
   for (const job of waitingServices(cluster)) {
@@ -70,7 +70,7 @@
     const machine = bestMachine(cluster, job, zoneRoom, mayTake);
     if (!machine) break;
     placeTask(cluster, job, index, machine, cluster.nextAttempt());
-    cluster.machinesWithStarts.add(machine);
+    cluster.machinesWithPendingStarts.add(machine);
     machine.endReservation(job.id);
     takeZoneRoom(zoneRoom, machine.zone, job);
     placed += 1;
--- a/src/core/scheduler/spare_room.ts
+++ b/src/core/scheduler/spare_room.ts
@@ -19,7 +19,7 @@
 export function gpuDemand(cluster: Cluster): GpuDemand {
   const shapes = gpuTaskShapes(cluster);
   const demand = new Map<MachineTypeName, BesideGpus>();
-  for (const type of cluster.types.values()) demand.set(type.name, demandOn(type, shapes));
+  for (const type of cluster.machineTypes.values()) demand.set(type.name, demandOn(type, shapes));
   return demand;
 }
 
--- a/src/core/workers/command_sender.ts
+++ b/src/core/workers/command_sender.ts
@@ -37,9 +37,9 @@
   /** Sends what is due, and looks again as long as something is left. */
   send(): void {
     if (!this.leader.isLeaseValid()) return;
-    const { machinesWithStops, machinesWithStarts } = this.cluster;
+    const { machinesWithPendingStops, machinesWithPendingStarts } = this.cluster;
     let anyLeft = false;
-    for (const machine of new Set([...machinesWithStops, ...machinesWithStarts])) {
+    for (const machine of new Set([...machinesWithPendingStops, ...machinesWithPendingStarts])) {
       const stops = this.dueStops(machine);
       const planned = this.plannedReplicas(machine);
       if (stops.length === 0 && planned.length === 0) continue;
@@ -59,22 +59,22 @@
 
   /** Stops that the machine has yet to carry out. Without any it is not looked at again. */
   private dueStops(machine: Machine): Command[] {
-    const { machinesWithStops } = this.cluster;
-    if (!machinesWithStops.has(machine)) return [];
+    const { machinesWithPendingStops } = this.cluster;
+    if (!machinesWithPendingStops.has(machine)) return [];
     const isDue = ({ phase, pendingStop }: Placement): boolean =>
       phase !== 'saving' || pendingStop?.gracePeriodSeconds === 0;
     const stops = this.cluster.isKnown(machine) ? stopCommands(machine, isDue) : [];
-    if (stops.length === 0) machinesWithStops.delete(machine);
+    if (stops.length === 0) machinesWithPendingStops.delete(machine);
     return stops;
   }
 
   /** Replicas that have a place there and are yet to be started. Without any the machine is not looked at again. */
   private plannedReplicas(machine: Machine): Placement[] {
-    const { machinesWithStarts } = this.cluster;
-    if (!machinesWithStarts.has(machine)) return [];
+    const { machinesWithPendingStarts } = this.cluster;
+    if (!machinesWithPendingStarts.has(machine)) return [];
     const placements = this.cluster.isKnown(machine) ? [...machine.placements.values()] : [];
     const planned = placements.filter(({ job, phase }) => job.isService && phase === 'planned');
-    if (planned.length === 0) machinesWithStarts.delete(machine);
+    if (planned.length === 0) machinesWithPendingStarts.delete(machine);
     return planned;
   }
 
@@ -91,7 +91,7 @@
   }
 
   private start(placement: Placement): Command {
-    this.cluster.earlierTerms.onStart();
+    this.cluster.previousTerms.onTaskStarted();
     placement.phase = 'sent';
     placement.sentInResponseTo = null;
     placement.machine.unconfirmedStarts.add(startKeyOf(placement));
--- a/src/core/workers/reconciliation.ts
+++ b/src/core/workers/reconciliation.ts
@@ -50,7 +50,7 @@
 
   /** One that has reported to this leader shows its token with the next report, and needs no question. */
   private willTell(machine: Machine): boolean {
-    return this.cluster.earlierTerms.recovery !== null && machine.firstHeartbeatAt !== null;
+    return this.cluster.previousTerms.recovery !== null && machine.firstHeartbeatAt !== null;
   }
 
   private reconcileNext(): void {
@@ -107,8 +107,8 @@
     if (report.fencingToken === this.token && machine.highestFencingToken < this.token) this.onReachable(machine);
     const freed = applyReport(this.cluster, machine, report, this.token, source);
     if (source === 'commandAnswer') machine.lastContactAt = this.context.now.monotonic;
-    if (freed) this.leader.scheduleRoundSoon();
-    this.leader.readSuspectedOrphans();
+    if (freed) this.leader.schedulePlanningRoundSoon();
+    this.leader.lookUpSuspectedOrphans();
     const ignores = machine.ignoredResponses >= UNRESPONSIVE_AFTER_IGNORED_RESPONSES;
     if (ignores && machine.unresponsiveSince === null) this.markUnresponsive(machine);
     return freed;
@@ -118,7 +118,7 @@
   onReachable(machine: Machine): void {
     if (!machine.confirmReachable()) return;
     this.context.log('info', 'machine answers commands again', { machine: machine.id });
-    this.leader.scheduleRoundSoon();
+    this.leader.schedulePlanningRoundSoon();
   }
 
   /** What is sent doesn't reach it, whatever is heard of it: no new work, until an answer to a command proves otherwise. */
@@ -127,6 +127,6 @@
     machine.nextProbeAt = this.context.after(PROBE_PERIOD_MS);
     this.context.log('info', 'machine reports but does not react to answers: unresponsive', { machine: machine.id });
     this.cluster.releasePlanned(machine);
-    this.leader.scheduleRoundSoon();
+    this.leader.schedulePlanningRoundSoon();
   }
 }
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -38,7 +38,7 @@
       strays.push(strayOf(task, job, true));
       return null;
     case 'readRecord':
-      cluster.earlierTerms.suspectOrphan(task.job, machine);
+      cluster.previousTerms.suspectOrphan(task.job, machine);
       strays.push(strayOf(task, job, false));
       return null;
     default:
@@ -50,19 +50,19 @@
 /** An ended task without a place: what it says is counted once, whoever started it. */
 export function recoverEndedTask(cluster: Cluster, machine: Machine, task: TaskStatus): Classification {
   const classification = classifyTask(cluster, task, null);
-  if (classification.action === 'readRecord') cluster.earlierTerms.suspectOrphan(task.job, machine);
+  if (classification.action === 'readRecord') cluster.previousTerms.suspectOrphan(task.job, machine);
   return classification;
 }
 
 /** Whether a worker may drop an ended task of a job that isn't known: only once it is certain that nobody recorded it. */
 export function mayForgetUnknown(cluster: Cluster, job: JobId): boolean {
-  const { recovery } = cluster.earlierTerms;
-  return recovery === null || (recovery.isOrphan(job) && !cluster.unreadableJobs.has(job));
+  const { recovery } = cluster.previousTerms;
+  return recovery === null || (recovery.isOrphan(job) && !cluster.unreadableJobIds.has(job));
 }
 
-function classifyTask(cluster: Cluster, task: TaskStatus, elsewhere: OtherPlace | null): Classification {
-  const ended = task.phase === 'exited' ? task.exitReason : null;
-  return classify({ attempt: task.attempt, ended, job: storedJob(cluster, task), elsewhere });
+function classifyTask(cluster: Cluster, task: TaskStatus, otherPlacement: OtherPlace | null): Classification {
+  const exitReason = task.phase === 'exited' ? task.exitReason : null;
+  return classify({ attempt: task.attempt, exitReason, job: storedJob(cluster, task), otherPlacement });
 }
 
 function storedJob(cluster: Cluster, { job: id, index, phase }: TaskStatus): StoredJob {
@@ -72,8 +72,8 @@
     const taskDone = (phase === 'exited' || !job.isGang) && job.isDone(index);
     return { kind: 'recorded', cancelled: job.state === 'cancelled', taskDone, isService: job.isService };
   }
-  if (cluster.unreadableJobs.has(id)) return { kind: 'unreadable' };
-  return { kind: cluster.earlierTerms.recovery?.isOrphan(id) ? 'absent' : 'unread' };
+  if (cluster.unreadableJobIds.has(id)) return { kind: 'unreadable' };
+  return { kind: cluster.previousTerms.recovery?.isOrphan(id) ? 'absent' : 'unread' };
 }
 
 /** The task's place on another machine; one that was only planned is given up. */
@@ -108,14 +108,14 @@
 
 /** Lists repeat what doesn't change: a stray is counted with the first list that shows it as what it is. */
 function countIfNew(
-  { earlierTerms }: Cluster,
+  { previousTerms }: Cluster,
   machine: Machine,
   task: TaskStatus,
   { taskClass, action }: Classification,
 ): void {
   const before = machine.unexpectedTasks.get(taskKey(task.job, task.index));
   const isRepeated = before?.attempt === task.attempt && before.shouldStop === (action === 'stop');
-  if (!isRepeated) earlierTerms.recovery?.count(taskClass);
+  if (!isRepeated) previousTerms.recovery?.countTask(taskClass);
 }
 
 function logDuplicate({ context }: Cluster, machine: Machine, task: TaskStatus, other: Placement | null): void {
--- a/src/core/workers/report_handler.ts
+++ b/src/core/workers/report_handler.ts
@@ -75,7 +75,7 @@
       return;
     }
     if (!this.leader.isLoaded()) {
-      this.renewedWhileLoading.note(report.machine, this.context.now.monotonic);
+      this.renewedWhileLoading.record(report.machine, this.context.now.monotonic);
       reply(this.emptyAnswer);
       return;
     }
@@ -117,10 +117,10 @@
 
   /** Once everything is certain, no list has to wait for its turn. */
   private mustWaitInBacklog(list: UnreadList): boolean {
-    const { recovery } = this.cluster.earlierTerms;
+    const { recovery } = this.cluster.previousTerms;
     if (!recovery || recovery.isFinished || list.report.fencingToken !== this.token) return false;
     const waits = this.unreadLists.mustWait(list);
-    recovery.noteBacklog(this.unreadLists.size);
+    recovery.recordBacklogLength(this.unreadLists.size);
     return waits;
   }
 
@@ -137,7 +137,7 @@
     const held = { reply, machine, seq: report.sequence, until: this.context.after(HOLD_MS), idle: false };
     if (roomCameFree) {
       // Planned at once, so that the answer already carries what starts in the room.
-      this.leader.scheduleRoundSoon();
+      this.leader.schedulePlanningRoundSoon();
       this.hold(held);
     } else if (this.waitsForRecords(machine)) {
       this.hold(held);
@@ -198,7 +198,7 @@
     machine.phase = 'up';
     const { monotonic } = this.context.now;
     if (machine.provisionedByThisLeader) {
-      this.cluster.bootTimes.recordBoot(machine.type, machine.zone, machine.ageSeconds(monotonic), monotonic);
+      this.cluster.bootTimeEstimator.recordBoot(machine.type, machine.zone, machine.ageSeconds(monotonic), monotonic);
     }
     this.context.log('info', 'machine is up', {
       machine: machine.id,
@@ -214,12 +214,12 @@
    * late copy from a machine that is long gone: it gets no work before it has shown that it hears this node.
    */
   private addUnlisted({ machine: id, type: typeName, zone, spot, address }: Heartbeat): Machine | null {
-    const type = this.cluster.types.get(typeName);
+    const type = this.cluster.machineTypes.get(typeName);
     if (!type) return null;
     const now = this.context.now.monotonic;
     const machine = new Machine({ id, type, zone, spot, address, reconciled: true, phase: 'up', now });
     this.cluster.machines.set(id, machine);
-    this.cluster.earlierTerms.recovery?.onUnlistedMachine();
+    this.cluster.previousTerms.recovery?.onUnregisteredMachine();
     this.context.log('info', 'report of a machine that was not listed', { machine: id });
     return machine;
   }
@@ -275,7 +275,7 @@
     if (until <= this.context.now.monotonic) return false;
     if (idle && machine.placements.size === 0) return true;
     if (isRoundSoon && !idle) return true;
-    return this.leader.writesInFlight() && this.waitsForRecords(machine);
+    return this.leader.hasWritesInFlight() && this.waitsForRecords(machine);
   }
 
   private answer({ reply, machine, seq }: HeldReport): void {
@@ -299,7 +299,7 @@
     if (placement.job.isGang && placement.phase === 'planned' && !isGangStartDue(this.cluster, placement)) return false;
     placement.phase = 'sent';
     placement.sentInResponseTo = seq;
-    this.cluster.earlierTerms.onStart();
+    this.cluster.previousTerms.onTaskStarted();
     return true;
   }
 }
--- a/src/core/workers/report_processing.ts
+++ b/src/core/workers/report_processing.ts
@@ -72,7 +72,7 @@
     session: report.agentEpoch,
     tasks: machine.placements.size,
   });
-  cluster.releaseAll(machine);
+  cluster.releaseEverything(machine);
   machine.unconfirmedStarts.clear();
   machine.images.dropAbandonedPulls(() => false);
 }
@@ -194,7 +194,7 @@
     // An older attempt is still there: ours can't have been started.
     cluster.release(known);
   }
-  if (cluster.earlierTerms.recovery) return recoverLiveTask(cluster, machine, task, strays);
+  if (cluster.previousTerms.recovery) return recoverLiveTask(cluster, machine, task, strays);
   return placeReported(cluster, machine, task);
 }
 
--- a/src/core/workers/report_router.ts
+++ b/src/core/workers/report_router.ts
@@ -70,7 +70,7 @@
     }
     const other = this.redirectTarget();
     if (other !== null) answer({ status: 421, redirectTo: other });
-    else leader.onReport(report, answer);
+    else leader.onHeartbeat(report, answer);
   }
 
   /** A report that a peer passed on. */
@@ -81,11 +81,11 @@
       return;
     }
     this.workersHeardAt = this.context.now.monotonic;
-    leader.onReport(report, answer);
+    leader.onHeartbeat(report, answer);
   }
 
   private passOn(report: Heartbeat, answer: (answer: HeartbeatResponse) => void): void {
-    const holder = this.election.holderName();
+    const holder = this.election.leaderName();
     if (holder === null || holder === this.context.settings.controller) {
       answer({ status: 503 });
       return;
@@ -101,7 +101,7 @@
     }
     // The way to the leader may be open to the worker: but only one known to lead now is named, so that no worker is
     // kept going round.
-    answer(this.election.knowsHolder() ? { status: 421, redirectTo: holder } : { status: 503 });
+    answer(this.election.isLeaderKnown() ? { status: 421, redirectTo: holder } : { status: 503 });
   }
 
   private mayForwardTo(peer: Peer): boolean {
@@ -117,7 +117,7 @@
   takesReports(): boolean {
     const { settings, tuning, now } = this.context;
     const leader = this.currentLeader();
-    if (!leader || !this.election.isValid()) return false;
+    if (!leader || !this.election.isLeaseValid()) return false;
     if (settings.limits.cpuShare < tuning.leadership.reports_cpu_share) return false;
     if (leader.machineCount > settings.limits.maxConnections * WORKER_SOCKET_SHARE) return false;
     return (
--- a/src/core/workers/stray_tasks.ts
+++ b/src/core/workers/stray_tasks.ts
@@ -17,7 +17,7 @@
   for (const stray of before.values()) count(cluster, stray, -1);
   const change = Number(hasUnknown(machine.unexpectedTasks)) - Number(hasUnknown(before));
   if (change !== 0) cluster.quotas.addUnattributed(machine.type, change > 0 ? 1 : -1);
-  if (strays.some(({ shouldStop }) => shouldStop)) cluster.requestStops(machine);
+  if (strays.some(({ shouldStop }) => shouldStop)) cluster.scheduleStopCommands(machine);
 }
 
 /** Whether tasks of jobs that aren't known are among them. */
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -27,7 +27,7 @@
   machine.exitedTasks.push({ job: task.job, index, attempt, isDone: hasResult });
   const found = cluster.findPlacement(machine, task.job, index);
   const placement = found?.attempt === attempt ? found : null;
-  if (!placement && cluster.earlierTerms.recovery) recordMissedEnd(cluster, machine, task);
+  if (!placement && cluster.previousTerms.recovery) recordMissedEnd(cluster, machine, task);
   if (!job) return false;
   if (hasResult) recordResult(cluster, machine, job, task, placement);
   if (!placement) return false;
@@ -41,7 +41,7 @@
 function recordMissedEnd(cluster: Cluster, machine: Machine, task: TaskStatus): void {
   const { taskClass, action } = recoverEndedTask(cluster, machine, task);
   if (!isNewEnd(machine, task)) return;
-  cluster.earlierTerms.recovery?.count(taskClass);
+  cluster.previousTerms.recovery?.countTask(taskClass);
   const job = cluster.jobs.get(task.job);
   if (!job) return;
   job.locatedTasks.add(task.index);
@@ -69,11 +69,11 @@
 /** Learns from how long a task took, unless it ran in several parts. */
 function recordRunTime(cluster: Cluster, { job, machine, runningSince, foundRunning }: Placement): void {
   if (runningSince === null || job.failureCount > 0) return;
-  const { estimates, context, earlierTerms } = cluster;
+  const { runtimeEstimator, context, previousTerms } = cluster;
   // How long it ran before this leader found it isn't known: taken for its whole time it would make estimates too short.
-  if (foundRunning && earlierTerms.recovery) return;
-  const logStandardDeviation = estimates.logStandardDeviation(job.spec);
-  const logRatio = estimates.observe(job.spec, (context.now.monotonic - runningSince) / 1000);
+  if (foundRunning && previousTerms.recovery) return;
+  const logStandardDeviation = runtimeEstimator.logStandardDeviation(job.spec);
+  const logRatio = runtimeEstimator.observe(job.spec, (context.now.monotonic - runningSince) / 1000);
   // A gang is as slow as its slowest machine: only a gang of one says which that is.
   if (job.isGang && job.spec.taskCount > 1) return;
   if (logRatio > STRAGGLER_LOG_RATIO) job.slowMachines.add(machine.id);
--- a/src/core/workers/unread_lists.ts
+++ b/src/core/workers/unread_lists.ts
@@ -44,12 +44,12 @@
   /** Returns whether the list has to wait; otherwise it is to be looked at now. */
   mustWait(list: UnreadList): boolean {
     const { machine, report } = list;
-    const replaced = this.backlog.drop(machine.id);
+    const replaced = this.backlog.remove(machine.id);
     replaced?.reply?.(UNAVAILABLE);
     if (this.backlog.admit(this.context.now.monotonic)) return false;
     this.backlog.add(machine.id, list);
     machine.lastHeartbeatSequence = report.sequence;
-    this.context.timers.setIfUnset('reportBacklog', this.backlog.nextAt() ?? this.context.now.monotonic);
+    this.context.timers.setIfUnset('reportBacklog', this.backlog.nextDueAt() ?? this.context.now.monotonic);
     return true;
   }
 
@@ -57,16 +57,16 @@
   onTimer(): void {
     const now = this.context.now.monotonic;
     for (const list of this.backlog.takeDue(now)) this.callbacks.take(list);
-    for (const list of this.backlog.waiting()) {
+    for (const list of this.backlog.pending()) {
       if (list.until > now) break;
       list.reply?.(this.callbacks.renewal());
       list.reply = null;
     }
-    const next = this.backlog.nextAt();
+    const next = this.backlog.nextDueAt();
     if (next !== null) this.context.timers.set('reportBacklog', next);
   }
 
   stop(): void {
-    for (const { reply } of this.backlog.waiting()) reply?.(UNAVAILABLE);
+    for (const { reply } of this.backlog.pending()) reply?.(UNAVAILABLE);
   }
 }
--- a/src/recovery/index.ts
+++ b/src/recovery/index.ts
@@ -2,23 +2,30 @@
  * Recovery after a change of lead, a cold start above all: what earlier leaders left is matched against what workers report,
  * and only true disagreement is acted on. Decisions only; `src/core` carries them out. docs/design/cold-start.md.
  */
-export { classify } from './classification.js';
+
+export { HeartbeatBacklog as ReportBacklog } from './heartbeat_backlog.js';
 export { LeaseRenewals } from './lease_renewals.js';
 export { Recovery, type RecoveryInit } from './recovery.js';
-export { ReportBacklog } from './report_backlog.js';
-export { believedZones, encodeTerm, nextTermValue, type TermValue, type ZonesKeptSince } from './start_zones.js';
+export {
+  encodeTerm,
+  nextTermRecord as nextTermValue,
+  type StartZonesRecordedSince as ZonesKeptSince,
+  type TermRecord as TermValue,
+  trustedStartZones as believedZones,
+} from './start_zones.js';
 export { type RecoverySummary, summaryFields } from './summary.js';
+export { classify } from './task_classification.js';
 export type { TeamExposure } from './team_exposure.js';
 export type {
-  Certainty,
   Classification,
-  EarlierJob,
-  ListedTask,
   Orphan,
-  OtherPlace,
+  OtherPlacement as OtherPlace,
+  PreviousTermJob as EarlierJob,
+  ReconciledBy as Certainty,
+  ReportedTask as ListedTask,
   StoredJob,
   TaskAction,
   TaskClass,
-  UncertainMachine,
+  UnreconciledMachine as UncertainMachine,
 } from './types.js';
-export type { Capacity } from './uncertain_machines.js';
+export type { Capacity } from './unreconciled_machines.js';
--- a/src/recovery/orphans.ts
+++ b/src/recovery/orphan_tracker.ts
@@ -2,15 +2,15 @@
 import type { Orphan } from './types.js';
 
 /** So many tasks are listed for operators; beyond that they are handled alike and not listed. */
-const MAX_LISTED = 1000;
+const MAX_LISTED_TASKS = 1000;
 /** So many jobs are kept; the tasks of any more are left alone until there is room. */
-const MAX_JOBS = 10_000;
+const MAX_SUSPECTED_JOBS = 10_000;
 
-interface SuspectedJob {
+interface SuspectedOrphan {
   readonly machines: Set<MachineId>;
   readonly seenAt: MonotonicTime;
-  reading: boolean;
-  confirmed: boolean;
+  isLookupInFlight: boolean;
+  isConfirmed: boolean;
 }
 
 /**
@@ -18,31 +18,31 @@
  * a transaction that is carried out late can't have been answered before; so a record that justifies a start is there before
  * the task is, and a read sent after the report finds it whatever is still on its way.
  */
-export class Orphans {
-  private readonly jobs = new Map<JobId, SuspectedJob>();
+export class OrphanTracker {
+  private readonly jobs = new Map<JobId, SuspectedOrphan>();
 
   /** A worker reports a task of a job that isn't known. Returns whether its record is to be read now. */
   onReported(job: JobId, machine: MachineId, now: MonotonicTime): boolean {
     let suspected = this.jobs.get(job);
     if (!suspected) {
-      if (this.jobs.size >= MAX_JOBS) return false;
-      suspected = { machines: new Set(), seenAt: now, reading: false, confirmed: false };
+      if (this.jobs.size >= MAX_SUSPECTED_JOBS) return false;
+      suspected = { machines: new Set(), seenAt: now, isLookupInFlight: false, isConfirmed: false };
       this.jobs.set(job, suspected);
     }
     suspected.machines.add(machine);
-    if (suspected.confirmed || suspected.reading) return false;
-    suspected.reading = true;
+    if (suspected.isConfirmed || suspected.isLookupInFlight) return false;
+    suspected.isLookupInFlight = true;
     return true;
   }
 
   /** The answer to the read: true, false, or null where the store didn't say. Returns whether it is news that it is absent. */
-  onRead(job: JobId, exists: boolean | null): boolean {
+  onLookedUp(job: JobId, exists: boolean | null): boolean {
     const suspected = this.jobs.get(job);
     if (!suspected) return false;
-    suspected.reading = false;
+    suspected.isLookupInFlight = false;
     if (exists === true) this.jobs.delete(job);
-    const isNews = exists === false && !suspected.confirmed;
-    if (exists === false) suspected.confirmed = true;
+    const isNews = exists === false && !suspected.isConfirmed;
+    if (exists === false) suspected.isConfirmed = true;
     return isNews;
   }
 
@@ -52,15 +52,15 @@
   }
 
   isConfirmed(job: JobId): boolean {
-    return this.jobs.get(job)?.confirmed ?? false;
+    return this.jobs.get(job)?.isConfirmed ?? false;
   }
 
   list(): Orphan[] {
     const orphans: Orphan[] = [];
-    for (const [job, { machines, seenAt, confirmed }] of this.jobs) {
+    for (const [job, { machines, seenAt, isConfirmed }] of this.jobs) {
       for (const machine of machines) {
-        if (orphans.length >= MAX_LISTED) return orphans;
-        orphans.push({ job, machine, seenAt, confirmed });
+        if (orphans.length >= MAX_LISTED_TASKS) return orphans;
+        orphans.push({ job, machine, seenAt, confirmed: isConfirmed });
       }
     }
     return orphans;
--- a/src/recovery/recovery.ts
+++ b/src/recovery/recovery.ts
@@ -1,9 +1,9 @@
 import type { JobId, MachineId, MonotonicTime } from '../core/types.js';
-import { Orphans } from './orphans.js';
-import { noMachines, noTasks, type RecoverySummary } from './summary.js';
+import { OrphanTracker } from './orphan_tracker.js';
+import { type RecoverySummary, zeroReconciledByCounts, zeroTaskCounts } from './summary.js';
 import { type TeamExposure, teamExposure } from './team_exposure.js';
-import type { Certainty, EarlierJob, TaskClass, UncertainMachine } from './types.js';
-import { type Capacity, UncertainMachines } from './uncertain_machines.js';
+import type { PreviousTermJob, ReconciledBy, TaskClass, UnreconciledMachine } from './types.js';
+import { type Capacity, UnreconciledMachines } from './unreconciled_machines.js';
 
 export interface RecoveryInit {
   readonly term: number;
@@ -16,14 +16,14 @@
  * clock: what is stored, reported and read is told to it, and it says what each task is, and what must wait for whom.
  */
 export class Recovery {
-  private readonly uncertain = new UncertainMachines();
-  private readonly orphans = new Orphans();
-  private readonly certainty = noMachines();
-  private readonly tasks = noTasks();
+  private readonly unreconciled = new UnreconciledMachines();
+  private readonly orphans = new OrphanTracker();
+  private readonly reconciledBy = zeroReconciledByCounts();
+  private readonly tasks = zeroTaskCounts();
   private machines = 0;
-  private unlistedMachines = 0;
+  private unregisteredMachines = 0;
   private unreadableRecords = 0;
-  private notFound = 0;
+  private missingTasks = 0;
   private longestBacklog = 0;
   private loaded = false;
   private finishedAt: MonotonicTime | null = null;
@@ -34,15 +34,15 @@
   // ---- what was stored
 
   /** A machine is on record, and its list has yet to come. */
-  addMachine(machine: UncertainMachine): void {
-    this.uncertain.add(machine);
+  addMachine(machine: UnreconciledMachine): void {
+    this.unreconciled.add(machine);
     this.machines += 1;
   }
 
   /** A page of the registry can't be read in full: what is on it may run until then without being known. */
   onUnreadablePage(leasesEndAt: MonotonicTime): void {
     this.unreadableRecords += 1;
-    this.uncertain.noteUnlisted(leasesEndAt);
+    this.unreconciled.setMayHaveUnregisteredUntil(leasesEndAt);
   }
 
   onUnreadableJob(): void {
@@ -57,57 +57,57 @@
   // ---- machines
 
   /** What is on the machine is certain from now on. */
-  onCertain(machine: MachineId, how: Certainty): void {
-    if (this.uncertain.remove(machine)) this.certainty[how] += 1;
+  onMachineReconciled(machine: MachineId, how: ReconciledBy): void {
+    if (this.unreconciled.remove(machine)) this.reconciledBy[how] += 1;
   }
 
-  onUnlistedMachine(): void {
-    this.unlistedMachines += 1;
+  onUnregisteredMachine(): void {
+    this.unregisteredMachines += 1;
   }
 
-  get uncertainMachines(): number {
-    return this.uncertain.count;
+  get unreconciledMachines(): number {
+    return this.unreconciled.count;
   }
 
-  isCertain(now: MonotonicTime): boolean {
-    return this.loaded && this.uncertain.isEmpty(now);
+  isReconciled(now: MonotonicTime): boolean {
+    return this.loaded && this.unreconciled.isEmpty(now);
   }
 
   // ---- jobs
 
   /** Whether a task of the job that was not found may yet be on a machine that has told nothing. */
-  mayRunUnseen(job: EarlierJob, now: MonotonicTime): boolean {
-    if (job.startTerm <= 0 || job.startTerm >= this.init.term || job.unaccounted <= 0) return false;
-    return this.uncertain.couldHold(job, now);
+  mayRunUnseen(job: PreviousTermJob, now: MonotonicTime): boolean {
+    if (job.startTerm <= 0 || job.startTerm >= this.init.term || job.unaccountedTasks <= 0) return false;
+    return this.unreconciled.isFeasible(job, now);
   }
 
   /** What uncertain machines have; null: there may be others. */
-  uncertainCapacity(now: MonotonicTime): Capacity | null {
-    return this.uncertain.capacity(now);
+  unreconciledCapacity(now: MonotonicTime): Capacity | null {
+    return this.unreconciled.capacity(now);
   }
 
   /** What each team may have running unseen, of these jobs; null where there is no telling. */
-  teamExposure(jobs: Iterable<EarlierJob>, now: MonotonicTime): TeamExposure | null {
-    const capacity = this.uncertain.capacity(now);
+  teamExposure(jobs: Iterable<PreviousTermJob>, now: MonotonicTime): TeamExposure | null {
+    const capacity = this.unreconciled.capacity(now);
     if (capacity === null || this.unreadableRecords > 0) return null;
-    return teamExposure(jobs, this.uncertain, (job) => this.mayRunUnseen(job, now), capacity);
+    return teamExposure(jobs, this.unreconciled, (job) => this.mayRunUnseen(job, now), capacity);
   }
 
   // ---- tasks
 
   /** A reported task was found to be this; told once of each. */
-  count(taskClass: TaskClass): void {
+  countTask(taskClass: TaskClass): void {
     this.tasks[taskClass] += 1;
   }
 
   /** A task of a job that isn't known is reported. Returns whether the job's record is to be read. */
-  onUnknownJob(job: JobId, machine: MachineId, now: MonotonicTime): boolean {
+  onUnknownJobReported(job: JobId, machine: MachineId, now: MonotonicTime): boolean {
     return this.orphans.onReported(job, machine, now);
   }
 
   /** `exists`: whether the store holds a record; null: it didn't say. Returns whether it is news that there is none. */
-  onRecordRead(job: JobId, exists: boolean | null): boolean {
-    return this.orphans.onRead(job, exists);
+  onRecordLookedUp(job: JobId, exists: boolean | null): boolean {
+    return this.orphans.onLookedUp(job, exists);
   }
 
   onRecorded(job: JobId): void {
@@ -118,11 +118,11 @@
     return this.orphans.isConfirmed(job);
   }
 
-  onStart(now: MonotonicTime): void {
+  onTaskStarted(now: MonotonicTime): void {
     this.firstStartAt ??= now;
   }
 
-  noteBacklog(length: number): void {
+  recordBacklogLength(length: number): void {
     this.longestBacklog = Math.max(this.longestBacklog, length);
   }
 
@@ -133,9 +133,9 @@
    * were found nowhere.
    */
   finish(now: MonotonicTime, countMissing: () => number): boolean {
-    if (this.finishedAt !== null || !this.isCertain(now)) return false;
+    if (this.finishedAt !== null || !this.isReconciled(now)) return false;
     this.finishedAt = now;
-    this.notFound = countMissing();
+    this.missingTasks = countMissing();
     return true;
   }
 
@@ -150,11 +150,11 @@
       finishedAt: this.finishedAt,
       firstStartAt: this.firstStartAt,
       machines: this.machines,
-      uncertainMachines: this.uncertain.count,
-      certainty: { ...this.certainty },
-      unlistedMachines: this.unlistedMachines,
+      unreconciledMachines: this.unreconciled.count,
+      reconciledBy: { ...this.reconciledBy },
+      unregisteredMachines: this.unregisteredMachines,
       tasks: { ...this.tasks },
-      notFound: this.notFound,
+      missingTasks: this.missingTasks,
       unreadableRecords: this.unreadableRecords,
       longestBacklog: this.longestBacklog,
       orphans: this.orphans.list(),
--- a/src/recovery/start_zones.ts
+++ b/src/recovery/start_zones.ts
@@ -9,7 +9,7 @@
  */
 
 /** The counter of terms: `n` is the term, `zones` the first of an unbroken row of terms that kept zones. */
-export interface TermValue {
+export interface TermRecord {
   readonly n: number;
   readonly zones?: number;
 }
@@ -17,26 +17,26 @@
 const isTerm = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) > 0;
 
 /** The counter as the leader of a new term writes it. */
-export function nextTermValue(stored: unknown, keepsZones: boolean): TermValue {
+export function nextTermRecord(stored: unknown, recordsStartZones: boolean): TermRecord {
   const { n, zones } = (stored ?? {}) as { n?: unknown; zones?: unknown };
   const term = Number(n ?? 0) + 1;
-  if (!keepsZones) return { n: term };
+  if (!recordsStartZones) return { n: term };
   return { n: term, zones: isTerm(zones) && zones < term ? zones : term };
 }
 
 /** The counter as it is stored, under names that never change. */
-export function encodeTerm({ n, zones }: TermValue): Readonly<Record<string, number>> {
+export function encodeTerm({ n, zones }: TermRecord): Readonly<Record<string, number>> {
   return zones === undefined ? { n } : { n, zones };
 }
 
 /** Since which term every leader has kept the zones of jobs; null: this leader doesn't believe any list. */
-export type ZonesKeptSince = number | null;
+export type StartZonesRecordedSince = number | null;
 
 /** The zones in which tasks of a job can be, as far as its record may be believed; null: any. */
-export function believedZones(
+export function trustedStartZones(
   startTerm: number,
   startZones: readonly ZoneName[] | null,
-  keptSince: ZonesKeptSince,
+  keptSince: StartZonesRecordedSince,
 ): readonly ZoneName[] | null {
   return keptSince !== null && startTerm >= keptSince ? startZones : null;
 }
--- a/src/recovery/summary.ts
+++ b/src/recovery/summary.ts
@@ -1,9 +1,9 @@
 import type { MonotonicTime } from '../core/types.js';
-import type { Certainty, Orphan, TaskClass } from './types.js';
+import type { Orphan, ReconciledBy, TaskClass } from './types.js';
 
 /** How many of each class were found. */
 export type TaskCounts = Readonly<Record<TaskClass, number>>;
-export type CertaintyCounts = Readonly<Record<Certainty, number>>;
+export type ReconciledByCounts = Readonly<Record<ReconciledBy, number>>;
 
 /** What a leader has found out since it took the lead. */
 export interface RecoverySummary {
@@ -15,13 +15,13 @@
   readonly firstStartAt: MonotonicTime | null;
   /** Machines on record as the lead was taken, and how they became certain. */
   readonly machines: number;
-  readonly uncertainMachines: number;
-  readonly certainty: CertaintyCounts;
+  readonly unreconciledMachines: number;
+  readonly reconciledBy: ReconciledByCounts;
   /** Machines that were found though no record showed them. */
-  readonly unlistedMachines: number;
+  readonly unregisteredMachines: number;
   readonly tasks: TaskCounts;
   /** Tasks of jobs begun earlier that were on no machine when all were certain. */
-  readonly notFound: number;
+  readonly missingTasks: number;
   /** Jobs' records and pages of the registry that this version can't read. */
   readonly unreadableRecords: number;
   /** The most lists that waited for their turn. */
@@ -29,7 +29,7 @@
   readonly orphans: readonly Orphan[];
 }
 
-const NO_TASKS: TaskCounts = {
+const ZERO_TASK_COUNTS: TaskCounts = {
   agrees: 0,
   finished: 0,
   finishedOnRecord: 0,
@@ -43,24 +43,24 @@
   unreadable: 0,
 };
 
-const NO_MACHINES: CertaintyCounts = { listed: 0, leaseEnded: 0, gone: 0 };
+const ZERO_RECONCILED_BY_COUNTS: ReconciledByCounts = { listed: 0, leaseEnded: 0, gone: 0 };
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
-export const noTasks = (): Mutable<TaskCounts> => ({ ...NO_TASKS });
-export const noMachines = (): Mutable<CertaintyCounts> => ({ ...NO_MACHINES });
+export const zeroTaskCounts = (): Mutable<TaskCounts> => ({ ...ZERO_TASK_COUNTS });
+export const zeroReconciledByCounts = (): Mutable<ReconciledByCounts> => ({ ...ZERO_RECONCILED_BY_COUNTS });
 
 /** The summary as one line's fields; what was not met is left out. */
 export function summaryFields(summary: RecoverySummary): Record<string, number> {
-  const { term, machines, unlistedMachines, notFound, unreadableRecords, longestBacklog } = summary;
+  const { term, machines, unregisteredMachines, missingTasks, unreadableRecords, longestBacklog } = summary;
   const fields: Record<string, number> = { term, machines };
-  if (summary.finishedAt !== null) fields.tookS = roundS(summary.finishedAt - summary.startedAt);
-  if (summary.firstStartAt !== null) fields.firstStartS = roundS(summary.firstStartAt - summary.startedAt);
+  if (summary.finishedAt !== null) fields.tookS = toSeconds(summary.finishedAt - summary.startedAt);
+  if (summary.firstStartAt !== null) fields.firstStartS = toSeconds(summary.firstStartAt - summary.startedAt);
   const counts = {
-    ...summary.certainty,
+    ...summary.reconciledBy,
     ...summary.tasks,
-    unlistedMachines,
-    notFound,
+    unlistedMachines: unregisteredMachines,
+    notFound: missingTasks,
     unreadableRecords,
     longestBacklog,
   };
@@ -68,4 +68,4 @@
   return fields;
 }
 
-const roundS = (ms: number): number => Math.round(ms / 10) / 100;
+const toSeconds = (ms: number): number => Math.round(ms / 10) / 100;
--- a/src/recovery/classification.ts
+++ b/src/recovery/task_classification.ts
@@ -1,34 +1,34 @@
-import type { Classification, ListedTask, OtherPlace, StoredJob } from './types.js';
+import type { Classification, OtherPlacement, ReportedTask, StoredJob } from './types.js';
 
 /**
  * What a task of a worker's list is, and what follows. A pure function of what was stored and what is reported, so that a
  * leader that repeats it after another one failed comes to the same result.
  */
-export function classify(task: ListedTask): Classification {
+export function classify(task: ReportedTask): Classification {
   switch (task.job.kind) {
     case 'unreadable':
       return { taskClass: 'unreadable', action: 'leave' };
     case 'unread':
       return { taskClass: 'orphanSuspected', action: 'readRecord' };
     case 'absent':
-      return { taskClass: 'orphan', action: task.ended === null ? 'stop' : 'forget' };
+      return { taskClass: 'orphan', action: task.exitReason === null ? 'stop' : 'forget' };
     case 'recorded':
-      return task.ended === null ? classifyLive(task, task.job) : classifyEnded(task, task.job);
+      return task.exitReason === null ? classifyLive(task, task.job) : classifyExited(task, task.job);
   }
 }
 
 type RecordedJob = Extract<StoredJob, { kind: 'recorded' }>;
 
-function classifyEnded({ ended }: ListedTask, job: RecordedJob): Classification {
+function classifyExited({ exitReason }: ReportedTask, job: RecordedJob): Classification {
   // A replica that ends has no result, whatever it says of itself.
-  const hasResult = ended === 'done' && !job.isService;
+  const hasResult = exitReason === 'done' && !job.isService;
   if (!hasResult) return { taskClass: 'endedOtherwise', action: job.cancelled ? 'forget' : 'requeue' };
   if (job.taskDone || job.cancelled) return { taskClass: 'finishedOnRecord', action: 'forget' };
   return { taskClass: 'finished', action: 'recordResult' };
 }
 
-function classifyLive({ attempt, elsewhere }: ListedTask, job: RecordedJob): Classification {
-  if (elsewhere !== null) return classifyDuplicate(attempt, elsewhere);
+function classifyLive({ attempt, otherPlacement }: ReportedTask, job: RecordedJob): Classification {
+  if (otherPlacement !== null) return classifyDuplicate(attempt, otherPlacement);
   if (job.cancelled) return { taskClass: 'cancelled', action: 'adoptAndStop' };
   if (job.taskDone) return { taskClass: 'alreadyDone', action: 'adoptAndStop' };
   return { taskClass: 'agrees', action: 'adopt' };
@@ -38,7 +38,7 @@
  * Attempts only grow, so the lower one is left over from an earlier start. Equal ones can't be told apart by any number that
  * two machines share: the place that was found first holds.
  */
-function classifyDuplicate(attempt: bigint, elsewhere: OtherPlace): Classification {
+function classifyDuplicate(attempt: bigint, elsewhere: OtherPlacement): Classification {
   if (attempt > elsewhere.attempt) return { taskClass: 'newerDuplicate', action: 'adoptAndStopOther' };
   return { taskClass: 'staleDuplicate', action: 'stop' };
 }
--- a/src/recovery/types.ts
+++ b/src/recovery/types.ts
@@ -11,7 +11,7 @@
 } from '../core/types.js';
 
 /** A machine on record whose list of tasks has yet to come: it may hold tasks of an earlier leader. */
-export interface UncertainMachine extends Pick<Resources, 'cpus' | 'gpus'> {
+export interface UnreconciledMachine extends Pick<Resources, 'cpus' | 'gpus'> {
   readonly id: MachineId;
   readonly type: MachineTypeName;
   readonly zone: ZoneName;
@@ -19,7 +19,7 @@
 }
 
 /** How it became certain what is on a machine. */
-export type Certainty =
+export type ReconciledBy =
   /** A list with this leader's token. */
   | 'listed'
   /** Nobody can have renewed its lease for longer than the lease lasts. */
@@ -28,7 +28,7 @@
   | 'gone';
 
 /** A job as the store held it when the lead changed, and what has been found of it since. */
-export interface EarlierJob extends Pick<Resources, 'cpus' | 'gpus'> {
+export interface PreviousTermJob extends Pick<Resources, 'cpus' | 'gpus'> {
   readonly id: JobId;
   readonly team: TeamName;
   /** The term of its first start; 0: never started. */
@@ -39,7 +39,7 @@
   readonly zone: ZoneName | null;
   readonly spotOk: boolean;
   /** Tasks that are neither done nor known to be on a machine. */
-  readonly unaccounted: number;
+  readonly unaccountedTasks: number;
 }
 
 /** What the store says of the job that a reported task belongs to. */
@@ -53,19 +53,19 @@
   | { readonly kind: 'absent' };
 
 /** A place of the same task on another machine. */
-export interface OtherPlace {
+export interface OtherPlacement {
   readonly machine: MachineId;
   readonly attempt: Attempt;
 }
 
 /** One task of a worker's list, with all that decides what it is. */
-export interface ListedTask {
+export interface ReportedTask {
   readonly attempt: Attempt;
   /** Null for a task that has not ended. */
-  readonly ended: ExitReason | null;
+  readonly exitReason: ExitReason | null;
   readonly job: StoredJob;
   /** Where else the task was found; planned starts that were never sent don't count. */
-  readonly elsewhere: OtherPlace | null;
+  readonly otherPlacement: OtherPlacement | null;
 }
 
 /** What a task of a worker's list turns out to be. */
--- a/src/recovery/uncertain_machines.ts
+++ b/src/recovery/unreconciled_machines.ts
@@ -1,5 +1,5 @@
 import type { MachineId, MonotonicTime } from '../core/types.js';
-import type { EarlierJob, UncertainMachine } from './types.js';
+import type { PreviousTermJob, UnreconciledMachine } from './types.js';
 
 /** What of the cluster may hold tasks that nobody has told of. */
 export interface Capacity {
@@ -9,36 +9,36 @@
 
 /** Machines that no job's wishes can tell apart. */
 interface MachineGroup {
-  readonly sample: UncertainMachine;
+  readonly sample: UnreconciledMachine;
   count: number;
 }
 
-const groupKey = ({ type, zone, spot }: UncertainMachine): string => `${type}|${zone}|${spot}`;
+const groupKey = ({ type, zone, spot }: UnreconciledMachine): string => `${type}|${zone}|${spot}`;
 
 /**
  * The machines whose lists have yet to come, counted by what jobs can ask of a machine: a question about a job costs the few
  * groups, not the machines.
  */
-export class UncertainMachines {
-  private readonly machines = new Map<MachineId, UncertainMachine>();
+export class UnreconciledMachines {
+  private readonly machinesById = new Map<MachineId, UnreconciledMachine>();
   private readonly groups = new Map<string, MachineGroup>();
   private cpus = 0;
   private gpus = 0;
   /** Machines may exist that the registry doesn't show, until their leases have surely ended. */
-  private unlistedUntil: MonotonicTime | null = null;
+  private unregisteredUntil: MonotonicTime | null = null;
 
   get count(): number {
-    return this.machines.size;
+    return this.machinesById.size;
   }
 
   /** Whether everything is certain. */
   isEmpty(now: MonotonicTime): boolean {
-    return this.machines.size === 0 && !this.mayHaveUnlisted(now);
+    return this.machinesById.size === 0 && !this.mayHaveUnregistered(now);
   }
 
-  add(machine: UncertainMachine): void {
-    if (this.machines.has(machine.id)) return;
-    this.machines.set(machine.id, machine);
+  add(machine: UnreconciledMachine): void {
+    if (this.machinesById.has(machine.id)) return;
+    this.machinesById.set(machine.id, machine);
     const group = this.groups.get(groupKey(machine));
     if (group) group.count += 1;
     else this.groups.set(groupKey(machine), { sample: machine, count: 1 });
@@ -48,9 +48,9 @@
 
   /** Returns whether the machine was uncertain. */
   remove(id: MachineId): boolean {
-    const machine = this.machines.get(id);
+    const machine = this.machinesById.get(id);
     if (!machine) return false;
-    this.machines.delete(id);
+    this.machinesById.delete(id);
     const key = groupKey(machine);
     const group = this.groups.get(key) as MachineGroup;
     group.count -= 1;
@@ -61,22 +61,22 @@
   }
 
   /** A part of the registry can't be read: machines on it are known only once they report, or not at all. */
-  noteUnlisted(until: MonotonicTime): void {
-    this.unlistedUntil = until;
+  setMayHaveUnregisteredUntil(until: MonotonicTime): void {
+    this.unregisteredUntil = until;
   }
 
-  mayHaveUnlisted(now: MonotonicTime): boolean {
-    return this.unlistedUntil !== null && now < this.unlistedUntil;
+  mayHaveUnregistered(now: MonotonicTime): boolean {
+    return this.unregisteredUntil !== null && now < this.unregisteredUntil;
   }
 
   /** All that may be in use on them; null: there is no telling. */
   capacity(now: MonotonicTime): Capacity | null {
-    return this.mayHaveUnlisted(now) ? null : { cpus: this.cpus, gpus: this.gpus };
+    return this.mayHaveUnregistered(now) ? null : { cpus: this.cpus, gpus: this.gpus };
   }
 
   /** Whether a task of the job could be on one of them. */
-  couldHold(job: EarlierJob, now: MonotonicTime): boolean {
-    if (this.mayHaveUnlisted(now)) return true;
+  isFeasible(job: PreviousTermJob, now: MonotonicTime): boolean {
+    if (this.mayHaveUnregistered(now)) return true;
     for (const { sample } of this.groups.values()) {
       const { type, zone, spot } = sample;
       if (job.types !== null && !job.types.includes(type)) continue;
--- a/test/recovery_properties.test.ts
+++ b/test/recovery_properties.test.ts
@@ -127,7 +127,7 @@
     const asks = { types: null, zone: null, spotOk: true, cpus: 1, gpus: 0 };
     const startZones = believed && new Set(believed);
     const facts = { id: `job-${job}` as JobId, team: TEAM, startTerm, startZones };
-    return { ...facts, unaccounted: TASKS - found, ...asks };
+    return { ...facts, unaccountedTasks: TASKS - found, ...asks };
   }
 }
 
@@ -150,7 +150,7 @@
     recovery.addMachine({ id: nameOf(machine), ...kind });
   }
   recovery.onLoaded();
-  for (const machine of listed) recovery.onCertain(nameOf(machine), 'listed');
+  for (const machine of listed) recovery.onMachineReconciled(nameOf(machine), 'listed');
   return recovery;
 }
 
@@ -173,7 +173,7 @@
     const counted = recovery.teamExposure(jobs, NOW)?.get(TEAM)?.cpus ?? 0;
     assert.ok(counted >= unseen, `${unseen} tasks run unseen, ${counted} count`);
     const isAllListed = listed.size === MACHINES;
-    assert.equal(recovery.isCertain(NOW), isAllListed);
+    assert.equal(recovery.isReconciled(NOW), isAllListed);
     if (isAllListed) assert.ok(jobs.every((job) => !recovery.mayRunUnseen(job, NOW)));
   });
   check(property, 3000);
@@ -197,15 +197,15 @@
 const otherPlace = fc.option(fc.record({ machine: fc.constant('i-9' as MachineId), attempt: attempts }));
 
 test('nothing is concluded from what can’t be read, nothing dropped without a record, and results are recorded once', () => {
-  const property = fc.property(attempts, ended, storedJob, otherPlace, (attempt, reason, job, elsewhere) => {
-    const { action } = classify({ attempt, ended: reason, job, elsewhere });
+  const property = fc.property(attempts, ended, storedJob, otherPlace, (attempt, reason, job, otherPlacement) => {
+    const { action } = classify({ attempt, exitReason: reason, job, otherPlacement });
     if (job.kind === 'unreadable') assert.equal(action, 'leave');
     if (job.kind === 'unread') assert.equal(action, 'readRecord');
     if (action === 'forget') assert.notEqual(reason, null);
     if (job.kind !== 'recorded') return;
     const isNewResult = reason === 'done' && !job.isService && !job.taskDone && !job.cancelled;
     assert.equal(action === 'recordResult', isNewResult);
-    if (reason === null && elsewhere === null) assert.equal(action === 'adopt', !job.cancelled && !job.taskDone);
+    if (reason === null && otherPlacement === null) assert.equal(action === 'adopt', !job.cancelled && !job.taskDone);
   });
   check(property, 1000);
 });
@@ -215,7 +215,7 @@
     const machine = 'i-9' as MachineId;
     const higher = (lower + by) as Attempt;
     const found = (attempt: Attempt, first: Attempt): string =>
-      classify({ attempt, ended: null, job, elsewhere: { machine, attempt: first } }).action;
+      classify({ attempt, exitReason: null, job, otherPlacement: { machine, attempt: first } }).action;
     assert.equal(found(lower, higher), 'stop');
     assert.equal(found(higher, lower), 'adoptAndStopOther');
   });
@@ -239,12 +239,12 @@
       drain();
       newest.set(machine, number);
       if (backlog.admit(now as MonotonicTime)) {
-        backlog.drop(nameOf(machine));
+        backlog.remove(nameOf(machine));
         looked.push({ at: now, machine, number });
       } else backlog.add(nameOf(machine), { machine, number });
       assert.ok(backlog.size <= newest.size);
     });
-    for (let next = backlog.nextAt(); next !== null; next = backlog.nextAt()) {
+    for (let next = backlog.nextDueAt(); next !== null; next = backlog.nextDueAt()) {
       now = next;
       drain();
     }
@@ -310,7 +310,7 @@
       return world.rules.isAccepted(id as JobId) && !world.rules.finalOf(id as JobId);
     });
     assert.deepEqual([...failures, ...world.errors, ...open], []);
-    assert.equal(world.leader()?.recoverySummary()?.uncertainMachines ?? 0, 0);
+    assert.equal(world.leader()?.recoverySummary()?.unreconciledMachines ?? 0, 0);
   });
   check(property, 60);
 });
--- a/test/sim/recovery_events.ts
+++ b/test/sim/recovery_events.ts
@@ -86,7 +86,7 @@
   },
   /** expect certain-by CERTAINTY N: so many machines became certain in that way */
   'certain-by'(world, [how, wanted]) {
-    const certainty: Record<string, number> = { ...world.leader()?.recoverySummary()?.certainty };
+    const certainty: Record<string, number> = { ...world.leader()?.recoverySummary()?.reconciledBy };
     const count = certainty[how ?? ''];
     return count === Number(wanted) ? null : `${count} machines certain by ${how}, not ${wanted}`;
   },
