--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -15,7 +15,7 @@
 import type { Settings, Tuning } from './settings.js';
 import { StepContext, type TimerName } from './step_context.js';
 import type { ClockReading, ControllerName, MonotonicTime } from './types.js';
-import { ReportRouter } from './workers/report_router.js';
+import { HeartbeatRouter } from './workers/heartbeat_router.js';
 
 const STATUS_INTERVAL_MS = 1000;
 const FIRST_STATUS_DELAY_MS = 100;
@@ -40,7 +40,7 @@
   private readonly requestForwarding: RequestForwarding;
   private readonly heartbeatForwarding: HeartbeatForwarding;
   private readonly cancellationBroadcasts: CancellationBroadcasts;
-  private readonly heartbeatRouter: ReportRouter;
+  private readonly heartbeatRouter: HeartbeatRouter;
   private readonly statusExchange: StatusExchange;
   /** While this node leads. */
   private leader: Leader | null = null;
@@ -66,7 +66,7 @@
     this.jobCache = new JobCache(context, (job) => this.leader?.onJobRecord(job));
     this.catalog = new MachineTypeCatalog(context, (types) => this.leader?.setMachineTypes(types));
     this.election = this.makeElection(incarnation);
-    this.heartbeatRouter = new ReportRouter(
+    this.heartbeatRouter = new HeartbeatRouter(
       context,
       this.election,
       this.peers,
@@ -158,7 +158,7 @@
         this.onUserRequest(input.requestId, input.request);
         return;
       case 'report':
-        this.heartbeatRouter.onReport(input.requestId, input.heartbeat);
+        this.heartbeatRouter.onHeartbeat(input.requestId, input.heartbeat);
         return;
       case 'storeReply':
         this.context.onStateStoreReply(input.callId, input.result);
@@ -263,7 +263,7 @@
       case 'report': {
         const { id, heartbeat } = message;
         const { machine } = heartbeat;
-        this.heartbeatRouter.onForwardedReport(heartbeat, (response) =>
+        this.heartbeatRouter.onForwardedHeartbeat(heartbeat, (response) =>
           this.context.sendToPeer(from, { kind: 'reportAnswer', id, machine, response }),
         );
         return;
--- a/src/core/leadership/cluster.ts
+++ b/src/core/leadership/cluster.ts
@@ -9,7 +9,7 @@
 import { Quotas } from '../scheduler/quotas.js';
 import type { StepContext } from '../step_context.js';
 import type { Attempt, ImageName, JobId, MachineId, MonotonicTime, Resources, Revision } from '../types.js';
-import { dropStrays } from '../workers/stray_tasks.js';
+import { dropUnexpectedTasks } from '../workers/unexpected_tasks.js';
 import { PreviousTerms } from './previous_terms.js';
 
 const MAX_CANCELLED_BEFORE_RECORD = 10_000;
@@ -192,7 +192,7 @@
   }
 
   releaseEverything(machine: Machine): void {
-    dropStrays(this, machine);
+    dropUnexpectedTasks(this, machine);
     for (const placement of [...machine.placements.values()]) this.release(placement);
     machine.exitedTasks = [];
   }
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -13,10 +13,10 @@
 import { placeServices } from '../scheduler/services.js';
 import type { StepContext, TimerName } from '../step_context.js';
 import type { Heartbeat, JobId, MonotonicTime } from '../types.js';
-import { CommandSender } from '../workers/command_sender.js';
-import { Reconciliation } from '../workers/reconciliation.js';
-import { ReportHandler } from '../workers/report_handler.js';
-import type { ReportReply } from '../workers/unread_lists.js';
+import type { HeartbeatResponder } from '../workers/backlogged_heartbeats.js';
+import { CommandPusher } from '../workers/command_pusher.js';
+import { HeartbeatHandler } from '../workers/heartbeat_handler.js';
+import { Reconciler } from '../workers/reconciler.js';
 import { Cluster } from './cluster.js';
 import type { Election, Leadership } from './election.js';
 import { JobRecordLookup } from './job_record_lookup.js';
@@ -73,9 +73,9 @@
   private readonly cluster: Cluster;
   private readonly autoscaler: Autoscaler;
   private readonly recordWriter: RecordWriter;
-  private readonly heartbeatHandler: ReportHandler;
-  private readonly reconciliation: Reconciliation;
-  private readonly commandSender: CommandSender;
+  private readonly heartbeatHandler: HeartbeatHandler;
+  private readonly reconciliation: Reconciler;
+  private readonly commandSender: CommandPusher;
   private readonly healthChecks: HealthChecks;
   private readonly registry: MachineRegistry;
   private readonly stateLoader: StateLoader;
@@ -105,18 +105,18 @@
       mayWrite: () => this.isLeaseValid() && this.loaded,
       onRecordRead: (item) => void this.jobCache.update(item),
       onWriteFinished: () => {
-        this.heartbeatHandler.releaseHeld();
-        this.commandSender.send();
+        this.heartbeatHandler.releaseDeferred();
+        this.commandSender.pushDueCommands();
       },
     });
-    this.reconciliation = new Reconciliation(this.cluster, leadership.fencingToken, this);
-    this.heartbeatHandler = new ReportHandler(this.cluster, leadership.fencingToken, this.reconciliation, this);
-    this.commandSender = new CommandSender(this.cluster, leadership.fencingToken, this.reconciliation, this);
+    this.reconciliation = new Reconciler(this.cluster, leadership.fencingToken, this);
+    this.heartbeatHandler = new HeartbeatHandler(this.cluster, leadership.fencingToken, this.reconciliation, this);
+    this.commandSender = new CommandPusher(this.cluster, leadership.fencingToken, this.reconciliation, this);
     this.healthChecks = new HealthChecks(this.cluster, () => this.schedulePlanningRoundSoon());
     this.autoscaler = new Autoscaler(this.cluster, this.recordWriter);
     // Earlier leaders answered nobody after this one took the lead; it has itself answered some while it read the state.
     this.stateRestorer = new StateRestorer(this.cluster, this.registry, jobCache, (machine) =>
-      this.heartbeatHandler.renewedWhileLoading.lastRenewalAt(machine, this.electedAt),
+      this.heartbeatHandler.renewalsWhileLoading.lastRenewalAt(machine, this.electedAt),
     );
     this.jobRecordLookup = new JobRecordLookup(context, jobCache, this.cluster.previousTerms);
     this.stateLoader = new StateLoader(context, jobCache, (pages) => this.restoreState(pages));
@@ -217,16 +217,16 @@
 
   // ---- workers
 
-  onHeartbeat(report: Heartbeat, reply: ReportReply): void {
-    this.heartbeatHandler.onReport(report, reply);
+  onHeartbeat(report: Heartbeat, reply: HeartbeatResponder): void {
+    this.heartbeatHandler.onHeartbeat(report, reply);
   }
 
   releaseDeferredResponses(): void {
-    this.heartbeatHandler.releaseHeld();
+    this.heartbeatHandler.releaseDeferred();
   }
 
   processHeartbeatBacklog(): void {
-    this.heartbeatHandler.takeBacklog();
+    this.heartbeatHandler.processBacklog();
   }
 
   reconcileAllMachines(): void {
@@ -242,7 +242,7 @@
   }
 
   sendCommands(): void {
-    this.commandSender.send();
+    this.commandSender.pushDueCommands();
   }
 
   flushRecords(): void {
@@ -257,7 +257,7 @@
     this.cluster.lastServicePlacementAt = this.context.now.monotonic;
     if (placeServices(this.cluster) === 0) return;
     this.recordWriter.flush();
-    this.commandSender.send();
+    this.commandSender.pushDueCommands();
   }
 
   /** One planning round, and what follows from it. */
@@ -273,7 +273,7 @@
     preempt(this.cluster, round);
     this.autoscaler.runScaleOut(round);
     this.recordWriter.flush();
-    this.heartbeatHandler.releaseHeld();
+    this.heartbeatHandler.releaseDeferred();
   }
 
   /** Once a second: silence, losses, returns. */
@@ -287,7 +287,7 @@
     if (!this.loaded) return;
     this.healthChecks.run();
     this.cluster.previousTerms.finishIfReconciled();
-    this.reconciliation.probe();
+    this.reconciliation.probeMachines();
     this.autoscaler.runScaleIn(this.electedAt);
     this.registry.collectImageChanges();
     this.recordWriter.flush();
--- a/src/core/peers/status_exchange.ts
+++ b/src/core/peers/status_exchange.ts
@@ -1,7 +1,7 @@
 import type { Election } from '../leadership/election.js';
 import type { PeerStatus } from '../messages.js';
 import type { StepContext } from '../step_context.js';
-import type { ReportRouter } from '../workers/report_router.js';
+import type { HeartbeatRouter } from '../workers/heartbeat_router.js';
 import type { PeerTable } from './peer_table.js';
 
 /** What a peer is told where no worker was ever heard. */
@@ -13,18 +13,18 @@
     private readonly context: StepContext,
     private readonly election: Election,
     private readonly peers: PeerTable,
-    private readonly router: ReportRouter,
+    private readonly router: HeartbeatRouter,
   ) {}
 
   sendStatus(): void {
     this.router.updateRate();
-    const heardMs = this.router.workersHeardMs;
+    const heardMs = this.router.sinceLastHeartbeatMs;
     const status: PeerStatus = {
       isLeader: this.election.isLeaseValid(),
       stateStoreReachable: this.context.stateStoreFailingSince === null,
       sinceLastHeartbeatMs: heardMs === null ? NO_HEARTBEAT_YET : Math.round(heardMs),
-      heartbeatsPerSecond: this.router.reportsPerS,
-      prefersDirectHeartbeats: this.router.takesReports(),
+      heartbeatsPerSecond: this.router.heartbeatsPerSecond,
+      prefersDirectHeartbeats: this.router.prefersDirectHeartbeats(),
       acknowledgesCancellations: true,
     };
     for (const peer of this.context.settings.peers) this.context.sendToPeer(peer.name, { kind: 'status', status });
@@ -36,7 +36,7 @@
     const { monotonic } = this.context.now;
     const limitMs = this.context.tuning.leadership.resign_after_ms;
     const ledMs = monotonic - this.election.electedAt;
-    const heardMs = this.router.workersHeardMs ?? monotonic;
+    const heardMs = this.router.sinceLastHeartbeatMs ?? monotonic;
     if (Math.min(heardMs, ledMs) < limitMs) return;
     for (const peer of this.peers.all()) {
       const { sinceLastHeartbeatMs } = peer.status;
--- a/src/core/workers/unread_lists.ts
+++ b/src/core/workers/backlogged_heartbeats.ts
@@ -4,35 +4,35 @@
 import type { StepContext } from '../step_context.js';
 import type { Heartbeat, MonotonicTime } from '../types.js';
 
-export type ReportReply = (answer: HeartbeatResponse) => void;
+export type HeartbeatResponder = (answer: HeartbeatResponse) => void;
 
 /** A report whose list of tasks has yet to be looked at. */
-export interface UnreadList {
+export interface BackloggedHeartbeat {
   readonly machine: Machine;
-  readonly report: Heartbeat;
+  readonly heartbeat: Heartbeat;
   /** Whether it is the machine's first report to this leader. */
   readonly isFirst: boolean;
   /** The report is answered by then, whether or not its list has been looked at. */
-  readonly until: MonotonicTime;
+  readonly deadline: MonotonicTime;
   /** Null: it has been answered, and only the list is left to be looked at. */
-  reply: ReportReply | null;
+  respond: HeartbeatResponder | null;
 }
 
-export interface UnreadListCallbacks {
-  take(list: UnreadList): void;
+export interface BacklogCallbacks {
+  process(list: BackloggedHeartbeat): void;
   /** What a report is answered whose list has to wait for longer. */
-  renewal(): HeartbeatResponse;
+  leaseRenewal(): HeartbeatResponse;
 }
 
 const UNAVAILABLE: HeartbeatResponse = { status: 503 };
 
 /** In the storm after a cold start lists are looked at in their turn, and leases are renewed whether or not it has come. */
-export class UnreadLists {
-  private readonly backlog: ReportBacklog<UnreadList>;
+export class BackloggedHeartbeats {
+  private readonly backlog: ReportBacklog<BackloggedHeartbeat>;
 
   constructor(
     private readonly context: StepContext,
-    private readonly callbacks: UnreadListCallbacks,
+    private readonly callbacks: BacklogCallbacks,
   ) {
     this.backlog = new ReportBacklog(context.features.recovery.lists_per_window);
   }
@@ -42,13 +42,13 @@
   }
 
   /** Returns whether the list has to wait; otherwise it is to be looked at now. */
-  mustWait(list: UnreadList): boolean {
-    const { machine, report } = list;
+  mustWait(list: BackloggedHeartbeat): boolean {
+    const { machine, heartbeat } = list;
     const replaced = this.backlog.remove(machine.id);
-    replaced?.reply?.(UNAVAILABLE);
+    replaced?.respond?.(UNAVAILABLE);
     if (this.backlog.admit(this.context.now.monotonic)) return false;
     this.backlog.add(machine.id, list);
-    machine.lastHeartbeatSequence = report.sequence;
+    machine.lastHeartbeatSequence = heartbeat.sequence;
     this.context.timers.setIfUnset('reportBacklog', this.backlog.nextDueAt() ?? this.context.now.monotonic);
     return true;
   }
@@ -56,17 +56,17 @@
   /** Looks at lists whose turn it is, and answers those that have waited for long. */
   onTimer(): void {
     const now = this.context.now.monotonic;
-    for (const list of this.backlog.takeDue(now)) this.callbacks.take(list);
+    for (const list of this.backlog.takeDue(now)) this.callbacks.process(list);
     for (const list of this.backlog.pending()) {
-      if (list.until > now) break;
-      list.reply?.(this.callbacks.renewal());
-      list.reply = null;
+      if (list.deadline > now) break;
+      list.respond?.(this.callbacks.leaseRenewal());
+      list.respond = null;
     }
     const next = this.backlog.nextDueAt();
     if (next !== null) this.context.timers.set('reportBacklog', next);
   }
 
   stop(): void {
-    for (const { reply } of this.backlog.pending()) reply?.(UNAVAILABLE);
+    for (const { respond } of this.backlog.pending()) respond?.(UNAVAILABLE);
   }
 }
--- a/src/core/workers/command_sender.ts
+++ b/src/core/workers/command_pusher.ts
@@ -5,26 +5,26 @@
 import type { StepContext } from '../step_context.js';
 import type { AgentEpoch, Command, FencingToken } from '../types.js';
 import { stopCommands } from './commands.js';
-import { MAX_OPEN_COMMANDS, type Reconciliation } from './reconciliation.js';
+import { MAX_PUSHES_IN_FLIGHT, type Reconciler } from './reconciler.js';
 import { mayStart } from './start_checks.js';
 
-const REPEAT_MS = 1000;
+const RETRY_INTERVAL_MS = 1000;
 /** After a command without an answer the machine is left alone for so long. */
-const UNANSWERED_PAUSE_MS = 5000;
+const UNANSWERED_BACKOFF_MS = 5000;
 
 /**
  * Sends stops to the workers at once, and starts of replicas; all other starts only ever go out in answers to reports. A
  * direct command can arrive late: a start sent this way counts as possibly there until the command is answered, the session
  * ends or the machine is gone.
  */
-export class CommandSender {
+export class CommandPusher {
   private readonly context: StepContext;
   private stopped = false;
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly token: FencingToken,
-    private readonly reconciliation: Reconciliation,
+    private readonly fencingToken: FencingToken,
+    private readonly reconciler: Reconciler,
     private readonly leader: LeaderState,
   ) {
     this.context = cluster.context;
@@ -35,7 +35,7 @@
   }
 
   /** Sends what is due, and looks again as long as something is left. */
-  send(): void {
+  pushDueCommands(): void {
     if (!this.leader.isLeaseValid()) return;
     const { machinesWithPendingStops, machinesWithPendingStarts } = this.cluster;
     let anyLeft = false;
@@ -44,14 +44,14 @@
       const planned = this.plannedReplicas(machine);
       if (stops.length === 0 && planned.length === 0) continue;
       anyLeft = true;
-      if (!this.mayCommand(machine)) continue;
-      if (this.context.openCommandPushCount >= MAX_OPEN_COMMANDS) break;
-      this.command(machine, machine.agentEpoch, stops, planned);
+      if (!this.canPush(machine)) continue;
+      if (this.context.openCommandPushCount >= MAX_PUSHES_IN_FLIGHT) break;
+      this.pushCommands(machine, machine.agentEpoch, stops, planned);
     }
-    if (anyLeft) this.context.timers.set('workerCommands', this.context.after(REPEAT_MS));
+    if (anyLeft) this.context.timers.set('workerCommands', this.context.after(RETRY_INTERVAL_MS));
   }
 
-  private mayCommand(machine: Machine): machine is Machine & { agentEpoch: AgentEpoch } {
+  private canPush(machine: Machine): machine is Machine & { agentEpoch: AgentEpoch } {
     if (!machine.reconciled || !machine.address || machine.agentEpoch === null || machine.terminationInFlight)
       return false;
     return !machine.commandInFlight && machine.nextCommandAt <= this.context.now.monotonic;
@@ -78,7 +78,7 @@
     return planned;
   }
 
-  private command(
+  private pushCommands(
     machine: Machine,
     session: AgentEpoch,
     stops: readonly Command[],
@@ -86,11 +86,11 @@
   ): void {
     const mayStartAny = this.leader.mayStartTasks() && this.leader.hasRecentJobView();
     const starting = mayStartAny ? planned.filter(({ job }) => mayStart(job, machine)) : [];
-    const commands = [...stops, ...starting.map((placement) => this.start(placement))];
-    if (commands.length > 0) this.call(machine, session, commands, starting.map(startKeyOf));
+    const commands = [...stops, ...starting.map((placement) => this.startCommand(placement))];
+    if (commands.length > 0) this.sendCommands(machine, session, commands, starting.map(startKeyOf));
   }
 
-  private start(placement: Placement): Command {
+  private startCommand(placement: Placement): Command {
     this.cluster.previousTerms.onTaskStarted();
     placement.phase = 'sent';
     placement.sentInResponseTo = null;
@@ -98,7 +98,7 @@
     return { op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt };
   }
 
-  private call(
+  private sendCommands(
     machine: Machine,
     agentEpoch: AgentEpoch,
     commands: readonly Command[],
@@ -106,15 +106,15 @@
   ): void {
     machine.commandInFlight = true;
     this.context.pushCommands(
-      { address: machine.address, fencingToken: this.token, agentEpoch, commands },
+      { address: machine.address, fencingToken: this.fencingToken, agentEpoch, commands },
       (result) => {
         machine.commandInFlight = false;
         if (result.ok) for (const start of starts) machine.unconfirmedStarts.delete(start);
-        else machine.nextCommandAt = this.context.after(UNANSWERED_PAUSE_MS);
+        else machine.nextCommandAt = this.context.after(UNANSWERED_BACKOFF_MS);
         if (this.stopped || !result.ok || result.value.heartbeat.machine !== machine.id) return;
         if (!this.cluster.isKnown(machine)) return;
-        this.reconciliation.take(machine, result.value.heartbeat, 'commandAnswer');
-        if (result.value.executed) this.reconciliation.onReachable(machine);
+        this.reconciler.reconcile(machine, result.value.heartbeat, 'commandAnswer');
+        if (result.value.executed) this.reconciler.onReachable(machine);
       },
     );
   }
--- a/src/core/workers/commands.ts
+++ b/src/core/workers/commands.ts
@@ -2,16 +2,16 @@
 import type { Cluster } from '../leadership/cluster.js';
 import { type Machine, startKey } from '../machines/machine.js';
 import type { Command } from '../types.js';
-import { mayForgetUnknown } from './recovered_tasks.js';
+import { mayAcknowledgeUnknownJob } from './recovered_tasks.js';
 
 /** An answer has 64 KiB at most. */
-const MAX_COMMANDS = 400;
+const MAX_COMMANDS_PER_RESPONSE = 400;
 
 /** What to tell a worker in the answer to its report: results to drop first, then stops, then starts. */
 export function compileCommands(cluster: Cluster, machine: Machine): Command[] {
-  const commands = [...forgetCommands(cluster, machine), ...stopCommands(machine)];
+  const commands = [...acknowledgeCommands(cluster, machine), ...stopCommands(machine)];
   for (const { job, index, attempt, phase, pendingStop } of machine.placements.values()) {
-    if (commands.length >= MAX_COMMANDS) break;
+    if (commands.length >= MAX_COMMANDS_PER_RESPONSE) break;
     const toStart = pendingStop === null && (phase === 'planned' || phase === 'sent');
     if (toStart) commands.push({ op: 'start', job: job.id, index, attempt });
   }
@@ -19,13 +19,13 @@
 }
 
 /** Ended tasks whose results are on record, or that have none. */
-function forgetCommands(cluster: Cluster, machine: Machine): Command[] {
+function acknowledgeCommands(cluster: Cluster, machine: Machine): Command[] {
   const commands: Command[] = [];
   for (const { job: id, index, attempt, isDone } of machine.exitedTasks) {
     // Once forgotten, a start of the same attempt that is still on its way would run it again.
     if (machine.unconfirmedStarts.has(startKey(id, index, attempt))) continue;
     const job = cluster.jobs.get(id);
-    const mayForget = job ? !isDone || job.isResultDurable(index) : mayForgetUnknown(cluster, id);
+    const mayForget = job ? !isDone || job.isResultDurable(index) : mayAcknowledgeUnknownJob(cluster, id);
     if (mayForget) commands.push({ op: 'forget', job: id, index, attempt });
   }
   return commands;
--- a/src/core/workers/report_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -5,23 +5,23 @@
 import type { HeartbeatResponse } from '../messages.js';
 import type { StepContext } from '../step_context.js';
 import type { Command, FencingToken, Heartbeat, MonotonicTime, SequenceNumber } from '../types.js';
+import { type BackloggedHeartbeat, BackloggedHeartbeats, type HeartbeatResponder } from './backlogged_heartbeats.js';
 import { compileCommands } from './commands.js';
-import type { Reconciliation } from './reconciliation.js';
-import { isNewer } from './report_processing.js';
+import type { Reconciler } from './reconciler.js';
 import { isGangStartDue, mayStart } from './start_checks.js';
-import { type ReportReply, type UnreadList, UnreadLists } from './unread_lists.js';
+import { isNewerStatus } from './status_reconciliation.js';
 
 /** A report is held for so long at most for records and rounds that its answer waits for. */
-const HOLD_MS = 600;
+const MAX_DEFERRAL_MS = 600;
 /** Workers drop an answer that comes after 4 s: the report of an empty machine is held for well less. */
-const IDLE_HOLD_SHARE = 0.8;
-const MAX_IDLE_HOLD_MS = 2500;
-const ROUND_SOON_MS = 20;
+const IDLE_DEFERRAL_SHARE = 0.8;
+const MAX_IDLE_DEFERRAL_MS = 2500;
+const IMMINENT_ROUND_MS = 20;
 /** A worker shows a new token with its next report or the one after; what goes on without it isn't listening. */
-const MAX_STALE_TOKEN_REPORTS = 4;
+const MAX_STALE_TOKEN_HEARTBEATS = 4;
 
-interface HeldReport {
-  readonly reply: ReportReply;
+interface DeferredResponse {
+  readonly reply: HeartbeatResponder;
   readonly machine: Machine;
   readonly seq: SequenceNumber;
   readonly until: MonotonicTime;
@@ -32,124 +32,130 @@
 const UNAVAILABLE: HeartbeatResponse = { status: 503 };
 
 /** Takes in workers' reports, whichever node they reached, and answers them: at once, or when what they wait for is there. */
-export class ReportHandler {
+export class HeartbeatHandler {
   private readonly context: StepContext;
-  private held: HeldReport[] = [];
-  private readonly unreadLists: UnreadLists;
+  private deferred: DeferredResponse[] = [];
+  private readonly backlog: BackloggedHeartbeats;
   /** When reports were last answered before it was known which machines there are. */
-  readonly renewedWhileLoading = new LeaseRenewals();
+  readonly renewalsWhileLoading = new LeaseRenewals();
   private duplicates = 0;
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly token: FencingToken,
-    private readonly reconciliation: Reconciliation,
+    private readonly fencingToken: FencingToken,
+    private readonly reconciler: Reconciler,
     private readonly leader: LeaderState,
   ) {
     this.context = cluster.context;
-    this.unreadLists = new UnreadLists(this.context, {
-      take: (list) => this.takeWaiting(list),
-      renewal: () => (this.mayAnswer() ? this.emptyAnswer : UNAVAILABLE),
+    this.backlog = new BackloggedHeartbeats(this.context, {
+      process: (list) => this.processBacklogged(list),
+      leaseRenewal: () => (this.mayRenewLeases() ? this.emptyResponse : UNAVAILABLE),
     });
   }
 
   stop(): void {
-    for (const { reply } of this.held) reply(UNAVAILABLE);
-    this.held = [];
-    this.unreadLists.stop();
+    for (const { reply } of this.deferred) reply(UNAVAILABLE);
+    this.deferred = [];
+    this.backlog.stop();
   }
 
   /** Whether answers may renew workers' leases. */
-  private mayAnswer(): boolean {
+  private mayRenewLeases(): boolean {
     return this.leader.isLeaseValid() && this.leader.hasRecentJobView();
   }
 
   /** Renews the lease and says nothing else. */
-  private get emptyAnswer(): HeartbeatResponse {
-    return { status: 200, fencingToken: this.token, commands: [] };
+  private get emptyResponse(): HeartbeatResponse {
+    return { status: 200, fencingToken: this.fencingToken, commands: [] };
   }
 
-  onReport(report: Heartbeat, reply: ReportReply): void {
-    if (!this.mayAnswer() || report.fencingToken > this.token) {
-      reply(UNAVAILABLE);
+  onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void {
+    if (!this.mayRenewLeases() || heartbeat.fencingToken > this.fencingToken) {
+      respond(UNAVAILABLE);
       return;
     }
     if (!this.leader.isLoaded()) {
-      this.renewedWhileLoading.record(report.machine, this.context.now.monotonic);
-      reply(this.emptyAnswer);
+      this.renewalsWhileLoading.record(heartbeat.machine, this.context.now.monotonic);
+      respond(this.emptyResponse);
       return;
     }
-    if (this.cluster.removedMachines.has(report.machine)) {
-      reply(UNAVAILABLE);
+    if (this.cluster.removedMachines.has(heartbeat.machine)) {
+      respond(UNAVAILABLE);
       return;
     }
-    const machine = this.cluster.machines.get(report.machine) ?? this.addUnlisted(report);
+    const machine = this.cluster.machines.get(heartbeat.machine) ?? this.addUnlistedMachine(heartbeat);
     if (!machine) {
-      reply(this.emptyAnswer);
+      respond(this.emptyResponse);
       return;
     }
-    if (isDuplicate(machine, report)) {
-      this.dropDuplicate(machine, report, reply);
+    if (isDuplicate(machine, heartbeat)) {
+      this.dropDuplicate(machine, heartbeat, respond);
       return;
     }
-    if (this.isNotListening(machine, report)) {
-      reply(UNAVAILABLE);
+    if (this.ignoresResponses(machine, heartbeat)) {
+      respond(UNAVAILABLE);
       return;
     }
-    this.noteIgnoredAnswer(machine, report);
-    const isFirst = this.recordSignOfLife(machine, report);
+    this.countIgnoredResponse(machine, heartbeat);
+    const isFirst = this.recordHeartbeat(machine, heartbeat);
     if (!machine.registered) this.leader.registerMachine(machine);
-    const list: UnreadList = { machine, report, reply, isFirst, until: this.context.after(HOLD_MS) };
-    if (this.mustWaitInBacklog(list)) return;
-    this.takeList(list);
+    const list: BackloggedHeartbeat = {
+      machine,
+      heartbeat,
+      respond,
+      isFirst,
+      deadline: this.context.after(MAX_DEFERRAL_MS),
+    };
+    if (this.mustJoinBacklog(list)) return;
+    this.processStatus(list);
   }
 
   /** Takes in the list of tasks that came with a report, and answers the report, or holds the answer back. */
-  private takeList({ machine, report, reply, isFirst }: UnreadList): void {
-    const newer = isNewer(machine, report);
-    const freed = this.reconciliation.take(machine, report, 'report');
-    machine.lastHeartbeatSequence = report.sequence;
-    if (reply === null) return;
-    const taken = newer && machine.sequence === report.sequence && machine.agentEpoch === report.agentEpoch;
-    if (taken) this.answerOrHold(machine, report, reply, freed || isFirst);
-    else reply(this.emptyAnswer);
+  private processStatus({ machine, heartbeat, respond, isFirst }: BackloggedHeartbeat): void {
+    const newer = isNewerStatus(machine, heartbeat);
+    const freed = this.reconciler.reconcile(machine, heartbeat, 'report');
+    machine.lastHeartbeatSequence = heartbeat.sequence;
+    if (respond === null) return;
+    const taken = newer && machine.sequence === heartbeat.sequence && machine.agentEpoch === heartbeat.agentEpoch;
+    if (taken) this.respondOrDefer(machine, heartbeat, respond, freed || isFirst);
+    else respond(this.emptyResponse);
   }
 
   /** Once everything is certain, no list has to wait for its turn. */
-  private mustWaitInBacklog(list: UnreadList): boolean {
+  private mustJoinBacklog(list: BackloggedHeartbeat): boolean {
     const { recovery } = this.cluster.previousTerms;
-    if (!recovery || recovery.isFinished || list.report.fencingToken !== this.token) return false;
-    const waits = this.unreadLists.mustWait(list);
-    recovery.recordBacklogLength(this.unreadLists.size);
+    if (!recovery || recovery.isFinished || list.heartbeat.fencingToken !== this.fencingToken) return false;
+    const waits = this.backlog.mustWait(list);
+    recovery.recordBacklogLength(this.backlog.size);
     return waits;
   }
 
-  takeBacklog(): void {
-    this.unreadLists.onTimer();
+  processBacklog(): void {
+    this.backlog.onTimer();
   }
 
-  private takeWaiting(list: UnreadList): void {
-    if (this.mayAnswer() && this.cluster.isKnown(list.machine)) this.takeList(list);
-    else list.reply?.(UNAVAILABLE);
+  private processBacklogged(list: BackloggedHeartbeat): void {
+    if (this.mayRenewLeases() && this.cluster.isKnown(list.machine)) this.processStatus(list);
+    else list.respond?.(UNAVAILABLE);
   }
 
-  private answerOrHold(machine: Machine, report: Heartbeat, reply: ReportReply, roomCameFree: boolean): void {
-    const held = { reply, machine, seq: report.sequence, until: this.context.after(HOLD_MS), idle: false };
+  private respondOrDefer(machine: Machine, report: Heartbeat, reply: HeartbeatResponder, roomCameFree: boolean): void {
+    const held = { reply, machine, seq: report.sequence, until: this.context.after(MAX_DEFERRAL_MS), idle: false };
     if (roomCameFree) {
       // Planned at once, so that the answer already carries what starts in the room.
       this.leader.schedulePlanningRoundSoon();
-      this.hold(held);
-    } else if (this.waitsForRecords(machine)) {
-      this.hold(held);
-    } else if (this.mayHoldIdle(machine, report)) {
-      this.hold({ ...held, until: this.context.after(this.idleHoldMs()), idle: true });
+      this.defer(held);
+    } else if (this.awaitsDurableRecords(machine)) {
+      this.defer(held);
+    } else if (this.mayDeferIdle(machine, report)) {
+      this.defer({ ...held, until: this.context.after(this.idleDeferralMs()), idle: true });
     } else {
-      this.answer(held);
+      this.sendResponse(held);
     }
   }
 
   /** Nobody waits for the answer to a duplicate; it is no sign of life and moves no lease. */
-  private dropDuplicate(machine: Machine, report: Heartbeat, reply: ReportReply): void {
+  private dropDuplicate(machine: Machine, report: Heartbeat, reply: HeartbeatResponder): void {
     this.duplicates += 1;
     this.context.log('debug', 'duplicate of a report', {
       machine: machine.id,
@@ -159,42 +165,42 @@
     reply(UNAVAILABLE);
   }
 
-  private isStale(report: Heartbeat): boolean {
-    return report.fencingToken < this.token;
+  private hasStaleToken(report: Heartbeat): boolean {
+    return report.fencingToken < this.fencingToken;
   }
 
   /** A machine that may be long gone, and goes on to show an old token, is not answered any more. */
-  private isNotListening(machine: Machine, report: Heartbeat): boolean {
-    if (!this.isStale(report) || machine.reachabilityConfirmed) return false;
+  private ignoresResponses(machine: Machine, report: Heartbeat): boolean {
+    if (!this.hasStaleToken(report) || machine.reachabilityConfirmed) return false;
     machine.staleTokenHeartbeats += 1;
-    return machine.staleTokenHeartbeats > MAX_STALE_TOKEN_REPORTS;
+    return machine.staleTokenHeartbeats > MAX_STALE_TOKEN_HEARTBEATS;
   }
 
   /** Signs that the last answers have not arrived: an old token after one, or a lease that ran out all the same. */
-  private noteIgnoredAnswer(machine: Machine, report: Heartbeat): void {
+  private countIgnoredResponse(machine: Machine, report: Heartbeat): void {
     if (machine.firstHeartbeatAt === null) return;
     const answeredLately =
       this.context.now.monotonic - machine.leaseRenewedAt < this.context.settings.workers.leaseMs / 2;
     const isNewSession = machine.agentEpoch !== null && report.agentEpoch > machine.agentEpoch;
     if (isNewSession && answeredLately) machine.ignoredResponses = UNRESPONSIVE_AFTER_IGNORED_RESPONSES;
-    else if (this.isStale(report)) machine.ignoredResponses += 1;
+    else if (this.hasStaleToken(report)) machine.ignoredResponses += 1;
   }
 
   /** Returns whether it is the machine's first report to this leader. */
-  private recordSignOfLife(machine: Machine, report: Heartbeat): boolean {
+  private recordHeartbeat(machine: Machine, report: Heartbeat): boolean {
     const { monotonic } = this.context.now;
     machine.lastContactAt = monotonic;
     machine.leaseRenewedAt = monotonic;
     machine.lastHeartbeatAt = monotonic;
     if (report.address) machine.address = report.address;
-    if (machine.phase === 'booting') this.onUp(machine);
+    if (machine.phase === 'booting') this.onMachineUp(machine);
     if (machine.firstHeartbeatAt !== null) return false;
     machine.firstHeartbeatAt = monotonic;
     machine.idleSince = monotonic;
     return true;
   }
 
-  private onUp(machine: Machine): void {
+  private onMachineUp(machine: Machine): void {
     machine.phase = 'up';
     const { monotonic } = this.context.now;
     if (machine.provisionedByThisLeader) {
@@ -213,7 +219,7 @@
    * Not in the registry, so nobody has ever sent it a command: its list can hold nothing of ours. But the report may be a
    * late copy from a machine that is long gone: it gets no work before it has shown that it hears this node.
    */
-  private addUnlisted({ machine: id, type: typeName, zone, spot, address }: Heartbeat): Machine | null {
+  private addUnlistedMachine({ machine: id, type: typeName, zone, spot, address }: Heartbeat): Machine | null {
     const type = this.cluster.machineTypes.get(typeName);
     if (!type) return null;
     const now = this.context.now.monotonic;
@@ -230,21 +236,21 @@
    * An empty machine's report is answered late on purpose: work that comes up meanwhile starts at once instead of with
    * its next report. Nothing can change on an empty machine that the delay would hide, except a notice.
    */
-  private mayHoldIdle(machine: Machine, report: Heartbeat): boolean {
+  private mayDeferIdle(machine: Machine, report: Heartbeat): boolean {
     const hasNothing = machine.isEmpty && machine.exitedTasks.length === 0;
-    return hasNothing && report.fencingToken === this.token && machine.drainReason === null;
+    return hasNothing && report.fencingToken === this.fencingToken && machine.drainReason === null;
   }
 
-  private idleHoldMs(): number {
-    return Math.min(MAX_IDLE_HOLD_MS, this.context.settings.workers.heartbeatIntervalMs * IDLE_HOLD_SHARE);
+  private idleDeferralMs(): number {
+    return Math.min(MAX_IDLE_DEFERRAL_MS, this.context.settings.workers.heartbeatIntervalMs * IDLE_DEFERRAL_SHARE);
   }
 
-  private hold(report: HeldReport): void {
-    this.held.push(report);
+  private defer(report: DeferredResponse): void {
+    this.deferred.push(report);
     this.context.timers.bringForward('heldReports', report.until);
   }
 
-  private waitsForRecords(machine: Machine): boolean {
+  private awaitsDurableRecords(machine: Machine): boolean {
     if (!machine.registered) return true;
     for (const { phase, job } of machine.placements.values()) {
       if (phase === 'planned' && !job.isStartDurable(machine.zone)) return true;
@@ -253,33 +259,33 @@
   }
 
   /** Answers held reports that have nothing left to wait for. */
-  releaseHeld(): void {
-    if (this.held.length === 0) return;
-    const roundSoonMs = this.context.tuning.scheduler.spacing_ms + ROUND_SOON_MS;
+  releaseDeferred(): void {
+    if (this.deferred.length === 0) return;
+    const roundSoonMs = this.context.tuning.scheduler.spacing_ms + IMMINENT_ROUND_MS;
     const isRoundSoon = this.context.timers.isDueBy('round', this.context.after(roundSoonMs));
-    const kept: HeldReport[] = [];
+    const kept: DeferredResponse[] = [];
     let next: MonotonicTime | null = null;
-    for (const report of this.held) {
-      if (!this.mustWait(report, isRoundSoon)) {
-        this.answer(report);
+    for (const report of this.deferred) {
+      if (!this.mustStayDeferred(report, isRoundSoon)) {
+        this.sendResponse(report);
         continue;
       }
       kept.push(report);
       if (next === null || report.until < next) next = report.until;
     }
-    this.held = kept;
+    this.deferred = kept;
     if (next !== null) this.context.timers.set('heldReports', next);
   }
 
-  private mustWait({ until, idle, machine }: HeldReport, isRoundSoon: boolean): boolean {
+  private mustStayDeferred({ until, idle, machine }: DeferredResponse, isRoundSoon: boolean): boolean {
     if (until <= this.context.now.monotonic) return false;
     if (idle && machine.placements.size === 0) return true;
     if (isRoundSoon && !idle) return true;
-    return this.leader.hasWritesInFlight() && this.waitsForRecords(machine);
+    return this.leader.hasWritesInFlight() && this.awaitsDurableRecords(machine);
   }
 
-  private answer({ reply, machine, seq }: HeldReport): void {
-    if (!this.mayAnswer()) {
+  private sendResponse({ reply, machine, seq }: DeferredResponse): void {
+    if (!this.mayRenewLeases()) {
       reply(UNAVAILABLE);
       return;
     }
@@ -289,7 +295,7 @@
       if (command.op !== 'start') return true;
       return mayStartTasks && this.markSent(machine, command, seq);
     });
-    reply({ status: 200, fencingToken: this.token, commands });
+    reply({ status: 200, fencingToken: this.fencingToken, commands });
   }
 
   /** Notes that a start goes out; returns false where it must not. */
--- a/src/core/workers/report_router.ts
+++ b/src/core/workers/heartbeat_router.ts
@@ -7,34 +7,34 @@
 import type { ControllerName, Heartbeat, MachineId, MonotonicTime } from '../types.js';
 
 /** A leader sends workers to other nodes down to this part of their mean load. */
-const LEADER_REPORT_SHARE = 0.4;
-const LEADER_MIN_REPORTS_PER_S = 4;
+const LEADER_HEARTBEAT_SHARE = 0.4;
+const LEADER_MIN_HEARTBEATS_PER_SECOND = 4;
 /** One report in so many may be redirected: the rates that decide are a second old. */
 const REDIRECT_ONE_IN = 4;
 /** A leader takes reports itself only while workers reach it: after taking the lead, and as long as ... */
-const TAKES_REPORTS_GRACE_MS = 4000;
-const DIRECT_REPORT_FRESH_MS = 1500;
+const PREFERS_DIRECT_GRACE_MS = 4000;
+const DIRECT_HEARTBEAT_FRESH_MS = 1500;
 /** A worker that comes back from the leader within this time couldn't reach it, and is served through this node. */
 const REDIRECT_AGAIN_MS = 30_000;
-const MAX_REDIRECTS_KEPT = 5000;
+const MAX_REMEMBERED_REDIRECTS = 5000;
 /** The part of its sockets that a leader gives to workers. */
 const WORKER_SOCKET_SHARE = 0.5;
-const RATE_WINDOW_S = 0.9;
+const RATE_WINDOW_SECONDS = 0.9;
 const RATE_SMOOTHING = 0.5;
 
 /**
  * Decides who takes a worker's report: the leader, by itself or through this node, or another node that the worker is sent
  * to. Any node takes reports, as a leader's own sockets are too dear for all of them.
  */
-export class ReportRouter {
-  private reportsCounted = 0;
+export class HeartbeatRouter {
+  private heartbeatsCounted = 0;
   private countedSince: MonotonicTime;
   private smoothedRate = 0;
   private redirectsConsidered = 0;
   /** When a worker was last heard, by whatever way; null: never. */
-  private workersHeardAt: MonotonicTime | null = null;
+  private lastHeartbeatAt: MonotonicTime | null = null;
   /** The last report that came from the worker itself. */
-  private lastDirectReportAt = 0 as MonotonicTime;
+  private lastDirectHeartbeatAt = 0 as MonotonicTime;
   private readonly redirectedAt = new Map<MachineId, MonotonicTime>();
 
   constructor(
@@ -48,24 +48,24 @@
   }
 
   /** Workers' reports a second that reach this node itself. */
-  get reportsPerS(): number {
+  get heartbeatsPerSecond(): number {
     return this.smoothedRate;
   }
 
   /** Milliseconds since a worker last reached this node; null: never. */
-  get workersHeardMs(): number | null {
-    return this.workersHeardAt === null ? null : this.context.now.monotonic - this.workersHeardAt;
+  get sinceLastHeartbeatMs(): number | null {
+    return this.lastHeartbeatAt === null ? null : this.context.now.monotonic - this.lastHeartbeatAt;
   }
 
   /** A report from the worker itself. */
-  onReport(req: RequestId, report: Heartbeat): void {
-    this.workersHeardAt = this.context.now.monotonic;
-    this.lastDirectReportAt = this.context.now.monotonic;
-    this.reportsCounted += 1;
+  onHeartbeat(req: RequestId, report: Heartbeat): void {
+    this.lastHeartbeatAt = this.context.now.monotonic;
+    this.lastDirectHeartbeatAt = this.context.now.monotonic;
+    this.heartbeatsCounted += 1;
     const answer = (given: HeartbeatResponse): void => this.context.respondToWorker(req, given);
     const leader = this.currentLeader();
     if (!leader) {
-      this.passOn(report, answer);
+      this.forwardToLeader(report, answer);
       return;
     }
     const other = this.redirectTarget();
@@ -74,17 +74,17 @@
   }
 
   /** A report that a peer passed on. */
-  onForwardedReport(report: Heartbeat, answer: (answer: HeartbeatResponse) => void): void {
+  onForwardedHeartbeat(report: Heartbeat, answer: (answer: HeartbeatResponse) => void): void {
     const leader = this.currentLeader();
     if (!leader) {
       answer({ status: 503 });
       return;
     }
-    this.workersHeardAt = this.context.now.monotonic;
+    this.lastHeartbeatAt = this.context.now.monotonic;
     leader.onHeartbeat(report, answer);
   }
 
-  private passOn(report: Heartbeat, answer: (answer: HeartbeatResponse) => void): void {
+  private forwardToLeader(report: Heartbeat, answer: (answer: HeartbeatResponse) => void): void {
     const holder = this.election.leaderName();
     if (holder === null || holder === this.context.settings.controller) {
       answer({ status: 503 });
@@ -114,15 +114,15 @@
    * Whether this leader would rather hear workers itself: passing a report on costs as much again as taking it. Not
    * while none reaches it, so that a leader cut off from workers isn't named to them.
    */
-  takesReports(): boolean {
+  prefersDirectHeartbeats(): boolean {
     const { settings, tuning, now } = this.context;
     const leader = this.currentLeader();
     if (!leader || !this.election.isLeaseValid()) return false;
     if (settings.limits.cpuShare < tuning.leadership.reports_cpu_share) return false;
     if (leader.machineCount > settings.limits.maxConnections * WORKER_SOCKET_SHARE) return false;
     return (
-      now.monotonic - this.election.electedAt < TAKES_REPORTS_GRACE_MS ||
-      now.monotonic - this.lastDirectReportAt < DIRECT_REPORT_FRESH_MS
+      now.monotonic - this.election.electedAt < PREFERS_DIRECT_GRACE_MS ||
+      now.monotonic - this.lastDirectHeartbeatAt < DIRECT_HEARTBEAT_FRESH_MS
     );
   }
 
@@ -130,14 +130,14 @@
     const { monotonic } = this.context.now;
     const before = this.redirectedAt.get(machine);
     if (before !== undefined && monotonic - before < REDIRECT_AGAIN_MS) return false;
-    if (this.redirectedAt.size >= MAX_REDIRECTS_KEPT) this.redirectedAt.clear();
+    if (this.redirectedAt.size >= MAX_REMEMBERED_REDIRECTS) this.redirectedAt.clear();
     this.redirectedAt.set(machine, monotonic);
     return true;
   }
 
   /** A node to which this leader sends a worker, to have its own share of the core for what only it can do. */
   private redirectTarget(): ControllerName | null {
-    if (this.takesReports()) return null;
+    if (this.prefersDirectHeartbeats()) return null;
     let leastLoaded: Peer | null = null;
     let totalRate = 0;
     let candidates = 0;
@@ -149,8 +149,8 @@
       if (leastLoaded === null || status.heartbeatsPerSecond < leastLoaded.status.heartbeatsPerSecond)
         leastLoaded = peer;
     }
-    if (leastLoaded === null || this.smoothedRate < LEADER_MIN_REPORTS_PER_S) return null;
-    if (this.smoothedRate < LEADER_REPORT_SHARE * (totalRate / candidates) + 1) return null;
+    if (leastLoaded === null || this.smoothedRate < LEADER_MIN_HEARTBEATS_PER_SECOND) return null;
+    if (this.smoothedRate < LEADER_HEARTBEAT_SHARE * (totalRate / candidates) + 1) return null;
     this.redirectsConsidered += 1;
     return this.redirectsConsidered % REDIRECT_ONE_IN === 0 ? leastLoaded.name : null;
   }
@@ -158,10 +158,10 @@
   /** Called about once a second. */
   updateRate(): void {
     const seconds = (this.context.now.monotonic - this.countedSince) / 1000;
-    if (seconds < RATE_WINDOW_S) return;
-    const rate = this.reportsCounted / seconds;
+    if (seconds < RATE_WINDOW_SECONDS) return;
+    const rate = this.heartbeatsCounted / seconds;
     this.smoothedRate = (1 - RATE_SMOOTHING) * this.smoothedRate + RATE_SMOOTHING * rate;
-    this.reportsCounted = 0;
+    this.heartbeatsCounted = 0;
     this.countedSince = this.context.now.monotonic;
   }
 }
--- a/src/core/workers/reconciliation.ts
+++ b/src/core/workers/reconciler.ts
@@ -3,33 +3,33 @@
 import { type Machine, UNRESPONSIVE_AFTER_IGNORED_RESPONSES } from '../machines/machine.js';
 import type { StepContext } from '../step_context.js';
 import type { AgentEpoch, FencingToken, Heartbeat } from '../types.js';
-import { applyReport, type ReportSource } from './report_processing.js';
+import { reconcileStatus, type StatusSource } from './status_reconciliation.js';
 
-const MAX_CONCURRENT = 24;
+const MAX_CONCURRENT_STATUS_REQUESTS = 24;
 /** When many machines fall silent together, calls to them must not take all sockets, nor keep the others from theirs. */
-export const MAX_OPEN_COMMANDS = 64;
-const PROBE_PERIOD_MS = 3000;
+export const MAX_PUSHES_IN_FLIGHT = 64;
+const PROBE_INTERVAL_MS = 3000;
 /** Reports come a quarter early or late: after so many periods without one it is missed. */
-const REPORT_MISSED_AFTER = 1.4;
+const HEARTBEAT_MISSED_AFTER_INTERVALS = 1.4;
 /** The first answer may name another session; the second call then carries it. */
-const MAX_TRIES = 3;
+const MAX_STATUS_REQUEST_TRIES = 3;
 /** The session of a worker whose session isn't known. */
-const FIRST_SESSION = 1n as AgentEpoch;
+const FIRST_AGENT_EPOCH = 1n as AgentEpoch;
 
 /**
  * Brings what is known of machines in line with what is on them. An empty direct command raises a worker's token, so that
  * nothing an earlier leader sent can still be carried out, and its answer is a list of tasks and a proof that the machine
  * is reached.
  */
-export class Reconciliation {
+export class Reconciler {
   private readonly context: StepContext;
   private inFlight = 0;
-  private waiting: Machine[] = [];
+  private pending: Machine[] = [];
   private stopped = false;
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly token: FencingToken,
+    private readonly fencingToken: FencingToken,
     private readonly leader: LeaderState,
   ) {
     this.context = cluster.context;
@@ -37,46 +37,46 @@
 
   stop(): void {
     this.stopped = true;
-    this.waiting = [];
+    this.pending = [];
   }
 
   /** Asks every registered machine for its list. A few at a time: their own reports raise most tokens meanwhile. */
   reconcileAll(): void {
     for (const machine of this.cluster.machines.values()) {
-      if (!machine.reconciled && machine.address && !this.willTell(machine)) this.waiting.push(machine);
+      if (!machine.reconciled && machine.address && !this.heartbeatWillSuffice(machine)) this.pending.push(machine);
     }
     this.reconcileNext();
   }
 
   /** One that has reported to this leader shows its token with the next report, and needs no question. */
-  private willTell(machine: Machine): boolean {
+  private heartbeatWillSuffice(machine: Machine): boolean {
     return this.cluster.previousTerms.recovery !== null && machine.firstHeartbeatAt !== null;
   }
 
   private reconcileNext(): void {
-    while (this.inFlight < MAX_CONCURRENT) {
-      const machine = this.waiting.shift();
+    while (this.inFlight < MAX_CONCURRENT_STATUS_REQUESTS) {
+      const machine = this.pending.shift();
       if (!machine) return;
-      if (machine.reconciled || !this.cluster.isKnown(machine) || this.willTell(machine)) continue;
+      if (machine.reconciled || !this.cluster.isKnown(machine) || this.heartbeatWillSuffice(machine)) continue;
       this.inFlight += 1;
-      this.ask(machine, FIRST_SESSION, MAX_TRIES, () => {
+      this.requestStatus(machine, FIRST_AGENT_EPOCH, MAX_STATUS_REQUEST_TRIES, () => {
         this.inFlight -= 1;
         if (!this.stopped) this.reconcileNext();
       });
     }
   }
 
-  private ask(machine: Machine, agentEpoch: AgentEpoch, tries: number, done: () => void): void {
+  private requestStatus(machine: Machine, agentEpoch: AgentEpoch, tries: number, done: () => void): void {
     machine.commandInFlight = true;
     this.context.pushCommands(
-      { address: machine.address, fencingToken: this.token, agentEpoch, commands: [] },
+      { address: machine.address, fencingToken: this.fencingToken, agentEpoch, commands: [] },
       (result) => {
         machine.commandInFlight = false;
         if (this.stopped || !this.cluster.isKnown(machine)) return done();
         if (!result.ok || result.value.heartbeat.machine !== machine.id) return done();
         const { executed, heartbeat } = result.value;
-        this.take(machine, heartbeat, 'commandAnswer');
-        if (!executed && tries > 1) return this.ask(machine, heartbeat.agentEpoch, tries - 1, done);
+        this.reconcile(machine, heartbeat, 'commandAnswer');
+        if (!executed && tries > 1) return this.requestStatus(machine, heartbeat.agentEpoch, tries - 1, done);
         if (executed) this.onReachable(machine);
         done();
       },
@@ -84,28 +84,29 @@
   }
 
   /** Asks machines for an answer that are unresponsive, not confirmed, or overdue while they hold a replica. */
-  probe(): void {
+  probeMachines(): void {
     const now = this.context.now.monotonic;
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase !== 'up' || machine.nextProbeAt > now || !this.needsProbe(machine)) continue;
       if (machine.commandInFlight || !machine.address || machine.terminationInFlight) continue;
-      if (this.context.openCommandPushCount >= MAX_OPEN_COMMANDS) return;
-      machine.nextProbeAt = this.context.after(PROBE_PERIOD_MS);
-      this.ask(machine, machine.agentEpoch ?? FIRST_SESSION, MAX_TRIES, () => {});
+      if (this.context.openCommandPushCount >= MAX_PUSHES_IN_FLIGHT) return;
+      machine.nextProbeAt = this.context.after(PROBE_INTERVAL_MS);
+      this.requestStatus(machine, machine.agentEpoch ?? FIRST_AGENT_EPOCH, MAX_STATUS_REQUEST_TRIES, () => {});
     }
   }
 
   private needsProbe(machine: Machine): boolean {
     if (machine.unresponsiveSince !== null || !machine.reachabilityConfirmed) return true;
     // Whether the machine of a replica is gone decides when the replica runs elsewhere.
-    const overdueMs = REPORT_MISSED_AFTER * this.context.settings.workers.heartbeatIntervalMs;
+    const overdueMs = HEARTBEAT_MISSED_AFTER_INTERVALS * this.context.settings.workers.heartbeatIntervalMs;
     return this.context.now.monotonic - machine.lastContactAt >= overdueMs && machine.hasReplica();
   }
 
   /** Takes in a list of tasks, from a report or from the answer to a direct command. Returns whether room came free. */
-  take(machine: Machine, report: Heartbeat, source: ReportSource): boolean {
-    if (report.fencingToken === this.token && machine.highestFencingToken < this.token) this.onReachable(machine);
-    const freed = applyReport(this.cluster, machine, report, this.token, source);
+  reconcile(machine: Machine, report: Heartbeat, source: StatusSource): boolean {
+    if (report.fencingToken === this.fencingToken && machine.highestFencingToken < this.fencingToken)
+      this.onReachable(machine);
+    const freed = reconcileStatus(this.cluster, machine, report, this.fencingToken, source);
     if (source === 'commandAnswer') machine.lastContactAt = this.context.now.monotonic;
     if (freed) this.leader.schedulePlanningRoundSoon();
     this.leader.lookUpSuspectedOrphans();
@@ -124,7 +125,7 @@
   /** What is sent doesn't reach it, whatever is heard of it: no new work, until an answer to a command proves otherwise. */
   private markUnresponsive(machine: Machine): void {
     machine.unresponsiveSince = this.context.now.monotonic;
-    machine.nextProbeAt = this.context.after(PROBE_PERIOD_MS);
+    machine.nextProbeAt = this.context.after(PROBE_INTERVAL_MS);
     this.context.log('info', 'machine reports but does not react to answers: unresponsive', { machine: machine.id });
     this.cluster.releasePlanned(machine);
     this.leader.schedulePlanningRoundSoon();
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -3,7 +3,7 @@
 import type { Cluster } from '../leadership/cluster.js';
 import { type Machine, type StartKey, startKey, taskKey, type UnexpectedTask } from '../machines/machine.js';
 import type { JobId, LiveTaskStatus, TaskStatus } from '../types.js';
-import { addStray } from './stray_tasks.js';
+import { addUnexpectedTask } from './unexpected_tasks.js';
 
 /*
  * Carries out what `src/recovery` says of reported tasks that have no place on their machine as far as this leader knows. One
@@ -18,8 +18,8 @@
   strays: UnexpectedTask[],
 ): Placement | null {
   const job = cluster.jobs.get(task.job) ?? null;
-  const elsewhere = job && sentElsewhere(cluster, job, task.index);
-  const classification = classifyTask(cluster, task, elsewhere && otherPlace(elsewhere));
+  const elsewhere = job && findPlacementElsewhere(cluster, job, task.index);
+  const classification = classifyTask(cluster, task, elsewhere && toOtherPlacement(elsewhere));
   countIfNew(cluster, machine, task, classification);
   switch (classification.action) {
     case 'adopt':
@@ -31,18 +31,18 @@
     }
     case 'adoptAndStopOther':
       if (elsewhere) displace(cluster, elsewhere);
-      logDuplicate(cluster, machine, task, elsewhere);
+      logDuplicateTask(cluster, machine, task, elsewhere);
       return adopt(cluster, machine, task);
     case 'stop':
-      if (job) logDuplicate(cluster, machine, task, elsewhere);
-      strays.push(strayOf(task, job, true));
+      if (job) logDuplicateTask(cluster, machine, task, elsewhere);
+      strays.push(toUnexpectedTask(task, job, true));
       return null;
     case 'readRecord':
       cluster.previousTerms.suspectOrphan(task.job, machine);
-      strays.push(strayOf(task, job, false));
+      strays.push(toUnexpectedTask(task, job, false));
       return null;
     default:
-      strays.push(strayOf(task, job, false));
+      strays.push(toUnexpectedTask(task, job, false));
       return null;
   }
 }
@@ -55,7 +55,7 @@
 }
 
 /** Whether a worker may drop an ended task of a job that isn't known: only once it is certain that nobody recorded it. */
-export function mayForgetUnknown(cluster: Cluster, job: JobId): boolean {
+export function mayAcknowledgeUnknownJob(cluster: Cluster, job: JobId): boolean {
   const { recovery } = cluster.previousTerms;
   return recovery === null || (recovery.isOrphan(job) && !cluster.unreadableJobIds.has(job));
 }
@@ -77,7 +77,7 @@
 }
 
 /** The task's place on another machine; one that was only planned is given up. */
-function sentElsewhere(cluster: Cluster, job: Job, index: number): Placement | null {
+function findPlacementElsewhere(cluster: Cluster, job: Job, index: number): Placement | null {
   const placement = job.placements.get(index);
   if (!placement) return null;
   if (placement.phase !== 'planned') return placement;
@@ -85,7 +85,7 @@
   return null;
 }
 
-const otherPlace = ({ machine, attempt }: Placement): OtherPlace => ({ machine: machine.id, attempt });
+const toOtherPlacement = ({ machine, attempt }: Placement): OtherPlace => ({ machine: machine.id, attempt });
 
 function adopt(cluster: Cluster, machine: Machine, task: LiveTaskStatus): Placement | null {
   const job = cluster.jobs.get(task.job);
@@ -95,10 +95,14 @@
 function displace(cluster: Cluster, placement: Placement): void {
   const { job, index, attempt, machine } = placement;
   cluster.detach(placement);
-  addStray(cluster, machine, { job: job.id, index, attempt, shouldStop: true, knownJob: job });
+  addUnexpectedTask(cluster, machine, { job: job.id, index, attempt, shouldStop: true, knownJob: job });
 }
 
-const strayOf = ({ job, index, attempt }: TaskStatus, knownJob: Job | null, shouldStop: boolean): UnexpectedTask => ({
+const toUnexpectedTask = (
+  { job, index, attempt }: TaskStatus,
+  knownJob: Job | null,
+  shouldStop: boolean,
+): UnexpectedTask => ({
   job,
   index,
   attempt,
@@ -118,7 +122,7 @@
   if (!isRepeated) previousTerms.recovery?.countTask(taskClass);
 }
 
-function logDuplicate({ context }: Cluster, machine: Machine, task: TaskStatus, other: Placement | null): void {
+function logDuplicateTask({ context }: Cluster, machine: Machine, task: TaskStatus, other: Placement | null): void {
   const { job, index, attempt } = task;
   if (machine.unexpectedTasks.get(taskKey(job, index))?.attempt === attempt) return;
   context.log('error', 'task reported by two machines', {
@@ -129,7 +133,7 @@
 }
 
 /** Whether an end without a place is news; workers repeat it until they are told to forget it. */
-export function isNewEnd(machine: Machine, { job, index, attempt }: TaskStatus): boolean {
+export function isNewExit(machine: Machine, { job, index, attempt }: TaskStatus): boolean {
   const key: StartKey = startKey(job, index, attempt);
   return !machine.previousExits.has(key);
 }
--- a/src/core/workers/start_checks.ts
+++ b/src/core/workers/start_checks.ts
@@ -15,7 +15,7 @@
 }
 
 /** A gang's tasks are started so that they gather within this part of the time that they wait for each other. */
-const GATHER_SHARE = 0.4;
+const MAX_GATHER_SHARE = 0.4;
 
 /**
  * Whether a task of a gang should be started now. One that has its image long before the others would give up waiting for
@@ -24,7 +24,7 @@
 export function isGangStartDue({ context }: Cluster, { job, machine }: Placement): boolean {
   const { image, imageGb } = job.spec;
   const fetchLeftS = (on: Machine): number => on.images.remainingPullSeconds(image, imageGb, context.now.monotonic);
-  const toleranceS = (GATHER_SHARE * context.settings.workers.gangBarrierTimeoutMs) / 1000;
+  const toleranceS = (MAX_GATHER_SHARE * context.settings.workers.gangBarrierTimeoutMs) / 1000;
   const latestS = fetchLeftS(machine) + toleranceS;
   for (const other of job.placements.values()) if (fetchLeftS(other.machine) > latestS) return false;
   return true;
--- a/src/core/workers/report_processing.ts
+++ b/src/core/workers/status_reconciliation.ts
@@ -11,16 +11,16 @@
 } from '../machines/machine.js';
 import { addMilliseconds, type FencingToken, type Heartbeat, type LiveTaskStatus, type TaskStatus } from '../types.js';
 import { recoverLiveTask } from './recovered_tasks.js';
-import { replaceStrays } from './stray_tasks.js';
-import { processExit } from './task_exits.js';
+import { reconcileExit } from './task_exits.js';
+import { replaceUnexpectedTasks } from './unexpected_tasks.js';
 
 /** Reports are sent one after the other; answers to direct commands overtake them. */
-export type ReportSource = 'report' | 'commandAnswer';
+export type StatusSource = 'report' | 'commandAnswer';
 
 const isLive = (task: TaskStatus): task is LiveTaskStatus => task.phase !== 'exited';
 
 /** Whether a report is newer than anything seen of this machine. */
-export function isNewer({ agentEpoch, sequence }: Machine, report: Heartbeat): boolean {
+export function isNewerStatus({ agentEpoch, sequence }: Machine, report: Heartbeat): boolean {
   if (agentEpoch === null || sequence === null) return true;
   return report.agentEpoch > agentEpoch || (report.agentEpoch === agentEpoch && report.sequence > sequence);
 }
@@ -29,33 +29,33 @@
  * Takes in a worker's list of tasks. A list counts only if it carries this leader's token (so no older command can still
  * be executed) and is newer than any before it: lists can arrive late and in any order. Returns whether room came free.
  */
-export function applyReport(
+export function reconcileStatus(
   cluster: Cluster,
   machine: Machine,
   report: Heartbeat,
   token: FencingToken,
-  source: ReportSource,
+  source: StatusSource,
 ): boolean {
   if (report.fencingToken > machine.highestFencingToken) machine.highestFencingToken = report.fencingToken;
-  if (!isNewer(machine, report)) return false;
+  if (!isNewerStatus(machine, report)) return false;
   // Without our token the list may be older than a command of an earlier leader that is still on its way.
   // And what nobody has listed may be long gone: a late copy of its list must not bring back tasks that ended.
   if (report.fencingToken !== token && (machine.registered || !machine.reconciled || !machine.reachabilityConfirmed))
     return false;
-  const newSession = applySession(cluster, machine, report);
+  const newSession = applyAgentEpoch(cluster, machine, report);
   const becameReconciled = !machine.reconciled;
   if (becameReconciled) cluster.markReconciled(machine, 'listed');
-  const firstNotice = applyNotice(cluster, machine, report);
-  const tasksChanged = applyTasks(cluster, machine, report, source);
+  const firstNotice = applyInterruptionNotice(cluster, machine, report);
+  const tasksChanged = reconcileTasks(cluster, machine, report, source);
   machine.dropAbandonedPulls();
   return newSession || becameReconciled || firstNotice || tasksChanged;
 }
 
 /** Returns whether a new session ended what was on the machine. */
-function applySession(cluster: Cluster, machine: Machine, report: Heartbeat): boolean {
+function applyAgentEpoch(cluster: Cluster, machine: Machine, report: Heartbeat): boolean {
   const before = machine.agentEpoch;
   const isNewSession = before !== null && report.agentEpoch > before;
-  if (isNewSession) onNewSession(cluster, machine, report);
+  if (isNewSession) onNewAgentEpoch(cluster, machine, report);
   if (before !== report.agentEpoch) {
     machine.lastHeartbeatSequence = null;
     // The answer to a direct command may be the first to tell of a session: its lease began some time before now.
@@ -66,7 +66,7 @@
   return isNewSession;
 }
 
-function onNewSession(cluster: Cluster, machine: Machine, report: Heartbeat): void {
+function onNewAgentEpoch(cluster: Cluster, machine: Machine, report: Heartbeat): void {
   cluster.context.log('info', 'worker began a new session: its tasks are gone', {
     machine: machine.id,
     session: report.agentEpoch,
@@ -78,7 +78,11 @@
 }
 
 /** Returns whether it is the first notice that the cloud will take the machine. */
-function applyNotice(cluster: Cluster, machine: Machine, { interruptionNoticeSeconds }: Heartbeat): boolean {
+function applyInterruptionNotice(
+  cluster: Cluster,
+  machine: Machine,
+  { interruptionNoticeSeconds }: Heartbeat,
+): boolean {
   if (interruptionNoticeSeconds === null) return false;
   const isFirst = machine.interruptionAt === null;
   if (isFirst)
@@ -91,39 +95,39 @@
 }
 
 /** Returns whether room came free. */
-function applyTasks(cluster: Cluster, machine: Machine, report: Heartbeat, source: ReportSource): boolean {
+function reconcileTasks(cluster: Cluster, machine: Machine, report: Heartbeat, source: StatusSource): boolean {
   let freed = false;
   const live = new Set<TaskKey>();
   const strays: UnexpectedTask[] = [];
-  machine.previousExits = endsShown(machine);
+  machine.previousExits = exitKeysOf(machine);
   machine.exitedTasks = [];
   for (const task of report.tasks) {
     if (isLive(task)) {
       live.add(taskKey(task.job, task.index));
-      processLiveTask(cluster, machine, task, strays);
-    } else if (processExit(cluster, machine, task)) {
+      reconcileLiveTask(cluster, machine, task, strays);
+    } else if (reconcileExit(cluster, machine, task)) {
       freed = true;
     }
   }
-  replaceStrays(cluster, machine, strays);
-  return applyAbsences(cluster, machine, live, report, source) || freed;
+  replaceUnexpectedTasks(cluster, machine, strays);
+  return reconcileAbsentTasks(cluster, machine, live, report, source) || freed;
 }
 
 /** The ends that the last list showed. Most lists show none: they share one empty set. */
-function endsShown({ exitedTasks }: Machine): ReadonlySet<StartKey> {
-  if (exitedTasks.length === 0) return NO_ENDS;
+function exitKeysOf({ exitedTasks }: Machine): ReadonlySet<StartKey> {
+  if (exitedTasks.length === 0) return NO_EXITS;
   return new Set(exitedTasks.map(({ job, index, attempt }) => startKey(job, index, attempt)));
 }
 
-const NO_ENDS: ReadonlySet<StartKey> = new Set();
+const NO_EXITS: ReadonlySet<StartKey> = new Set();
 
 /** What a report says by not showing tasks that have a place on the machine. Returns whether room came free. */
-function applyAbsences(
+function reconcileAbsentTasks(
   cluster: Cluster,
   machine: Machine,
   live: ReadonlySet<TaskKey>,
   report: Heartbeat,
-  source: ReportSource,
+  source: StatusSource,
 ): boolean {
   let freed = false;
   let startDropped = false;
@@ -135,7 +139,7 @@
       freed = true;
     } else if (isStartDropped(placement, report, source)) {
       startDropped = true;
-      if (takeBackStart(cluster, placement)) freed = true;
+      if (revertStart(cluster, placement)) freed = true;
     }
   }
   if (startDropped) machine.ignoredResponses += 1;
@@ -147,14 +151,14 @@
  * direct commands overtake it. A start that went out by a direct command without an answer may still arrive, whatever the
  * reports say (late-starts.txt).
  */
-function isStartDropped(placement: Placement, report: Heartbeat, source: ReportSource): boolean {
+function isStartDropped(placement: Placement, report: Heartbeat, source: StatusSource): boolean {
   const { sentInResponseTo, machine } = placement;
   if (source !== 'report' || sentInResponseTo === null || report.sequence <= sentInResponseTo) return false;
   return !machine.unconfirmedStarts.has(startKeyOf(placement));
 }
 
 /** The start goes out again, unless the task is not to run any more. Returns whether room came free. */
-function takeBackStart(cluster: Cluster, placement: Placement): boolean {
+function revertStart(cluster: Cluster, placement: Placement): boolean {
   const { job, pendingStop } = placement;
   placement.phase = 'planned';
   placement.sentInResponseTo = null;
@@ -164,8 +168,8 @@
 }
 
 /** Takes in what a report shows of a task that has not ended. */
-function processLiveTask(cluster: Cluster, machine: Machine, task: LiveTaskStatus, strays: UnexpectedTask[]): void {
-  const placement = placementOf(cluster, machine, task, strays);
+function reconcileLiveTask(cluster: Cluster, machine: Machine, task: LiveTaskStatus, strays: UnexpectedTask[]): void {
+  const placement = findOrAdoptPlacement(cluster, machine, task, strays);
   if (!placement) return;
   const now = cluster.context.now.monotonic;
   const { job } = placement;
@@ -180,7 +184,7 @@
 }
 
 /** The placement that a live task belongs to, made where there is none; null where the task can't be accounted for. */
-function placementOf(
+function findOrAdoptPlacement(
   cluster: Cluster,
   machine: Machine,
   task: LiveTaskStatus,
@@ -195,11 +199,11 @@
     cluster.release(known);
   }
   if (cluster.previousTerms.recovery) return recoverLiveTask(cluster, machine, task, strays);
-  return placeReported(cluster, machine, task);
+  return placeWithoutRecovery(cluster, machine, task);
 }
 
 /** Without the recovery feature: a task that two machines report stays where it was found first. */
-function placeReported(cluster: Cluster, machine: Machine, task: LiveTaskStatus): Placement | null {
+function placeWithoutRecovery(cluster: Cluster, machine: Machine, task: LiveTaskStatus): Placement | null {
   const job = cluster.jobs.get(task.job);
   if (!job) return null;
   const elsewhere = job.placements.get(task.index);
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -3,11 +3,11 @@
 import { type Machine, taskKey } from '../machines/machine.js';
 import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO } from '../machines/straggler_detector.js';
 import type { MonotonicTime, TaskStatus } from '../types.js';
-import { isNewEnd, recoverEndedTask } from './recovered_tasks.js';
+import { isNewExit, recoverEndedTask } from './recovered_tasks.js';
 
-const FLUSH_RESULTS_MS = 30;
+const RESULT_FLUSH_DELAY_MS = 30;
 /** A replica that ran for so long has shown that its service and its machine are well. */
-const STEADY_RUN_MS = 30_000;
+const STABLE_RUN_MS = 30_000;
 /** So many short runs are followed by no pause; then it doubles with each. */
 const SHORT_RUNS_WITHOUT_PAUSE = 2;
 const FIRST_RESTART_PAUSE_MS = 500;
@@ -17,30 +17,30 @@
 const REFUSED_START_PAUSE_MS = 1000;
 
 /** Where a task was that has ended, and since when. */
-type EndedPlace = Pick<Placement, 'job' | 'machine' | 'since' | 'runningSince'>;
+type EndedRun = Pick<Placement, 'job' | 'machine' | 'since' | 'runningSince'>;
 
 /** Takes in that a task ended. Returns whether room came free. */
-export function processExit(cluster: Cluster, machine: Machine, task: TaskStatus): boolean {
+export function reconcileExit(cluster: Cluster, machine: Machine, task: TaskStatus): boolean {
   const job = cluster.jobs.get(task.job);
   const { index, attempt } = task;
   const hasResult = task.exitReason === 'done' && !job?.isService;
   machine.exitedTasks.push({ job: task.job, index, attempt, isDone: hasResult });
   const found = cluster.findPlacement(machine, task.job, index);
   const placement = found?.attempt === attempt ? found : null;
-  if (!placement && cluster.previousTerms.recovery) recordMissedEnd(cluster, machine, task);
+  if (!placement && cluster.previousTerms.recovery) recordMissedExit(cluster, machine, task);
   if (!job) return false;
   if (hasResult) recordResult(cluster, machine, job, task, placement);
   if (!placement) return false;
-  if (job.isService) recordReplicaEnd(cluster, placement, task);
+  if (job.isService) recordReplicaExit(cluster, placement, task);
   else if (!hasResult) recordFailure(cluster, placement, task);
   cluster.release(placement);
   return true;
 }
 
 /** A task that ended while nobody watched, or that nobody knows of. What failed counts once, as it would have then. */
-function recordMissedEnd(cluster: Cluster, machine: Machine, task: TaskStatus): void {
+function recordMissedExit(cluster: Cluster, machine: Machine, task: TaskStatus): void {
   const { taskClass, action } = recoverEndedTask(cluster, machine, task);
-  if (!isNewEnd(machine, task)) return;
+  if (!isNewExit(machine, task)) return;
   cluster.previousTerms.recovery?.countTask(taskClass);
   const job = cluster.jobs.get(task.job);
   if (!job) return;
@@ -63,7 +63,7 @@
   job.markDone(task.index);
   machine.taskFailures.clear();
   if (placement) recordRunTime(cluster, placement);
-  context.timers.setIfUnset('recordFlush', context.after(FLUSH_RESULTS_MS));
+  context.timers.setIfUnset('recordFlush', context.after(RESULT_FLUSH_DELAY_MS));
 }
 
 /** Learns from how long a task took, unless it ran in several parts. */
@@ -85,11 +85,11 @@
  * A replica that ends runs again elsewhere, whatever it ended with. One that ends soon after its start does so after a pause
  * that doubles: a service that can't stay up must not take the cluster's time.
  */
-function recordReplicaEnd(cluster: Cluster, placement: Placement, task: TaskStatus): void {
+function recordReplicaExit(cluster: Cluster, placement: Placement, task: TaskStatus): void {
   if (task.exitReason === 'stopped') return;
   const { job, runningSince } = placement;
   const now = cluster.context.now.monotonic;
-  const ranSteadily = runningSince !== null && now - runningSince >= STEADY_RUN_MS;
+  const ranSteadily = runningSince !== null && now - runningSince >= STABLE_RUN_MS;
   if (ranSteadily) {
     job.failureHistory.clearMachines();
     job.shortRunCount = 0;
@@ -104,7 +104,7 @@
 
 function recordShortRun({ context }: Cluster, placement: Placement): void {
   const { job, since } = placement;
-  noteJobFailure(placement, context.now.monotonic);
+  recordJobFailure(placement, context.now.monotonic);
   // Replicas that began together and end together have failed once.
   if (since >= job.lastShortRunAt) {
     job.shortRunCount += 1;
@@ -115,7 +115,7 @@
   job.notBefore = context.after(Math.min(MAX_RESTART_PAUSE_MS, pauseMs));
 }
 
-function noteJobFailure({ job, machine, since, runningSince }: EndedPlace, now: MonotonicTime): void {
+function recordJobFailure({ job, machine, since, runningSince }: EndedRun, now: MonotonicTime): void {
   const { failureHistory } = job;
   failureHistory.recordFailure(machine.id, {
     placedAt: since,
@@ -125,7 +125,7 @@
   });
 }
 
-function recordFailure(cluster: Cluster, placement: EndedPlace, task: TaskStatus): void {
+function recordFailure(cluster: Cluster, placement: EndedRun, task: TaskStatus): void {
   const { context } = cluster;
   const { job, machine, runningSince } = placement;
   const { exitReason } = task;
@@ -145,7 +145,7 @@
     return;
   }
   if (exitReason !== 'error') return;
-  noteJobFailure(placement, context.now.monotonic);
+  recordJobFailure(placement, context.now.monotonic);
   if (job.isFaulty) pauseFaultyJob(cluster, job);
   else recordMachineError(cluster, machine, job);
 }
--- a/src/core/workers/stray_tasks.ts
+++ b/src/core/workers/unexpected_tasks.ts
@@ -6,38 +6,38 @@
  * machines at once. While one is there its machine gets nothing new, and the same task is started nowhere.
  */
 
-const strayKey = ({ job, index }: UnexpectedTask): TaskKey => taskKey(job, index);
+const unexpectedTaskKey = ({ job, index }: UnexpectedTask): TaskKey => taskKey(job, index);
 
 /** The strays that a new list shows, instead of those of the one before. */
-export function replaceStrays(cluster: Cluster, machine: Machine, strays: readonly UnexpectedTask[]): void {
+export function replaceUnexpectedTasks(cluster: Cluster, machine: Machine, strays: readonly UnexpectedTask[]): void {
   if (strays.length === 0 && machine.unexpectedTasks.size === 0) return;
   const before = machine.unexpectedTasks;
-  machine.unexpectedTasks = new Map(strays.map((stray) => [strayKey(stray), stray]));
-  for (const stray of machine.unexpectedTasks.values()) count(cluster, stray, 1);
-  for (const stray of before.values()) count(cluster, stray, -1);
-  const change = Number(hasUnknown(machine.unexpectedTasks)) - Number(hasUnknown(before));
+  machine.unexpectedTasks = new Map(strays.map((stray) => [unexpectedTaskKey(stray), stray]));
+  for (const stray of machine.unexpectedTasks.values()) countUnexpectedTask(cluster, stray, 1);
+  for (const stray of before.values()) countUnexpectedTask(cluster, stray, -1);
+  const change = Number(hasUnknownJob(machine.unexpectedTasks)) - Number(hasUnknownJob(before));
   if (change !== 0) cluster.quotas.addUnattributed(machine.type, change > 0 ? 1 : -1);
   if (strays.some(({ shouldStop }) => shouldStop)) cluster.scheduleStopCommands(machine);
 }
 
 /** Whether tasks of jobs that aren't known are among them. */
-function hasUnknown(strays: ReadonlyMap<TaskKey, UnexpectedTask>): boolean {
+function hasUnknownJob(strays: ReadonlyMap<TaskKey, UnexpectedTask>): boolean {
   for (const { knownJob } of strays.values()) if (!knownJob) return true;
   return false;
 }
 
 /** The machine is gone, or its tasks are. */
-export function dropStrays(cluster: Cluster, machine: Machine): void {
-  replaceStrays(cluster, machine, []);
+export function dropUnexpectedTasks(cluster: Cluster, machine: Machine): void {
+  replaceUnexpectedTasks(cluster, machine, []);
 }
 
 /** A place turned out to be left over from an earlier start: its task is stopped, and it counts until it is gone. */
-export function addStray(cluster: Cluster, machine: Machine, stray: UnexpectedTask): void {
-  replaceStrays(cluster, machine, [...machine.unexpectedTasks.values(), stray]);
+export function addUnexpectedTask(cluster: Cluster, machine: Machine, stray: UnexpectedTask): void {
+  replaceUnexpectedTasks(cluster, machine, [...machine.unexpectedTasks.values(), stray]);
 }
 
 /** Strays of known jobs count against their team's limit, and keep the same task from being started again. */
-function count({ quotas }: Cluster, { knownJob, index }: UnexpectedTask, change: 1 | -1): void {
+function countUnexpectedTask({ quotas }: Cluster, { knownJob, index }: UnexpectedTask, change: 1 | -1): void {
   if (!knownJob) return;
   quotas.add(knownJob.spec, change);
   const onMachines = (knownJob.unexpectedTasks.get(index) ?? 0) + change;
