--- a/src/core/leadership/cluster.ts
+++ b/src/core/leadership/cluster.ts
@@ -162,7 +162,7 @@
     };
     job.placements.set(index, placement);
     machine.addPlacement(placement);
-    this.quotas.add(job.spec, 1);
+    this.quotas.recordUsage(job.spec, 1);
     this.activeJobs.add(job);
     return placement;
   }
@@ -186,7 +186,7 @@
     job.placements.delete(index);
     if (job.placements.size === 0) job.inactiveSince = this.context.now.monotonic;
     machine.removePlacement(placement, this.context.now.monotonic);
-    this.quotas.add(job.spec, -1);
+    this.quotas.recordUsage(job.spec, -1);
     job.onTaskReleased(index);
     return true;
   }
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -10,7 +10,7 @@
 import { migrateToCachedImages } from '../scheduler/migration.js';
 import { preempt } from '../scheduler/preemption.js';
 import { scheduleRound } from '../scheduler/round.js';
-import { placeServices } from '../scheduler/services.js';
+import { placeServices } from '../scheduler/service_placement.js';
 import type { StepContext, TimerName } from '../step_context.js';
 import type { Heartbeat, JobId, MonotonicTime } from '../types.js';
 import type { HeartbeatResponder } from '../workers/backlogged_heartbeats.js';
--- a/src/core/leadership/previous_terms.ts
+++ b/src/core/leadership/previous_terms.ts
@@ -95,8 +95,8 @@
     this.unreconciledCount = recovery.unreconciledMachines;
     if (before === 0 && this.unreconciledCount === 0 && recovery.isFinished) return;
     const { monotonic } = this.context.now;
-    this.quotas.unreconciled = recovery.unreconciledCapacity(monotonic) ?? UNKNOWN_CAPACITY;
-    this.quotas.exposure = this.quotas.isAnyLimited ? recovery.teamExposure(this.previousTermJobs(), monotonic) : null;
+    this.quotas.unreconciledCapacity = recovery.unreconciledCapacity(monotonic) ?? UNKNOWN_CAPACITY;
+    this.quotas.exposure = this.quotas.hasLimits ? recovery.teamExposure(this.previousTermJobs(), monotonic) : null;
   }
 
   private *previousTermJobs(): Iterable<EarlierJob> {
@@ -117,7 +117,7 @@
       gpus += type.gpus;
     }
     this.unreconciledCount = count;
-    this.quotas.unreconciled = { cpus, gpus };
+    this.quotas.unreconciledCapacity = { cpus, gpus };
   }
 
   /** Notes whether tasks of a job may run unseen, and returns how many of it may be given places now. */
--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -1,7 +1,7 @@
 import type { Placement } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
 import { workerLeaseExpiryMs } from '../leadership/lease_bounds.js';
-import { moveReplica } from '../scheduler/services.js';
+import { moveReplica } from '../scheduler/service_placement.js';
 import { type AgentEpoch, addMilliseconds, type JobId, type MonotonicTime, type SequenceNumber } from '../types.js';
 import type { Machine } from './machine.js';
 import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO, type StragglerEvidence } from './straggler_detector.js';
--- a/src/core/machines/scale_out_demand.ts
+++ b/src/core/machines/scale_out_demand.ts
@@ -2,7 +2,7 @@
 import { countFitting, RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { PlanJob } from '../scheduler/plan_types.js';
 import type { RoundResult } from '../scheduler/round.js';
-import { type GpuDemand, gpuDemand, spareOfType } from '../scheduler/spare_room.js';
+import { type GpuDemand, gpuDemand, spareCapacityOfType } from '../scheduler/spare_capacity.js';
 import type { MachineType, MachineTypeName, ZoneName } from '../types.js';
 import { type CapacityPool, capacityPoolKey } from './capacity_pool.js';
 import { pullSeconds } from './image_cache.js';
@@ -87,7 +87,7 @@
       const kind = this.cheapestPool(job, left, fullZones);
       if (!kind) return;
       // What is spread over zones needs machines in several at once.
-      const here = Math.min(left, job.zoneRoom?.get(kind.zone) ?? left);
+      const here = Math.min(left, job.zoneAllowance?.get(kind.zone) ?? left);
       this.add(kind, this.machinesNeeded(job, kind.type, here), minimum);
       fullZones.add(kind.zone);
       left -= here;
@@ -97,7 +97,7 @@
   /** Jobs beyond those that the round planned in full: machines on their way that the plan leaves free take some. */
   private addUnplanned(): void {
     const unused = this.unusedProvisioning();
-    for (const { job, tasks } of this.round.beyond) {
+    for (const { job, tasks } of this.round.unplannedTasks) {
       const kind = this.mayTriggerScaleOut(job) ? this.cheapestPool(job, tasks) : null;
       if (!kind) continue;
       const machines = this.machinesNeeded(job, kind.type, tasks);
@@ -110,7 +110,7 @@
 
   /** Booting machines, by type, on which the plan starts nothing. */
   private unusedProvisioning(): Map<MachineTypeName, number> {
-    const used = new Set(this.round.capacity.starts.map((start) => start.machine));
+    const used = new Set(this.round.capacityPlan.starts.map((start) => start.machine));
     const unused = new Map<MachineTypeName, number>();
     this.round.machines.forEach((machine, slot) => {
       if (!this.cluster.isExpected(machine) || used.has(slot)) return;
@@ -120,29 +120,29 @@
   }
 
   private delayedTasks(): DelayedTasks[] {
-    const { capacity, planJobs } = this.round;
+    const { capacityPlan, planJobs } = this.round;
     const marginS = this.cluster.context.tuning.machines.rent_margin_s;
     const late = new Map<number, number>();
     const add = (slot: number, tasks: number): void => {
       late.set(slot, (late.get(slot) ?? 0) + tasks);
     };
-    for (const start of capacity.starts) {
+    for (const start of capacityPlan.starts) {
       const job = planJobs[start.job] as PlanJob;
       if (start.startAtS > this.soonestOnNewMachineSeconds(job) + marginS) add(start.job, start.tasks);
     }
-    for (const [slot, tasks] of capacity.unplaced) add(slot, tasks);
+    for (const [slot, tasks] of capacityPlan.unplacedTasks) add(slot, tasks);
     return [...late]
       .map(([slot, tasks]) => ({
         job: planJobs[slot] as PlanJob,
         tasks,
-        unplaced: (capacity.unplaced.get(slot) ?? 0) > 0,
+        unplaced: (capacityPlan.unplacedTasks.get(slot) ?? 0) > 0,
       }))
       .filter(({ job }) => this.mayTriggerScaleOut(job));
   }
 
   /** Jobs that fail wherever they run are tried on what is there. */
-  private mayTriggerScaleOut({ slot }: PlanJob): boolean {
-    const job = this.round.jobs[slot];
+  private mayTriggerScaleOut({ index }: PlanJob): boolean {
+    const job = this.round.jobs[index];
     return job === undefined || job.failureHistory.mayTriggerScaleOut(this.cluster.context.now.monotonic);
   }
 
@@ -164,9 +164,9 @@
   /** How many machines work off the tasks within the horizon; of a gang as many as it takes at once. */
   private machinesNeeded(job: PlanJob, type: MachineType, tasks: number): number {
     const perMachine = tasksPerMachine(job, type);
-    if (job.gang) return tasks / perMachine;
+    if (job.isGang) return tasks / perMachine;
     const horizonS = this.cluster.context.tuning.machines.rent_horizon_s;
-    const runsInHorizon = Math.max(1, horizonS / Math.max(1, job.durationS));
+    const runsInHorizon = Math.max(1, horizonS / Math.max(1, job.durationSeconds));
     return tasks / (perMachine * runsInHorizon);
   }
 
@@ -197,15 +197,15 @@
   private canRun(job: PlanJob, type: MachineType): boolean {
     if (tasksPerMachine(job, type) < 1 || (job.types !== null && !job.types.includes(type.name))) return false;
     if (job.gpus > 0 || type.gpus === 0 || job.penaltyFactor === 0) return true;
-    const spare = spareOfType(type, this.gpuDemand);
-    return spare.cpus + RESOURCE_TOLERANCE >= job.cpus && spare.memGb + RESOURCE_TOLERANCE >= job.memoryGb;
+    const spare = spareCapacityOfType(type, this.gpuDemand);
+    return spare.cpus + RESOURCE_TOLERANCE >= job.cpus && spare.memoryGb + RESOURCE_TOLERANCE >= job.memoryGb;
   }
 
   private *feasiblePools(job: PlanJob): Iterable<CapacityPool> {
     const types = [...this.cluster.machineTypes.values()].filter((type) => this.canRun(job, type));
     // Machines with GPUs are rented for work without only where nothing else runs it.
     const avoidGpus = job.gpus === 0 && types.some((type) => type.gpus === 0);
-    const spotChoices = job.spotOk ? [true, false] : [false];
+    const spotChoices = job.toleratesSpot ? [true, false] : [false];
     for (const type of types) {
       if (avoidGpus && type.gpus > 0) continue;
       // A machine in another zone would be rented, found of no use, returned, and rented again.
@@ -229,7 +229,7 @@
 
 /** Whether the job may use a machine in the zone, and has not filled its share of it. */
 const isOpenZone = (job: PlanJob, zone: ZoneName): boolean =>
-  (job.boundTo === null || job.boundTo === zone) && job.zoneRoom?.get(zone) !== 0;
+  (job.boundZone === null || job.boundZone === zone) && job.zoneAllowance?.get(zone) !== 0;
 
 const countKey = (type: MachineTypeName, zone: ZoneName): string => `${type}|${zone}`;
 
--- a/src/core/requests/submission_validation.ts
+++ b/src/core/requests/submission_validation.ts
@@ -1,4 +1,4 @@
-import { withinLimit } from '../scheduler/quotas.js';
+import { fitsTeamLimit } from '../scheduler/quotas.js';
 import type { JobSpec, MachineType, MachineTypeName, TeamQuota, ZoneName } from '../types.js';
 
 /** The zones in which a task of the job fits a machine type that the job allows. */
@@ -22,7 +22,7 @@
   if (!team) return 'unknown team';
   const zones = feasibleZones(spec, types);
   if (zones.size === 0) return 'a task fits no allowed machine type';
-  if (!withinLimit(team, spec)) return 'more than the limit of its team';
+  if (!fitsTeamLimit(team, spec)) return 'more than the limit of its team';
   // What has to run all at once and may have half of it in a zone needs two zones; an array goes on in turns.
   const needsTwoZones = spec.kind !== 'array' && spec.zoneSpread && spec.taskCount > 1;
   if (needsTwoZones && (spec.singleZone || zones.size < 2)) {
--- a/src/core/scheduler/apply_plan.ts
+++ b/src/core/scheduler/apply_plan.ts
@@ -1,13 +1,13 @@
 import type { Job } from '../jobs/job.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
-import { mayHost, placeTask } from './hosting.js';
+import { canPlaceTask, placeTask } from './placement_constraints.js';
 import type { PlannedStart } from './plan_types.js';
 
 /** A start that the plan sees within so many seconds is for now. */
-const NOW_S = 0.05;
+const START_NOW_SECONDS = 0.05;
 
-const isNow = ({ roomAtS }: PlannedStart): boolean => roomAtS <= NOW_S;
+const startsNow = ({ roomAtS }: PlannedStart): boolean => roomAtS <= START_NOW_SECONDS;
 
 /**
  * Gives places to what a plan starts now, in its order: what was ranked before has first call on its team's limit too.
@@ -28,8 +28,8 @@
   let placed = 0;
   for (const [slot, parts] of startsByJob) {
     const job = jobs[slot] as Job;
-    if (!job.isGang) placed += placeArrayTasks(cluster, job, parts.filter(isNow), machines);
-    else if (parts.every(isNow)) placed += placeGang(cluster, job, parts, machines);
+    if (!job.isGang) placed += placeArrayTasks(cluster, job, parts.filter(startsNow), machines);
+    else if (parts.every(startsNow)) placed += placeGang(cluster, job, parts, machines);
   }
   return placed;
 }
@@ -44,7 +44,7 @@
   for (const { machine: slot, tasks } of parts) {
     const machine = machines[slot] as Machine;
     for (const index of job.pendingTasks(tasks)) {
-      if (!mayHost(cluster, job, machine)) break;
+      if (!canPlaceTask(cluster, job, machine)) break;
       placeTask(cluster, job, index, machine, cluster.nextAttempt());
       placed += 1;
     }
@@ -54,13 +54,13 @@
 
 /** A gang starts whole or not at all. */
 function placeGang(cluster: Cluster, job: Job, parts: readonly PlannedStart[], machines: readonly Machine[]): number {
-  if (job.placements.size > 0 || cluster.quotas.room(job.spec) < job.spec.taskCount) return 0;
+  if (job.placements.size > 0 || cluster.quotas.remainingTasks(job.spec) < job.spec.taskCount) return 0;
   const attempt = cluster.nextAttempt();
   let index = 0;
   for (const { machine: slot, tasks } of parts) {
     const machine = machines[slot] as Machine;
     for (let task = 0; task < tasks; task++) {
-      if (!mayHost(cluster, job, machine)) {
+      if (!canPlaceTask(cluster, job, machine)) {
         cluster.breakGang(job);
         return 0;
       }
--- a/src/core/scheduler/fill_checks.ts
+++ b/src/core/scheduler/backfill.ts
@@ -2,7 +2,7 @@
 import type { PlanJob } from './plan_types.js';
 
 /** For jobs with and without GPUs, the least that any of them asks for of each resource. */
-export function leastDemands(jobs: readonly PlanJob[]): Resources[] {
+export function minimumDemands(jobs: readonly PlanJob[]): Resources[] {
   const demands: Resources[] = [];
   for (const withGpus of [true, false]) {
     const alike = jobs.filter(({ gpus }) => gpus > 0 === withGpus);
@@ -19,17 +19,17 @@
 }
 
 /** Whether a job can begin only where the other could: it asks for no less, for no shorter, and may go to no more places. */
-export function asksNoLess(job: PlanJob, other: PlanJob): boolean {
+export function isAtLeastAsDemanding(job: PlanJob, other: PlanJob): boolean {
   return (
     job.cpus >= other.cpus &&
     job.gpus >= other.gpus &&
     job.gpus > 0 === other.gpus > 0 &&
     job.memoryGb >= other.memoryGb &&
-    job.durationS >= other.durationS &&
-    (other.spotOk || !job.spotOk) &&
+    job.durationSeconds >= other.durationSeconds &&
+    (other.toleratesSpot || !job.toleratesSpot) &&
     (other.types === null || (job.types?.every((type) => other.types?.includes(type)) ?? false)) &&
-    job.zones.every((zone) => other.zones.includes(zone)) &&
-    other.avoid === null &&
-    (!other.gang || (job.gang && job.tasks >= other.tasks && (job.sameZone || !other.sameZone)))
+    job.feasibleZones.every((zone) => other.feasibleZones.includes(zone)) &&
+    other.excludedMachines === null &&
+    (!other.isGang || (job.isGang && job.tasks >= other.tasks && (job.singleZone || !other.singleZone)))
   );
 }
--- a/src/core/scheduler/plan_machine.ts
+++ b/src/core/scheduler/capacity_timeline.ts
@@ -8,12 +8,12 @@
  */
 
 /** The fitness looks at utilization this far ahead. */
-const UTILIZATION_HORIZON_S = 60;
+const UTILIZATION_HORIZON_SECONDS = 60;
 
 /** Written out field by field: a spread into a literal costs several microseconds, and a round makes thousands. */
-export function cloneMachine(machine: PlanMachine): PlanMachine {
+export function clonePlanMachine(machine: PlanMachine): PlanMachine {
   return {
-    slot: machine.slot,
+    index: machine.index,
     zone: machine.zone,
     type: machine.type,
     spot: machine.spot,
@@ -22,16 +22,16 @@
     gpus: machine.gpus.slice(),
     memGb: machine.memGb.slice(),
     spareCpus: machine.spareCpus,
-    spareMemGb: machine.spareMemGb,
+    spareMemoryGb: machine.spareMemoryGb,
     servesGpuWork: machine.servesGpuWork,
-    fetchS: machine.fetchS,
+    imagePullSeconds: machine.imagePullSeconds,
     reservedForGangs: machine.reservedForGangs,
-    largestCachedShare: machine.largestCachedShare,
+    largestCachedImageShare: machine.largestCachedImageShare,
   };
 }
 
 /** The element at an index that is known to be within bounds. */
-export const at = (values: readonly number[], index: number): number => values[index] as number;
+export const elementAt = (values: readonly number[], index: number): number => values[index] as number;
 
 /** The part of a machine that one task takes, by what it takes most of. */
 export function machineShare(task: Resources, type: MachineType): number {
@@ -50,54 +50,54 @@
 }
 
 /** How many tasks fit from a step on for as long as they need. */
-export function fitCount(machine: PlanMachine, step: number, durationS: number, task: Resources): number {
-  const until = at(machine.times, step) + durationS;
+export function fittingTasks(machine: PlanMachine, step: number, durationS: number, task: Resources): number {
+  const until = elementAt(machine.times, step) + durationS;
   let cpus = Number.POSITIVE_INFINITY;
   let gpus = Number.POSITIVE_INFINITY;
   let memGb = Number.POSITIVE_INFINITY;
-  for (let i = step; i < machine.times.length && (i === step || at(machine.times, i) < until - TOLERANCE); i++) {
-    if (at(machine.cpus, i) < cpus) cpus = at(machine.cpus, i);
-    if (at(machine.gpus, i) < gpus) gpus = at(machine.gpus, i);
-    if (at(machine.memGb, i) < memGb) memGb = at(machine.memGb, i);
+  for (let i = step; i < machine.times.length && (i === step || elementAt(machine.times, i) < until - TOLERANCE); i++) {
+    if (elementAt(machine.cpus, i) < cpus) cpus = elementAt(machine.cpus, i);
+    if (elementAt(machine.gpus, i) < gpus) gpus = elementAt(machine.gpus, i);
+    if (elementAt(machine.memGb, i) < memGb) memGb = elementAt(machine.memGb, i);
     if (cpus + TOLERANCE < task.cpus || gpus + TOLERANCE < task.gpus || memGb + TOLERANCE < task.memoryGb) return 0;
   }
   return Math.min(countFitting(cpus, task.cpus), countFitting(gpus, task.gpus), countFitting(memGb, task.memoryGb));
 }
 
 /** Whether a job is held to the cores and memory that GPU work has no use for. */
-const isHeldToSpare = (machine: PlanMachine, job: PlanJob): boolean =>
+const isLimitedToSpareCapacity = (machine: PlanMachine, job: PlanJob): boolean =>
   job.gpus === 0 && machine.type.gpus > 0 && job.penaltyFactor > 0;
 
 /**
  * Whether a job that is held to a machine's spare room finds any. One that fits cheaper types finds none on a machine with
  * GPUs that no GPU work uses: it would keep the machine from being returned.
  */
-export function lacksSpareRoom(machine: PlanMachine, job: PlanJob): boolean {
-  if (!isHeldToSpare(machine, job)) return false;
+export function lacksSpareCapacity(machine: PlanMachine, job: PlanJob): boolean {
+  if (!isLimitedToSpareCapacity(machine, job)) return false;
   if (job.fitsTypesWithoutGpus && !machine.servesGpuWork) return true;
-  return machine.spareCpus + TOLERANCE < job.cpus || machine.spareMemGb + TOLERANCE < job.memoryGb;
+  return machine.spareCpus + TOLERANCE < job.cpus || machine.spareMemoryGb + TOLERANCE < job.memoryGb;
 }
 
 /** As `fitCount`, and without taking from GPU work what it needs beside its GPUs. */
-export function allowedCount(machine: PlanMachine, step: number, durationS: number, job: PlanJob): number {
-  if (!isHeldToSpare(machine, job)) return fitCount(machine, step, durationS, job);
+export function allowedTasks(machine: PlanMachine, step: number, durationS: number, job: PlanJob): number {
+  if (!isLimitedToSpareCapacity(machine, job)) return fittingTasks(machine, step, durationS, job);
   const spare = Math.min(
     job.cpus > 0 ? machine.spareCpus / job.cpus : Number.POSITIVE_INFINITY,
-    job.memoryGb > 0 ? machine.spareMemGb / job.memoryGb : Number.POSITIVE_INFINITY,
+    job.memoryGb > 0 ? machine.spareMemoryGb / job.memoryGb : Number.POSITIVE_INFINITY,
   );
   if (spare + TOLERANCE < 1) return 0;
-  return Math.min(Math.floor(spare + TOLERANCE), fitCount(machine, step, durationS, job));
+  return Math.min(Math.floor(spare + TOLERANCE), fittingTasks(machine, step, durationS, job));
 }
 
 /** Whether so much is free at the first step, not asking for how long. */
 export function fitsNow(machine: PlanMachine, task: Resources): boolean {
   if (task.gpus === 0 && machine.type.gpus > 0) {
-    if (machine.spareCpus + TOLERANCE < task.cpus || machine.spareMemGb + TOLERANCE < task.memoryGb) return false;
+    if (machine.spareCpus + TOLERANCE < task.cpus || machine.spareMemoryGb + TOLERANCE < task.memoryGb) return false;
   }
   return (
-    at(machine.cpus, 0) + TOLERANCE >= task.cpus &&
-    at(machine.gpus, 0) + TOLERANCE >= task.gpus &&
-    at(machine.memGb, 0) + TOLERANCE >= task.memoryGb
+    elementAt(machine.cpus, 0) + TOLERANCE >= task.cpus &&
+    elementAt(machine.gpus, 0) + TOLERANCE >= task.gpus &&
+    elementAt(machine.memGb, 0) + TOLERANCE >= task.memoryGb
   );
 }
 
@@ -105,49 +105,49 @@
 export function slackAfter(machine: PlanMachine, step: number, task: Resources): number {
   const { type } = machine;
   let least = 1;
-  if (type.gpus > 0) least = Math.min(least, (at(machine.gpus, step) - task.gpus) / type.gpus);
-  if (type.cpus > 0) least = Math.min(least, (at(machine.cpus, step) - task.cpus) / type.cpus);
-  if (type.memoryGb > 0) least = Math.min(least, (at(machine.memGb, step) - task.memoryGb) / type.memoryGb);
+  if (type.gpus > 0) least = Math.min(least, (elementAt(machine.gpus, step) - task.gpus) / type.gpus);
+  if (type.cpus > 0) least = Math.min(least, (elementAt(machine.cpus, step) - task.cpus) / type.cpus);
+  if (type.memoryGb > 0) least = Math.min(least, (elementAt(machine.memGb, step) - task.memoryGb) / type.memoryGb);
   return least;
 }
 
 /** The last step that begins by the time; the first where none does. */
-export function stepBefore(machine: PlanMachine, time: number): number {
+export function lastStepBy(machine: PlanMachine, time: number): number {
   let step = machine.times.length - 1;
-  while (step > 0 && at(machine.times, step) > time + TOLERANCE) step -= 1;
+  while (step > 0 && elementAt(machine.times, step) > time + TOLERANCE) step -= 1;
   return step;
 }
 
 /** The step that begins at the time, made where there is none. */
-function stepAt(machine: PlanMachine, time: number): number {
-  const step = stepBefore(machine, time);
-  const begins = at(machine.times, step);
+function ensureStepAt(machine: PlanMachine, time: number): number {
+  const step = lastStepBy(machine, time);
+  const begins = elementAt(machine.times, step);
   if (Math.abs(begins - time) <= TOLERANCE || time <= begins) return step;
   machine.times.splice(step + 1, 0, time);
-  machine.cpus.splice(step + 1, 0, at(machine.cpus, step));
-  machine.gpus.splice(step + 1, 0, at(machine.gpus, step));
-  machine.memGb.splice(step + 1, 0, at(machine.memGb, step));
+  machine.cpus.splice(step + 1, 0, elementAt(machine.cpus, step));
+  machine.gpus.splice(step + 1, 0, elementAt(machine.gpus, step));
+  machine.memGb.splice(step + 1, 0, elementAt(machine.memGb, step));
   return step + 1;
 }
 
 /** Takes the room of so many tasks for a time. */
-export function reserveRoom(
+export function reserveCapacity(
   machine: PlanMachine,
   fromS: number,
   durationS: number,
   count: number,
   task: Resources,
 ): void {
-  const first = stepAt(machine, fromS);
-  const end = stepAt(machine, fromS + durationS);
+  const first = ensureStepAt(machine, fromS);
+  const end = ensureStepAt(machine, fromS + durationS);
   for (let step = first; step < end; step++) {
-    machine.cpus[step] = at(machine.cpus, step) - count * task.cpus;
-    machine.gpus[step] = at(machine.gpus, step) - count * task.gpus;
-    machine.memGb[step] = at(machine.memGb, step) - count * task.memoryGb;
+    machine.cpus[step] = elementAt(machine.cpus, step) - count * task.cpus;
+    machine.gpus[step] = elementAt(machine.gpus, step) - count * task.gpus;
+    machine.memGb[step] = elementAt(machine.memGb, step) - count * task.memoryGb;
   }
   if (task.gpus > 0 || machine.type.gpus === 0) return;
   machine.spareCpus -= count * task.cpus;
-  machine.spareMemGb -= count * task.memoryGb;
+  machine.spareMemoryGb -= count * task.memoryGb;
 }
 
 /** How much of the machines is in use over the next minute, by GPUs where they have some and by cores elsewhere. */
@@ -157,11 +157,12 @@
   for (const { type, times, gpus, cpus } of machines) {
     const capacity = type.gpus > 0 ? type.gpus : type.cpus;
     const free = type.gpus > 0 ? gpus : cpus;
-    for (let step = 0; step < times.length && at(times, step) < UTILIZATION_HORIZON_S; step++) {
-      const next = step + 1 < times.length ? at(times, step + 1) : UTILIZATION_HORIZON_S;
-      const share = (Math.min(UTILIZATION_HORIZON_S, next) - at(times, step)) / UTILIZATION_HORIZON_S;
+    for (let step = 0; step < times.length && elementAt(times, step) < UTILIZATION_HORIZON_SECONDS; step++) {
+      const next = step + 1 < times.length ? elementAt(times, step + 1) : UTILIZATION_HORIZON_SECONDS;
+      const share =
+        (Math.min(UTILIZATION_HORIZON_SECONDS, next) - elementAt(times, step)) / UTILIZATION_HORIZON_SECONDS;
       available += share;
-      used += share * (1 - at(free, step) / capacity);
+      used += share * (1 - elementAt(free, step) / capacity);
     }
   }
   return available > 0 ? used / available : 1;
--- a/src/core/scheduler/evolution.ts
+++ b/src/core/scheduler/evolutionary_search.ts
@@ -20,9 +20,9 @@
 }
 
 /** The upper layer of EVO-GP: evolves one zone per waiting job and returns the best plan found. */
-export class Evolution {
+export class EvolutionarySearch {
   /** Plan steps that the present search has spent. */
-  private spent = 0;
+  private stepsSpent = 0;
 
   constructor(
     private readonly planner: Planner,
@@ -31,30 +31,30 @@
   ) {}
 
   /** A random number from 0 to below `limit`. */
-  private below(limit: number): number {
+  private randomBelow(limit: number): number {
     return limit <= 1 ? 0 : unsafeUniformIntDistribution(0, limit - 1, this.random);
   }
 
-  private pick<T>(from: readonly T[]): T {
-    return from[this.below(from.length)] as T;
+  private pickRandom<T>(from: readonly T[]): T {
+    return from[this.randomBelow(from.length)] as T;
   }
 
   /** `seed`: zones to start from beside the random ones, where something better than chance is known. */
   search(machines: readonly PlanMachine[], jobs: readonly PlanJob[], seed: ZoneName[] | null = null): Plan {
-    this.spent = 0;
+    this.stepsSpent = 0;
     const evaluate = (genes: ZoneName[]): Individual => {
       const plan = this.planner.plan(machines, jobs, genes);
-      this.spent += plan.steps;
+      this.stepsSpent += plan.steps;
       return { genes, plan };
     };
-    const randomGenes = (): ZoneName[] => jobs.map(({ zones }) => this.pick(zones));
+    const randomGenes = (): ZoneName[] => jobs.map(({ feasibleZones }) => this.pickRandom(feasibleZones));
     const first = evaluate(seed ?? randomGenes());
     // With one feasible zone for every job there is nothing to search: the planner alone decides.
-    if (jobs.every(({ zones }) => zones.length === 1)) return first.plan;
+    if (jobs.every(({ feasibleZones }) => feasibleZones.length === 1)) return first.plan;
     const { individuals, generations } = this.settings;
     let population: Individual[] = [first];
-    while (population.length < individuals && this.mayGoOn()) population.push(evaluate(randomGenes()));
-    for (let generation = 0; generation < generations && population.length > 1 && this.mayGoOn(); generation++) {
+    while (population.length < individuals && this.hasStepsLeft()) population.push(evaluate(randomGenes()));
+    for (let generation = 0; generation < generations && population.length > 1 && this.hasStepsLeft(); generation++) {
       const offspring = this.breed(population, jobs, evaluate);
       population = [...population, ...offspring].sort((a, b) => a.plan.cost - b.plan.cost).slice(0, individuals);
     }
@@ -62,8 +62,8 @@
     return best.plan;
   }
 
-  private mayGoOn(): boolean {
-    return this.spent < this.settings.planSteps;
+  private hasStepsLeft(): boolean {
+    return this.stepsSpent < this.settings.planSteps;
   }
 
   /** A generation of offspring of parents drawn from the population. */
@@ -73,8 +73,8 @@
     evaluate: (genes: ZoneName[]) => Individual,
   ): Individual[] {
     const offspring: Individual[] = [];
-    while (offspring.length < this.settings.individuals && this.mayGoOn()) {
-      const children = this.cross(this.pick(population).genes, this.pick(population).genes);
+    while (offspring.length < this.settings.individuals && this.hasStepsLeft()) {
+      const children = this.crossover(this.pickRandom(population).genes, this.pickRandom(population).genes);
       for (const genes of children) {
         this.mutate(genes, jobs);
         offspring.push(evaluate(genes));
@@ -84,9 +84,9 @@
   }
 
   /** Single-point crossover: two offspring with the parents' genes exchanged behind the point. */
-  private cross(first: readonly ZoneName[], second: readonly ZoneName[]): [ZoneName[], ZoneName[]] {
+  private crossover(first: readonly ZoneName[], second: readonly ZoneName[]): [ZoneName[], ZoneName[]] {
     if (first.length < 2) return [first.slice(), second.slice()];
-    const point = 1 + this.below(first.length - 1);
+    const point = 1 + this.randomBelow(first.length - 1);
     return [
       [...first.slice(0, point), ...second.slice(point)],
       [...second.slice(0, point), ...first.slice(point)],
@@ -95,23 +95,23 @@
 
   /** At the mutation rate, moves one job to a feasible zone or swaps the zones of two. */
   private mutate(genes: ZoneName[], jobs: readonly PlanJob[]): void {
-    if (this.below(MUTATION_SCALE) >= this.settings.mutation * MUTATION_SCALE) return;
-    const index = this.below(genes.length);
+    if (this.randomBelow(MUTATION_SCALE) >= this.settings.mutation * MUTATION_SCALE) return;
+    const index = this.randomBelow(genes.length);
     const job = jobs[index] as PlanJob;
-    if (this.below(2) === 0) genes[index] = this.pick(job.zones);
-    else this.swap(genes, jobs, index);
+    if (this.randomBelow(2) === 0) genes[index] = this.pickRandom(job.feasibleZones);
+    else this.swapZones(genes, jobs, index);
   }
 
-  private swap(genes: ZoneName[], jobs: readonly PlanJob[], index: number): void {
-    const { zones } = jobs[index] as PlanJob;
+  private swapZones(genes: ZoneName[], jobs: readonly PlanJob[], index: number): void {
+    const { feasibleZones } = jobs[index] as PlanJob;
     const zone = genes[index] as ZoneName;
     const partners: number[] = [];
     genes.forEach((other, candidate) => {
-      const feasible = zones.includes(other) && (jobs[candidate] as PlanJob).zones.includes(zone);
+      const feasible = feasibleZones.includes(other) && (jobs[candidate] as PlanJob).feasibleZones.includes(zone);
       if (candidate !== index && other !== zone && feasible) partners.push(candidate);
     });
     if (partners.length === 0) return;
-    const partner = this.pick(partners);
+    const partner = this.pickRandom(partners);
     genes[index] = genes[partner] as ZoneName;
     genes[partner] = zone;
   }
--- a/src/core/scheduler/gang_reservation.ts
+++ b/src/core/scheduler/gang_reservation.ts
@@ -3,7 +3,7 @@
 import type { Machine } from '../machines/machine.js';
 import type { ZoneName } from '../types.js';
 import type { PlannedStart } from './plan_types.js';
-import { isOverdue, waitedS } from './ranking.js';
+import { isOverdue, waitedSeconds } from './ranking.js';
 
 /** Longer than a round's period: the next round renews it, or leaves the machines to others. */
 const RESERVATION_MS = 5000;
@@ -20,7 +20,7 @@
   machines: readonly Machine[],
 ): void {
   const planned = plannedMachines(cluster, starts, jobs, machines);
-  const byWait = [...planned].sort(([a], [b]) => waitedS(cluster, b) - waitedS(cluster, a));
+  const byWait = [...planned].sort(([a], [b]) => waitedSeconds(cluster, b) - waitedSeconds(cluster, a));
   const served = new Set<ZoneName>();
   for (const [job, chosen] of byWait) {
     const zones = new Set(chosen.map(({ zone }) => zone));
--- a/src/core/scheduler/gang_search.ts
+++ b/src/core/scheduler/gang_search.ts
@@ -1,30 +1,30 @@
 import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { ZoneName } from '../types.js';
-import { type Candidate, rankOf } from './candidates.js';
-import { allowedCount, at, slackAfter, stepBefore } from './plan_machine.js';
+import { type Candidate, delayRankOf } from './candidates.js';
+import { allowedTasks, elementAt, lastStepBy, slackAfter } from './capacity_timeline.js';
 import type { PlanJob } from './plan_types.js';
 
 /** Instants at which a gang's start is tried, from the first at which there is room for all of it. */
-const MAX_TRIES = 10;
+const MAX_START_TIMES_TRIED = 10;
 /** A later start must be sooner by so much, fetches included, to be preferred. */
-const MIN_GAIN_S = 0.5;
+const MIN_GAIN_SECONDS = 0.5;
 
 /** So many tasks of a gang on a machine. */
-export interface GangPart {
+export interface GangAllocation {
   readonly candidate: Candidate;
   readonly tasks: number;
 }
 
 /** The machines that take a whole gang, and from when on. */
 export interface GangPlacement {
-  readonly roomAtS: number;
-  readonly startS: number;
-  readonly parts: readonly GangPart[];
+  readonly freeAtSeconds: number;
+  readonly startSeconds: number;
+  readonly allocations: readonly GangAllocation[];
 }
 
 /** Room for some tasks of a gang that comes free at a time. */
-interface FreedRoom {
-  readonly atS: number;
+interface FreedCapacity {
+  readonly atSeconds: number;
   readonly tasks: number;
 }
 
@@ -35,87 +35,88 @@
 
   constructor(
     private readonly job: PlanJob,
-    private readonly zone: ZoneName,
+    private readonly preferredZone: ZoneName,
     private readonly candidates: readonly Candidate[],
   ) {}
 
   /** Tries the instants at which room comes free, from the first at which there may be enough for all of it. */
-  earliest(futureDiscount: number): GangPlacement | null {
+  findEarliest(futureDiscount: number): GangPlacement | null {
     const discounted = (roomAtS: number, startS: number): number => startS + futureDiscount * roomAtS;
     let best: GangPlacement | null = null;
     let tried = 0;
-    for (const roomAtS of this.possibleInstants()) {
-      if (tried >= MAX_TRIES) break;
-      if (best !== null && discounted(roomAtS, roomAtS) >= discounted(best.roomAtS, best.startS)) break;
+    for (const roomAtS of this.possibleStartTimes()) {
+      if (tried >= MAX_START_TIMES_TRIED) break;
+      if (best !== null && discounted(roomAtS, roomAtS) >= discounted(best.freeAtSeconds, best.startSeconds)) break;
       tried += 1;
-      const placement = this.at(roomAtS);
+      const placement = this.placeAt(roomAtS);
       if (!placement) continue;
-      const limit = best === null ? Number.POSITIVE_INFINITY : discounted(best.roomAtS, best.startS) - MIN_GAIN_S;
-      if (discounted(roomAtS, placement.startS) < limit) best = placement;
+      const limit =
+        best === null ? Number.POSITIVE_INFINITY : discounted(best.freeAtSeconds, best.startSeconds) - MIN_GAIN_SECONDS;
+      if (discounted(roomAtS, placement.startSeconds) < limit) best = placement;
     }
     return best;
   }
 
   /** The instants at which room comes free and there may be enough for the whole gang. */
-  private possibleInstants(): number[] {
-    const freed = freedRoom(this.job, this.candidates);
+  private possibleStartTimes(): number[] {
+    const freed = freedCapacity(this.job, this.candidates);
     const instants: number[] = [];
     let room = 0;
-    freed.forEach(({ atS, tasks }, i) => {
+    freed.forEach(({ atSeconds, tasks }, i) => {
       room += tasks;
       const next = freed[i + 1];
-      const moreAtOnce = next !== undefined && next.atS <= atS + RESOURCE_TOLERANCE;
-      if (room >= this.job.tasks && !moreAtOnce) instants.push(atS);
+      const moreAtOnce = next !== undefined && next.atSeconds <= atSeconds + RESOURCE_TOLERANCE;
+      if (room >= this.job.tasks && !moreAtOnce) instants.push(atSeconds);
     });
     return instants;
   }
 
   /** The machines that take the whole gang from a time on; null if there are not enough. */
-  at(roomAtS: number): GangPlacement | null {
+  placeAt(freeAtSeconds: number): GangPlacement | null {
     const { job } = this;
-    const options = gangOptions(job, this.zone, this.candidates, roomAtS);
+    const options = gangOptions(job, this.preferredZone, this.candidates, freeAtSeconds);
     this.steps += options.length;
-    const zoneRoom = job.zoneRoom ? new Map(job.zoneRoom) : null;
-    const parts: GangPart[] = [];
+    const zoneRoom = job.zoneAllowance ? new Map(job.zoneAllowance) : null;
+    const allocations: GangAllocation[] = [];
     let left = job.tasks;
     let fetchS = 0;
-    for (const { candidate, count } of options) {
+    for (const { candidate, taskCount } of options) {
       if (left === 0) break;
       const { zone } = candidate.machine;
       const inZone = zoneRoom ? (zoneRoom.get(zone) ?? 0) : left;
-      const tasks = Math.min(left, count, inZone);
+      const tasks = Math.min(left, taskCount, inZone);
       if (tasks <= 0) continue;
       zoneRoom?.set(zone, inZone - tasks);
-      parts.push({ candidate, tasks });
-      fetchS = Math.max(fetchS, candidate.fetchS);
+      allocations.push({ candidate, tasks });
+      fetchS = Math.max(fetchS, candidate.imagePullSeconds);
       left -= tasks;
     }
-    return left === 0 ? { roomAtS, startS: roomAtS + fetchS, parts } : null;
+    return left === 0 ? { freeAtSeconds, startSeconds: freeAtSeconds + fetchS, allocations } : null;
   }
 }
 
 /** When room for how many more tasks of a gang comes free on the candidates, soonest first. */
-function freedRoom(job: PlanJob, candidates: readonly Candidate[]): FreedRoom[] {
-  const freed: FreedRoom[] = [];
-  for (const { machine, fetchS } of candidates) {
+function freedCapacity(job: PlanJob, candidates: readonly Candidate[]): FreedCapacity[] {
+  const freed: FreedCapacity[] = [];
+  for (const { machine, imagePullSeconds } of candidates) {
     let counted = 0;
     for (let step = 0; step < machine.times.length && counted < job.tasks; step++) {
-      const count = allowedCount(machine, step, fetchS + job.durationS, job);
+      const count = allowedTasks(machine, step, imagePullSeconds + job.durationSeconds, job);
       if (count <= counted) continue;
-      freed.push({ atS: at(machine.times, step), tasks: count - counted });
+      freed.push({ atSeconds: elementAt(machine.times, step), tasks: count - counted });
       counted = count;
     }
   }
-  return freed.sort((a, b) => a.atS - b.atS);
+  return freed.sort((a, b) => a.atSeconds - b.atSeconds);
 }
 
 /** A machine that takes some tasks of a gang at one time. */
 interface GangOption {
   readonly candidate: Candidate;
-  readonly count: number;
+  readonly taskCount: number;
   /** 0 in the zone asked for, 1 elsewhere. */
-  readonly distance: number;
-  readonly rank: number;
+  readonly zoneDistance: number;
+  readonly delayRank: number;
   readonly slack: number;
 }
 
@@ -123,21 +124,25 @@
 function gangOptions(job: PlanJob, zone: ZoneName, candidates: readonly Candidate[], roomAtS: number): GangOption[] {
   const options: GangOption[] = [];
   for (const candidate of candidates) {
-    const { machine, fetchS, penaltyS } = candidate;
-    if (at(machine.times, 0) > roomAtS + RESOURCE_TOLERANCE) continue;
-    const step = stepBefore(machine, roomAtS);
-    const durationS = roomAtS - at(machine.times, step) + fetchS + job.durationS;
-    const count = allowedCount(machine, step, durationS, job);
-    if (count === 0) continue;
+    const { machine, imagePullSeconds, penaltySeconds } = candidate;
+    if (elementAt(machine.times, 0) > roomAtS + RESOURCE_TOLERANCE) continue;
+    const step = lastStepBy(machine, roomAtS);
+    const durationS = roomAtS - elementAt(machine.times, step) + imagePullSeconds + job.durationSeconds;
+    const taskCount = allowedTasks(machine, step, durationS, job);
+    if (taskCount === 0) continue;
     options.push({
       candidate,
-      count,
-      distance: machine.zone === zone ? 0 : 1,
-      rank: rankOf(fetchS + penaltyS),
+      taskCount,
+      zoneDistance: machine.zone === zone ? 0 : 1,
+      delayRank: delayRankOf(imagePullSeconds + penaltySeconds),
       slack: slackAfter(machine, step, job),
     });
   }
   return options.sort(
-    (a, b) => a.distance - b.distance || a.rank - b.rank || a.slack - b.slack || a.candidate.slot - b.candidate.slot,
+    (a, b) =>
+      a.zoneDistance - b.zoneDistance ||
+      a.delayRank - b.delayRank ||
+      a.slack - b.slack ||
+      a.candidate.machineIndex - b.candidate.machineIndex,
   );
 }
--- a/src/core/scheduler/migration.ts
+++ b/src/core/scheduler/migration.ts
@@ -2,10 +2,10 @@
 import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
 import type { ZoneName } from '../types.js';
-import { mayHostInstead } from './hosting.js';
+import { isFeasibleNow } from './placement_constraints.js';
 
 /** A fetch that takes so much longer is worth a move. */
-const MIN_GAIN_S = 6;
+const MIN_GAIN_SECONDS = 6;
 const MAX_MIGRATIONS = 3;
 const RESERVATION_MS = 2500;
 
@@ -17,7 +17,7 @@
 export function migrateToCachedImages(cluster: Cluster): void {
   const { context } = cluster;
   for (const job of cluster.activeJobs) {
-    if (!mayMigrate(job) || fetchLeftS(cluster, job) < MIN_GAIN_S) continue;
+    if (!mayMigrate(job) || remainingPullSeconds(cluster, job) < MIN_GAIN_SECONDS) continue;
     const targets = machinesWithImage(cluster, job);
     if (!targets) continue;
     job.migrationCount += 1;
@@ -35,7 +35,7 @@
 }
 
 /** Seconds until the gang's last image is there; 0 if any of its tasks is past fetching. */
-function fetchLeftS({ context }: Cluster, job: Job): number {
+function remainingPullSeconds({ context }: Cluster, job: Job): number {
   const { image, imageGb } = job.spec;
   let longest = 0;
   for (const { phase, pendingStop, machine } of job.placements.values()) {
@@ -51,7 +51,7 @@
   const now = cluster.context.now.monotonic;
   const byZone = new Map<ZoneName | null, Machine[]>();
   for (const machine of cluster.machines.values()) {
-    if (!machine.images.has(spec.image) || !mayHostInstead(cluster, job, machine)) continue;
+    if (!machine.images.has(spec.image) || !isFeasibleNow(cluster, job, machine)) continue;
     if (machine.isReservedForOther(job.id, now)) continue;
     const zone = spec.singleZone ? machine.zone : null;
     const found = byZone.get(zone) ?? [];
--- a/src/core/scheduler/hosting.ts
+++ b/src/core/scheduler/placement_constraints.ts
@@ -6,7 +6,7 @@
 /** What jobs allow and machines have room for: asked by the plan, by services and by all that moves work. */
 
 /** Whether a job allows machines of a type in a zone, and one of its tasks fits an empty one. */
-export function couldHost({ spec }: Job, type: MachineType, zone: ZoneName): boolean {
+export function isFeasibleType({ spec }: Job, type: MachineType, zone: ZoneName): boolean {
   return (
     (spec.allowedMachineTypes === null || spec.allowedMachineTypes.includes(type.name)) &&
     (spec.zone === null || spec.zone === zone) &&
@@ -20,13 +20,13 @@
 export function fitsTypesWithoutGpus({ machineTypes }: Cluster, job: Job): boolean {
   if (job.spec.gpus > 0) return false;
   for (const type of machineTypes.values()) {
-    if (type.gpus === 0 && type.zones.some((zone) => couldHost(job, type, zone))) return true;
+    if (type.gpus === 0 && type.zones.some((zone) => isFeasibleType(job, type, zone))) return true;
   }
   return false;
 }
 
 /** How many more tasks of a spread job each zone may take; null: no such limit. */
-export function roomByZone({ context }: Cluster, job: Job): Map<ZoneName, number> | null {
+export function zoneAllowance({ context }: Cluster, job: Job): Map<ZoneName, number> | null {
   if (!job.spec.zoneSpread) return null;
   const counts = job.taskCountByZone();
   return new Map(
@@ -35,28 +35,28 @@
 }
 
 /** Whether a job allows the machine: its type, its zone and its kind. */
-export function allows(job: Job, machine: Machine): boolean {
-  return couldHost(job, machine.type, machine.zone) && (job.spec.toleratesSpot || !machine.spot);
+export function isFeasibleMachine(job: Job, machine: Machine): boolean {
+  return isFeasibleType(job, machine.type, machine.zone) && (job.spec.toleratesSpot || !machine.spot);
 }
 
 /** Whether a task of the job could go to this machine if its other tasks were not there. */
-export function mayHostInstead({ context }: Cluster, job: Job, machine: Machine): boolean {
+export function isFeasibleNow({ context }: Cluster, job: Job, machine: Machine): boolean {
   return (
     machine.isSchedulable(context.now.monotonic, context.settings.workers.heartbeatIntervalMs) &&
     machine.hasFreeCapacityFor(job.spec) &&
-    allows(job, machine)
+    isFeasibleMachine(job, machine)
   );
 }
 
 /** Whether one more task of the job may go to this machine, beside its other tasks and within its team's limit. */
-export function mayHost(cluster: Cluster, job: Job, machine: Machine): boolean {
-  if (!mayHostInstead(cluster, job, machine) || cluster.quotas.room(job.spec) < 1) return false;
-  if (job.spec.singleZone && !isOnlyIn(job, machine.zone)) return false;
+export function canPlaceTask(cluster: Cluster, job: Job, machine: Machine): boolean {
+  if (!isFeasibleNow(cluster, job, machine) || cluster.quotas.remainingTasks(job.spec) < 1) return false;
+  if (job.spec.singleZone && !runsOnlyInZone(job, machine.zone)) return false;
   return !job.spec.zoneSpread || (job.taskCountByZone().get(machine.zone) ?? 0) < job.maxTasksPerZone;
 }
 
 /** Whether all tasks of the job that have a place are in the zone. */
-export function isOnlyIn(job: Job, zone: ZoneName): boolean {
+export function runsOnlyInZone(job: Job, zone: ZoneName): boolean {
   for (const { machine } of job.placements.values()) if (machine.zone !== zone) return false;
   return true;
 }
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -4,17 +4,17 @@
 import type { Machine } from '../machines/machine.js';
 import { expectedSpotDelaySeconds } from '../machines/spot_interruption_rate.js';
 import type { JobId, MachineId, MachineTypeName, MonotonicTime, ZoneName } from '../types.js';
-import { couldHost, fitsTypesWithoutGpus, roomByZone } from './hosting.js';
-import { machineShare } from './plan_machine.js';
+import { machineShare } from './capacity_timeline.js';
+import { fitsTypesWithoutGpus, isFeasibleType, zoneAllowance } from './placement_constraints.js';
 import type { PlanJob, PlanMachine } from './plan_types.js';
-import { userWeight } from './priority.js';
+import { priorityWeight } from './priority.js';
 import { penaltyFactor, type RankedJob } from './ranking.js';
-import { type GpuDemand, gpuDemand, spareRoom } from './spare_room.js';
+import { type GpuDemand, gpuDemand, spareCapacity } from './spare_capacity.js';
 
 /** A task that takes more of a machine than this needs a whole one. */
 const WHOLE_MACHINE_SHARE = 0.6;
 /** Ends closer than this are one step of a machine's free room. */
-const SAME_END_S = 0.01;
+const SAME_END_SECONDS = 0.01;
 
 /** A machine that is kept for a job on its way there. */
 interface Reservation {
@@ -29,9 +29,9 @@
   readonly jobs: Job[] = [];
   readonly planJobs: PlanJob[] = [];
   /** One machine for each type, zone and kind there is. */
-  private readonly kinds: readonly PlanMachine[];
+  private readonly poolRepresentatives: readonly PlanMachine[];
   private readonly reservations: readonly Reservation[];
-  private readonly slotOf: ReadonlyMap<MachineId, number>;
+  private readonly machineIndexById: ReadonlyMap<MachineId, number>;
 
   constructor(
     private readonly cluster: Cluster,
@@ -42,9 +42,9 @@
     this.machines = [...cluster.machines.values()].filter(
       (machine) => machine.isProvisioning() || machine.isSchedulable(now, heartbeatIntervalMs),
     );
-    this.slotOf = new Map(this.machines.map(({ id }, slot) => [id, slot]));
-    this.planMachines = planMachines(cluster, this.machines, ranked);
-    this.kinds = oneOfEachKind(this.planMachines);
+    this.machineIndexById = new Map(this.machines.map(({ id }, slot) => [id, slot]));
+    this.planMachines = toPlanMachines(cluster, this.machines, ranked);
+    this.poolRepresentatives = onePerCapacityPool(this.planMachines);
     this.reservations = this.machines.flatMap((machine, slot) => {
       const job = machine.reservedFor(now);
       return job === null ? [] : [{ slot, job }];
@@ -52,41 +52,41 @@
   }
 
   /** Adds a job, unless no zone could host it. */
-  add({ job, tasks, waitedS }: Pick<RankedJob, 'job' | 'tasks' | 'waitedS'>): number | null {
+  addJob({ job, tasks, waitedS }: Pick<RankedJob, 'job' | 'tasks' | 'waitedS'>): number | null {
     const zones = this.feasibleZones(job);
     if (zones.length === 0) return null;
     const slot = this.jobs.length;
     this.jobs.push(job);
-    this.planJobs.push(this.planJob(job, tasks, waitedS, zones, slot));
+    this.planJobs.push(this.toPlanJob(job, tasks, waitedS, zones, slot));
     return slot;
   }
 
   /** Zones that may host the job now: the search draws from these only. */
   private feasibleZones(job: Job): ZoneName[] {
     if (job.spec.singleZone) for (const { machine } of job.placements.values()) return [machine.zone];
-    const present = this.kinds
-      .filter(({ type, zone, spot }) => (job.spec.toleratesSpot || !spot) && couldHost(job, type, zone))
+    const present = this.poolRepresentatives
+      .filter(({ type, zone, spot }) => (job.spec.toleratesSpot || !spot) && isFeasibleType(job, type, zone))
       .map(({ zone }) => zone);
-    return [...new Set(present.length > 0 ? present : this.rentableZones(job))].sort();
+    return [...new Set(present.length > 0 ? present : this.provisionableZones(job))].sort();
   }
 
   /** Zones in which a machine for the job could be rented. */
-  private rentableZones(job: Job): ZoneName[] {
+  private provisionableZones(job: Job): ZoneName[] {
     return [...this.cluster.machineTypes.values()].flatMap((type) =>
-      type.zones.filter((zone) => couldHost(job, type, zone)),
+      type.zones.filter((zone) => isFeasibleType(job, type, zone)),
     );
   }
 
-  private planJob(job: Job, tasks: number, waitedS: number, zones: ZoneName[], slot: number): PlanJob {
+  private toPlanJob(job: Job, tasks: number, waitedSeconds: number, feasibleZones: ZoneName[], index: number): PlanJob {
     const { spec } = job;
     const { runtimeEstimator, spotInterruptions, context } = this.cluster;
-    const durationS = runtimeEstimator.expectedSeconds(spec);
+    const durationSeconds = runtimeEstimator.expectedSeconds(spec);
     const isBound = spec.singleZone && job.placements.size > 0;
     return {
-      slot,
-      gang: job.isGang,
+      index,
+      isGang: job.isGang,
       tasks,
-      durationS,
+      durationSeconds,
       cpus: spec.cpus,
       gpus: spec.gpus,
       memoryGb: spec.memoryGb,
@@ -94,37 +94,41 @@
       imageGb: spec.imageGb,
       types: spec.allowedMachineTypes,
       fitsTypesWithoutGpus: fitsTypesWithoutGpus(this.cluster, job),
-      spotOk: spec.toleratesSpot,
-      spotDelayS: expectedSpotDelaySeconds(spotInterruptions.perSecond, durationS, spec.checkpointIntervalSeconds),
-      sameZone: spec.singleZone,
-      zoneRoom: roomByZone(this.cluster, job),
-      zones,
-      boundTo: spec.zone ?? (isBound ? (zones[0] as ZoneName) : null),
-      weight: userWeight(spec.priorityLevel, context.tuning.scheduler.priority_base),
-      waitedS,
+      toleratesSpot: spec.toleratesSpot,
+      spotDelaySeconds: expectedSpotDelaySeconds(
+        spotInterruptions.perSecond,
+        durationSeconds,
+        spec.checkpointIntervalSeconds,
+      ),
+      singleZone: spec.singleZone,
+      zoneAllowance: zoneAllowance(this.cluster, job),
+      feasibleZones,
+      boundZone: spec.zone ?? (isBound ? (feasibleZones[0] as ZoneName) : null),
+      priorityWeight: priorityWeight(spec.priorityLevel, context.tuning.scheduler.priority_base),
+      waitedSeconds,
       penaltyFactor: penaltyFactor(this.cluster, job),
-      avoid: this.slotsToAvoid(job),
+      excludedMachines: this.excludedMachines(job),
     };
   }
 
-  private slotsToAvoid(job: Job): Set<number> | null {
+  private excludedMachines(job: Job): Set<number> | null {
     const slots = new Set<number>();
     for (const reservation of this.reservations) if (reservation.job !== job.id) slots.add(reservation.slot);
     for (const id of job.failureHistory.avoidedMachines(this.cluster.context.now.monotonic)) {
-      const slot = this.slotOf.get(id);
+      const slot = this.machineIndexById.get(id);
       if (slot !== undefined) slots.add(slot);
     }
     return slots.size > 0 ? slots : null;
   }
 }
 
-function planMachines(cluster: Cluster, machines: readonly Machine[], ranked: readonly RankedJob[]): PlanMachine[] {
+function toPlanMachines(cluster: Cluster, machines: readonly Machine[], ranked: readonly RankedJob[]): PlanMachine[] {
   const claims: GpuClaims = {
     demand: gpuDemand(cluster),
     reservedTypes: typesReservedForGangs(cluster, ranked),
-    awaitedKinds: kindsAwaitedByGpuWork(cluster, ranked),
+    awaitedPools: poolsAwaitedByGpuWork(cluster, ranked),
   };
-  return machines.map((machine, slot) => planMachine(cluster, machine, slot, claims));
+  return machines.map((machine, slot) => toPlanMachine(cluster, machine, slot, claims));
 }
 
 /** What GPU work there is asks of machines, by type or kind. */
@@ -133,18 +137,20 @@
   /** Types of which gangs wait for whole machines on demand. */
   readonly reservedTypes: ReadonlySet<MachineTypeName>;
   /** Kinds that waiting GPU work could take. */
-  readonly awaitedKinds: ReadonlySet<string>;
+  readonly awaitedPools: ReadonlySet<string>;
 }
 
 /** The kinds of machines with GPUs that waiting GPU work could take. */
-function kindsAwaitedByGpuWork(cluster: Cluster, waiting: readonly RankedJob[]): Set<string> {
+function poolsAwaitedByGpuWork(cluster: Cluster, waiting: readonly RankedJob[]): Set<string> {
   const kinds = new Set<string>();
   const gpuJobs = waiting.filter(({ job }) => job.spec.gpus > 0 && !job.isFaulty);
   for (const type of cluster.machineTypes.values()) {
     if (type.gpus === 0) continue;
     for (const zone of type.zones) {
       for (const spot of [false, true]) {
-        const isAwaited = gpuJobs.some(({ job }) => (job.spec.toleratesSpot || !spot) && couldHost(job, type, zone));
+        const isAwaited = gpuJobs.some(
+          ({ job }) => (job.spec.toleratesSpot || !spot) && isFeasibleType(job, type, zone),
+        );
         if (isAwaited) kinds.add(capacityPoolKey({ type, zone, spot }));
       }
     }
@@ -152,43 +158,43 @@
   return kinds;
 }
 
-function planMachine(
+function toPlanMachine(
   cluster: Cluster,
   machine: Machine,
-  slot: number,
-  { demand, reservedTypes, awaitedKinds }: GpuClaims,
+  index: number,
+  { demand, reservedTypes, awaitedPools }: GpuClaims,
 ): PlanMachine {
   const now = cluster.context.now.monotonic;
-  const spare = spareRoom(machine, demand);
+  const spare = spareCapacity(machine, demand);
   return {
-    slot,
+    index,
     zone: machine.zone,
     type: machine.type,
     spot: machine.spot,
-    ...freeRoom(cluster, machine),
+    ...freeCapacity(cluster, machine),
     spareCpus: spare.cpus,
-    spareMemGb: spare.memGb,
-    servesGpuWork: awaitedKinds.has(capacityPoolKey(machine)) || machine.hasGpuWork(now),
+    spareMemoryGb: spare.memoryGb,
+    servesGpuWork: awaitedPools.has(capacityPoolKey(machine)) || machine.hasGpuWork(now),
     reservedForGangs: !machine.spot && reservedTypes.has(machine.typeName),
-    fetchS: (image, gb) => machine.images.remainingPullSeconds(image, gb, now),
-    largestCachedShare: largestCachedShare(cluster, machine),
+    imagePullSeconds: (image, gb) => machine.images.remainingPullSeconds(image, gb, now),
+    largestCachedImageShare: largestCachedImageShare(cluster, machine),
   };
 }
 
 /** What is free on a machine now, and from each expected end of its tasks on. */
-function freeRoom(cluster: Cluster, machine: Machine): Pick<PlanMachine, 'times' | 'cpus' | 'gpus' | 'memGb'> {
+function freeCapacity(cluster: Cluster, machine: Machine): Pick<PlanMachine, 'times' | 'cpus' | 'gpus' | 'memGb'> {
   const now = cluster.context.now.monotonic;
-  const times = [machine.phase === 'booting' ? bootingS(cluster, machine, now) : 0];
+  const times = [machine.phase === 'booting' ? remainingBootSeconds(cluster, machine, now) : 0];
   const cpus = [machine.type.cpus - machine.usedCpus];
   const gpus = [machine.type.gpus - machine.usedGpus];
   const memGb = [machine.type.memoryGb - machine.usedMemoryGb];
   const ends = [...machine.placements.values()]
-    .map((placement) => ({ atS: remainingS(cluster, placement, now), spec: placement.job.spec }))
+    .map((placement) => ({ atS: remainingSeconds(cluster, placement, now), spec: placement.job.spec }))
     .sort((a, b) => a.atS - b.atS);
   for (const { atS, spec } of ends) {
     let step = times.length - 1;
     // Ends within a second of each other are one step: a machine of 64 cores would have as many steps as tasks.
-    if (atS > (times[step] as number) + SAME_END_S) {
+    if (atS > (times[step] as number) + SAME_END_SECONDS) {
       times.push(Math.ceil(atS));
       cpus.push(cpus[step] as number);
       gpus.push(gpus[step] as number);
@@ -203,7 +209,7 @@
 }
 
 /** Seconds until a task is expected to leave its machine. */
-function remainingS({ context, runtimeEstimator }: Cluster, placement: Placement, now: MonotonicTime): number {
+function remainingSeconds({ context, runtimeEstimator }: Cluster, placement: Placement, now: MonotonicTime): number {
   const { job, machine, pendingStop, runningSince } = placement;
   const reportS = context.settings.workers.heartbeatIntervalMs / 1000;
   if (pendingStop !== null) return Math.max(reportS, pendingStop.gracePeriodSeconds);
@@ -218,11 +224,11 @@
 }
 
 /** When a machine that was rented but hasn't reported is expected, in seconds from now. */
-function bootingS({ bootTimeEstimator }: Cluster, machine: Machine, now: MonotonicTime): number {
+function remainingBootSeconds({ bootTimeEstimator }: Cluster, machine: Machine, now: MonotonicTime): number {
   return bootTimeEstimator.remainingSeconds(machine.type, machine.zone, machine.ageSeconds(now), now);
 }
 
-function largestCachedShare(cluster: Cluster, machine: Machine): number {
+function largestCachedImageShare(cluster: Cluster, machine: Machine): number {
   let largest = 0;
   for (const image of machine.images.presentImages()) {
     const user = cluster.largestTaskByImage.get(image);
@@ -238,14 +244,14 @@
     if (!job.isGang || job.spec.toleratesSpot) continue;
     for (const type of cluster.machineTypes.values()) {
       const needsWhole = machineShare(job.spec, type) > WHOLE_MACHINE_SHARE;
-      if (needsWhole && type.zones.some((zone) => couldHost(job, type, zone))) found.add(type.name);
+      if (needsWhole && type.zones.some((zone) => isFeasibleType(job, type, zone))) found.add(type.name);
     }
   }
   return found;
 }
 
 /** For each type, zone and kind in sight one machine that stands for the others. */
-function oneOfEachKind(machines: readonly PlanMachine[]): PlanMachine[] {
+function onePerCapacityPool(machines: readonly PlanMachine[]): PlanMachine[] {
   const kinds = new Map<string, PlanMachine>();
   for (const machine of machines) {
     const key = capacityPoolKey(machine);
--- a/src/core/scheduler/plan_types.ts
+++ b/src/core/scheduler/plan_types.ts
@@ -7,7 +7,7 @@
 
 /** A machine as a plan sees it: its free room as a step function of time. */
 export interface PlanMachine {
-  readonly slot: number;
+  readonly index: number;
   readonly zone: ZoneName;
   readonly type: MachineType;
   readonly spot: boolean;
@@ -18,45 +18,45 @@
   memGb: number[];
   /** What jobs without GPUs may still take of a machine with GPUs: only what GPU work could not use anyway. */
   spareCpus: number;
-  spareMemGb: number;
+  spareMemoryGb: number;
   /** A machine with GPUs that GPU work uses or waits for; others are about to be returned. */
   readonly servesGpuWork: boolean;
   /** Seconds until an image would be there. */
-  fetchS(image: ImageName, gb: number): number;
+  imagePullSeconds(image: ImageName, gb: number): number;
   /** A machine on demand, of a type that gangs wait for which need whole ones and may not use spot machines. */
   readonly reservedForGangs: boolean;
   /** Largest share of a machine that a job needs whose image it holds. */
-  readonly largestCachedShare: number;
+  readonly largestCachedImageShare: number;
 }
 
 /** A waiting job as a plan sees it; `cpus`, `gpus` and `memGb` are of one task. */
 export interface PlanJob extends Resources {
-  readonly slot: number;
-  readonly gang: boolean;
+  readonly index: number;
+  readonly isGang: boolean;
   readonly tasks: number;
-  readonly durationS: number;
+  readonly durationSeconds: number;
   readonly image: ImageName;
   readonly imageGb: number;
   readonly types: readonly MachineTypeName[] | null;
   /** It asks for no GPUs, and machines without any could take it. */
   readonly fitsTypesWithoutGpus: boolean;
-  readonly spotOk: boolean;
+  readonly toleratesSpot: boolean;
   /** What a start on a spot machine is expected to cost through losses, in seconds. */
-  readonly spotDelayS: number;
-  readonly sameZone: boolean;
+  readonly spotDelaySeconds: number;
+  readonly singleZone: boolean;
   /** Most tasks that each zone may still take; null: no such limit. */
-  readonly zoneRoom: ReadonlyMap<ZoneName, number> | null;
+  readonly zoneAllowance: ReadonlyMap<ZoneName, number> | null;
   /** Zones that may host it. */
-  readonly zones: readonly ZoneName[];
+  readonly feasibleZones: readonly ZoneName[];
   /** The only zone it may ever use; null: any. */
-  readonly boundTo: ZoneName | null;
+  readonly boundZone: ZoneName | null;
   /** How much its waiting counts. */
-  readonly weight: number;
-  readonly waitedS: number;
+  readonly priorityWeight: number;
+  readonly waitedSeconds: number;
   /** How much placement penalties count for it, 1 to 0: a job of which nothing has run for long takes what there is. */
   readonly penaltyFactor: number;
   /** Machines it must not use. */
-  readonly avoid: ReadonlySet<number> | null;
+  readonly excludedMachines: ReadonlySet<number> | null;
 }
 
 /** Tasks of a job that the plan puts on a machine. */
@@ -76,7 +76,7 @@
   /** The fitness of the search; less is better. */
   readonly cost: number;
   /** By job, tasks that no machine of the plan can take. */
-  readonly unplaced: ReadonlyMap<number, number>;
+  readonly unplacedTasks: ReadonlyMap<number, number>;
   /** Work spent on it, in plan steps: what bounds a round, so that a seed repeats. */
   readonly steps: number;
 }
@@ -84,13 +84,13 @@
 /** Seconds of start time that a job would rather lose than take a machine that others need more. */
 export interface PlacementPenalties {
   /** For a machine with GPUs, by a job that asks for none. */
-  readonly gpuS: number;
+  readonly gpuMachineSeconds: number;
   /** For a machine on demand, by a job that may use a spot one: cheaper, and the others can't. */
-  readonly onDemandS: number;
+  readonly onDemandSeconds: number;
   /** For a machine that waiting gangs have no choice but to use, by an array that may use spot ones. */
-  readonly reservedS: number;
+  readonly reservedTypeSeconds: number;
   /** For a machine that holds images of larger jobs: those would have to fetch elsewhere. */
-  readonly cachedImageS: number;
+  readonly cachedImageSeconds: number;
   /** Room in the future counts this much more than its time: what is expected to end often doesn't. */
   readonly futureDiscount: number;
   /** The same for gangs, which lose nothing by beginning to fetch at once: they move if better room comes free. */
@@ -98,17 +98,17 @@
 }
 
 export const NO_PENALTIES: PlacementPenalties = {
-  gpuS: 0,
-  onDemandS: 0,
-  reservedS: 0,
-  cachedImageS: 0,
+  gpuMachineSeconds: 0,
+  onDemandSeconds: 0,
+  reservedTypeSeconds: 0,
+  cachedImageSeconds: 0,
   futureDiscount: 0,
   gangFutureDiscount: 0,
 };
 
 /** Weights of the fitness: mean weighted wait, longest weighted wait, idle share. */
 export interface FitnessWeights {
-  readonly average: number;
-  readonly maximum: number;
-  readonly idle: number;
+  readonly averageWait: number;
+  readonly maximumWait: number;
+  readonly idleShare: number;
 }
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -3,20 +3,20 @@
 import type { Machine } from '../machines/machine.js';
 import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { MonotonicTime, ZoneName } from '../types.js';
-import { allows } from './hosting.js';
-import { waitedS } from './ranking.js';
+import { isFeasibleMachine } from './placement_constraints.js';
+import { waitedSeconds } from './ranking.js';
 import type { RoundResult } from './round.js';
 
 /** A gang whose room the plan sees no sooner than this, and that has waited so long, may stop lower work. */
-const LATE_S = 6;
-const MIN_WAITED_S = 3;
+const LATE_START_SECONDS = 6;
+const MIN_WAITED_SECONDS = 3;
 /** So often for one job, and for so many jobs in one round: what is stopped has to be done again. */
-const MAX_PREEMPTIONS = 2;
-const MAX_GANGS_A_ROUND = 4;
+const MAX_PREEMPTIONS_PER_JOB = 2;
+const MAX_GANGS_PER_ROUND = 4;
 /** The room that is made is kept for so long. */
 const RESERVATION_MS = 6000;
 /** What work without GPUs counts, in GPUs. */
-const CPU_WORK_WEIGHT = 0.1;
+const CPU_WORK_GPU_EQUIVALENT = 0.1;
 
 /** What would have to be stopped on a machine for one task of a job. */
 export interface EvictionOption {
@@ -31,11 +31,11 @@
  * itself never stops anything; this only makes the room, keeps it for the gang, and leaves the start to the next round.
  */
 export function preempt(cluster: Cluster, round: RoundResult): void {
-  const roomAt = whenRoomIsThere(round);
+  const roomAt = capacityAvailableAt(round);
   let gangs = 0;
   for (const [slot, job] of round.jobs.entries()) {
-    if (gangs >= MAX_GANGS_A_ROUND) break;
-    if ((roomAt.get(slot) ?? 0) < LATE_S || !mayPreempt(cluster, job)) continue;
+    if (gangs >= MAX_GANGS_PER_ROUND) break;
+    if ((roomAt.get(slot) ?? 0) < LATE_START_SECONDS || !mayPreempt(cluster, job)) continue;
     const options = cheapestOptions(cluster, job);
     if (!options) continue;
     gangs += 1;
@@ -46,10 +46,10 @@
 }
 
 /** By slot, when the plan sees room for a whole job; infinite where it sees none. */
-function whenRoomIsThere({ capacity }: RoundResult): Map<number, number> {
+function capacityAvailableAt({ capacityPlan }: RoundResult): Map<number, number> {
   const roomAt = new Map<number, number>();
-  for (const { job, roomAtS } of capacity.starts) roomAt.set(job, Math.max(roomAt.get(job) ?? 0, roomAtS));
-  for (const slot of capacity.unplaced.keys()) roomAt.set(slot, Number.POSITIVE_INFINITY);
+  for (const { job, roomAtS } of capacityPlan.starts) roomAt.set(job, Math.max(roomAt.get(job) ?? 0, roomAtS));
+  for (const slot of capacityPlan.unplacedTasks.keys()) roomAt.set(slot, Number.POSITIVE_INFINITY);
   return roomAt;
 }
 
@@ -68,9 +68,9 @@
     !spec.zoneSpread &&
     job.placements.size === 0 &&
     !job.gangBroken &&
-    job.preemptionCount < MAX_PREEMPTIONS &&
-    waitedS(cluster, job) >= MIN_WAITED_S &&
-    cluster.quotas.room(spec) >= spec.taskCount
+    job.preemptionCount < MAX_PREEMPTIONS_PER_JOB &&
+    waitedSeconds(cluster, job) >= MIN_WAITED_SECONDS &&
+    cluster.quotas.remainingTasks(spec) >= spec.taskCount
   );
 }
 
@@ -108,7 +108,8 @@
   const { spec } = job;
   const { context } = cluster;
   const now = context.now.monotonic;
-  if (!machine.isSchedulable(now, context.settings.workers.heartbeatIntervalMs) || !allows(job, machine)) return null;
+  if (!machine.isSchedulable(now, context.settings.workers.heartbeatIntervalMs) || !isFeasibleMachine(job, machine))
+    return null;
   if (machine.isReservedForOther(job.id, now)) return null;
   // What is being stopped already comes free by itself, and not for this job.
   for (const { pendingStop } of machine.placements.values()) if (pendingStop !== null) return null;
@@ -121,9 +122,9 @@
     gpus + RESOURCE_TOLERANCE >= spec.gpus &&
     memGb + RESOURCE_TOLERANCE >= spec.memoryGb;
   const fetchS = machine.images.remainingPullSeconds(spec.image, spec.imageGb, now);
-  let cost = fetchS * Math.max(spec.gpus, CPU_WORK_WEIGHT);
+  let cost = fetchS * Math.max(spec.gpus, CPU_WORK_GPU_EQUIVALENT);
   const victims: Placement[] = [];
-  for (const { placement, lost } of lowerWork(machine, job, now)) {
+  for (const { placement, lost } of lowerPriorityTasks(machine, job, now)) {
     if (hasRoom()) break;
     const victim = placement.job.spec;
     victims.push(placement);
@@ -136,13 +137,13 @@
 }
 
 /** Array tasks of lower priority on a machine, those first of which least is lost. */
-function lowerWork(machine: Machine, job: Job, now: MonotonicTime): { placement: Placement; lost: number }[] {
+function lowerPriorityTasks(machine: Machine, job: Job, now: MonotonicTime): { placement: Placement; lost: number }[] {
   const lower: { placement: Placement; lost: number }[] = [];
   for (const placement of machine.placements.values()) {
     const { spec } = placement.job;
     if (spec.kind !== 'array' || spec.priorityLevel >= job.spec.priorityLevel) continue;
     const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000;
-    lower.push({ placement, lost: ranS * Math.max(spec.gpus, CPU_WORK_WEIGHT) });
+    lower.push({ placement, lost: ranS * Math.max(spec.gpus, CPU_WORK_GPU_EQUIVALENT) });
   }
   return lower.sort((a, b) => a.lost - b.lost);
 }
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -2,8 +2,8 @@
 import type { Cluster } from '../leadership/cluster.js';
 import { pullSeconds } from '../machines/image_cache.js';
 import type { TeamName } from '../types.js';
-import { couldHost } from './hosting.js';
-import { rankValue, urgency } from './priority.js';
+import { isFeasibleType } from './placement_constraints.js';
+import { rankingScore, urgencyFactor } from './priority.js';
 
 /** A waiting job with the tasks of it that the round plans. */
 export interface RankedJob {
@@ -12,30 +12,30 @@
   readonly waitedS: number;
   /** Groups go one after the other, higher ones first; within a group the smallest value does. */
   readonly group: RankGroup;
-  readonly value: number;
+  readonly score: number;
 }
 
 /** Overdue jobs by how long they have waited, then teams within their guarantee, then the rest; faulty ones last. */
-const GROUPS = { overdue: 2, guaranteed: 1, others: 0, faulty: -1 } as const;
-type RankGroup = (typeof GROUPS)[keyof typeof GROUPS];
+const RANK_GROUPS = { overdue: 2, guaranteed: 1, others: 0, faulty: -1 } as const;
+type RankGroup = (typeof RANK_GROUPS)[keyof typeof RANK_GROUPS];
 
 /** Of one array a round plans so many tasks, and more where there are more machines for them. */
-const MIN_TASKS_PLANNED = 400;
-const TASKS_PLANNED_PER_MACHINE = 2;
+const MIN_ARRAY_TASKS_PLANNED = 400;
+const ARRAY_TASKS_PLANNED_PER_MACHINE = 2;
 /** Of an array that has waited too long so many tasks are enough, so that others go on too. */
-const OVERDUE_TASKS = 20;
+const OVERDUE_ARRAY_TASKS = 20;
 /** Of an array that takes whatever room there is, so many tasks are enough to go on. */
-const FEW_TASKS = 4;
+const UNPENALIZED_ARRAY_TASKS = 4;
 /** Placement penalties count in full for so long, and not at all after twice that. */
-const FULL_PENALTY_S = 35;
+const FULL_PENALTY_SECONDS = 35;
 
 /** Seconds since the job was submitted. */
-export const waitedS = ({ context }: Cluster, job: Job): number =>
+export const waitedSeconds = ({ context }: Cluster, job: Job): number =>
   Math.max(0, (context.now.wallClock - job.submittedAt) / 1000);
 
 /** Whether a job has waited too long and has not begun. */
 export function isOverdue(cluster: Cluster, job: Job): boolean {
-  return job.startTerm === 0 && waitedS(cluster, job) > cluster.context.tuning.scheduler.overdue_after_s;
+  return job.startTerm === 0 && waitedSeconds(cluster, job) > cluster.context.tuning.scheduler.overdue_after_s;
 }
 
 /**
@@ -46,7 +46,7 @@
   if (job.placements.size > 0) return 1;
   const { monotonic, wallClock } = context.now;
   const inactiveS = (job.startTerm === 0 ? wallClock - job.submittedAt : monotonic - job.inactiveSince) / 1000;
-  return Math.min(1, Math.max(0, 1 - (inactiveS - FULL_PENALTY_S) / FULL_PENALTY_S));
+  return Math.min(1, Math.max(0, 1 - (inactiveS - FULL_PENALTY_SECONDS) / FULL_PENALTY_SECONDS));
 }
 
 /** Whether teams' unfinished work fits their guarantees: then it need not wait for others. */
@@ -72,30 +72,31 @@
 }
 
 /** A fetch at the pace of the slowest type that could host the job: how long it takes if nothing is cached. */
-function slowestFetchS(cluster: Cluster, job: Job): number {
+function slowestPullSeconds(cluster: Cluster, job: Job): number {
   let slowest = Number.POSITIVE_INFINITY;
   for (const type of cluster.machineTypes.values()) {
-    if (type.zones.some((zone) => couldHost(job, type, zone))) slowest = Math.min(slowest, type.imagePullGbPerSecond);
+    if (type.zones.some((zone) => isFeasibleType(job, type, zone)))
+      slowest = Math.min(slowest, type.imagePullGbPerSecond);
   }
   return Number.isFinite(slowest) ? pullSeconds(job.spec.imageGb, slowest) : 0;
 }
 
 /** The design's ranking, sooner where an aim or deadline comes near; smallest goes first. */
-function rankingValue(cluster: Cluster, job: Job, tasks: number): number {
+function jobRankingScore(cluster: Cluster, job: Job, tasks: number): number {
   const { settings, tuning } = cluster.context;
-  const { priority_base, urgency: most, urgency_horizon_s: horizonS } = tuning.scheduler;
-  const waited = waitedS(cluster, job);
+  const { priority_base, urgency: maxBoost, urgency_horizon_s: horizonSeconds } = tuning.scheduler;
+  const waited = waitedSeconds(cluster, job);
   const runS = cluster.runtimeEstimator.expectedSeconds(job.spec);
-  const fetchS = slowestFetchS(cluster, job);
-  const rank = rankValue(job.spec, tasks, runS, waited, priority_base);
-  return rank / urgency(job.spec, settings.objectives, waited, fetchS, runS, { most, horizonS });
+  const fetchS = slowestPullSeconds(cluster, job);
+  const rank = rankingScore(job.spec, tasks, runS, waited, priority_base);
+  return rank / urgencyFactor(job.spec, settings.objectives, waited, fetchS, runS, { maxBoost, horizonSeconds });
 }
 
 /** How many tasks of a job the round plans, of those that wait and its team's limit allows. */
 function plannedTasks(cluster: Cluster, job: Job, waiting: number, overdue: boolean): number {
   if (job.isGang) return waiting;
-  let tasks = overdue ? Math.min(waiting, OVERDUE_TASKS) : waiting;
-  if (job.spec.gpus === 0 && penaltyFactor(cluster, job) === 0) tasks = Math.min(tasks, FEW_TASKS);
+  let tasks = overdue ? Math.min(waiting, OVERDUE_ARRAY_TASKS) : waiting;
+  if (job.spec.gpus === 0 && penaltyFactor(cluster, job) === 0) tasks = Math.min(tasks, UNPENALIZED_ARRAY_TASKS);
   return tasks;
 }
 
@@ -108,27 +109,27 @@
 
 /** How many of the job's waiting tasks its team's limit allows now; of a gang all or none. */
 function tasksWithinLimit(cluster: Cluster, job: Job): number {
-  const maxTasks = Math.max(MIN_TASKS_PLANNED, TASKS_PLANNED_PER_MACHINE * cluster.machines.size);
+  const maxTasks = Math.max(MIN_ARRAY_TASKS_PLANNED, ARRAY_TASKS_PLANNED_PER_MACHINE * cluster.machines.size);
   const pending = Math.min(job.startableCount, maxTasks);
-  const room = cluster.quotas.room(job.spec);
+  const room = cluster.quotas.remainingTasks(job.spec);
   // A job that fails wherever it runs is tried with one task at a time.
   if (job.isFaulty && !job.isGang) return job.placements.size === 0 ? Math.min(pending, room, 1) : 0;
   if (job.isGang) return pending <= room ? pending : 0;
   return Math.min(pending, room);
 }
 
-function groupOf(job: Job, guaranteed: ReadonlySet<TeamName>): RankGroup {
-  if (job.isFaulty) return GROUPS.faulty;
-  return guaranteed.has(job.spec.team) ? GROUPS.guaranteed : GROUPS.others;
+function rankGroupOf(job: Job, guaranteed: ReadonlySet<TeamName>): RankGroup {
+  if (job.isFaulty) return RANK_GROUPS.faulty;
+  return guaranteed.has(job.spec.team) ? RANK_GROUPS.guaranteed : RANK_GROUPS.others;
 }
 
 function rankJob(cluster: Cluster, job: Job, waiting: number, guaranteed: ReadonlySet<TeamName>): RankedJob {
   const overdue = isOverdue(cluster, job);
   const tasks = plannedTasks(cluster, job, waiting, overdue);
-  const waited = waitedS(cluster, job);
-  if (overdue) return { job, tasks, waitedS: waited, group: GROUPS.overdue, value: -waited };
-  const group = groupOf(job, guaranteed);
-  return { job, tasks, waitedS: waited, group, value: rankingValue(cluster, job, tasks) };
+  const waited = waitedSeconds(cluster, job);
+  if (overdue) return { job, tasks, waitedS: waited, group: RANK_GROUPS.overdue, score: -waited };
+  const group = rankGroupOf(job, guaranteed);
+  return { job, tasks, waitedS: waited, group, score: jobRankingScore(cluster, job, tasks) };
 }
 
 /**
@@ -148,6 +149,6 @@
     else if (job.isGang && isOverdue(cluster, job)) heldTeams.add(job.spec.team);
   }
   return ranked
-    .filter(({ job, group }) => group === GROUPS.overdue || !heldTeams.has(job.spec.team))
-    .sort((a, b) => b.group - a.group || a.value - b.value || (a.job.id < b.job.id ? -1 : 1));
+    .filter(({ job, group }) => group === RANK_GROUPS.overdue || !heldTeams.has(job.spec.team))
+    .sort((a, b) => b.group - a.group || a.score - b.score || (a.job.id < b.job.id ? -1 : 1));
 }
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -5,17 +5,17 @@
 import type { Tuning } from '../settings.js';
 import type { ZoneName } from '../types.js';
 import { applyPlan } from './apply_plan.js';
-import { Evolution } from './evolution.js';
+import { EvolutionarySearch } from './evolutionary_search.js';
 import { reserveForOverdueGangs } from './gang_reservation.js';
-import { allows } from './hosting.js';
+import { isFeasibleMachine } from './placement_constraints.js';
 import { PlanInput } from './plan_input.js';
 import type { Plan, PlanJob, PlanMachine, PlannedStart } from './plan_types.js';
 import { Planner } from './planner.js';
-import { rankWaitingJobs, waitedS } from './ranking.js';
-import { waitingServices } from './services.js';
+import { rankWaitingJobs, waitedSeconds } from './ranking.js';
+import { waitingServices } from './service_placement.js';
 
 /** Jobs beyond those planned in full that a round looks at for room that is free now. */
-const MAX_FILL_JOBS = 250;
+const MAX_BACKFILL_JOBS = 250;
 
 /** Tasks of a job that found no room now. */
 interface UnplannedTasks {
@@ -29,13 +29,13 @@
    * What could start when if arrays weren't held to one zone a round: what is late here lacks machines, not a better zone
    * in the next round.
    */
-  readonly capacity: Plan;
+  readonly capacityPlan: Plan;
   /** Jobs and machines by their slots in the plan. */
   readonly jobs: readonly Job[];
   readonly planJobs: readonly PlanJob[];
   readonly machines: readonly Machine[];
   /** Waiting jobs beyond those planned. */
-  readonly beyond: readonly UnplannedTasks[];
+  readonly unplannedTasks: readonly UnplannedTasks[];
   /** Plan steps that it took. */
   readonly steps: number;
 }
@@ -46,14 +46,14 @@
   cluster.previousTerms.updateUnreconciled();
   const ranked = rankWaitingJobs(cluster);
   const input = new PlanInput(cluster, ranked);
-  for (const job of ranked.slice(0, tuning.jobs_planned + MAX_FILL_JOBS)) input.add(job);
+  for (const job of ranked.slice(0, tuning.jobs_planned + MAX_BACKFILL_JOBS)) input.addJob(job);
   const { planMachines, machines, jobs, planJobs } = input;
   const plannedInFull = planJobs.slice(0, tuning.jobs_planned);
   const others = planJobs.slice(tuning.jobs_planned);
 
-  const planner = makePlanner(tuning);
-  const { plan, capacity } = searchZones(planner, planMachines, plannedInFull, tuning, seed);
-  const filled = others.length > 0 ? planner.fillNow(plan, others, tuning.plan_steps) : [];
+  const planner = createPlanner(tuning);
+  const { plan, capacity } = searchPlan(planner, planMachines, plannedInFull, tuning, seed);
+  const filled = others.length > 0 ? planner.backfill(plan, others, tuning.plan_steps) : [];
   const capacityWithServices = addWaitingReplicas(cluster, input, capacity);
   const started = applyPlan(cluster, [...plan.starts, ...filled], jobs, machines);
   reserveForOverdueGangs(cluster, plan.starts, jobs, machines);
@@ -65,18 +65,18 @@
     started,
     cost: plan.cost,
   });
-  const beyond = unplannedTasks(others, filled);
-  return { capacity: capacityWithServices, jobs, planJobs, machines, beyond, steps: planner.steps };
+  const unplannedTasks = findUnplannedTasks(others, filled);
+  return { capacityPlan: capacityWithServices, jobs, planJobs, machines, unplannedTasks, steps: planner.steps };
 }
 
-function makePlanner(tuning: Tuning['scheduler']): Planner {
+function createPlanner(tuning: Tuning['scheduler']): Planner {
   return new Planner(
-    { average: tuning.weight_average, maximum: tuning.weight_maximum, idle: tuning.weight_idle },
+    { averageWait: tuning.weight_average, maximumWait: tuning.weight_maximum, idleShare: tuning.weight_idle },
     {
-      gpuS: tuning.gpu_penalty_s,
-      onDemandS: tuning.on_demand_penalty_s,
-      reservedS: tuning.reserved_type_penalty_s,
-      cachedImageS: tuning.cached_image_penalty_s,
+      gpuMachineSeconds: tuning.gpu_penalty_s,
+      onDemandSeconds: tuning.on_demand_penalty_s,
+      reservedTypeSeconds: tuning.reserved_type_penalty_s,
+      cachedImageSeconds: tuning.cached_image_penalty_s,
       futureDiscount: tuning.future_discount,
       gangFutureDiscount: tuning.gang_future_discount,
     },
@@ -84,7 +84,7 @@
 }
 
 /** The best plan that the search finds, and one over all zones at once, from which the search starts. */
-function searchZones(
+function searchPlan(
   planner: Planner,
   machines: readonly PlanMachine[],
   jobs: readonly PlanJob[],
@@ -92,16 +92,16 @@
   seed: number,
 ): { plan: Plan; capacity: Plan } {
   if (jobs.length === 0) {
-    const empty: Plan = { starts: [], machines, cost: 0, unplaced: new Map(), steps: 0 };
+    const empty: Plan = { starts: [], machines, cost: 0, unplacedTasks: new Map(), steps: 0 };
     return { plan: empty, capacity: empty };
   }
-  const search = new Evolution(planner, xoroshiro128plus(seed), {
+  const search = new EvolutionarySearch(planner, xoroshiro128plus(seed), {
     individuals: tuning.individuals,
     generations: tuning.generations,
     mutation: tuning.mutation,
     planSteps: tuning.plan_steps,
   });
-  const oneZone = jobs.every(({ zones }) => zones.length === 1);
+  const oneZone = jobs.every(({ feasibleZones }) => feasibleZones.length === 1);
   const overAllZones = oneZone ? null : planner.plan(machines, jobs, null);
   const plan = search.search(machines, jobs, overAllZones && mainZones(overAllZones, jobs));
   return { plan, capacity: overAllZones ?? plan };
@@ -117,58 +117,62 @@
   }
   return jobs.map((job, i) => {
     const count = counts[i] as Map<ZoneName, number>;
-    let main = job.zones[0] as ZoneName;
+    let main = job.feasibleZones[0] as ZoneName;
     for (const [zone, tasks] of count) {
-      if (job.zones.includes(zone) && tasks > (count.get(main) ?? 0)) main = zone;
+      if (job.feasibleZones.includes(zone) && tasks > (count.get(main) ?? 0)) main = zone;
     }
     return main;
   });
 }
 
-function unplannedTasks(jobs: readonly PlanJob[], starts: readonly PlannedStart[]): UnplannedTasks[] {
+function findUnplannedTasks(jobs: readonly PlanJob[], starts: readonly PlannedStart[]): UnplannedTasks[] {
   const placed = new Map<number, number>();
   for (const { job, tasks } of starts) placed.set(job, (placed.get(job) ?? 0) + tasks);
-  return jobs.map((job) => ({ job, tasks: job.tasks - (placed.get(job.slot) ?? 0) })).filter(({ tasks }) => tasks > 0);
+  return jobs.map((job) => ({ job, tasks: job.tasks - (placed.get(job.index) ?? 0) })).filter(({ tasks }) => tasks > 0);
 }
 
 /** Replicas that found no place are work that lacks machines, unless some that are on their way will take them. */
 function addWaitingReplicas(cluster: Cluster, input: PlanInput, plan: Plan): Plan {
   const waiting = waitingServices(cluster);
   if (waiting.length === 0) return plan;
-  const unplaced = new Map(plan.unplaced);
-  const coming = [...cluster.machines.values()].filter((machine) => cluster.isExpected(machine)).map(emptyRoom);
+  const unplacedTasks = new Map(plan.unplacedTasks);
+  const coming = [...cluster.machines.values()].filter((machine) => cluster.isExpected(machine)).map(capacityOf);
   for (const job of waiting) {
-    const tasks = withoutPlaceOn(coming, job, Math.min(job.startableCount, cluster.quotas.room(job.spec)));
+    const tasks = replicasWithoutCapacity(
+      coming,
+      job,
+      Math.min(job.startableCount, cluster.quotas.remainingTasks(job.spec)),
+    );
     if (tasks <= 0) continue;
-    const slot = input.add({ job, tasks, waitedS: waitedS(cluster, job) });
-    if (slot !== null) unplaced.set(slot, tasks);
+    const slot = input.addJob({ job, tasks, waitedS: waitedSeconds(cluster, job) });
+    if (slot !== null) unplacedTasks.set(slot, tasks);
   }
-  return { ...plan, unplaced };
+  return { ...plan, unplacedTasks };
 }
 
 /** What is left of a machine on its way. */
-interface ComingRoom {
+interface IncomingCapacity {
   readonly machine: Machine;
   cpus: number;
   gpus: number;
-  memGb: number;
+  memoryGb: number;
 }
 
-const emptyRoom = (machine: Machine): ComingRoom => {
+const capacityOf = (machine: Machine): IncomingCapacity => {
   const { cpus, gpus, memoryGb } = machine.type;
-  return { machine, cpus, gpus, memGb: memoryGb };
+  return { machine, cpus, gpus, memoryGb: memoryGb };
 };
 
 /** Puts replicas on machines on their way; returns how many found no room there. */
-function withoutPlaceOn(coming: readonly ComingRoom[], job: Job, replicas: number): number {
+function replicasWithoutCapacity(coming: readonly IncomingCapacity[], job: Job, replicas: number): number {
   const { spec } = job;
   let left = replicas;
   for (const room of coming) {
-    if (!allows(job, room.machine)) continue;
-    while (left > 0 && room.cpus >= spec.cpus && room.gpus >= spec.gpus && room.memGb >= spec.memoryGb) {
+    if (!isFeasibleMachine(job, room.machine)) continue;
+    while (left > 0 && room.cpus >= spec.cpus && room.gpus >= spec.gpus && room.memoryGb >= spec.memoryGb) {
       room.cpus -= spec.cpus;
       room.gpus -= spec.gpus;
-      room.memGb -= spec.memoryGb;
+      room.memoryGb -= spec.memoryGb;
       left -= 1;
     }
   }
--- a/src/core/scheduler/services.ts
+++ b/src/core/scheduler/service_placement.ts
@@ -2,32 +2,39 @@
 import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
 import type { ZoneName } from '../types.js';
-import { fitsTypesWithoutGpus, isOnlyIn, mayHost, mayHostInstead, placeTask, roomByZone } from './hosting.js';
+import {
+  canPlaceTask,
+  fitsTypesWithoutGpus,
+  isFeasibleNow,
+  placeTask,
+  runsOnlyInZone,
+  zoneAllowance,
+} from './placement_constraints.js';
 import { type EvictionOption, evictFor, evictionOption } from './preemption.js';
-import { type GpuDemand, gpuDemand, spareRoom } from './spare_room.js';
+import { type GpuDemand, gpuDemand, spareCapacity } from './spare_capacity.js';
 
 /** Seconds of start time that a replica would rather lose than share its machine with another of its service ... */
-const SHARED_PENALTY_S = 8;
+const SHARED_MACHINE_PENALTY_SECONDS = 8;
 /** ... than take a machine with GPUs, whose spare cores other work may want and which it would keep from being returned ... */
-const GPU_PENALTY_S = 12;
+const GPU_MACHINE_PENALTY_SECONDS = 12;
 /** ... and than take a spot machine that is certain to be lost within the horizon. */
-const SPOT_LOSS_PENALTY_S = 400;
-const SPOT_LOSS_HORIZON_S = 60;
+const SPOT_LOSS_PENALTY_SECONDS = 400;
+const SPOT_LOSS_HORIZON_SECONDS = 60;
 /** Start times are compared in steps of half a second; of equals the machine with least room is taken. */
-const RANKS_PER_S = 2;
+const DELAY_RANKS_PER_SECOND = 2;
 /** A replica leaves alone what is kept for GPU work for so long. */
-const AVOID_GPU_MS = 20_000;
+const AVOID_GPU_MACHINES_MS = 20_000;
 /** Room that is found for a replica is kept for it so long. */
 const RESERVATION_MS = 6000;
 /** At most this part of a service is on its way to other machines at once. */
 const MAX_MOVING_SHARE = 0.5;
 /** The replicas for which one look makes room by stopping lower work. */
-const MAX_STOPPED_FOR = 24;
+const MAX_PREEMPTIONS_PER_CALL = 24;
 /** What another replica on the same machine counts against the cost of stopping work there. */
-const SHARED_COST = 0.5;
+const SHARED_MACHINE_COST = 0.5;
 
 /** How many replicas each zone may still take, where a service is spread; null: no such limit. */
-type ZoneRoom = Map<ZoneName, number> | null;
+type ZoneAllowance = Map<ZoneName, number> | null;
 
 /** Services with replicas that wait for a place, those of higher priority first, then those that came first. */
 export function waitingServices(cluster: Cluster): Job[] {
@@ -52,61 +59,62 @@
   let placed = 0;
   let stoppedFor = 0;
   for (const job of waitingServices(cluster)) {
-    const zoneRoom = roomByZone(cluster, job);
+    const zoneRoom = zoneAllowance(cluster, job);
     job.replicaPendingSince ??= cluster.context.now.monotonic;
     placed += placeReplicas(cluster, job, zoneRoom);
     if (job.pendingCount === 0) job.replicaPendingSince = null;
-    while (job.startableCount > 0 && stoppedFor < MAX_STOPPED_FOR && makeRoom(cluster, job, zoneRoom)) stoppedFor += 1;
+    while (job.startableCount > 0 && stoppedFor < MAX_PREEMPTIONS_PER_CALL && preemptForReplica(cluster, job, zoneRoom))
+      stoppedFor += 1;
   }
   return placed;
 }
 
-function placeReplicas(cluster: Cluster, job: Job, zoneRoom: ZoneRoom): number {
-  const mayTakeGpuCores = gpuCoreCheck(cluster, job);
-  const mayTake = (machine: Machine): boolean => mayHost(cluster, job, machine) && mayTakeGpuCores(machine);
+function placeReplicas(cluster: Cluster, job: Job, zoneRoom: ZoneAllowance): number {
+  const mayTakeGpuCores = gpuMachineCheck(cluster, job);
+  const mayTake = (machine: Machine): boolean => canPlaceTask(cluster, job, machine) && mayTakeGpuCores(machine);
   let placed = 0;
   for (const index of job.pendingTasks(job.spec.taskCount)) {
-    if (cluster.quotas.room(job.spec) < 1) break;
-    const machine = bestMachine(cluster, job, zoneRoom, mayTake);
+    if (cluster.quotas.remainingTasks(job.spec) < 1) break;
+    const machine = bestFitMachine(cluster, job, zoneRoom, mayTake);
     if (!machine) break;
     placeTask(cluster, job, index, machine, cluster.nextAttempt());
     cluster.machinesWithPendingStarts.add(machine);
     machine.endReservation(job.id);
-    takeZoneRoom(zoneRoom, machine.zone, job);
+    useZoneAllowance(zoneRoom, machine.zone, job);
     placed += 1;
   }
   return placed;
 }
 
-const hasZoneRoom = (zoneRoom: ZoneRoom, zone: ZoneName, job: Job): boolean =>
+const hasZoneAllowance = (zoneRoom: ZoneAllowance, zone: ZoneName, job: Job): boolean =>
   zoneRoom === null || (zoneRoom.get(zone) ?? job.maxTasksPerZone) > 0;
 
-function takeZoneRoom(zoneRoom: ZoneRoom, zone: ZoneName, job: Job): void {
+function useZoneAllowance(zoneRoom: ZoneAllowance, zone: ZoneName, job: Job): void {
   zoneRoom?.set(zone, (zoneRoom.get(zone) ?? job.maxTasksPerZone) - 1);
 }
 
 /** Whether a machine may take a replica now, as far as other claims to it go. */
-function isOpenTo(cluster: Cluster, job: Job, machine: Machine, zoneRoom: ZoneRoom): boolean {
+function isAvailableTo(cluster: Cluster, job: Job, machine: Machine, zoneRoom: ZoneAllowance): boolean {
   const now = cluster.context.now.monotonic;
   if (machine.isReservedForOther(job.id, now)) return false;
-  return hasZoneRoom(zoneRoom, machine.zone, job) && !job.failureHistory.avoids(machine.id, now);
+  return hasZoneAllowance(zoneRoom, machine.zone, job) && !job.failureHistory.avoids(machine.id, now);
 }
 
-const needsNoGpuOf = (job: Job, machine: Machine): boolean => job.spec.gpus === 0 && machine.type.gpus > 0;
+const leavesGpusUnused = (job: Job, machine: Machine): boolean => job.spec.gpus === 0 && machine.type.gpus > 0;
 
 /** Among the machines that `mayTake` allows, the one where a replica is there soonest. */
-function bestMachine(
+function bestFitMachine(
   cluster: Cluster,
   job: Job,
-  zoneRoom: ZoneRoom,
+  zoneRoom: ZoneAllowance,
   mayTake: (machine: Machine) => boolean,
 ): Machine | null {
   let best: Machine | null = null;
   let bestRank = Number.POSITIVE_INFINITY;
   let bestSlack = Number.POSITIVE_INFINITY;
   for (const machine of cluster.machines.values()) {
-    if (!isOpenTo(cluster, job, machine, zoneRoom) || !mayTake(machine)) continue;
-    const rank = Math.round(RANKS_PER_S * startDelayS(cluster, job, machine));
+    if (!isAvailableTo(cluster, job, machine, zoneRoom) || !mayTake(machine)) continue;
+    const rank = Math.round(DELAY_RANKS_PER_SECOND * startDelaySeconds(cluster, job, machine));
     const slack = scarcestFreeShare(machine);
     if (rank > bestRank || (rank === bestRank && slack >= bestSlack)) continue;
     best = machine;
@@ -120,28 +128,28 @@
  * Whether a replica may take cores of a machine with GPUs: those that GPU work has no use for, and any once it has waited
  * for long (service-takes-gpu-cores.txt).
  */
-function gpuCoreCheck(cluster: Cluster, job: Job): (machine: Machine) => boolean {
+function gpuMachineCheck(cluster: Cluster, job: Job): (machine: Machine) => boolean {
   const { replicaPendingSince, spec } = job;
   const now = cluster.context.now.monotonic;
-  if (replicaPendingSince !== null && now - replicaPendingSince >= AVOID_GPU_MS) return () => true;
+  if (replicaPendingSince !== null && now - replicaPendingSince >= AVOID_GPU_MACHINES_MS) return () => true;
   let demand: GpuDemand | null = null;
   return (machine) => {
-    if (!needsNoGpuOf(job, machine)) return true;
+    if (!leavesGpusUnused(job, machine)) return true;
     demand ??= gpuDemand(cluster);
-    const spare = spareRoom(machine, demand);
-    return spare.cpus >= spec.cpus && spare.memGb >= spec.memoryGb;
+    const spare = spareCapacity(machine, demand);
+    return spare.cpus >= spec.cpus && spare.memoryGb >= spec.memoryGb;
   };
 }
 
 /** Seconds until a replica would be there, with what it had rather avoid. */
-function startDelayS({ context, spotInterruptions }: Cluster, job: Job, machine: Machine): number {
+function startDelaySeconds({ context, spotInterruptions }: Cluster, job: Job, machine: Machine): number {
   const { image, imageGb } = job.spec;
   const fetchS = machine.images.remainingPullSeconds(image, imageGb, context.now.monotonic);
-  let delayS = fetchS + SHARED_PENALTY_S * job.replicaCountOn(machine);
-  if (needsNoGpuOf(job, machine)) delayS += GPU_PENALTY_S;
+  let delayS = fetchS + SHARED_MACHINE_PENALTY_SECONDS * job.replicaCountOn(machine);
+  if (leavesGpusUnused(job, machine)) delayS += GPU_MACHINE_PENALTY_SECONDS;
   if (machine.spot) {
-    const lossChance = 1 - Math.exp(-SPOT_LOSS_HORIZON_S * spotInterruptions.perSecond);
-    delayS += SPOT_LOSS_PENALTY_S * lossChance;
+    const lossChance = 1 - Math.exp(-SPOT_LOSS_HORIZON_SECONDS * spotInterruptions.perSecond);
+    delayS += SPOT_LOSS_PENALTY_SECONDS * lossChance;
   }
   return delayS;
 }
@@ -157,38 +165,38 @@
 }
 
 /** Stops lower arrays on the machine where least is lost; the replica follows when they are gone. */
-function makeRoom(cluster: Cluster, job: Job, zoneRoom: ZoneRoom): boolean {
-  if (job.spec.priorityLevel === 0 || cluster.quotas.room(job.spec) < 1) return false;
-  if (reservedMachines(cluster, job) >= job.startableCount) return false;
+function preemptForReplica(cluster: Cluster, job: Job, zoneRoom: ZoneAllowance): boolean {
+  if (job.spec.priorityLevel === 0 || cluster.quotas.remainingTasks(job.spec) < 1) return false;
+  if (reservedMachineCount(cluster, job) >= job.startableCount) return false;
   const option = cheapestEviction(cluster, job, zoneRoom);
   if (!option) return false;
   const { machine } = option;
   evictFor(cluster, job, option);
-  takeZoneRoom(zoneRoom, machine.zone, job);
+  useZoneAllowance(zoneRoom, machine.zone, job);
   cluster.context.log('debug', 'lower work makes room for a service', { job: job.id, machine: machine.id });
   return true;
 }
 
 /** Machines on which room was made or found a moment ago and has not been taken. */
-function reservedMachines(cluster: Cluster, job: Job): number {
+function reservedMachineCount(cluster: Cluster, job: Job): number {
   const now = cluster.context.now.monotonic;
   let count = 0;
   for (const machine of cluster.machines.values()) if (machine.reservedFor(now) === job.id) count += 1;
   return count;
 }
 
-function cheapestEviction(cluster: Cluster, job: Job, zoneRoom: ZoneRoom): EvictionOption | null {
+function cheapestEviction(cluster: Cluster, job: Job, zoneRoom: ZoneAllowance): EvictionOption | null {
   const now = cluster.context.now.monotonic;
   const avoidGpus = fitsTypesWithoutGpus(cluster, job);
   let cheapest: EvictionOption | null = null;
   let lowestCost = Number.POSITIVE_INFINITY;
   for (const machine of cluster.machines.values()) {
-    if (avoidGpus && needsNoGpuOf(job, machine)) continue;
-    if (machine.reservedFor(now) !== null || !isOpenTo(cluster, job, machine, zoneRoom)) continue;
-    if (job.spec.singleZone && !isOnlyIn(job, machine.zone)) continue;
+    if (avoidGpus && leavesGpusUnused(job, machine)) continue;
+    if (machine.reservedFor(now) !== null || !isAvailableTo(cluster, job, machine, zoneRoom)) continue;
+    if (job.spec.singleZone && !runsOnlyInZone(job, machine.zone)) continue;
     const option = evictionOption(cluster, job, machine);
     if (!option || option.victims.length === 0) continue;
-    const cost = option.cost + SHARED_COST * job.replicaCountOn(machine);
+    const cost = option.cost + SHARED_MACHINE_COST * job.replicaCountOn(machine);
     if (cost >= lowestCost) continue;
     cheapest = option;
     lowestCost = cost;
@@ -205,13 +213,13 @@
   const moving = [...job.placements.values()].filter(({ pendingStop }) => pendingStop !== null).length;
   const maxMoving = Math.max(1, Math.ceil(job.spec.taskCount * MAX_MOVING_SHARE));
   if (moving + job.pendingCount >= maxMoving) return;
-  const zoneRoom = roomByZone(cluster, job);
+  const zoneRoom = zoneAllowance(cluster, job);
   // Its own place comes free with the move.
   zoneRoom?.set(from.zone, (zoneRoom.get(from.zone) ?? job.maxTasksPerZone) + 1);
-  const mayTakeGpuCores = gpuCoreCheck(cluster, job);
+  const mayTakeGpuCores = gpuMachineCheck(cluster, job);
   const mayTake = (machine: Machine): boolean =>
-    machine !== from && mayHostInstead(cluster, job, machine) && mayTakeGpuCores(machine);
-  const to = bestMachine(cluster, job, zoneRoom, mayTake);
+    machine !== from && isFeasibleNow(cluster, job, machine) && mayTakeGpuCores(machine);
+  const to = bestFitMachine(cluster, job, zoneRoom, mayTake);
   if (!to || (job.spec.singleZone && to.zone !== from.zone)) return;
   to.reserve(job.id, cluster.context.after(RESERVATION_MS));
   cluster.context.log('info', 'moving a replica', { job: job.id, from: from.id, to: to.id });
--- a/src/core/scheduler/spare_room.ts
+++ b/src/core/scheduler/spare_capacity.ts
@@ -4,26 +4,26 @@
 import type { MachineType, MachineTypeName, Resources } from '../types.js';
 
 /** Cores and memory beside GPUs. */
-export interface BesideGpus {
+export interface CpusAndMemory {
   readonly cpus: number;
-  readonly memGb: number;
+  readonly memoryGb: number;
 }
 
 /** For each type with GPUs, what the GPU work there is now could use beside them if it had all of them. */
-export type GpuDemand = ReadonlyMap<MachineTypeName, BesideGpus>;
+export type GpuDemand = ReadonlyMap<MachineTypeName, CpusAndMemory>;
 
-const UNLIMITED: BesideGpus = { cpus: Number.POSITIVE_INFINITY, memGb: Number.POSITIVE_INFINITY };
-const NOTHING: BesideGpus = { cpus: 0, memGb: 0 };
+const UNLIMITED: CpusAndMemory = { cpus: Number.POSITIVE_INFINITY, memoryGb: Number.POSITIVE_INFINITY };
+const NO_CAPACITY: CpusAndMemory = { cpus: 0, memoryGb: 0 };
 
 /** Once for each type and shape of task, not for each machine: hundreds of machines meet hundreds of shapes. */
 export function gpuDemand(cluster: Cluster): GpuDemand {
-  const shapes = gpuTaskShapes(cluster);
-  const demand = new Map<MachineTypeName, BesideGpus>();
+  const shapes = gpuTaskSizes(cluster);
+  const demand = new Map<MachineTypeName, CpusAndMemory>();
   for (const type of cluster.machineTypes.values()) demand.set(type.name, demandOn(type, shapes));
   return demand;
 }
 
-function gpuTaskShapes(cluster: Cluster): Resources[] {
+function gpuTaskSizes(cluster: Cluster): Resources[] {
   const shapes = new Map<string, Resources>();
   for (const { spec, state } of cluster.activeJobs) {
     if (spec.gpus <= 0 || state !== 'accepted') continue;
@@ -33,36 +33,36 @@
   return [...shapes.values()];
 }
 
-function demandOn(type: MachineType, shapes: readonly Resources[]): BesideGpus {
+function demandOn(type: MachineType, shapes: readonly Resources[]): CpusAndMemory {
   let cpus = 0;
-  let memGb = 0;
+  let memoryGb = 0;
   for (const task of shapes) {
     if (task.gpus > type.gpus) continue;
     const tasks = countFitting(type.gpus, task.gpus);
     cpus = Math.max(cpus, Math.min(type.cpus, tasks * task.cpus));
-    memGb = Math.max(memGb, Math.min(type.memoryGb, tasks * task.memoryGb));
+    memoryGb = Math.max(memoryGb, Math.min(type.memoryGb, tasks * task.memoryGb));
   }
-  return { cpus, memGb };
+  return { cpus, memoryGb };
 }
 
 /** What an empty machine of the type leaves beside all that GPU work could use. */
-export function spareOfType(type: MachineType, demand: GpuDemand): BesideGpus {
-  const reserved = demand.get(type.name) ?? NOTHING;
-  return { cpus: type.cpus - reserved.cpus, memGb: type.memoryGb - reserved.memGb };
+export function spareCapacityOfType(type: MachineType, demand: GpuDemand): CpusAndMemory {
+  const reserved = demand.get(type.name) ?? NO_CAPACITY;
+  return { cpus: type.cpus - reserved.cpus, memoryGb: type.memoryGb - reserved.memoryGb };
 }
 
 /**
  * On machines with GPUs, the cores and memory that GPU work has no use for even when it has all the GPUs. Work without
  * GPUs that took more would keep GPUs idle: a gang that needs whole machines would wait for the last small task on each.
  */
-export function spareRoom(machine: Machine, demand: GpuDemand): BesideGpus {
+export function spareCapacity(machine: Machine, demand: GpuDemand): CpusAndMemory {
   const { type } = machine;
   if (type.gpus === 0) return UNLIMITED;
-  let { cpus, memGb } = spareOfType(type, demand);
+  let { cpus, memoryGb } = spareCapacityOfType(type, demand);
   for (const { job } of machine.placements.values()) {
     if (job.spec.gpus > 0) continue;
     cpus -= job.spec.cpus;
-    memGb -= job.spec.memoryGb;
+    memoryGb -= job.spec.memoryGb;
   }
-  return { cpus, memGb };
+  return { cpus, memoryGb };
 }
--- a/src/core/workers/unexpected_tasks.ts
+++ b/src/core/workers/unexpected_tasks.ts
@@ -39,7 +39,7 @@
 /** Strays of known jobs count against their team's limit, and keep the same task from being started again. */
 function countUnexpectedTask({ quotas }: Cluster, { knownJob, index }: UnexpectedTask, change: 1 | -1): void {
   if (!knownJob) return;
-  quotas.add(knownJob.spec, change);
+  quotas.recordUsage(knownJob.spec, change);
   const onMachines = (knownJob.unexpectedTasks.get(index) ?? 0) + change;
   if (onMachines > 0) knownJob.unexpectedTasks.set(index, onMachines);
   else knownJob.unexpectedTasks.delete(index);
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -12,11 +12,11 @@
 import { expectedSpotDelaySeconds, SpotInterruptionRate } from '../src/core/machines/spot_interruption_rate.js';
 import { StragglerDetector, type StragglerEvidence } from '../src/core/machines/straggler_detector.js';
 import { encodeJob, encodePage, fitsWithStartZones, type MachineRecord } from '../src/core/records.js';
-import { Evolution } from '../src/core/scheduler/evolution.js';
+import { EvolutionarySearch } from '../src/core/scheduler/evolutionary_search.js';
 import { reserveForOverdueGangs } from '../src/core/scheduler/gang_reservation.js';
 import { NO_PENALTIES, type PlanJob, type PlanMachine } from '../src/core/scheduler/plan_types.js';
 import { Planner } from '../src/core/scheduler/planner.js';
-import { rankValue } from '../src/core/scheduler/priority.js';
+import { rankingScore } from '../src/core/scheduler/priority.js';
 import type { Settings } from '../src/core/settings.js';
 import { StepContext } from '../src/core/step_context.js';
 import type {
@@ -90,8 +90,8 @@
 test('ranking: at the same wait a step of priority makes up for four times the size', () => {
   const low = makeSpec('job-1', 'array', { cpus: '1', estimate: '10', rank: '0' });
   const high = makeSpec('job-2', 'array', { cpus: '3', estimate: '10', rank: '1' });
-  assert.ok(rankValue(high, 1, 10, 100, 4) < rankValue(low, 1, 10, 100, 4));
-  assert.ok(rankValue(high, 1, 10, 0, 4) > rankValue(low, 1, 10, 0, 4));
+  assert.ok(rankingScore(high, 1, 10, 100, 4) < rankingScore(low, 1, 10, 100, 4));
+  assert.ok(rankingScore(high, 1, 10, 0, 4) > rankingScore(low, 1, 10, 0, 4));
 });
 
 test('slowness: a slow machine is told from a wrong estimate by several jobs, weighed by how sure they are', () => {
@@ -133,8 +133,8 @@
 test('ranking: small and short first, and waiting makes up for size', () => {
   const small = makeSpec('job-1', 'array', { cpus: '1', estimate: '10' });
   const large = makeSpec('job-2', 'gang', { gpus: '4', estimate: '100' });
-  assert.ok(rankValue(small, 1, 10, 0, 2) < rankValue(large, 2, 100, 0, 2));
-  assert.ok(rankValue(small, 1, 10, 0, 2) > rankValue(large, 2, 100, 600, 2));
+  assert.ok(rankingScore(small, 1, 10, 0, 2) < rankingScore(large, 2, 100, 0, 2));
+  assert.ok(rankingScore(small, 1, 10, 0, 2) > rankingScore(large, 2, 100, 600, 2));
 });
 
 const type = (name: string, cpus: number, gpus: number): MachineType => ({
@@ -150,9 +150,9 @@
   zones: ['a' as ZoneName],
 });
 
-function machine(slot: number, zone: string, type: MachineType, freeCpus: number, fetchS = 0): PlanMachine {
+function machine(index: number, zone: string, type: MachineType, freeCpus: number, fetchS = 0): PlanMachine {
   return {
-    slot,
+    index,
     zone: zone as ZoneName,
     type: type,
     spot: false,
@@ -162,19 +162,19 @@
     memGb: freeCpus < type.cpus ? [64, 64] : [64],
     servesGpuWork: true,
     spareCpus: type.cpus,
-    spareMemGb: type.memoryGb,
+    spareMemoryGb: type.memoryGb,
     reservedForGangs: false,
-    fetchS: () => fetchS,
-    largestCachedShare: 0,
+    imagePullSeconds: () => fetchS,
+    largestCachedImageShare: 0,
   };
 }
 
-function planJob(slot: number, over: Partial<PlanJob>): PlanJob {
+function planJob(index: number, over: Partial<PlanJob>): PlanJob {
   return {
-    slot,
-    gang: false,
+    index,
+    isGang: false,
     tasks: 1,
-    durationS: 10,
+    durationSeconds: 10,
     cpus: 1,
     gpus: 0,
     memoryGb: 1,
@@ -182,21 +182,21 @@
     imageGb: 1,
     types: null,
     fitsTypesWithoutGpus: false,
-    spotOk: true,
-    spotDelayS: 0,
-    sameZone: false,
-    zoneRoom: null,
-    zones: ['a' as ZoneName],
-    boundTo: null,
-    weight: 1,
-    waitedS: 0,
+    toleratesSpot: true,
+    spotDelaySeconds: 0,
+    singleZone: false,
+    zoneAllowance: null,
+    feasibleZones: ['a' as ZoneName],
+    boundZone: null,
+    priorityWeight: 1,
+    waitedSeconds: 0,
     penaltyFactor: 1,
-    avoid: null,
+    excludedMachines: null,
     ...over,
   };
 }
 
-const planner = (): Planner => new Planner({ average: 1, maximum: 1, idle: 1 });
+const planner = (): Planner => new Planner({ averageWait: 1, maximumWait: 1, idleShare: 1 });
 const zoneA = 'a' as ZoneName;
 const zoneB = 'b' as ZoneName;
 
@@ -241,7 +241,7 @@
   const fill = (steps: number): { steps: number; starts: number } => {
     const evolution = planner();
     const plan = evolution.plan(machines, [], null);
-    const starts = evolution.fillNow(plan, jobs, steps).length;
+    const starts = evolution.backfill(plan, jobs, steps).length;
     return { steps: evolution.steps, starts };
   };
   const free = fill(1_000_000);
@@ -279,7 +279,7 @@
   const cores = Array.from({ length: 400 }, (_, i) => machine(500 + i, 'a', eightCores, 8));
   const job = planJob(0, { tasks: 40, fitsTypesWithoutGpus: true, penaltyFactor: 1 });
   const plan = planner().plan([...unused, ...cores], [job], [zoneA]);
-  assert.equal(plan.unplaced.size, 0);
+  assert.equal(plan.unplacedTasks.size, 0);
   assert.ok(plan.starts.every((start) => start.machine >= 500));
   const bound = planJob(0, {
     tasks: 40,
@@ -288,7 +288,7 @@
     penaltyFactor: 0,
   });
   const boundPlan = planner().plan([...unused, ...cores], [bound], [zoneA]);
-  assert.equal(boundPlan.unplaced.size, 0);
+  assert.equal(boundPlan.unplacedTasks.size, 0);
 });
 
 test('planner: work without GPUs takes of a GPU machine only what GPU work cannot use', () => {
@@ -305,7 +305,7 @@
 
 test('planner: a gang waits for room for all of it, and later jobs don’t take that room', () => {
   const eightCores = type('c8', 8, 0);
-  const jobs = [planJob(0, { gang: true, tasks: 2, cpus: 8 }), planJob(1, { cpus: 8, durationS: 60 })];
+  const jobs = [planJob(0, { isGang: true, tasks: 2, cpus: 8 }), planJob(1, { cpus: 8, durationSeconds: 60 })];
   const plan = planner().plan([machine(0, 'a', eightCores, 8), machine(1, 'a', eightCores, 2)], jobs, [zoneA, zoneA]);
   const gang = plan.starts.filter((start) => start.job === 0);
   assert.deepEqual(
@@ -317,11 +317,11 @@
 
 test('planner: a spread job keeps to its zones’ limits', () => {
   const eightCores = type('c8', 8, 0);
-  const zoneRoom = new Map([
+  const zoneAllowance = new Map([
     [zoneA, 3],
     [zoneB, 3],
   ]);
-  const job = planJob(0, { tasks: 5, zones: [zoneA, zoneB], zoneRoom });
+  const job = planJob(0, { tasks: 5, feasibleZones: [zoneA, zoneB], zoneAllowance });
   const plan = planner().plan([machine(0, 'a', eightCores, 8), machine(1, 'b', eightCores, 8)], [job], [zoneA]);
   const inA = plan.starts.filter((start) => start.machine === 0).reduce((n, start) => n + start.tasks, 0);
   assert.equal(inA, 3);
@@ -330,10 +330,12 @@
 test('evolution: finds the zones that end waits, the same way for the same seed, within its plan steps', () => {
   const eightCores = type('c8', 8, 0);
   const machines = [machine(0, 'a', eightCores, 8), machine(1, 'b', eightCores, 8)];
-  const jobs = Array.from({ length: 8 }, (_, i) => planJob(i, { cpus: 2, durationS: 30, zones: [zoneA, zoneB] }));
+  const jobs = Array.from({ length: 8 }, (_, i) =>
+    planJob(i, { cpus: 2, durationSeconds: 30, feasibleZones: [zoneA, zoneB] }),
+  );
   const settings = { individuals: 20, generations: 15, mutation: 0.1, planSteps: 1_000_000 };
   const search = (seed: number, steps = 1_000_000) =>
-    new Evolution(planner(), xoroshiro128plus(seed), { ...settings, planSteps: steps }).search(machines, jobs);
+    new EvolutionarySearch(planner(), xoroshiro128plus(seed), { ...settings, planSteps: steps }).search(machines, jobs);
   const best = search(1);
   assert.ok(best.starts.every((start) => start.startAtS === 0));
   assert.equal(search(1).cost, best.cost);
@@ -369,10 +371,10 @@
   const fourGpus = type('g4', 24, 4);
   const fetching = { ...machine(0, 'a', fourGpus, 24, 40), gpus: [4] };
   const holding = { ...machine(1, 'a', fourGpus, 0, 0), times: [0, 20], cpus: [0, 24], gpus: [0, 4], memGb: [0, 144] };
-  const gang = planJob(0, { gang: true, gpus: 4, cpus: 20 });
+  const gang = planJob(0, { isGang: true, gpus: 4, cpus: 20 });
   const penalties = { ...NO_PENALTIES, futureDiscount: 0.5 };
   const chosen = (gangFutureDiscount: number): number | undefined =>
-    new Planner({ average: 1, maximum: 1, idle: 1 }, { ...penalties, gangFutureDiscount }).plan(
+    new Planner({ averageWait: 1, maximumWait: 1, idleShare: 1 }, { ...penalties, gangFutureDiscount }).plan(
       [fetching, holding],
       [gang],
       [zoneA],
