--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -1,18 +1,18 @@
 import { Command } from 'commander';
 import { loadFeatures } from '../config/features.js';
-import { SettingsError } from '../config/load.js';
-import { loadPlatform, type Platform } from '../config/platform.js';
+import { loadPlatform, type PlatformSettings } from '../config/platform.js';
+import { SettingsError } from '../config/settings_file.js';
 import { loadTuning } from '../config/tuning.js';
 import type { Features } from '../core/features.js';
 import type { Tuning } from '../core/settings.js';
 import { VERSION } from '../version.js';
 
-const DEFAULT_TUNING = 'deploy/tuning.toml';
-const DEFAULT_FEATURES = 'deploy/features.toml';
+const DEFAULT_TUNING_FILE = 'deploy/tuning.toml';
+const DEFAULT_FEATURES_FILE = 'deploy/features.toml';
 /** Of a wrong setting or option. */
 const SETTINGS_EXIT_CODE = 2;
 
-interface Files {
+interface FileOptions {
   config?: string;
   tuning: string;
   features: string;
@@ -20,19 +20,19 @@
 
 /** All that a node is told at its start. */
 export interface Configuration {
-  readonly platform: Platform;
+  readonly platform: PlatformSettings;
   readonly tuning: Tuning;
   readonly features: Features;
 }
 
-function load(files: Files): Configuration {
+function loadConfiguration(files: FileOptions): Configuration {
   if (!files.config) throw new SettingsError('--config FILE is required');
   const platform = loadPlatform(files.config);
   return { platform, tuning: loadTuning(files.tuning), features: loadFeatures(files.features) };
 }
 
 /** Runs `action`; a settings problem ends the program with one line and exit code 2. */
-function checked(action: () => void): void {
+function reportSettingsErrors(action: () => void): void {
   try {
     action();
   } catch (error) {
@@ -42,25 +42,25 @@
   }
 }
 
-const withFiles = (command: Command): Command =>
+const withFileOptions = (command: Command): Command =>
   command
     .option('--config <file>', "the platform's settings (TOML)")
-    .option('--tuning <file>', "the operators' own tuning (TOML)", DEFAULT_TUNING)
-    .option('--features <file>', 'what the deployment switches on (TOML)', DEFAULT_FEATURES);
+    .option('--tuning <file>', "the operators' own tuning (TOML)", DEFAULT_TUNING_FILE)
+    .option('--features <file>', 'what the deployment switches on (TOML)', DEFAULT_FEATURES_FILE);
 
 /** The command line. `serve` is what runs without a command; a console would become one more command here. */
-export function makeProgram(serve: (configuration: Configuration) => void): Command {
-  const program = withFiles(new Command('magpielift'))
+export function createProgram(serve: (configuration: Configuration) => void): Command {
+  const program = withFileOptions(new Command('magpielift'))
     .description('a small cluster scheduler: runs a controller node until it is killed')
     .version(VERSION)
     .enablePositionalOptions()
     .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : SETTINGS_EXIT_CODE))
-    .action((files: Files) => checked(() => serve(load(files))));
-  withFiles(program.command('check'))
+    .action((files: FileOptions) => reportSettingsErrors(() => serve(loadConfiguration(files))));
+  withFileOptions(program.command('check'))
     .description('check the settings files and end')
-    .action((files: Files) =>
-      checked(() => {
-        const { platform } = load(files);
+    .action((files: FileOptions) =>
+      reportSettingsErrors(() => {
+        const { platform } = loadConfiguration(files);
         process.stdout.write(
           `settings are good: node ${platform.settings.controller}, ${platform.settings.controllerCount} nodes\n`,
         );
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -1,85 +1,97 @@
 import * as v from 'valibot';
 import type { Settings } from '../core/settings.js';
 import type { ControllerName, TeamName, ZoneName } from '../core/types.js';
-import { address, checkSettings, count, name, notNegative, positive, readToml } from './load.js';
+import {
+  hostAndPort,
+  nonEmptyText,
+  nonNegativeNumber,
+  parseSettings,
+  positiveInteger,
+  positiveNumber,
+  readTomlFile,
+} from './settings_file.js';
 
-const MS_PER_S = 1000;
+const MS_PER_SECOND = 1000;
 const BYTES_PER_KB = 1024;
 
-const team = v.object({
-  name,
-  cpus: v.optional(notNegative, 0),
-  cpus_max: v.optional(notNegative, 0),
-  gpus: v.optional(notNegative, 0),
-  gpus_max: v.optional(notNegative, 0),
+const teamSchema = v.object({
+  name: nonEmptyText,
+  cpus: v.optional(nonNegativeNumber, 0),
+  cpus_max: v.optional(nonNegativeNumber, 0),
+  gpus: v.optional(nonNegativeNumber, 0),
+  gpus_max: v.optional(nonNegativeNumber, 0),
 });
 
-const schema = v.object({
-  host_name: name,
-  area: name,
-  listen: address,
-  peer_bind: address,
-  siblings: v.optional(v.array(v.object({ host_name: name, area: name, address })), []),
-  endpoints: v.object({ cloud: address, state: address }),
+const platformSchema = v.object({
+  host_name: nonEmptyText,
+  area: nonEmptyText,
+  listen: hostAndPort,
+  peer_bind: hostAndPort,
+  siblings: v.optional(v.array(v.object({ host_name: nonEmptyText, area: nonEmptyText, address: hostAndPort })), []),
+  endpoints: v.object({ cloud: hostAndPort, state: hostAndPort }),
   deployment: v.object({
-    initial_size: v.optional(count, 1),
-    zones: v.pipe(v.array(name), v.minLength(1)),
-    skew_ms: v.optional(notNegative, 0),
-    teams: v.array(team),
+    initial_size: v.optional(positiveInteger, 1),
+    zones: v.pipe(v.array(nonEmptyText), v.minLength(1)),
+    skew_ms: v.optional(nonNegativeNumber, 0),
+    teams: v.array(teamSchema),
     // Kinds of objective that we don't know bear on nothing here.
     objectives: v.optional(
       v.array(
         v.object({
-          kind: name,
+          kind: nonEmptyText,
           class: v.optional(v.string(), ''),
-          within_s: v.optional(notNegative, 0),
-          times: v.optional(positive, 1),
+          within_s: v.optional(nonNegativeNumber, 0),
+          times: v.optional(positiveNumber, 1),
         }),
       ),
       [],
     ),
     workers: v.object({
-      report_s: positive,
-      lease_s: positive,
-      gang_wait_s: positive,
-      gang_peer_s: positive,
-      cancel_s: positive,
+      report_s: positiveNumber,
+      lease_s: positiveNumber,
+      gang_wait_s: positiveNumber,
+      gang_peer_s: positiveNumber,
+      cancel_s: positiveNumber,
     }),
     state: v.object({
-      rps: positive,
-      write_rps: positive,
-      value_kb: positive,
-      txn_ops: count,
+      rps: positiveNumber,
+      write_rps: positiveNumber,
+      value_kb: positiveNumber,
+      txn_ops: positiveInteger,
       // What the state service will allow from some moment on that nobody announces.
       next: v.optional(
         v.object({
-          rps: v.optional(positive),
-          write_rps: v.optional(positive),
-          value_kb: v.optional(positive),
-          txn_ops: v.optional(count),
+          rps: v.optional(positiveNumber),
+          write_rps: v.optional(positiveNumber),
+          value_kb: v.optional(positiveNumber),
+          txn_ops: v.optional(positiveInteger),
         }),
         {},
       ),
     }),
-    cloud: v.object({ rps: positive, list_lag_s: notNegative }),
-    machine_limits: v.object({ cpu_share: positive, memory_mb: positive, max_connections: count }),
+    cloud: v.object({ rps: positiveNumber, list_lag_s: nonNegativeNumber }),
+    machine_limits: v.object({
+      cpu_share: positiveNumber,
+      memory_mb: positiveNumber,
+      max_connections: positiveInteger,
+    }),
   }),
 });
 
 /** The platform's file: what the core needs, and what only the sockets need. */
-export interface Platform {
+export interface PlatformSettings {
   readonly settings: Settings;
-  readonly listen: string;
-  readonly peerListen: string;
+  readonly listenAddress: string;
+  readonly peerListenAddress: string;
   readonly peers: readonly { readonly name: ControllerName; readonly addr: string }[];
-  readonly cloudAddr: string;
-  readonly storeAddr: string;
+  readonly cloudAddress: string;
+  readonly stateStoreAddress: string;
 }
 
-type RawDeployment = v.InferOutput<typeof schema>['deployment'];
+type RawDeployment = v.InferOutput<typeof platformSchema>['deployment'];
 
 /** Sizes fit both limits from the start: one that doesn't would be refused from one moment to the next. */
-function storeSettings({
+function stateStoreSettings({
   rps: requestsPerSecond,
   write_rps,
   value_kb,
@@ -98,11 +110,11 @@
 
 function workerSettings(workers: RawDeployment['workers']): Settings['workers'] {
   return {
-    heartbeatIntervalMs: workers.report_s * MS_PER_S,
-    leaseMs: workers.lease_s * MS_PER_S,
-    gangBarrierTimeoutMs: workers.gang_wait_s * MS_PER_S,
-    gangPeerTimeoutMs: workers.gang_peer_s * MS_PER_S,
-    cancellationTimeoutMs: workers.cancel_s * MS_PER_S,
+    heartbeatIntervalMs: workers.report_s * MS_PER_SECOND,
+    leaseMs: workers.lease_s * MS_PER_SECOND,
+    gangBarrierTimeoutMs: workers.gang_wait_s * MS_PER_SECOND,
+    gangPeerTimeoutMs: workers.gang_peer_s * MS_PER_SECOND,
+    cancellationTimeoutMs: workers.cancel_s * MS_PER_SECOND,
   };
 }
 
@@ -126,8 +138,8 @@
 }
 
 /** Reads and checks the platform's file; throws `SettingsError`, naming the field. */
-export function loadPlatform(file: string): Platform {
-  const { deployment, siblings, endpoints, ...own } = checkSettings(file, readToml(file), schema);
+export function loadPlatform(file: string): PlatformSettings {
+  const { deployment, siblings, endpoints, ...own } = parseSettings(file, readTomlFile(file), platformSchema);
   const { machine_limits, cloud } = deployment;
   const settings: Settings = {
     controller: own.host_name as ControllerName,
@@ -140,15 +152,15 @@
     teamQuotas: teamSettings(deployment.teams),
     objectives: objectiveSettings(deployment.objectives),
     workers: workerSettings(deployment.workers),
-    stateStore: storeSettings(deployment.state),
-    cloud: { requestsPerSecond: cloud.rps, listStalenessMs: cloud.list_lag_s * MS_PER_S },
+    stateStore: stateStoreSettings(deployment.state),
+    cloud: { requestsPerSecond: cloud.rps, listStalenessMs: cloud.list_lag_s * MS_PER_SECOND },
   };
   return {
     settings,
-    listen: own.listen,
-    peerListen: own.peer_bind,
+    listenAddress: own.listen,
+    peerListenAddress: own.peer_bind,
     peers: siblings.map(({ host_name, address: addr }) => ({ name: host_name as ControllerName, addr })),
-    cloudAddr: endpoints.cloud,
-    storeAddr: endpoints.state,
+    cloudAddress: endpoints.cloud,
+    stateStoreAddress: endpoints.state,
   };
 }
--- a/src/config/load.ts
+++ b/src/config/settings_file.ts
@@ -6,7 +6,7 @@
 export class SettingsError extends Error {}
 
 /** Reads a TOML file; throws `SettingsError` where it can't be read or isn't TOML. */
-export function readToml(file: string): unknown {
+export function readTomlFile(file: string): unknown {
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
@@ -21,7 +21,7 @@
 }
 
 /** Checks what was read from a file; fields that the schema doesn't name are ignored. */
-export function checkSettings<S extends v.GenericSchema>(file: string, raw: unknown, schema: S): v.InferOutput<S> {
+export function parseSettings<S extends v.GenericSchema>(file: string, raw: unknown, schema: S): v.InferOutput<S> {
   const result = v.safeParse(schema, raw);
   if (result.success) return result.output;
   const issue = result.issues[0];
@@ -30,10 +30,10 @@
 
 // ---- kinds of value
 
-export const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
-export const notNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
-export const within = (least: number, most: number) => v.pipe(v.number(), v.minValue(least), v.maxValue(most));
-export const count = v.pipe(v.number(), v.integer(), v.minValue(1));
-export const share = v.pipe(v.number(), v.gtValue(0), v.maxValue(1));
-export const name = v.pipe(v.string(), v.minLength(1));
-export const address = v.pipe(v.string(), v.regex(/^[^:\s]+:\d{1,5}$/, 'must be host:port'));
+export const positiveNumber = v.pipe(v.number(), v.finite(), v.gtValue(0));
+export const nonNegativeNumber = v.pipe(v.number(), v.finite(), v.minValue(0));
+export const numberBetween = (least: number, most: number) => v.pipe(v.number(), v.minValue(least), v.maxValue(most));
+export const positiveInteger = v.pipe(v.number(), v.integer(), v.minValue(1));
+export const fraction = v.pipe(v.number(), v.gtValue(0), v.maxValue(1));
+export const nonEmptyText = v.pipe(v.string(), v.minLength(1));
+export const hostAndPort = v.pipe(v.string(), v.regex(/^[^:\s]+:\d{1,5}$/, 'must be host:port'));
--- a/src/config/tuning.ts
+++ b/src/config/tuning.ts
@@ -1,48 +1,57 @@
 import * as v from 'valibot';
 import type { Tuning } from '../core/settings.js';
-import { checkSettings, count, notNegative, positive, readToml, SettingsError, share, within } from './load.js';
+import {
+  fraction,
+  nonNegativeNumber,
+  numberBetween,
+  parseSettings,
+  positiveInteger,
+  positiveNumber,
+  readTomlFile,
+  SettingsError,
+} from './settings_file.js';
 
-const schema = v.object({
+const tuningSchema = v.object({
   leadership: v.object({
-    lease_share: within(0.05, 0.8),
-    margin_ms: within(100, 5000),
-    resign_after_ms: within(1000, 60_000),
-    backoff_ms: notNegative,
-    reports_cpu_share: within(0.01, 1000),
+    lease_share: numberBetween(0.05, 0.8),
+    margin_ms: numberBetween(100, 5000),
+    resign_after_ms: numberBetween(1000, 60_000),
+    backoff_ms: nonNegativeNumber,
+    reports_cpu_share: numberBetween(0.01, 1000),
   }),
   scheduler: v.object({
-    period_ms: within(100, 60_000),
-    spacing_ms: within(20, 60_000),
-    individuals: count,
+    period_ms: numberBetween(100, 60_000),
+    spacing_ms: numberBetween(20, 60_000),
+    individuals: positiveInteger,
     generations: v.pipe(v.number(), v.integer(), v.minValue(0)),
-    mutation: share,
-    plan_steps: count,
-    jobs_planned: count,
-    weight_average: notNegative,
-    weight_maximum: notNegative,
-    weight_idle: notNegative,
-    gpu_penalty_s: notNegative,
-    on_demand_penalty_s: notNegative,
-    reserved_type_penalty_s: notNegative,
-    cached_image_penalty_s: notNegative,
-    future_discount: within(0, 10),
-    gang_future_discount: within(0, 10),
-    overdue_share: within(0, 10),
-    overdue_after_s: positive,
-    priority_base: within(1, 100),
-    spacing_per_machine_ms: notNegative,
-    spacing_per_step_ms: within(0, 10),
-    urgency: notNegative,
-    urgency_horizon_s: positive,
+    mutation: fraction,
+    plan_steps: positiveInteger,
+    jobs_planned: positiveInteger,
+    weight_average: nonNegativeNumber,
+    weight_maximum: nonNegativeNumber,
+    weight_idle: nonNegativeNumber,
+    gpu_penalty_s: nonNegativeNumber,
+    on_demand_penalty_s: nonNegativeNumber,
+    reserved_type_penalty_s: nonNegativeNumber,
+    cached_image_penalty_s: nonNegativeNumber,
+    future_discount: numberBetween(0, 10),
+    gang_future_discount: numberBetween(0, 10),
+    overdue_share: numberBetween(0, 10),
+    overdue_after_s: positiveNumber,
+    priority_base: numberBetween(1, 100),
+    spacing_per_machine_ms: nonNegativeNumber,
+    spacing_per_step_ms: numberBetween(0, 10),
+    urgency: nonNegativeNumber,
+    urgency_horizon_s: positiveNumber,
   }),
   machines: v.object({
-    idle_return_s: notNegative,
-    rent_horizon_s: positive,
-    rent_round_up: within(0, 1),
-    rent_margin_s: notNegative,
-    refused_backoff_s: positive,
-    boot_give_up: within(1.5, 100),
-    error_limit: count,
+    idle_return_s: nonNegativeNumber,
+    rent_horizon_s: positiveNumber,
+    rent_round_up: numberBetween(0, 1),
+    rent_margin_s: nonNegativeNumber,
+    refused_backoff_s: positiveNumber,
+    boot_give_up: numberBetween(1.5, 100),
+    error_limit: positiveInteger,
     keep_guarantees: v.boolean(),
   }),
 });
@@ -57,7 +66,7 @@
 };
 
 /** Throws where a section holds a key under its old name. */
-function refuseRenamedKeys(file: string, raw: unknown): void {
+function rejectRenamedKeys(file: string, raw: unknown): void {
   for (const [section, values] of Object.entries(raw as Record<string, object>)) {
     for (const [oldKey, newKey] of Object.entries(RENAMED_KEYS)) {
       const hasOldKey = typeof values === 'object' && values !== null && Object.hasOwn(values, oldKey);
@@ -68,7 +77,7 @@
 
 /** Reads and checks the operators' own tuning; throws `SettingsError`, naming the field. */
 export function loadTuning(file: string): Tuning {
-  const raw = readToml(file);
-  refuseRenamedKeys(file, raw);
-  return checkSettings(file, raw, schema);
+  const raw = readTomlFile(file);
+  rejectRenamedKeys(file, raw);
+  return parseSettings(file, raw, tuningSchema);
 }
--- a/src/io/codecs/cloud_codec.ts
+++ b/src/io/cloud/cloud_codec.ts
@@ -1,7 +1,7 @@
 import type { CallFailure, CloudOperation, CloudResponse, Result } from '../../core/messages.js';
 import type { CloudMachine, MachineId, MachineType, MachineTypeName, ZoneName } from '../../core/types.js';
-import { amount, asFields, flag, list, oneOf, text } from './fields.js';
-import type { HttpCall } from './http_call.js';
+import type { HttpRequest } from '../http/http_request.js';
+import { amountField, booleanField, enumField, expectMap, listField, textField } from '../wire/fields.js';
 
 /** Calls to the cloud and its answers, by the names that they have on the wire. */
 const MACHINE_PHASES: Readonly<Record<string, CloudMachine['phase']>> = {
@@ -12,7 +12,7 @@
 const LIST_PAGE_SIZE = 500;
 const NO_CAPACITY = 'no capacity';
 
-export function encodeCloudCall(call: CloudOperation): HttpCall {
+export function encodeCloudRequest(call: CloudOperation): HttpRequest {
   switch (call.op) {
     case 'types':
       return { method: 'GET', path: '/catalog' };
@@ -37,37 +37,37 @@
   }
 }
 
-function decodeType(raw: unknown): MachineType {
-  const fields = asFields(raw, 'breed');
+function decodeMachineType(raw: unknown): MachineType {
+  const fields = expectMap(raw, 'breed');
   return {
-    name: text(fields, 'name') as MachineTypeName,
-    cpus: amount(fields, 'cpus'),
-    gpus: amount(fields, 'gpus'),
-    memoryGb: amount(fields, 'mem_gb'),
-    imageCacheGb: amount(fields, 'local_gb'),
-    imagePullGbPerSecond: amount(fields, 'fetch_gb_per_s'),
-    pricePerHour: amount(fields, 'rate'),
-    spotPricePerHour: amount(fields, 'spot_price'),
-    bootSeconds: amount(fields, 'startup_s'),
-    zones: list(fields, 'groves') as ZoneName[],
+    name: textField(fields, 'name') as MachineTypeName,
+    cpus: amountField(fields, 'cpus'),
+    gpus: amountField(fields, 'gpus'),
+    memoryGb: amountField(fields, 'mem_gb'),
+    imageCacheGb: amountField(fields, 'local_gb'),
+    imagePullGbPerSecond: amountField(fields, 'fetch_gb_per_s'),
+    pricePerHour: amountField(fields, 'rate'),
+    spotPricePerHour: amountField(fields, 'spot_price'),
+    bootSeconds: amountField(fields, 'startup_s'),
+    zones: listField(fields, 'groves') as ZoneName[],
   };
 }
 
 function decodeListedMachine(raw: unknown): CloudMachine {
-  const fields = asFields(raw, 'perch');
+  const fields = expectMap(raw, 'perch');
   return {
-    id: text(fields, 'ref') as MachineId,
+    id: textField(fields, 'ref') as MachineId,
     address: typeof fields.addr === 'string' ? fields.addr : '',
-    type: text(fields, 'breed') as MachineTypeName,
-    zone: text(fields, 'grove') as ZoneName,
-    spot: flag(fields, 'loaners'),
-    phase: oneOf(fields, 'mood', MACHINE_PHASES),
-    ageSeconds: amount(fields, 'held_s'),
+    type: textField(fields, 'breed') as MachineTypeName,
+    zone: textField(fields, 'grove') as ZoneName,
+    spot: booleanField(fields, 'loaners'),
+    phase: enumField(fields, 'mood', MACHINE_PHASES),
+    ageSeconds: amountField(fields, 'held_s'),
   };
 }
 
 /** Why a call with this status brought no result; null: it did. */
-function failureOf(call: CloudOperation, status: number, body: unknown): CallFailure | null {
+function failureOfStatus(call: CloudOperation, status: number, body: unknown): CallFailure | null {
   switch (status) {
     case 200:
       return null;
@@ -84,19 +84,19 @@
   }
 }
 
-export function decodeCloudAnswer(call: CloudOperation, status: number, body: unknown): Result<CloudResponse> {
-  const failure = failureOf(call, status, body);
+export function decodeCloudResponse(call: CloudOperation, status: number, body: unknown): Result<CloudResponse> {
+  const failure = failureOfStatus(call, status, body);
   if (failure) return { ok: false, why: failure };
-  const fields = asFields(body, 'answer');
+  const fields = expectMap(body, 'answer');
   switch (call.op) {
     case 'types':
-      return { ok: true, value: { machineTypes: list(fields, 'breeds').map(decodeType) } };
+      return { ok: true, value: { machineTypes: listField(fields, 'breeds').map(decodeMachineType) } };
     case 'list': {
-      const machines = list(fields, 'perches').map(decodeListedMachine);
+      const machines = listField(fields, 'perches').map(decodeListedMachine);
       return { ok: true, value: { machines, more: fields.has_next === true } };
     }
     case 'rent':
-      return { ok: true, value: { provisioned: list(fields, 'perches') as MachineId[] } };
+      return { ok: true, value: { provisioned: listField(fields, 'perches') as MachineId[] } };
     case 'delete':
       return { ok: true, value: {} };
   }
--- a/src/io/http_client.ts
+++ b/src/io/http/http_client.ts
@@ -1,16 +1,16 @@
 import { Agent, type ClientRequest, type IncomingMessage, request } from 'node:http';
-import { hostPort } from './address.js';
-import { decode, encode } from './codecs/cbor.js';
-import type { HttpCall } from './codecs/http_call.js';
+import { parseHostPort } from '../address.js';
+import { decodeCbor, encodeCbor } from '../wire/cbor.js';
+import type { HttpRequest } from './http_request.js';
 
 /** An answer whose body, if it has one, was CBOR. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
 }
 
 /** Null: no usable answer; whether the request was carried out isn't known. */
-export type OnHttpAnswer = (answer: HttpAnswer | null) => void;
+export type OnHttpResponse = (answer: HttpResponse | null) => void;
 
 const MAX_BODY_BYTES = 8 * 1024 * 1024;
 
@@ -21,18 +21,18 @@
   private readonly port: number;
 
   constructor(addr: string, sockets: number) {
-    const { host, port } = hostPort(addr);
+    const { host, port } = parseHostPort(addr);
     this.host = host;
     this.port = port;
     this.agent = new Agent({ keepAlive: true, maxSockets: sockets, maxFreeSockets: sockets, scheduling: 'lifo' });
   }
 
   /** `done` is called once, after `timeoutMs` at the latest. */
-  call(call: HttpCall, timeoutMs: number, done: OnHttpAnswer): void {
-    const payload = call.body === undefined ? null : encode(call.body);
-    const outgoing = this.open(call, payload);
+  send(call: HttpRequest, timeoutMs: number, done: OnHttpResponse): void {
+    const payload = call.body === undefined ? null : encodeCbor(call.body);
+    const outgoing = this.openRequest(call, payload);
     let open = true;
-    const finish: OnHttpAnswer = (answer) => {
+    const finish: OnHttpResponse = (answer) => {
       if (!open) return;
       open = false;
       clearTimeout(timer);
@@ -44,12 +44,12 @@
     };
     const timer = setTimeout(abandon, timeoutMs);
     outgoing.on('error', () => finish(null));
-    outgoing.on('response', (response) => readAnswer(response, finish, abandon));
+    outgoing.on('response', (response) => readResponse(response, finish, abandon));
     if (payload) outgoing.end(payload);
     else outgoing.end();
   }
 
-  private open(call: HttpCall, payload: Buffer | null): ClientRequest {
+  private openRequest(call: HttpRequest, payload: Buffer | null): ClientRequest {
     const headers = payload
       ? { 'content-type': 'application/cbor', 'content-length': payload.length }
       : { 'content-length': 0 };
@@ -62,7 +62,7 @@
   }
 }
 
-function readAnswer(response: IncomingMessage, finish: OnHttpAnswer, abandon: () => void): void {
+function readResponse(response: IncomingMessage, finish: OnHttpResponse, abandon: () => void): void {
   const parts: Buffer[] = [];
   let size = 0;
   response.on('data', (part: Buffer) => {
@@ -76,7 +76,7 @@
     let body: unknown = null;
     try {
       const bytes = parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts);
-      if (bytes.length > 0) body = decode(bytes);
+      if (bytes.length > 0) body = decodeCbor(bytes);
     } catch {
       return finish(null);
     }
--- a/src/io/codecs/http_call.ts
+++ b/src/io/http/http_request.ts
@@ -1,8 +1,8 @@
-import type { Fields } from './fields.js';
+import type { WireMap } from '../wire/fields.js';
 
 /** A request to an outside service, before its body is encoded. */
-export interface HttpCall {
+export interface HttpRequest {
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
-  readonly body?: Fields;
+  readonly body?: WireMap;
 }
--- a/src/io/http_server.ts
+++ b/src/io/http/http_server.ts
@@ -1,23 +1,23 @@
 import { createServer, type Server } from 'node:http';
 import { getRequestListener, type HttpBindings } from '@hono/node-server';
 import { Hono, type Context as HonoContext } from 'hono';
-import type { HeartbeatResponse, UserRequest, UserResponse } from '../core/messages.js';
-import type { Heartbeat, JobId } from '../core/types.js';
-import { encode } from './codecs/cbor.js';
-import { type Fields, WireError } from './codecs/fields.js';
-import { parseJobId } from './codecs/job_id.js';
-import { decodeJob, encodeUserAnswer } from './codecs/user_codec.js';
-import { decodeReport, encodeWorkerAnswer } from './codecs/worker_codec.js';
-import { readMap } from './http_body.js';
+import type { HeartbeatResponse, UserRequest, UserResponse } from '../../core/messages.js';
+import type { Heartbeat, JobId } from '../../core/types.js';
+import { decodeJobSpec, encodeUserResponse } from '../users/user_codec.js';
+import { encodeCbor } from '../wire/cbor.js';
+import { WireError, type WireMap } from '../wire/fields.js';
+import { parseJobId } from '../wire/job_id.js';
+import { decodeHeartbeat, encodeHeartbeatResponse } from '../workers/worker_codec.js';
+import { readCborMap } from './request_body.js';
 
 /** What takes the requests, once they are read. */
-export interface HttpHandlers {
-  user(request: UserRequest): Promise<UserResponse>;
-  report(report: Heartbeat): Promise<HeartbeatResponse>;
+export interface RequestHandlers {
+  handleUserRequest(request: UserRequest): Promise<UserResponse>;
+  handleHeartbeat(report: Heartbeat): Promise<HeartbeatResponse>;
   /** What load balancers are told. */
-  healthy(): boolean;
+  isHealthy(): boolean;
   /** Counts a message that was dropped or refused for its form. */
-  malformed(what: string): void;
+  onMalformedMessage(what: string): void;
 }
 
 const PATHS = [/^\/up$/, /^\/agent\/beat$/, /^\/v2\/runs(\/[^/]+(\/withdraw)?)?$/];
@@ -34,29 +34,29 @@
 type Environment = { Bindings: HttpBindings };
 type RequestContext = HonoContext<Environment>;
 
-function reply(status: number, body: Fields, retryAfterS = 0): Response {
+function cborResponse(status: number, body: WireMap, retryAfterS = 0): Response {
   const headers: Record<string, string> = { 'content-type': 'application/cbor' };
   if (retryAfterS > 0) headers['retry-after'] = String(retryAfterS);
-  return new Response(encode(body) as Uint8Array<ArrayBuffer>, { status, headers });
+  return new Response(encodeCbor(body) as Uint8Array<ArrayBuffer>, { status, headers });
 }
 
-const replyUser = (answer: UserResponse): Response =>
-  reply(answer.status, encodeUserAnswer(answer), 'retryAfterSeconds' in answer ? answer.retryAfterSeconds : 0);
+const userResponse = (answer: UserResponse): Response =>
+  cborResponse(answer.status, encodeUserResponse(answer), 'retryAfterSeconds' in answer ? answer.retryAfterSeconds : 0);
 
 /** The message of a `WireError`; anything else is thrown on. */
-function wireProblem(error: unknown): string {
+function wireErrorMessage(error: unknown): string {
   if (!(error instanceof WireError)) throw error;
   return error.message;
 }
 
 /** The submission that a body holds, or why it can't even be looked up. */
-function readSubmission(fields: Fields, malformed: (what: string) => void): UserRequest | string {
+function decodeSubmission(fields: WireMap, malformed: (what: string) => void): UserRequest | string {
   const id = parseJobId(fields.ref);
   if (!id) return 'ref is not a job id';
   try {
-    return { op: 'submit', id, spec: decodeJob(fields), problem: '' };
+    return { op: 'submit', id, spec: decodeJobSpec(fields), problem: '' };
   } catch (error) {
-    const problem = wireProblem(error);
+    const problem = wireErrorMessage(error);
     // A known job is answered with its state whatever the body of the repeat: the request handler decides.
     malformed(`submission ${id}: ${problem}`);
     return { op: 'submit', id, spec: null, problem };
@@ -64,40 +64,40 @@
 }
 
 /** Routes of users, workers and load balancers, all on one address. */
-function makeApp(handlers: HttpHandlers): Hono<Environment> {
+function createRoutes(handlers: RequestHandlers): Hono<Environment> {
   const app = new Hono<Environment>();
 
   const onJob = async (context: RequestContext, request: (id: JobId) => UserRequest): Promise<Response> => {
     const id = parseJobId(context.req.param('id'));
     // An id that no job can have needs no look-up.
-    if (!id) return reply(404, { error: 'no such job' });
-    return replyUser(await handlers.user(request(id)));
+    if (!id) return cborResponse(404, { error: 'no such job' });
+    return userResponse(await handlers.handleUserRequest(request(id)));
   };
 
-  app.get('/up', () => new Response('', { status: handlers.healthy() ? 200 : 503 }));
+  app.get('/up', () => new Response('', { status: handlers.isHealthy() ? 200 : 503 }));
 
   app.post('/agent/beat', async (context) => {
     let report: Heartbeat;
     try {
-      report = decodeReport(await readMap(context.env.incoming));
+      report = decodeHeartbeat(await readCborMap(context.env.incoming));
     } catch (error) {
-      const problem = wireProblem(error);
-      handlers.malformed(`report: ${problem}`);
-      return reply(400, { error: problem });
+      const problem = wireErrorMessage(error);
+      handlers.onMalformedMessage(`report: ${problem}`);
+      return cborResponse(400, { error: problem });
     }
-    const answer = await handlers.report(report);
-    return reply(answer.status, encodeWorkerAnswer(answer));
+    const answer = await handlers.handleHeartbeat(report);
+    return cborResponse(answer.status, encodeHeartbeatResponse(answer));
   });
 
   app.post('/v2/runs', async (context) => {
     let request: UserRequest | string;
     try {
-      request = readSubmission(await readMap(context.env.incoming), handlers.malformed);
+      request = decodeSubmission(await readCborMap(context.env.incoming), handlers.onMalformedMessage);
     } catch (error) {
-      request = wireProblem(error);
+      request = wireErrorMessage(error);
     }
-    if (typeof request === 'string') return reply(400, { error: request });
-    return replyUser(await handlers.user(request));
+    if (typeof request === 'string') return cborResponse(400, { error: request });
+    return userResponse(await handlers.handleUserRequest(request));
   });
 
   app.get('/v2/runs/:id', (context) => onJob(context, (id) => ({ op: 'poll', id })));
@@ -105,21 +105,21 @@
 
   // One handler a path and method: a second that matches would send every report through hono's chain of handlers.
   app.notFound((context) => {
-    if (PATHS.some((path) => path.test(context.req.path))) return reply(405, { error: 'method not allowed' });
-    return reply(404, { error: 'no such path' });
+    if (PATHS.some((path) => path.test(context.req.path))) return cborResponse(405, { error: 'method not allowed' });
+    return cborResponse(404, { error: 'no such path' });
   });
   app.onError((error) => {
-    handlers.malformed(`request: ${error.message}`);
-    return reply(500, { error: 'internal error' });
+    handlers.onMalformedMessage(`request: ${error.message}`);
+    return cborResponse(500, { error: 'internal error' });
   });
   return app;
 }
 
 /** The HTTP server of a node; it has yet to listen. */
-export function makeHttpServer(handlers: HttpHandlers, maxConnections: number): Server {
+export function createHttpServer(handlers: RequestHandlers, maxConnections: number): Server {
   // The adapter's own light Response (it stands for the global one) goes out in one write: Node's, a web stream, costs a
   // quarter of what a whole report does.
-  const listener = getRequestListener(makeApp(handlers).fetch);
+  const listener = getRequestListener(createRoutes(handlers).fetch);
   const inboundSockets = Math.max(MIN_INBOUND_SOCKETS, Math.floor(maxConnections * INBOUND_SOCKET_SHARE));
   let openConnections = 0;
   const server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS, noDelay: true }, (request, response) => {
--- a/src/io/http_body.ts
+++ b/src/io/http/request_body.ts
@@ -1,6 +1,6 @@
 import type { HttpBindings } from '@hono/node-server';
-import { decode } from './codecs/cbor.js';
-import { asFields, type Fields, WireError } from './codecs/fields.js';
+import { decodeCbor } from '../wire/cbor.js';
+import { expectMap, WireError, type WireMap } from '../wire/fields.js';
 
 const MAX_BODY_BYTES = 64 * 1024;
 
@@ -8,7 +8,7 @@
  * The body as Node gives it. Going through a web stream costs two thirds of what a whole report costs, and reports are most
  * of what comes in.
  */
-function readBytes(incoming: HttpBindings['incoming']): Promise<Buffer> {
+function readBody(incoming: HttpBindings['incoming']): Promise<Buffer> {
   return new Promise((resolve, reject) => {
     const parts: Buffer[] = [];
     let size = 0;
@@ -29,13 +29,13 @@
 }
 
 /** Reads a request's body as a CBOR map; throws `WireError` on anything else. */
-export async function readMap(incoming: HttpBindings['incoming']): Promise<Fields> {
-  const bytes = await readBytes(incoming);
+export async function readCborMap(incoming: HttpBindings['incoming']): Promise<WireMap> {
+  const bytes = await readBody(incoming);
   let value: unknown;
   try {
-    value = decode(bytes);
+    value = decodeCbor(bytes);
   } catch {
     throw new WireError('not CBOR');
   }
-  return asFields(value, 'the body');
+  return expectMap(value, 'the body');
 }
--- a/src/io/expired_outputs.ts
+++ b/src/io/output_expiry.ts
@@ -3,7 +3,7 @@
 
 const REFUSED = { ok: false, why: 'refused' } as const;
 
-const ASK_AGAIN: UserResponse = { status: 503, problem: 'the answer came too late to be true', retryAfterSeconds: 1 };
+const RETRY_LATER: UserResponse = { status: 503, problem: 'the answer came too late to be true', retryAfterSeconds: 1 };
 
 /** What becomes of an output: what is carried out, and what the core is told instead of a reply. */
 export interface CheckedOutput {
@@ -20,11 +20,11 @@
   if (!isExpired) return { output, reply: null };
   switch (output.kind) {
     case 'answerUser':
-      return { output: { ...output, response: ASK_AGAIN }, reply: null };
+      return { output: { ...output, response: RETRY_LATER }, reply: null };
     case 'answerWorker':
       return { output: { ...output, response: { status: 503 } }, reply: null };
     case 'peer':
-      return { output: refusedAnswer(output), reply: null };
+      return { output: refusedPeerResponse(output), reply: null };
     case 'worker':
       return { output: null, reply: { kind: 'workerReply', callId: output.callId, result: REFUSED } };
     case 'cloud':
@@ -33,9 +33,9 @@
 }
 
 /** The answer to what a peer passed on, as a refusal. */
-function refusedAnswer(output: Extract<Output, { kind: 'peer' }>): Output | null {
+function refusedPeerResponse(output: Extract<Output, { kind: 'peer' }>): Output | null {
   const { message } = output;
   if (message.kind === 'reportAnswer') return { ...output, message: { ...message, response: { status: 503 } } };
-  if (message.kind === 'requestAnswer') return { ...output, message: { ...message, response: ASK_AGAIN } };
+  if (message.kind === 'requestAnswer') return { ...output, message: { ...message, response: RETRY_LATER } };
   return null;
 }
--- a/src/io/peer/frame_buffer.ts
+++ b/src/io/peers/frame_buffer.ts
@@ -22,7 +22,7 @@
   private buffer = sharedBuffer;
   private offset = FRAME_HEADER_BYTES;
 
-  private ensureRoom(bytes: number): void {
+  private ensureCapacity(bytes: number): void {
     const needed = this.offset + bytes;
     if (needed <= this.buffer.length) return;
     const larger = Buffer.alloc(Math.max(this.buffer.length * 2, needed));
@@ -32,29 +32,29 @@
   }
 
   uint8(value: number): void {
-    this.ensureRoom(1);
+    this.ensureCapacity(1);
     this.offset = this.buffer.writeUInt8(value, this.offset);
   }
 
   uint32(value: number): void {
-    this.ensureRoom(4);
+    this.ensureCapacity(4);
     this.offset = this.buffer.writeUInt32BE(value, this.offset);
   }
 
   uint64(value: bigint): void {
-    this.ensureRoom(8);
+    this.ensureCapacity(8);
     this.offset = this.buffer.writeBigUInt64BE(value, this.offset);
   }
 
   float64(value: number): void {
-    this.ensureRoom(8);
+    this.ensureCapacity(8);
     this.offset = this.buffer.writeDoubleBE(value, this.offset);
   }
 
   text(value: string): void {
     const bytes = Buffer.byteLength(value);
     this.uint32(bytes);
-    this.ensureRoom(bytes);
+    this.ensureCapacity(bytes);
     this.offset += this.buffer.write(value, this.offset);
   }
 
@@ -114,20 +114,20 @@
   }
 
   /** How many items follow, within bounds. */
-  itemCount(): number {
+  listLength(): number {
     const count = this.uint32();
     if (count > MAX_ITEMS) throw new FrameError('too many items');
     return count;
   }
 
   /** The value whose index in `values` comes next. */
-  oneOf<T>(values: readonly T[]): T {
-    return valueAt(values, this.uint8());
+  enumValue<T>(values: readonly T[]): T {
+    return enumValueAt(values, this.uint8());
   }
 }
 
 /** The value that a code stands for. */
-export function valueAt<T>(values: readonly T[], code: number): T {
+export function enumValueAt<T>(values: readonly T[], code: number): T {
   const value = values[code];
   if (value === undefined) throw new FrameError('unknown code');
   return value;
--- a/src/io/peer/outbound_connection.ts
+++ b/src/io/peers/outbound_connection.ts
@@ -1,12 +1,12 @@
 import { connect, type Socket } from 'node:net';
 import type { PeerMessage } from '../../core/messages.js';
 import type { ControllerName } from '../../core/types.js';
-import { hostPort } from '../address.js';
+import { parseHostPort } from '../address.js';
 import { encodeFrame } from './peer_codec.js';
 
 const RECONNECT_MS = 500;
 const CONNECT_TIMEOUT_MS = 1500;
-const MAX_BACKLOG_BYTES = 128 * 1024;
+const MAX_UNSENT_BYTES = 128 * 1024;
 
 /** The connection to one peer, opened again whenever it ends. What can't be sent now is dropped. */
 export class OutboundConnection {
@@ -20,7 +20,7 @@
     private readonly self: ControllerName,
     addr: string,
   ) {
-    const { host, port } = hostPort(addr);
+    const { host, port } = parseHostPort(addr);
     this.host = host;
     this.port = port;
   }
@@ -49,7 +49,7 @@
     const { socket } = this;
     if (!socket || !this.ready) return;
     // What a peer doesn't take in goes with the connection: messages are of the moment, and are not kept.
-    if (socket.writableLength > MAX_BACKLOG_BYTES) {
+    if (socket.writableLength > MAX_UNSENT_BYTES) {
       socket.destroy();
       return;
     }
--- a/src/io/peer/payloads.ts
+++ b/src/io/peers/payload_codec.ts
@@ -16,19 +16,19 @@
   TaskStatus,
   ZoneName,
 } from '../../core/types.js';
-import { parseJobId } from '../codecs/job_id.js';
-import { FrameError, type FrameReader, type FrameWriter, valueAt } from './frame_buffer.js';
+import { parseJobId } from '../wire/job_id.js';
+import { enumValueAt, FrameError, type FrameReader, type FrameWriter } from './frame_buffer.js';
 
 /**
  * The payloads that peers exchange. A value of an enumeration is written as its index in a list below: entries may be
  * added at the end of a list, and none may move, as earlier versions read the same numbers.
  */
-const SHAPES = ['array', 'gang', 'service'] as const;
-const RANKS = [0, 1, 2, 3] as const;
+const JOB_KINDS = ['array', 'gang', 'service'] as const;
+const PRIORITY_LEVELS = [0, 1, 2, 3] as const;
 const OPERATIONS = ['submit', 'poll', 'cancel'] as const;
 const JOB_STATUSES: readonly JobStatus[] = ['queued', 'running', 'done', 'cancelled'];
-const PHASES: readonly TaskPhase[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
-const REASONS: readonly (ExitReason | null)[] = [
+const TASK_PHASES: readonly TaskPhase[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
+const EXIT_REASONS: readonly (ExitReason | null)[] = [
   null,
   'done',
   'stopped',
@@ -39,21 +39,21 @@
   'busy',
   'unknown',
 ];
-const COMMANDS: readonly Command['op'][] = ['start', 'stop', 'forget'];
+const COMMAND_KINDS: readonly Command['op'][] = ['start', 'stop', 'forget'];
 
 /** Bits of the byte that holds a job's yes-or-no fields. */
-const SAME_ZONE_BIT = 1;
-const SPREAD_BIT = 2;
-const SPOT_OK_BIT = 4;
+const SINGLE_ZONE_BIT = 1;
+const ZONE_SPREAD_BIT = 2;
+const TOLERATES_SPOT_BIT = 4;
 const HAS_DEADLINE_BIT = 8;
 /** Bits of the byte that follows a report's names. */
 const SPOT_BIT = 1;
-const HAS_NOTICE_BIT = 2;
+const HAS_INTERRUPTION_NOTICE_BIT = 2;
 /** A task's phase shares its byte with whether its progress was saved. */
 const PHASE_MASK = 15;
-const SAVED_BIT = 16;
+const CHECKPOINT_SAVED_BIT = 16;
 
-const bit = (set: boolean, value: number): number => (set ? value : 0);
+const bitIf = (set: boolean, value: number): number => (set ? value : 0);
 const hasBit = (bits: number, value: number): boolean => (bits & value) !== 0;
 
 export function readJobId(reader: FrameReader): JobId {
@@ -62,10 +62,10 @@
   return id;
 }
 
-function writeSpec(writer: FrameWriter, spec: JobSpec): void {
+function writeJobSpec(writer: FrameWriter, spec: JobSpec): void {
   writer.text(spec.jobClass);
   writer.text(spec.team);
-  writer.uint8(SHAPES.indexOf(spec.kind));
+  writer.uint8(JOB_KINDS.indexOf(spec.kind));
   writer.uint8(spec.priorityLevel);
   writer.uint32(spec.taskCount);
   writer.float64(spec.cpus);
@@ -79,25 +79,25 @@
   writer.optionalText(spec.allowedMachineTypes === null ? null : spec.allowedMachineTypes.join('\n'));
   writer.optionalText(spec.zone);
   writer.uint8(
-    bit(spec.singleZone, SAME_ZONE_BIT) |
-      bit(spec.zoneSpread, SPREAD_BIT) |
-      bit(spec.toleratesSpot, SPOT_OK_BIT) |
-      bit(spec.deadlineSeconds !== null, HAS_DEADLINE_BIT),
+    bitIf(spec.singleZone, SINGLE_ZONE_BIT) |
+      bitIf(spec.zoneSpread, ZONE_SPREAD_BIT) |
+      bitIf(spec.toleratesSpot, TOLERATES_SPOT_BIT) |
+      bitIf(spec.deadlineSeconds !== null, HAS_DEADLINE_BIT),
   );
   writer.float64(spec.deadlineSeconds ?? 0);
 }
 
-function readTypes(reader: FrameReader): MachineTypeName[] | null {
+function readMachineTypes(reader: FrameReader): MachineTypeName[] | null {
   const types = reader.optionalText();
   if (types === null) return null;
   return types === '' ? [] : (types.split('\n') as MachineTypeName[]);
 }
 
-function readSpec(reader: FrameReader, id: JobId): JobSpec {
+function readJobSpec(reader: FrameReader, id: JobId): JobSpec {
   const jobClass = reader.text();
   const team = reader.text() as JobSpec['team'];
-  const kind = reader.oneOf(SHAPES);
-  const priorityLevel = reader.oneOf(RANKS);
+  const kind = reader.enumValue(JOB_KINDS);
+  const priorityLevel = reader.enumValue(PRIORITY_LEVELS);
   const taskCount = reader.uint32();
   const cpus = reader.float64();
   const gpus = reader.float64();
@@ -107,7 +107,7 @@
   const checkpointIntervalSeconds = reader.float64();
   const checkpointDurationSeconds = reader.float64();
   const image = reader.text() as JobSpec['image'];
-  const allowedMachineTypes = readTypes(reader);
+  const allowedMachineTypes = readMachineTypes(reader);
   const zone = reader.optionalText() as JobSpec['zone'];
   const bits = reader.uint8();
   const deadlineS = reader.float64();
@@ -125,9 +125,9 @@
     imageGb,
     allowedMachineTypes,
     zone,
-    singleZone: hasBit(bits, SAME_ZONE_BIT),
-    zoneSpread: hasBit(bits, SPREAD_BIT),
-    toleratesSpot: hasBit(bits, SPOT_OK_BIT),
+    singleZone: hasBit(bits, SINGLE_ZONE_BIT),
+    zoneSpread: hasBit(bits, ZONE_SPREAD_BIT),
+    toleratesSpot: hasBit(bits, TOLERATES_SPOT_BIT),
     estimatedRuntimeSeconds,
     checkpointIntervalSeconds,
     checkpointDurationSeconds,
@@ -141,18 +141,18 @@
   if (request.op !== 'submit') return;
   writer.text(request.problem);
   writer.uint8(request.spec ? 1 : 0);
-  if (request.spec) writeSpec(writer, request.spec);
+  if (request.spec) writeJobSpec(writer, request.spec);
 }
 
 export function readUserRequest(reader: FrameReader): UserRequest {
-  const op = reader.oneOf(OPERATIONS);
+  const op = reader.enumValue(OPERATIONS);
   const id = readJobId(reader);
   if (op !== 'submit') return { op, id };
   const problem = reader.text();
-  return { op, id, problem, spec: reader.uint8() === 1 ? readSpec(reader, id) : null };
+  return { op, id, problem, spec: reader.uint8() === 1 ? readJobSpec(reader, id) : null };
 }
 
-export function writeUserAnswer(writer: FrameWriter, answer: UserResponse): void {
+export function writeUserResponse(writer: FrameWriter, answer: UserResponse): void {
   writer.uint32(answer.status);
   if ('jobStatus' in answer) {
     writer.text(answer.id);
@@ -165,11 +165,11 @@
   }
 }
 
-export function readUserAnswer(reader: FrameReader): UserResponse {
+export function readUserResponse(reader: FrameReader): UserResponse {
   const status = reader.uint32();
   if (status === 200 || status === 201) {
     const id = readJobId(reader);
-    const jobStatus = reader.oneOf(JOB_STATUSES);
+    const jobStatus = reader.enumValue(JOB_STATUSES);
     return { status, id, jobStatus, done: reader.uint32(), running: reader.uint32() };
   }
   if (status !== 400 && status !== 404 && status !== 422 && status !== 503) throw new FrameError('unknown status');
@@ -178,12 +178,14 @@
   return retryAfterSeconds > 0 ? { status, problem, retryAfterSeconds } : { status, problem };
 }
 
-export function writeReport(writer: FrameWriter, report: Heartbeat): void {
+export function writeHeartbeat(writer: FrameWriter, report: Heartbeat): void {
   writer.text(report.machine);
   writer.text(report.address);
   writer.text(report.type);
   writer.text(report.zone);
-  writer.uint8(bit(report.spot, SPOT_BIT) | bit(report.interruptionNoticeSeconds !== null, HAS_NOTICE_BIT));
+  writer.uint8(
+    bitIf(report.spot, SPOT_BIT) | bitIf(report.interruptionNoticeSeconds !== null, HAS_INTERRUPTION_NOTICE_BIT),
+  );
   writer.uint64(report.agentEpoch);
   writer.uint64(report.sequence);
   writer.uint64(report.fencingToken);
@@ -193,21 +195,28 @@
     writer.text(task.job);
     writer.uint32(task.index);
     writer.uint64(task.attempt);
-    writer.uint8(PHASES.indexOf(task.phase) | bit(task.checkpointSaved, SAVED_BIT));
-    writer.uint8(REASONS.indexOf(task.exitReason));
+    writer.uint8(TASK_PHASES.indexOf(task.phase) | bitIf(task.checkpointSaved, CHECKPOINT_SAVED_BIT));
+    writer.uint8(EXIT_REASONS.indexOf(task.exitReason));
   }
 }
 
-function readTask(reader: FrameReader): TaskStatus {
+function readTaskStatus(reader: FrameReader): TaskStatus {
   const job = readJobId(reader);
   const index = reader.uint32();
   const attempt = reader.uint64() as Attempt;
   const code = reader.uint8();
-  const phase = valueAt(PHASES, code & PHASE_MASK);
-  return { job, index, attempt, phase, exitReason: reader.oneOf(REASONS), checkpointSaved: hasBit(code, SAVED_BIT) };
+  const phase = enumValueAt(TASK_PHASES, code & PHASE_MASK);
+  return {
+    job,
+    index,
+    attempt,
+    phase,
+    exitReason: reader.enumValue(EXIT_REASONS),
+    checkpointSaved: hasBit(code, CHECKPOINT_SAVED_BIT),
+  };
 }
 
-export function readReport(reader: FrameReader): Heartbeat {
+export function readHeartbeat(reader: FrameReader): Heartbeat {
   const machine = reader.text() as MachineId;
   const address = reader.text();
   const type = reader.text() as MachineTypeName;
@@ -218,8 +227,8 @@
   const fencingToken = reader.uint64() as FencingToken;
   const notice = reader.float64();
   const tasks: TaskStatus[] = [];
-  for (let left = reader.itemCount(); left > 0; left--) tasks.push(readTask(reader));
-  const interruptionNoticeSeconds = hasBit(bits, HAS_NOTICE_BIT) ? notice : null;
+  for (let left = reader.listLength(); left > 0; left--) tasks.push(readTaskStatus(reader));
+  const interruptionNoticeSeconds = hasBit(bits, HAS_INTERRUPTION_NOTICE_BIT) ? notice : null;
   return {
     machine,
     address,
@@ -234,14 +243,14 @@
   };
 }
 
-export function writeWorkerAnswer(writer: FrameWriter, answer: HeartbeatResponse): void {
+export function writeHeartbeatResponse(writer: FrameWriter, answer: HeartbeatResponse): void {
   writer.uint32(answer.status);
   if (answer.status === 421) writer.optionalText(answer.redirectTo);
   if (answer.status !== 200) return;
   writer.uint64(answer.fencingToken);
   writer.uint32(answer.commands.length);
   for (const command of answer.commands) {
-    writer.uint8(COMMANDS.indexOf(command.op));
+    writer.uint8(COMMAND_KINDS.indexOf(command.op));
     writer.text(command.job);
     writer.uint32(command.index);
     writer.uint64(command.attempt);
@@ -250,7 +259,7 @@
 }
 
 function readCommand(reader: FrameReader): Command {
-  const op = reader.oneOf(COMMANDS);
+  const op = reader.enumValue(COMMAND_KINDS);
   const job = readJobId(reader);
   const index = reader.uint32();
   const attempt = reader.uint64() as Attempt;
@@ -259,13 +268,13 @@
     : { op, job, index, attempt };
 }
 
-export function readWorkerAnswer(reader: FrameReader): HeartbeatResponse {
+export function readHeartbeatResponse(reader: FrameReader): HeartbeatResponse {
   const status = reader.uint32();
   if (status === 503) return { status };
   if (status === 421) return { status, redirectTo: reader.optionalText() as ControllerName | null };
   if (status !== 200) throw new FrameError('unknown status');
   const fencingToken = reader.uint64() as FencingToken;
   const commands: Command[] = [];
-  for (let left = reader.itemCount(); left > 0; left--) commands.push(readCommand(reader));
+  for (let left = reader.listLength(); left > 0; left--) commands.push(readCommand(reader));
   return { status, fencingToken, commands };
 }
--- a/src/io/peer/peer_codec.ts
+++ b/src/io/peers/peer_codec.ts
@@ -2,16 +2,16 @@
 import type { ControllerName, MachineId } from '../../core/types.js';
 import { FRAME_HEADER_BYTES, FrameError, FrameReader, FrameWriter } from './frame_buffer.js';
 import {
+  readHeartbeat,
+  readHeartbeatResponse,
   readJobId,
-  readReport,
-  readUserAnswer,
   readUserRequest,
-  readWorkerAnswer,
-  writeReport,
-  writeUserAnswer,
+  readUserResponse,
+  writeHeartbeat,
+  writeHeartbeatResponse,
   writeUserRequest,
-  writeWorkerAnswer,
-} from './payloads.js';
+  writeUserResponse,
+} from './payload_codec.js';
 
 /**
  * The protocol between controller nodes: frames of a four-byte length, a version, a kind and a payload.
@@ -45,17 +45,17 @@
 ] as const;
 
 /** Bits of the first byte of a status. */
-const LEADING_BIT = 1;
-const STORE_OK_BIT = 2;
-const TAKES_REPORTS_BIT = 4;
-const ACKNOWLEDGES_BIT = 8;
+const IS_LEADER_BIT = 1;
+const STATE_STORE_REACHABLE_BIT = 2;
+const ACCEPTS_HEARTBEATS_BIT = 4;
+const ACKNOWLEDGES_CANCELLATIONS_BIT = 8;
 
 function writeStatus(writer: FrameWriter, status: PeerStatus): void {
   let bits = 0;
-  if (status.isLeader) bits |= LEADING_BIT;
-  if (status.stateStoreReachable) bits |= STORE_OK_BIT;
-  if (status.prefersDirectHeartbeats) bits |= TAKES_REPORTS_BIT;
-  if (status.acknowledgesCancellations) bits |= ACKNOWLEDGES_BIT;
+  if (status.isLeader) bits |= IS_LEADER_BIT;
+  if (status.stateStoreReachable) bits |= STATE_STORE_REACHABLE_BIT;
+  if (status.prefersDirectHeartbeats) bits |= ACCEPTS_HEARTBEATS_BIT;
+  if (status.acknowledgesCancellations) bits |= ACKNOWLEDGES_CANCELLATIONS_BIT;
   writer.uint8(bits);
   writer.float64(status.sinceLastHeartbeatMs);
   writer.float64(status.heartbeatsPerSecond);
@@ -66,10 +66,10 @@
   return {
     sinceLastHeartbeatMs: reader.float64(),
     heartbeatsPerSecond: reader.float64(),
-    isLeader: (bits & LEADING_BIT) !== 0,
-    stateStoreReachable: (bits & STORE_OK_BIT) !== 0,
-    prefersDirectHeartbeats: (bits & TAKES_REPORTS_BIT) !== 0,
-    acknowledgesCancellations: (bits & ACKNOWLEDGES_BIT) !== 0,
+    isLeader: (bits & IS_LEADER_BIT) !== 0,
+    stateStoreReachable: (bits & STATE_STORE_REACHABLE_BIT) !== 0,
+    prefersDirectHeartbeats: (bits & ACCEPTS_HEARTBEATS_BIT) !== 0,
+    acknowledgesCancellations: (bits & ACKNOWLEDGES_CANCELLATIONS_BIT) !== 0,
   };
 }
 
@@ -88,14 +88,14 @@
       writeUserRequest(writer, frame.request);
       return;
     case 'requestAnswer':
-      writeUserAnswer(writer, frame.response);
+      writeUserResponse(writer, frame.response);
       return;
     case 'report':
-      writeReport(writer, frame.heartbeat);
+      writeHeartbeat(writer, frame.heartbeat);
       return;
     case 'reportAnswer':
       writer.text(frame.machine);
-      writeWorkerAnswer(writer, frame.response);
+      writeHeartbeatResponse(writer, frame.response);
       return;
     case 'cancellation':
       writer.text(frame.job);
@@ -122,13 +122,13 @@
     case 'request':
       return { kind: 'request', id: reader.float64(), request: readUserRequest(reader) };
     case 'requestAnswer':
-      return { kind: 'requestAnswer', id: reader.float64(), response: readUserAnswer(reader) };
+      return { kind: 'requestAnswer', id: reader.float64(), response: readUserResponse(reader) };
     case 'report':
-      return { kind: 'report', id: reader.float64(), heartbeat: readReport(reader) };
+      return { kind: 'report', id: reader.float64(), heartbeat: readHeartbeat(reader) };
     case 'reportAnswer': {
       const id = reader.float64();
       const machine = reader.text() as MachineId;
-      return { kind: 'reportAnswer', id, machine, response: readWorkerAnswer(reader) };
+      return { kind: 'reportAnswer', id, machine, response: readHeartbeatResponse(reader) };
     }
     case 'cancellation':
       return { kind: 'cancellation', id: reader.float64(), job: readJobId(reader) };
--- a/src/io/peer/peer_link.ts
+++ b/src/io/peers/peer_connections.ts
@@ -1,16 +1,16 @@
 import { createServer, type Server, type Socket } from 'node:net';
 import type { PeerMessage } from '../../core/messages.js';
 import type { ControllerName } from '../../core/types.js';
-import { hostPort } from '../address.js';
+import { parseHostPort } from '../address.js';
 import type { Log } from '../log.js';
 import { OutboundConnection } from './outbound_connection.js';
 import { FrameSplitter, type PeerFrame } from './peer_codec.js';
 
 const IDLE_TIMEOUT_MS = 10_000;
-const MAX_INBOUND = 32;
+const MAX_INBOUND_CONNECTIONS = 32;
 
 /** One connection out to each peer for what this node says, and one in from each for what the peer says. */
-export class PeerLink {
+export class PeerConnections {
   private readonly outbound = new Map<ControllerName, OutboundConnection>();
   private readonly server: Server;
   private readonly peerNames: ReadonlySet<string>;
@@ -18,17 +18,17 @@
   constructor(
     private readonly self: ControllerName,
     peers: readonly { readonly name: ControllerName; readonly addr: string }[],
-    private readonly receive: (from: ControllerName, message: PeerMessage) => void,
+    private readonly onMessage: (from: ControllerName, message: PeerMessage) => void,
     private readonly log: Log,
   ) {
     this.peerNames = new Set(peers.map((peer) => peer.name));
     for (const { name, addr } of peers) this.outbound.set(name, new OutboundConnection(self, addr));
     this.server = createServer((socket) => this.accept(socket));
-    this.server.maxConnections = MAX_INBOUND;
+    this.server.maxConnections = MAX_INBOUND_CONNECTIONS;
   }
 
   listen(addr: string): void {
-    const { host, port } = hostPort(addr);
+    const { host, port } = parseHostPort(addr);
     this.server.on('error', (error) => this.log('error', 'peer listener failed', { error: error.message }));
     this.server.listen(port, host);
     for (const connection of this.outbound.values()) connection.open();
@@ -44,7 +44,7 @@
   }
 
   private accept(socket: Socket): void {
-    const inbound = new InboundConnection(socket, this.receive, this.log, (name) => this.isPeer(name));
+    const inbound = new InboundConnection(socket, this.onMessage, this.log, (name) => this.isPeer(name));
     socket.setNoDelay(true);
     socket.setTimeout(IDLE_TIMEOUT_MS, () => socket.destroy());
     socket.on('error', () => socket.destroy());
@@ -59,12 +59,12 @@
 /** What a peer says on one connection; nothing counts before it has said who it is. */
 class InboundConnection {
   private readonly splitter = new FrameSplitter();
-  private from: ControllerName | null = null;
-  private nextSkippedLog = 1;
+  private sender: ControllerName | null = null;
+  private nextLoggedCount = 1;
 
   constructor(
     private readonly socket: Socket,
-    private readonly receive: (from: ControllerName, message: PeerMessage) => void,
+    private readonly onMessage: (from: ControllerName, message: PeerMessage) => void,
     private readonly log: Log,
     private readonly isPeer: (name: ControllerName) => boolean,
   ) {}
@@ -74,16 +74,16 @@
     try {
       frames = this.splitter.push(part);
     } catch (error) {
-      this.log('info', 'peer connection dropped', { peer: this.from, why: (error as Error).message });
+      this.log('info', 'peer connection dropped', { peer: this.sender, why: (error as Error).message });
       this.socket.destroy();
       return;
     }
     this.logSkipped();
     for (const frame of frames) {
       if (frame.kind !== 'hello') {
-        if (this.from !== null) this.receive(this.from, frame);
+        if (this.sender !== null) this.onMessage(this.sender, frame);
       } else if (this.isPeer(frame.node)) {
-        this.from = frame.node;
+        this.sender = frame.node;
       } else {
         this.socket.destroy();
         return;
@@ -94,8 +94,8 @@
   /** Logged at growing distances: a flood of unknown frames must not become a flood of lines. */
   private logSkipped(): void {
     const { skipped } = this.splitter;
-    if (skipped < this.nextSkippedLog) return;
-    this.nextSkippedLog = 2 * skipped + 1;
-    this.log('info', 'peer frames of unknown kind or version skipped', { peer: this.from, count: skipped });
+    if (skipped < this.nextLoggedCount) return;
+    this.nextLoggedCount = 2 * skipped + 1;
+    this.log('info', 'peer frames of unknown kind or version skipped', { peer: this.sender, count: skipped });
   }
 }
--- a/src/io/codecs/store_codec.ts
+++ b/src/io/state_store/state_store_codec.ts
@@ -7,18 +7,18 @@
   WatchEvent,
 } from '../../core/messages.js';
 import { type LeaseId, type Revision, revision } from '../../core/types.js';
-import { asFields, type Fields, list, text, uint64 } from './fields.js';
-import type { HttpCall } from './http_call.js';
+import type { HttpRequest } from '../http/http_request.js';
+import { expectMap, listField, textField, uint64Field, type WireMap } from '../wire/fields.js';
 
 /** Calls to the state service and its answers, by the names that they have on the wire. */
 
-function encodeChange(change: StateChange): Fields {
+function encodeChange(change: StateChange): WireMap {
   if ('drop' in change) return { drop: change.drop };
   const put = { put: change.put, data: change.value };
   return change.lease === undefined ? put : { ...put, tether: change.lease };
 }
 
-export function encodeStoreCall(call: StateStoreOperation): HttpCall {
+export function encodeStateStoreRequest(call: StateStoreOperation): HttpRequest {
   switch (call.op) {
     case 'get':
       return { method: 'GET', path: `/kv/${call.key}` };
@@ -42,18 +42,18 @@
   }
 }
 
-const currentRevision = (fields: Fields): Revision => revision(uint64(fields, 'molt'));
+const decodeRevision = (fields: WireMap): Revision => revision(uint64Field(fields, 'molt'));
 
 function decodeItem(raw: unknown): StoredEntry {
-  const fields = asFields(raw, 'item');
-  return { key: text(fields, 'k'), value: fields.data, version: revision(uint64(fields, 'feather')) };
+  const fields = expectMap(raw, 'item');
+  return { key: textField(fields, 'k'), value: fields.data, version: revision(uint64Field(fields, 'feather')) };
 }
 
 function decodeEvent(raw: unknown): WatchEvent {
-  const fields = asFields(raw, 'event');
-  const version = revision(uint64(fields, 'feather'));
+  const fields = expectMap(raw, 'event');
+  const version = revision(uint64Field(fields, 'feather'));
   if (typeof fields.drop === 'string') return { drop: fields.drop, version };
-  return { put: text(fields, 'put'), value: fields.data, version };
+  return { put: textField(fields, 'put'), value: fields.data, version };
 }
 
 function conflictingKeys(body: unknown): string[] {
@@ -81,22 +81,22 @@
   }
 }
 
-function decodeValue(call: StateStoreOperation, fields: Fields): StateStoreResponse {
+function decodeValue(call: StateStoreOperation, fields: WireMap): StateStoreResponse {
   switch (call.op) {
     case 'get':
       return { item: decodeItem(fields) };
     case 'list':
       return {
-        items: list(fields, 'entries').map(decodeItem),
+        items: listField(fields, 'entries').map(decodeItem),
         more: fields.has_next === true,
-        revision: currentRevision(fields),
+        revision: decodeRevision(fields),
       };
     case 'txn':
-      return { revision: currentRevision(fields) };
+      return { revision: decodeRevision(fields) };
     case 'grant':
-      return { lease: uint64(fields, 'tether') as LeaseId };
+      return { lease: uint64Field(fields, 'tether') as LeaseId };
     case 'watch':
-      return { events: list(fields, 'news').map(decodeEvent), revision: currentRevision(fields) };
+      return { events: listField(fields, 'news').map(decodeEvent), revision: decodeRevision(fields) };
     case 'renew':
     case 'revoke':
       return {};
@@ -104,17 +104,17 @@
 }
 
 /** What the answer to a call to the state service says. */
-export function decodeStoreAnswer(
+export function decodeStateStoreResponse(
   call: StateStoreOperation,
   status: number,
   body: unknown,
 ): Result<StateStoreResponse> {
   if (status === 404 && call.op === 'get') {
-    return { ok: true, value: { item: null, revision: currentRevision(asFields(body, 'answer')) } };
+    return { ok: true, value: { item: null, revision: decodeRevision(expectMap(body, 'answer')) } };
   }
   const failure = decodeFailure(status, body);
   if (failure) return failure;
   // Nothing is read of these answers, and some have no body.
   if (call.op === 'renew' || call.op === 'revoke') return { ok: true, value: {} };
-  return { ok: true, value: decodeValue(call, asFields(body, 'answer')) };
+  return { ok: true, value: decodeValue(call, expectMap(body, 'answer')) };
 }
--- a/src/io/codecs/cbor.ts
+++ b/src/io/wire/cbor.ts
@@ -6,10 +6,10 @@
 
 const codec: CborEncoder = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
-export function encode(value: unknown): Buffer {
+export function encodeCbor(value: unknown): Buffer {
   return Buffer.from(codec.encode(value));
 }
 
-export function decode(bytes: Uint8Array): unknown {
+export function decodeCbor(bytes: Uint8Array): unknown {
   return codec.decode(bytes);
 }
--- a/src/io/codecs/fields.ts
+++ b/src/io/wire/fields.ts
@@ -7,23 +7,23 @@
 export class WireError extends Error {}
 
 /** A decoded map whose fields have yet to be checked. */
-export type Fields = Record<string, unknown>;
+export type WireMap = Record<string, unknown>;
 
 const MAX_TEXT_LENGTH = 200;
 const UINT64_LIMIT = 1n << 64n;
 
-export function asFields(value: unknown, what: string): Fields {
+export function expectMap(value: unknown, what: string): WireMap {
   if (typeof value !== 'object' || value === null || Array.isArray(value)) throw new WireError(`${what} is not a map`);
-  return value as Fields;
+  return value as WireMap;
 }
 
-export function list(fields: Fields, key: string): unknown[] {
+export function listField(fields: WireMap, key: string): unknown[] {
   const value = fields[key];
   if (!Array.isArray(value)) throw new WireError(`${key} is not a list`);
   return value;
 }
 
-export function text(fields: Fields, key: string): string {
+export function textField(fields: WireMap, key: string): string {
   const value = fields[key];
   if (typeof value !== 'string' || value.length === 0 || value.length > MAX_TEXT_LENGTH) {
     throw new WireError(`${key} is not a text`);
@@ -31,20 +31,20 @@
   return value;
 }
 
-const isMissing = (fields: Fields, key: string): boolean => fields[key] === undefined || fields[key] === null;
+const isMissing = (fields: WireMap, key: string): boolean => fields[key] === undefined || fields[key] === null;
 
-export function textOrNull(fields: Fields, key: string): string | null {
-  return isMissing(fields, key) ? null : text(fields, key);
+export function optionalTextField(fields: WireMap, key: string): string | null {
+  return isMissing(fields, key) ? null : textField(fields, key);
 }
 
-export function flag(fields: Fields, key: string): boolean {
+export function booleanField(fields: WireMap, key: string): boolean {
   const value = fields[key];
   if (typeof value !== 'boolean') throw new WireError(`${key} is not a boolean`);
   return value;
 }
 
 /** A count, version, token or attempt: an integer from 0 to below 2^64. */
-export function uint64(fields: Fields, key: string): bigint {
+export function uint64Field(fields: WireMap, key: string): bigint {
   const value = fields[key];
   if (typeof value === 'bigint' && value >= 0n && value < UINT64_LIMIT) return value;
   if (typeof value === 'number' && Number.isSafeInteger(value) && value >= 0) return BigInt(value);
@@ -52,19 +52,19 @@
 }
 
 /** An amount: finite and not negative. */
-export function amount(fields: Fields, key: string): number {
+export function amountField(fields: WireMap, key: string): number {
   const raw = fields[key];
   const value = typeof raw === 'bigint' ? Number(raw) : raw;
   if (typeof value !== 'number' || !Number.isFinite(value) || value < 0) throw new WireError(`${key} is not an amount`);
   return value;
 }
 
-export function amountOrNull(fields: Fields, key: string): number | null {
-  return isMissing(fields, key) ? null : amount(fields, key);
+export function optionalAmountField(fields: WireMap, key: string): number | null {
+  return isMissing(fields, key) ? null : amountField(fields, key);
 }
 
 /** The value that a word on the wire stands for. */
-export function oneOf<T>(fields: Fields, key: string, values: Readonly<Record<string, T>>): T {
+export function enumField<T>(fields: WireMap, key: string, values: Readonly<Record<string, T>>): T {
   const word = fields[key];
   if (typeof word === 'string' && Object.hasOwn(values, word)) return values[word] as T;
   throw new WireError(`${key} has an unknown value`);
--- a/src/io/worker_clients.ts
+++ b/src/io/workers/worker_clients.ts
@@ -1,4 +1,4 @@
-import { HttpClient } from './http_client.js';
+import { HttpClient } from '../http/http_client.js';
 
 const SOCKETS_PER_WORKER = 1;
 const MAX_CLIENTS = 128;
@@ -7,7 +7,7 @@
 export class WorkerClients {
   private readonly clients = new Map<string, HttpClient>();
 
-  to(addr: string): HttpClient {
+  clientFor(addr: string): HttpClient {
     const known = this.clients.get(addr);
     if (known) return known;
     if (this.clients.size >= MAX_CLIENTS) this.closeOldest();
--- a/src/io/codecs/worker_codec.ts
+++ b/src/io/workers/worker_codec.ts
@@ -13,18 +13,28 @@
   TaskStatus,
   ZoneName,
 } from '../../core/types.js';
-import { amountOrNull, asFields, type Fields, flag, list, oneOf, text, uint64, WireError } from './fields.js';
-import { parseJobId } from './job_id.js';
+import {
+  booleanField,
+  enumField,
+  expectMap,
+  listField,
+  optionalAmountField,
+  textField,
+  uint64Field,
+  WireError,
+  type WireMap,
+} from '../wire/fields.js';
+import { parseJobId } from '../wire/job_id.js';
 
 /** Workers' reports, the answers to them, and direct commands, by the names that they have on the wire. */
-const PHASES: Readonly<Record<string, TaskPhase>> = {
+const TASK_PHASES: Readonly<Record<string, TaskPhase>> = {
   pulling: 'fetching',
   gathering: 'waiting',
   running: 'running',
   flushing: 'saving',
   exited: 'exited',
 };
-const REASONS: Readonly<Record<string, ExitReason>> = {
+const EXIT_REASONS: Readonly<Record<string, ExitReason>> = {
   done: 'done',
   stopped: 'stopped',
   mates_gone: 'peers_gone',
@@ -38,10 +48,10 @@
 
 export const COMMANDS_PATH = '/commands';
 
-function decodeTask(raw: unknown): TaskStatus {
-  const fields = asFields(raw, 'chick');
-  const phase = oneOf(fields, 'mood', PHASES);
-  const name = text(fields, 'chick');
+function decodeTaskStatus(raw: unknown): TaskStatus {
+  const fields = expectMap(raw, 'chick');
+  const phase = enumField(fields, 'mood', TASK_PHASES);
+  const name = textField(fields, 'chick');
   const slash = name.lastIndexOf('/');
   const job = parseJobId(name.slice(0, slash));
   const number = name.slice(slash + 1);
@@ -50,58 +60,58 @@
   return {
     job,
     index: Number(number),
-    attempt: uint64(fields, 'hop') as Attempt,
+    attempt: uint64Field(fields, 'hop') as Attempt,
     phase,
-    exitReason: phase === 'exited' ? oneOf(fields, 'cause', REASONS) : null,
+    exitReason: phase === 'exited' ? enumField(fields, 'cause', EXIT_REASONS) : null,
     checkpointSaved: fields.kept === true,
   };
 }
 
 /** The same start twice in one list is no list: which of the two holds can't be told. */
-function refuseRepeatedTasks(tasks: readonly TaskStatus[]): void {
+function rejectDuplicateTasks(tasks: readonly TaskStatus[]): void {
   if (tasks.length < 2) return;
   const seen = new Set(tasks.map(({ job, index, attempt }) => `${job}/${index}/${attempt}`));
   if (seen.size < tasks.length) throw new WireError('chicks names a task twice');
 }
 
 /** Reads a worker's report; throws `WireError`, naming the field, where it is malformed. */
-export function decodeReport(raw: unknown): Heartbeat {
-  const fields = asFields(raw, 'report');
-  const tasks = list(fields, 'chicks').map(decodeTask);
-  refuseRepeatedTasks(tasks);
+export function decodeHeartbeat(raw: unknown): Heartbeat {
+  const fields = expectMap(raw, 'report');
+  const tasks = listField(fields, 'chicks').map(decodeTaskStatus);
+  rejectDuplicateTasks(tasks);
   return {
-    machine: text(fields, 'perch') as MachineId,
-    address: text(fields, 'addr'),
-    type: text(fields, 'breed') as MachineTypeName,
-    zone: text(fields, 'grove') as ZoneName,
-    spot: flag(fields, 'loaners'),
-    agentEpoch: uint64(fields, 'roost') as AgentEpoch,
-    sequence: uint64(fields, 'chirp') as SequenceNumber,
-    fencingToken: uint64(fields, 'crest') as FencingToken,
-    interruptionNoticeSeconds: amountOrNull(fields, 'warning_s'),
+    machine: textField(fields, 'perch') as MachineId,
+    address: textField(fields, 'addr'),
+    type: textField(fields, 'breed') as MachineTypeName,
+    zone: textField(fields, 'grove') as ZoneName,
+    spot: booleanField(fields, 'loaners'),
+    agentEpoch: uint64Field(fields, 'roost') as AgentEpoch,
+    sequence: uint64Field(fields, 'chirp') as SequenceNumber,
+    fencingToken: uint64Field(fields, 'crest') as FencingToken,
+    interruptionNoticeSeconds: optionalAmountField(fields, 'warning_s'),
     tasks,
   };
 }
 
-function encodeCommand(command: Command): Fields {
+function encodeCommand(command: Command): WireMap {
   const chick = `${command.job}/${command.index}`;
   if (command.op === 'start') return { call: 'run', chick, hop: command.attempt };
   if (command.op === 'forget') return { call: 'reap', chick, hop: command.attempt };
   return { call: 'stop', chick, hop: command.attempt, settle_s: command.gracePeriodSeconds };
 }
 
-export function encodeWorkerAnswer(answer: HeartbeatResponse): Fields {
+export function encodeHeartbeatResponse(answer: HeartbeatResponse): WireMap {
   if (answer.status === 200) return { crest: answer.fencingToken, calls: answer.commands.map(encodeCommand) };
   if (answer.status === 421 && answer.redirectTo !== null) return { nest: answer.redirectTo };
   return {};
 }
 
-export function encodeCommands(call: CommandPush): Fields {
+export function encodePushedCommands(call: CommandPush): WireMap {
   return { crest: call.fencingToken, roost: call.agentEpoch, calls: call.commands.map(encodeCommand) };
 }
 
 /** The answer to direct commands: the worker's report, whether or not it executed them. */
-export function decodeCommandsAnswer(status: number, body: unknown): Result<CommandPushResponse> {
+export function decodePushedCommandsResponse(status: number, body: unknown): Result<CommandPushResponse> {
   if (status !== 200 && status !== 409) return { ok: false, why: 'rejected' };
-  return { ok: true, value: { executed: status === 200, heartbeat: decodeReport(body) } };
+  return { ok: true, value: { executed: status === 200, heartbeat: decodeHeartbeat(body) } };
 }
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -2,42 +2,42 @@
 import { test } from 'node:test';
 import type { Attempt, ControllerName, FencingToken, JobId } from '../src/core/types.js';
 import { revision } from '../src/core/types.js';
-import { decode, encode } from '../src/io/codecs/cbor.js';
-import { decodeCloudAnswer } from '../src/io/codecs/cloud_codec.js';
-import { WireError } from '../src/io/codecs/fields.js';
-import { decodeStoreAnswer, encodeStoreCall } from '../src/io/codecs/store_codec.js';
-import { decodeJob, encodeUserAnswer } from '../src/io/codecs/user_codec.js';
-import { decodeReport, encodeWorkerAnswer } from '../src/io/codecs/worker_codec.js';
+import { decodeCloudResponse } from '../src/io/cloud/cloud_codec.js';
 import {
   encodeFrame,
   FrameSplitter,
   MAX_FRAME_BYTES,
   PEER_VERSION,
   type PeerFrame,
-} from '../src/io/peer/peer_codec.js';
+} from '../src/io/peers/peer_codec.js';
+import { decodeStateStoreResponse, encodeStateStoreRequest } from '../src/io/state_store/state_store_codec.js';
+import { decodeJobSpec, encodeUserResponse } from '../src/io/users/user_codec.js';
+import { decodeCbor, encodeCbor } from '../src/io/wire/cbor.js';
+import { WireError } from '../src/io/wire/fields.js';
+import { decodeHeartbeat, encodeHeartbeatResponse } from '../src/io/workers/worker_codec.js';
 import { frames, job, report } from './sim/sample_messages.js';
 
 test('64-bit counts and tokens pass through CBOR whole', () => {
   const big = (1n << 64n) - 1n;
-  const there = decodeReport(decode(encode({ ...report, crest: big, chirp: (1n << 53n) + 1n })));
+  const there = decodeHeartbeat(decodeCbor(encodeCbor({ ...report, crest: big, chirp: (1n << 53n) + 1n })));
   assert.equal(there.fencingToken, big);
   assert.equal(there.sequence, (1n << 53n) + 1n);
-  const answer = encodeWorkerAnswer({ status: 200, fencingToken: big as FencingToken, commands: [] });
-  assert.equal((decode(encode(answer)) as { crest: bigint }).crest, big);
+  const answer = encodeHeartbeatResponse({ status: 200, fencingToken: big as FencingToken, commands: [] });
+  assert.equal((decodeCbor(encodeCbor(answer)) as { crest: bigint }).crest, big);
 });
 
 test('a job and a report are read as typed values, unknown fields ignored', () => {
-  const spec = decodeJob({ ...job, colour: 'green' });
+  const spec = decodeJobSpec({ ...job, colour: 'green' });
   assert.equal(spec.kind, 'gang');
   assert.equal(spec.priorityLevel, 2);
   assert.equal(spec.deadlineSeconds, 900);
   assert.deepEqual(spec.allowedMachineTypes, ['g8']);
-  const decoded = decodeReport({ ...report, mystery: [1, 2] });
+  const decoded = decodeHeartbeat({ ...report, mystery: [1, 2] });
   assert.equal(decoded.tasks.length, 2);
   assert.deepEqual([decoded.tasks[0]?.index, decoded.tasks[0]?.attempt, decoded.tasks[1]?.exitReason], [3, 2n, 'done']);
   const { breeds: _, grove: __, due_s: ___, ...without } = job;
-  assert.equal(decodeJob(without).allowedMachineTypes, null);
-  assert.equal(decodeJob(without).deadlineSeconds, null);
+  assert.equal(decodeJobSpec(without).allowedMachineTypes, null);
+  assert.equal(decodeJobSpec(without).deadlineSeconds, null);
 });
 
 test('malformed jobs and reports are refused', () => {
@@ -57,41 +57,43 @@
     { same_place: 'yes' },
     { crew: undefined },
   ];
-  for (const wrong of bad) assert.throws(() => decodeJob({ ...job, ...wrong }), WireError, JSON.stringify(wrong));
+  for (const wrong of bad) assert.throws(() => decodeJobSpec({ ...job, ...wrong }), WireError, JSON.stringify(wrong));
   for (const wrong of [
     { chicks: {} },
     { chicks: [{ chick: 'job-1', hop: 1, mood: 'running' }] },
     { crest: -1 },
     { chirp: 'x' },
   ]) {
-    assert.throws(() => decodeReport({ ...report, ...wrong }), WireError, JSON.stringify(wrong));
+    assert.throws(() => decodeHeartbeat({ ...report, ...wrong }), WireError, JSON.stringify(wrong));
   }
-  assert.throws(() => decodeReport(null), WireError);
+  assert.throws(() => decodeHeartbeat(null), WireError);
 });
 
 test('answers carry the wire names', () => {
   const id = 'job-000412' as JobId;
-  assert.deepEqual(encodeUserAnswer({ status: 200, id, jobStatus: 'cancelled', done: 3, running: 0 }), {
+  assert.deepEqual(encodeUserResponse({ status: 200, id, jobStatus: 'cancelled', done: 3, running: 0 }), {
     ref: id,
     mood: 'withdrawn',
     done: 3,
     running: 0,
   });
   const stop = { op: 'stop', job: id, index: 1, attempt: 7n as Attempt, gracePeriodSeconds: 10 } as const;
-  assert.deepEqual(encodeWorkerAnswer({ status: 200, fencingToken: 41n as FencingToken, commands: [stop] }), {
+  assert.deepEqual(encodeHeartbeatResponse({ status: 200, fencingToken: 41n as FencingToken, commands: [stop] }), {
     crest: 41n,
     calls: [{ call: 'stop', chick: 'job-000412/1', hop: 7n, settle_s: 10 }],
   });
-  assert.deepEqual(encodeWorkerAnswer({ status: 421, redirectTo: 'perch-2' as ControllerName }), { nest: 'perch-2' });
+  assert.deepEqual(encodeHeartbeatResponse({ status: 421, redirectTo: 'perch-2' as ControllerName }), {
+    nest: 'perch-2',
+  });
 });
 
 test('state-service answers are told apart by status', () => {
   const get = { op: 'get', key: 'a/b' } as const;
-  assert.deepEqual(decodeStoreAnswer(get, 404, { molt: 431 }), {
+  assert.deepEqual(decodeStateStoreResponse(get, 404, { molt: 431 }), {
     ok: true,
     value: { item: null, revision: revision(431) },
   });
-  const found = decodeStoreAnswer(get, 200, { k: 'a/b', data: { x: 1 }, feather: 412, tether: 7 });
+  const found = decodeStateStoreResponse(get, 200, { k: 'a/b', data: { x: 1 }, feather: 412, tether: 7 });
   assert.ok(found.ok && found.value.item?.version === 412n);
   const txn = { op: 'txn', conditions: [], changes: [] } as const;
   for (const [status, why] of [
@@ -99,25 +101,28 @@
     [400, 'rejected'],
     [500, 'unknown'],
   ] as const) {
-    assert.deepEqual(decodeStoreAnswer(txn, status, null), { ok: false, why });
+    assert.deepEqual(decodeStateStoreResponse(txn, status, null), { ok: false, why });
   }
-  assert.deepEqual(decodeStoreAnswer(txn, 429, null), { ok: false, why: 'refused', throttled: true });
-  assert.deepEqual(decodeStoreAnswer(txn, 409, { failed: ['j/1', 7], molt: 3 }), {
+  assert.deepEqual(decodeStateStoreResponse(txn, 429, null), { ok: false, why: 'refused', throttled: true });
+  assert.deepEqual(decodeStateStoreResponse(txn, 409, { failed: ['j/1', 7], molt: 3 }), {
     ok: false,
     why: 'conflict',
     keys: ['j/1'],
   });
-  assert.deepEqual(decodeStoreAnswer({ op: 'renew', lease: 7n as never }, 404, null), { ok: false, why: 'gone' });
+  assert.deepEqual(decodeStateStoreResponse({ op: 'renew', lease: 7n as never }, 404, null), {
+    ok: false,
+    why: 'gone',
+  });
   assert.deepEqual(
-    encodeStoreCall({ op: 'watch', prefix: 'j/', after: revision(431), waitMs: 100 }).path,
+    encodeStateStoreRequest({ op: 'watch', prefix: 'j/', after: revision(431), waitMs: 100 }).path,
     '/follow?under=j/&after=431&wait_ms=100',
   );
 });
 
 test('a cloud without capacity is not a cloud in trouble', () => {
   const rent = { op: 'rent', idempotencyKey: 'r-1', machineType: 'g8', zone: 'a', spot: true, count: 1 } as never;
-  assert.deepEqual(decodeCloudAnswer(rent, 503, { error: 'no capacity' }), { ok: false, why: 'no_capacity' });
-  assert.deepEqual(decodeCloudAnswer(rent, 503, { error: 'trouble' }), { ok: false, why: 'refused' });
+  assert.deepEqual(decodeCloudResponse(rent, 503, { error: 'no capacity' }), { ok: false, why: 'no_capacity' });
+  assert.deepEqual(decodeCloudResponse(rent, 503, { error: 'trouble' }), { ok: false, why: 'refused' });
 });
 
 test('peer frames come back as they went, however the stream is cut', () => {
--- a/test/golden/golden_file.ts
+++ b/test/golden/golden_file.ts
@@ -2,7 +2,7 @@
 import { readFileSync, writeFileSync } from 'node:fs';
 import { after, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { decode } from '../../src/io/codecs/cbor.js';
+import { decodeCbor } from '../../src/io/wire/cbor.js';
 
 /**
  * The golden files: bytes and messages that other programs and earlier releases see, as the code wrote them when the files
@@ -54,7 +54,7 @@
 export const unhex = (text: string): Buffer => Buffer.from(text, 'hex');
 
 /** CBOR with, for readers, what it says. */
-export const cborEntry = (bytes: Uint8Array): Golden => ({ cbor: hex(bytes), says: printable(decode(bytes)) });
+export const cborEntry = (bytes: Uint8Array): Golden => ({ cbor: hex(bytes), says: printable(decodeCbor(bytes)) });
 
 function printable(value: unknown): Golden {
   if (typeof value === 'bigint') return `${value}n`;
--- a/test/golden/http_cases.ts
+++ b/test/golden/http_cases.ts
@@ -4,9 +4,9 @@
 import { test } from 'node:test';
 import type { HeartbeatResponse, JobStatus, UserRequest, UserResponse } from '../../src/core/messages.js';
 import type { Attempt, Command, ControllerName, FencingToken, Heartbeat } from '../../src/core/types.js';
-import { decode, encode } from '../../src/io/codecs/cbor.js';
-import { makeHttpServer } from '../../src/io/http_server.js';
-import { encodeFrame } from '../../src/io/peer/peer_codec.js';
+import { createHttpServer } from '../../src/io/http/http_server.js';
+import { encodeFrame } from '../../src/io/peers/peer_codec.js';
+import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
 import { job as submission, report as workerReport } from '../sim/sample_messages.js';
 import { cborEntry, type Golden, GoldenFile, hex } from './golden_file.js';
 import { gangSpec } from './samples.js';
@@ -67,12 +67,12 @@
 
 async function withServer(run: (caller: Caller, asked: Asked) => Promise<void>): Promise<void> {
   const asked = new Asked();
-  const server: Server = makeHttpServer(
+  const server: Server = createHttpServer(
     {
-      user: (what) => asked.user(what),
-      report: (what) => asked.report(what),
-      healthy: () => asked.healthy,
-      malformed: () => {},
+      handleUserRequest: (what) => asked.user(what),
+      handleHeartbeat: (what) => asked.report(what),
+      isHealthy: () => asked.healthy,
+      onMalformedMessage: () => {},
     },
     MAX_CONNECTIONS,
   );
@@ -113,12 +113,12 @@
   Buffer.from(''),
   Buffer.from('ff', 'hex'),
   Buffer.from('not cbor'),
-  encode(null),
-  encode([]),
-  encode('text'),
-  encode({}),
+  encodeCbor(null),
+  encodeCbor([]),
+  encodeCbor('text'),
+  encodeCbor({}),
 ];
-const TOO_LONG = encode({ long: 'x'.repeat(65 * 1024) });
+const TOO_LONG = encodeCbor({ long: 'x'.repeat(65 * 1024) });
 
 const submissions: readonly Fields[] = [
   submission,
@@ -204,7 +204,7 @@
 
   test('golden: submissions are read or refused as they were', () =>
     withServer(async (caller) => {
-      const all = [...submissions, ...spoiled(submission)].map((fields) => encode(fields));
+      const all = [...submissions, ...spoiled(submission)].map((fields) => encodeCbor(fields));
       for (const [i, body] of [...all, ...NOT_MAPS, TOO_LONG].entries()) {
         const shown = body.length > 10_000 ? `of ${body.length} bytes` : hex(body);
         golden.check(`submission ${i}`, { body: shown, ...((await caller.call('POST', '/v2/runs', body)) as object) });
@@ -215,7 +215,7 @@
     withServer(async (caller, asked) => {
       for (const [i, answer] of userAnswers.entries()) {
         asked.userAnswer = answer;
-        golden.check(`answer ${i}`, await caller.call('POST', '/v2/runs', encode(submission)));
+        golden.check(`answer ${i}`, await caller.call('POST', '/v2/runs', encodeCbor(submission)));
       }
     }));
 
@@ -235,21 +235,21 @@
 
   test('golden: reports are read or refused as they were', () =>
     withServer(async (caller) => {
-      const all = [...reports, ...spoiled(workerReport)].map((fields) => encode(fields));
+      const all = [...reports, ...spoiled(workerReport)].map((fields) => encodeCbor(fields));
       for (const [i, body] of [...all, ...NOT_MAPS].entries()) {
         golden.check(`report ${i}`, {
           body: hex(body),
           ...((await caller.call('POST', '/agent/beat', body)) as object),
         });
       }
-      assert.equal(decode(all[0] as Buffer) !== null, true);
+      assert.equal(decodeCbor(all[0] as Buffer) !== null, true);
     }));
 
   test('golden: answers to reports are what they were', () =>
     withServer(async (caller, asked) => {
       for (const [i, answer] of workerAnswers.entries()) {
         asked.workerAnswer = answer;
-        golden.check(`answer ${i}`, await caller.call('POST', '/agent/beat', encode(workerReport)));
+        golden.check(`answer ${i}`, await caller.call('POST', '/agent/beat', encodeCbor(workerReport)));
       }
     }));
 
--- a/test/golden/leader_records.ts
+++ b/test/golden/leader_records.ts
@@ -9,8 +9,8 @@
   revision,
   type WallClockTime,
 } from '../../src/core/types.js';
-import { encode } from '../../src/io/codecs/cbor.js';
-import { encodeStoreCall } from '../../src/io/codecs/store_codec.js';
+import { encodeStateStoreRequest } from '../../src/io/state_store/state_store_codec.js';
+import { encodeCbor } from '../../src/io/wire/cbor.js';
 import { PRESENT } from '../sim/build.js';
 import { makeSettings } from '../sim/world.js';
 import { cborEntry, type Golden } from './golden_file.js';
@@ -79,8 +79,8 @@
 }
 
 function written(op: StateStoreOperation): WrittenCall {
-  const { method, path, body } = encodeStoreCall(op);
-  return { path: `${method} ${path}`, body: body ? cborEntry(encode(body)) : null };
+  const { method, path, body } = encodeStateStoreRequest(op);
+  return { path: `${method} ${path}`, body: body ? cborEntry(encodeCbor(body)) : null };
 }
 
 const PRESENT_OPTIONS = {
--- a/test/golden/problem_cases.ts
+++ b/test/golden/problem_cases.ts
@@ -13,10 +13,10 @@
   TeamQuota,
   ZoneName,
 } from '../../src/core/types.js';
-import { encode } from '../../src/io/codecs/cbor.js';
-import { encodeUserAnswer } from '../../src/io/codecs/user_codec.js';
-import { checkExpiry } from '../../src/io/expired_outputs.js';
-import { encodeFrame } from '../../src/io/peer/peer_codec.js';
+import { checkExpiry } from '../../src/io/output_expiry.js';
+import { encodeFrame } from '../../src/io/peers/peer_codec.js';
+import { encodeUserResponse } from '../../src/io/users/user_codec.js';
+import { encodeCbor } from '../../src/io/wire/cbor.js';
 import { makeSpec, type Options } from '../sim/job_options.js';
 import { tuning } from '../sim/scenario.js';
 import { LIMITS, World } from '../sim/world.js';
@@ -54,7 +54,7 @@
   answer && {
     status: answer.status,
     retryAfter: 'retryAfterSeconds' in answer ? (answer.retryAfterSeconds ?? 0) : 0,
-    body: cborEntry(encode(encodeUserAnswer(answer))),
+    body: cborEntry(encodeCbor(encodeUserResponse(answer))),
   };
 
 /** What a node answers, and how long that takes at most; null: nothing. */
--- a/test/golden/record_cases.ts
+++ b/test/golden/record_cases.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import * as records from '../../src/core/records.js';
 import type { JobId, ZoneName } from '../../src/core/types.js';
-import { decode, encode } from '../../src/io/codecs/cbor.js';
+import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
 import { cborEntry, type Golden, GoldenFile, hex, unhex } from './golden_file.js';
 import { leaderRecordsOf } from './leader_records.js';
 import { gangSpec, jobRecords, machineRecords, scatteredRecord } from './samples.js';
@@ -15,7 +15,7 @@
 const rewritten = (value: unknown, valueBytes = VALUE_BYTES): Buffer => {
   const record = records.decodeJob(value);
   assert.ok(record);
-  return encode(records.encodeJob(record, valueBytes));
+  return encodeCbor(records.encodeJob(record, valueBytes));
 };
 
 /** What earlier and later releases may have put on record, by its stored names. */
@@ -81,9 +81,9 @@
 function jobTests(golden: GoldenFile): void {
   test('golden: job records are written as they were, and read back', () => {
     for (const [name, record] of Object.entries(jobRecords)) {
-      const entry = cborEntry(encode(records.encodeJob(record, VALUE_BYTES)));
+      const entry = cborEntry(encodeCbor(records.encodeJob(record, VALUE_BYTES)));
       golden.check(`job: ${name}`, entry);
-      const value = decode(bytesOf(entry));
+      const value = decodeCbor(bytesOf(entry));
       assert.deepEqual(comparable(records.decodeJob(value)), comparable(record), name);
       assert.deepEqual(rewritten(value), bytesOf(entry), name);
     }
@@ -92,7 +92,7 @@
   test('golden: a record whose results find no room holds as many as before', () => {
     for (let bytes = 400; bytes <= 8192; bytes += bytes < 900 ? 25 : 900) {
       const value = records.encodeJob(scatteredRecord, bytes);
-      golden.check(`job in ${bytes} bytes`, [value.done.length, JSON.stringify(value).length, hex(encode(value))]);
+      golden.check(`job in ${bytes} bytes`, [value.done.length, JSON.stringify(value).length, hex(encodeCbor(value))]);
     }
     const started = { ...scatteredRecord, startZone: null };
     const zones = ['zone-1', 'zone-2'] as ZoneName[];
@@ -103,7 +103,7 @@
 
   test('golden: records of other releases are read and written again as they were', () => {
     for (const [name, value] of Object.entries(foreignJobs)) {
-      golden.check(`job of another release: ${name}`, cborEntry(rewritten(decode(encode(value)))));
+      golden.check(`job of another release: ${name}`, cborEntry(rewritten(decodeCbor(encodeCbor(value)))));
     }
     for (const value of noJobs) assert.equal(records.decodeJob(value), null);
   });
@@ -123,17 +123,20 @@
 function pageTests(golden: GoldenFile): void {
   test('golden: pages of machines are written as they were, and read back', () => {
     for (const images of [MAX_IMAGES, 2, 1, 0]) {
-      const entry = cborEntry(encode(records.encodePage(machineRecords, images)));
+      const entry = cborEntry(encodeCbor(records.encodePage(machineRecords, images)));
       golden.check(`page with ${images} images a machine`, entry);
-      const page = records.decodePage(decode(bytesOf(entry)));
+      const page = records.decodePage(decodeCbor(bytesOf(entry)));
       assert.equal(page?.complete, true);
       if (images === MAX_IMAGES) assert.deepEqual(page?.machines, machineRecords);
-      assert.deepEqual(encode(records.encodePage(page?.machines ?? [], images)), bytesOf(entry));
+      assert.deepEqual(encodeCbor(records.encodePage(page?.machines ?? [], images)), bytesOf(entry));
     }
     for (const [name, value] of Object.entries(foreignPages)) {
-      const page = records.decodePage(decode(encode(value)));
+      const page = records.decodePage(decodeCbor(encodeCbor(value)));
       assert.ok(page);
-      const { cbor, says } = cborEntry(encode(records.encodePage(page.machines, MAX_IMAGES))) as Record<string, Golden>;
+      const { cbor, says } = cborEntry(encodeCbor(records.encodePage(page.machines, MAX_IMAGES))) as Record<
+        string,
+        Golden
+      >;
       golden.check(`page of another release: ${name}`, {
         complete: page.complete,
         cbor: cbor ?? null,
@@ -179,7 +182,7 @@
   test('golden: the leader record is read back', () => {
     const leader: records.LeaderRecord = { node: 'perch-1', incarnation: '0f3a', lease: '17', term: 4 };
     const stored = { node: 'perch-1', incarnation: '0f3a', lease: '17', term: 4 };
-    assert.deepEqual(records.decodeLeader(decode(encode(stored))), leader);
+    assert.deepEqual(records.decodeLeader(decodeCbor(encodeCbor(stored))), leader);
     for (const value of [null, 7, 'x', []]) assert.equal(records.decodeLeader(value), null);
   });
 }
--- a/test/golden/samples.ts
+++ b/test/golden/samples.ts
@@ -20,7 +20,7 @@
   WallClockTime,
   ZoneName,
 } from '../../src/core/types.js';
-import { decodeJob } from '../../src/io/codecs/user_codec.js';
+import { decodeJobSpec } from '../../src/io/users/user_codec.js';
 import { job as submission } from '../sim/sample_messages.js';
 
 /** Values of the domain's own types, each field told apart from the others, from which the golden files are made. */
@@ -70,7 +70,7 @@
   checkpointIntervalSeconds: 0,
 };
 /** As submissions are read: its fields are in another order. */
-export const submittedSpec: JobSpec = decodeJob(submission);
+export const submittedSpec: JobSpec = decodeJobSpec(submission);
 
 const shapes: JobKind[] = ['array', 'gang', 'service'];
 const ranks: PriorityLevel[] = [0, 1, 2, 3];
--- a/test/golden/service_cases.ts
+++ b/test/golden/service_cases.ts
@@ -21,11 +21,15 @@
   revision,
   type ZoneName,
 } from '../../src/core/types.js';
-import { decode, encode } from '../../src/io/codecs/cbor.js';
-import { decodeCloudAnswer, encodeCloudCall } from '../../src/io/codecs/cloud_codec.js';
-import type { HttpCall } from '../../src/io/codecs/http_call.js';
-import { decodeStoreAnswer, encodeStoreCall } from '../../src/io/codecs/store_codec.js';
-import { COMMANDS_PATH, decodeCommandsAnswer, encodeCommands } from '../../src/io/codecs/worker_codec.js';
+import { decodeCloudResponse, encodeCloudRequest } from '../../src/io/cloud/cloud_codec.js';
+import type { HttpRequest } from '../../src/io/http/http_request.js';
+import { decodeStateStoreResponse, encodeStateStoreRequest } from '../../src/io/state_store/state_store_codec.js';
+import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
+import {
+  COMMANDS_PATH,
+  decodePushedCommandsResponse,
+  encodePushedCommands,
+} from '../../src/io/workers/worker_codec.js';
 import { report as wireReport } from '../sim/sample_messages.js';
 import { cborEntry, type Golden, GoldenFile, thrownBy } from './golden_file.js';
 import { gangSpec } from './samples.js';
@@ -33,11 +37,11 @@
 const MAX = (1n << 64n) - 1n;
 
 /** A call as it goes out; a body is bytes. */
-export const callEntry = ({ method, path, body }: HttpCall): Golden =>
-  body === undefined ? { line: `${method} ${path}` } : { line: `${method} ${path}`, body: cborEntry(encode(body)) };
+export const callEntry = ({ method, path, body }: HttpRequest): Golden =>
+  body === undefined ? { line: `${method} ${path}` } : { line: `${method} ${path}`, body: cborEntry(encodeCbor(body)) };
 
 /** A body as it comes in. */
-const received = (body: unknown): unknown => (body === null ? null : decode(encode(body)));
+const received = (body: unknown): unknown => (body === null ? null : decodeCbor(encodeCbor(body)));
 
 const storeCalls: Readonly<Record<string, StateStoreOperation>> = {
   get: { op: 'get', key: 'j/job-17' },
@@ -123,20 +127,21 @@
   const callNamed = (name: string): StateStoreOperation => storeCalls[name] as StateStoreOperation;
 
   test('golden: calls to the state service go out as they did', () => {
-    for (const [name, op] of Object.entries(storeCalls)) golden.check(`call: ${name}`, callEntry(encodeStoreCall(op)));
+    for (const [name, op] of Object.entries(storeCalls))
+      golden.check(`call: ${name}`, callEntry(encodeStateStoreRequest(op)));
   });
 
   test('golden: answers of the state service are read as they were', () => {
     for (const [name, body, value] of storeAnswers) {
-      golden.check(`answer: ${name}`, cborEntry(encode(body)));
-      assert.deepEqual(decodeStoreAnswer(callNamed(name), 200, received(body)), { ok: true, value });
+      golden.check(`answer: ${name}`, cborEntry(encodeCbor(body)));
+      assert.deepEqual(decodeStateStoreResponse(callNamed(name), 200, received(body)), { ok: true, value });
     }
-    assert.deepEqual(decodeStoreAnswer(callNamed('get'), 404, received({ molt: 431 })), {
+    assert.deepEqual(decodeStateStoreResponse(callNamed('get'), 404, received({ molt: 431 })), {
       ok: true,
       value: { item: null, revision: revision(431) },
     });
     const conflict = { failed: ['j/1', 7, 'leader'], molt: 3 };
-    assert.deepEqual(decodeStoreAnswer(callNamed('transaction with changes'), 409, received(conflict)), {
+    assert.deepEqual(decodeStateStoreResponse(callNamed('transaction with changes'), 409, received(conflict)), {
       ok: false,
       why: 'conflict',
       keys: ['j/1', 'leader'],
@@ -153,15 +158,15 @@
     for (const [name, op] of Object.entries(storeCalls)) {
       for (const [status, failure] of failures) {
         if (status === 404 && op.op === 'get') continue;
-        assert.deepEqual(decodeStoreAnswer(op, status, null), failure, `${name} ${status}`);
+        assert.deepEqual(decodeStateStoreResponse(op, status, null), failure, `${name} ${status}`);
       }
     }
   });
 
   test('golden: malformed answers of the state service are refused with the same words', () => {
     malformedStoreAnswers.forEach(([name, status, body], i) => {
-      const said = thrownBy(() => decodeStoreAnswer(callNamed(name), status, received(body)));
-      golden.check(`malformed answer ${i}`, [name, status, cborEntry(encode(body)), said]);
+      const said = thrownBy(() => decodeStateStoreResponse(callNamed(name), status, received(body)));
+      golden.check(`malformed answer ${i}`, [name, status, cborEntry(encodeCbor(body)), said]);
     });
   });
 
@@ -265,13 +270,14 @@
   const callNamed = (name: string): CloudOperation => cloudCalls[name] as CloudOperation;
 
   test('golden: calls to the cloud go out as they did', () => {
-    for (const [name, op] of Object.entries(cloudCalls)) golden.check(`call: ${name}`, callEntry(encodeCloudCall(op)));
+    for (const [name, op] of Object.entries(cloudCalls))
+      golden.check(`call: ${name}`, callEntry(encodeCloudRequest(op)));
   });
 
   test('golden: answers of the cloud are read as they were', () => {
     for (const [name, body, value] of cloudAnswers) {
-      golden.check(`answer: ${name}`, cborEntry(encode(body)));
-      assert.deepEqual(decodeCloudAnswer(callNamed(name), 200, received(body)), { ok: true, value });
+      golden.check(`answer: ${name}`, cborEntry(encodeCbor(body)));
+      assert.deepEqual(decodeCloudResponse(callNamed(name), 200, received(body)), { ok: true, value });
     }
     const full = received({ error: 'no capacity' });
     const failures: readonly (readonly [number, unknown, Result<CloudResponse>, Result<CloudResponse>])[] = [
@@ -285,15 +291,15 @@
     for (const [name, op] of Object.entries(cloudCalls)) {
       for (const [status, body, ofRent, ofOthers] of failures) {
         const failure = op.op === 'rent' ? ofRent : ofOthers;
-        assert.deepEqual(decodeCloudAnswer(op, status, body), failure, `${name} ${status}`);
+        assert.deepEqual(decodeCloudResponse(op, status, body), failure, `${name} ${status}`);
       }
     }
   });
 
   test('golden: malformed answers of the cloud are refused with the same words', () => {
     malformedCloudAnswers.forEach(([name, body], i) => {
-      const said = thrownBy(() => decodeCloudAnswer(callNamed(name), 200, received(body)));
-      golden.check(`malformed answer ${i}`, [name, cborEntry(encode(body)), said]);
+      const said = thrownBy(() => decodeCloudResponse(callNamed(name), 200, received(body)));
+      golden.check(`malformed answer ${i}`, [name, cborEntry(encodeCbor(body)), said]);
     });
   });
 
@@ -321,22 +327,23 @@
 
   test('golden: commands to workers go out as they did', () => {
     golden.check('path', COMMANDS_PATH);
-    for (const [name, op] of Object.entries(workerCalls)) golden.check(name, cborEntry(encode(encodeCommands(op))));
+    for (const [name, op] of Object.entries(workerCalls))
+      golden.check(name, cborEntry(encodeCbor(encodePushedCommands(op))));
   });
 
   test('golden: answers of workers are read as they were', () => {
     const body = received(wireReport);
-    const values = [200, 409].map((status) => decodeCommandsAnswer(status, body));
+    const values = [200, 409].map((status) => decodePushedCommandsResponse(status, body));
     const [executed, notExecuted] = values as [Result<CommandPushResponse>, Result<CommandPushResponse>];
     assert.ok(executed.ok && executed.value.executed);
     assert.ok(notExecuted.ok && !notExecuted.value.executed);
     assert.deepEqual(executed.value.heartbeat, notExecuted.value.heartbeat);
     for (const status of [201, 400, 404, 421, 429, 500, 503]) {
-      assert.deepEqual(decodeCommandsAnswer(status, body), { ok: false, why: 'rejected' });
+      assert.deepEqual(decodePushedCommandsResponse(status, body), { ok: false, why: 'rejected' });
     }
     golden.check(
       'malformed answer',
-      thrownBy(() => decodeCommandsAnswer(200, null)),
+      thrownBy(() => decodePushedCommandsResponse(200, null)),
     );
   });
 
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -9,8 +9,8 @@
 import { fileURLToPath } from 'node:url';
 import type { HeartbeatResponse, UserRequest, UserResponse } from '../src/core/messages.js';
 import type { FencingToken, Heartbeat } from '../src/core/types.js';
-import { decode, encode } from '../src/io/codecs/cbor.js';
-import { makeHttpServer } from '../src/io/http_server.js';
+import { createHttpServer } from '../src/io/http/http_server.js';
+import { decodeCbor, encodeCbor } from '../src/io/wire/cbor.js';
 
 const root = fileURLToPath(new URL('../../../', import.meta.url));
 const main = join(root, 'target/check/src/main.js');
@@ -20,20 +20,20 @@
 let port = 0;
 
 before(async () => {
-  server = makeHttpServer(
+  server = createHttpServer(
     {
-      user: async (request): Promise<UserResponse> => {
+      handleUserRequest: async (request): Promise<UserResponse> => {
         seen.push(request);
         if (request.op === 'submit' && request.spec === null) return { status: 400, problem: request.problem };
         if (request.op === 'poll') return { status: 503, problem: 'busy', retryAfterSeconds: 1 };
         return { status: 201, id: request.id, jobStatus: 'queued', done: 0, running: 0 };
       },
-      report: async (report): Promise<HeartbeatResponse> => {
+      handleHeartbeat: async (report): Promise<HeartbeatResponse> => {
         reports.push(report);
         return { status: 200, fencingToken: 5n as FencingToken, commands: [] };
       },
-      healthy: () => true,
-      malformed: () => {},
+      isHealthy: () => true,
+      onMalformedMessage: () => {},
     },
     200,
   );
@@ -59,7 +59,7 @@
       res.on('data', (part: Buffer) => parts.push(part));
       res.on('end', () => {
         const bytes = Buffer.concat(parts);
-        const value = bytes.length > 0 ? decode(bytes) : {};
+        const value = bytes.length > 0 ? decodeCbor(bytes) : {};
         resolve({ status: res.statusCode ?? 0, headers: res.headers, body: value as Record<string, unknown> });
       });
     });
@@ -89,19 +89,19 @@
 };
 
 test('users: good and bad submissions, unknown paths, wrong methods', async () => {
-  const good = await ask('POST', '/v2/runs', encode(job));
+  const good = await ask('POST', '/v2/runs', encodeCbor(job));
   assert.equal(good.status, 201);
   assert.deepEqual(good.body, { ref: 'job-1', mood: 'queued', done: 0, running: 0 });
   for (const body of [
     Buffer.from('nonsense'),
-    encode([1]),
-    encode({}),
-    encode({ ...job, cpus: -1 }),
+    encodeCbor([1]),
+    encodeCbor({}),
+    encodeCbor({ ...job, cpus: -1 }),
     Buffer.alloc(0),
   ]) {
     assert.equal((await ask('POST', '/v2/runs', body)).status, 400);
   }
-  assert.equal((await ask('POST', '/v2/runs', encode({ ...job, pad: 'x'.repeat(70_000) }))).status, 400);
+  assert.equal((await ask('POST', '/v2/runs', encodeCbor({ ...job, pad: 'x'.repeat(70_000) }))).status, 400);
   assert.equal((await ask('GET', '/nowhere')).status, 404);
   assert.equal((await ask('GET', '/v2/runs/..%2f..')).status, 404);
   assert.equal((await ask('GET', '/v2/runs')).status, 405);
@@ -114,7 +114,7 @@
   const busy = await ask('GET', '/v2/runs/job-1');
   assert.equal(busy.status, 503);
   assert.equal(busy.headers['retry-after'], '1');
-  await ask('POST', '/v2/runs', encode({ ref: 'job-77' }));
+  await ask('POST', '/v2/runs', encodeCbor({ ref: 'job-77' }));
   assert.equal(seen.at(-1)?.id, 'job-77');
   await ask('POST', '/v2/runs/job-78/withdraw');
   assert.deepEqual(seen.at(-1), { op: 'cancel', id: 'job-78' });
@@ -122,12 +122,12 @@
 
 test('users: a service is taken with a run time of 0; one of an unknown shape, without a field or below zero is not', async () => {
   const service = { ...job, ref: 'job-77', shape: 'daemon', flight_s: 0, chicks: 3 };
-  assert.equal((await ask('POST', '/v2/runs', encode(service))).status, 201);
+  assert.equal((await ask('POST', '/v2/runs', encodeCbor(service))).status, 201);
   const taken = seen.at(-1);
   assert.ok(taken?.op === 'submit' && taken.spec?.kind === 'service' && taken.spec.estimatedRuntimeSeconds === 0);
   const { flight_s: _left, ...short } = service;
   for (const bad of [{ ...service, shape: 'demon' }, { ...service, chicks: 0 }, { ...service, flight_s: -1 }, short]) {
-    assert.equal((await ask('POST', '/v2/runs', encode(bad))).status, 400);
+    assert.equal((await ask('POST', '/v2/runs', encodeCbor(bad))).status, 400);
   }
 });
 
@@ -143,12 +143,13 @@
     crest: 0,
     chicks: [],
   };
-  const got = await ask('POST', '/agent/beat', encode(report));
+  const got = await ask('POST', '/agent/beat', encodeCbor(report));
   assert.deepEqual([got.status, got.body], [200, { crest: 5n, calls: [] }]);
   assert.equal(reports.at(-1)?.machine, 'i-1');
-  assert.equal((await ask('POST', '/agent/beat', encode({ ...report, roost: 'x' }))).status, 400);
+  assert.equal((await ask('POST', '/agent/beat', encodeCbor({ ...report, roost: 'x' }))).status, 400);
   const task = { chick: 'job-1/0', hop: 3, mood: 'running' };
-  const withTasks = (...chicks: unknown[]): Promise<Got> => ask('POST', '/agent/beat', encode({ ...report, chicks }));
+  const withTasks = (...chicks: unknown[]): Promise<Got> =>
+    ask('POST', '/agent/beat', encodeCbor({ ...report, chicks }));
   const taken = reports.length;
   assert.equal((await withTasks({ ...task, mood: 'dreaming' })).status, 400);
   assert.equal((await withTasks({ ...task, hop: undefined })).status, 400);
@@ -291,7 +292,7 @@
     const own = port;
     port = 18_080;
     const up = await ask('GET', '/up');
-    const submitted = await ask('POST', '/v2/runs', encode(job));
+    const submitted = await ask('POST', '/v2/runs', encodeCbor(job));
     port = own;
     assert.equal(up.status, 200);
     assert.equal(submitted.status, 503);
--- a/test/sim/build.ts
+++ b/test/sim/build.ts
@@ -6,7 +6,7 @@
 import type { PeerMessage } from '../../src/core/messages.js';
 import * as records from '../../src/core/records.js';
 import type { Tuning } from '../../src/core/settings.js';
-import { encodeFrame, FrameSplitter } from '../../src/io/peer/peer_codec.js';
+import { encodeFrame, FrameSplitter } from '../../src/io/peers/peer_codec.js';
 
 /** What a world asks of a build's controller; earlier builds keep no summary of recovery. */
 export type SimulatedController = Pick<Controller, 'step' | 'nextTimerAt' | 'isHealthy'> &
--- a/test/sim/controller.ts
+++ b/test/sim/controller.ts
@@ -18,8 +18,8 @@
   MonotonicTime,
   WallClockTime,
 } from '../../src/core/types.js';
-import { checkExpiry } from '../../src/io/expired_outputs.js';
-import type { FrameSplitter, PeerFrame } from '../../src/io/peer/peer_codec.js';
+import { checkExpiry } from '../../src/io/output_expiry.js';
+import type { FrameSplitter, PeerFrame } from '../../src/io/peers/peer_codec.js';
 import type { RecoverySummary } from '../../src/recovery/index.js';
 import { type Build, isPresent, type SimulatedController } from './build.js';
 import type { Cloud } from './cloud.js';
--- a/test/sim/meters.ts
+++ b/test/sim/meters.ts
@@ -1,5 +1,5 @@
 import type { Output, PeerMessage, StateStoreOperation } from '../../src/core/messages.js';
-import { encodeFrame } from '../../src/io/peer/peer_codec.js';
+import { encodeFrame } from '../../src/io/peers/peer_codec.js';
 import type { Clock } from './clock.js';
 
 /** The most of something in any one second. */
--- a/test/sim/old_versions.ts
+++ b/test/sim/old_versions.ts
@@ -5,7 +5,7 @@
 import type { Input, JobStatus, Output, PeerMessage, UserResponse } from '../../src/core/messages.js';
 import type { Tuning } from '../../src/core/settings.js';
 import type { ClockReading, MonotonicTime } from '../../src/core/types.js';
-import type { PeerFrame } from '../../src/io/peer/peer_codec.js';
+import type { PeerFrame } from '../../src/io/peers/peer_codec.js';
 import type { Build, SimulatedController } from './build.js';
 import { oldClockReading, oldInput, oldMessage, oldSettings, presentMessage, presentOutput } from './old_names.js';
 
@@ -52,7 +52,7 @@
   const part = async <T>(path: string): Promise<T> =>
     (await import(repositoryFile(`${directory}/build/${path}.js`).href)) as T;
   const { Node: nodeClass } = await part<Readonly<Record<'Node', OldNodeClass>>>('core/node');
-  const { encodeFrame, FrameSplitter: splitterClass } = await part<typeof import('../../src/io/peer/peer_codec.js')>(
+  const { encodeFrame, FrameSplitter: splitterClass } = await part<typeof import('../../src/io/peers/peer_codec.js')>(
     names === 'names-2' ? 'io/peer/peer_codec' : 'io/peer_codec',
   );
   const records = await part<Build['records']>('core/records');
--- a/test/sim/processes.ts
+++ b/test/sim/processes.ts
@@ -5,7 +5,7 @@
 import { tmpdir } from 'node:os';
 import { basename, dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { decode, encode } from '../../src/io/codecs/cbor.js';
+import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
 
 /* Real controller processes on loopback, and what talks to them. */
 
@@ -119,12 +119,12 @@
       answer.on('error', () => resolve(null));
       answer.on('end', () => {
         const bytes = Buffer.concat(parts);
-        const body = bytes.length > 0 ? (decode(bytes) as Record<string, unknown>) : {};
+        const body = bytes.length > 0 ? (decodeCbor(bytes) as Record<string, unknown>) : {};
         resolve({ status: answer.statusCode ?? 0, body });
       });
     });
     outgoing.on('error', () => resolve(null));
     outgoing.setTimeout(timeoutMs, () => outgoing.destroy());
-    outgoing.end(message === undefined ? undefined : encode(message));
+    outgoing.end(message === undefined ? undefined : encodeCbor(message));
   });
 }
--- a/test/sim/sample_messages.ts
+++ b/test/sim/sample_messages.ts
@@ -1,8 +1,8 @@
 import type { UserRequest, UserResponse } from '../../src/core/messages.js';
 import type { Attempt, ControllerName, FencingToken, MachineId } from '../../src/core/types.js';
-import { decodeJob } from '../../src/io/codecs/user_codec.js';
-import { decodeReport } from '../../src/io/codecs/worker_codec.js';
-import type { PeerFrame } from '../../src/io/peer/peer_codec.js';
+import type { PeerFrame } from '../../src/io/peers/peer_codec.js';
+import { decodeJobSpec } from '../../src/io/users/user_codec.js';
+import { decodeHeartbeat } from '../../src/io/workers/worker_codec.js';
 
 /** A submission as it comes over the wire. */
 export const job = {
@@ -45,7 +45,7 @@
   ],
 };
 
-export const spec = decodeJob(job);
+export const spec = decodeJobSpec(job);
 /** Frames between nodes of every kind, with every shape of their payloads. */
 export const frames: PeerFrame[] = [
   { kind: 'hello', node: 'perch-1' as ControllerName },
@@ -92,12 +92,12 @@
 ];
 
 frames.push(
-  { kind: 'report', id: 2 ** 50 + 1, heartbeat: decodeReport(report) },
+  { kind: 'report', id: 2 ** 50 + 1, heartbeat: decodeHeartbeat(report) },
   {
     kind: 'report',
     id: 11,
     heartbeat: {
-      ...decodeReport({ ...report, chicks: [] }),
+      ...decodeHeartbeat({ ...report, chicks: [] }),
       interruptionNoticeSeconds: 7.5,
       spot: false,
       fencingToken: ((1n << 64n) - 1n) as FencingToken,
--- a/test/sim/wire_services.ts
+++ b/test/sim/wire_services.ts
@@ -1,6 +1,6 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { decode, encode } from '../../src/io/codecs/cbor.js';
+import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
 
 /*
  * Stand-ins for the state service and the cloud that real processes can talk to: as little as a node needs to lead, in real
@@ -102,11 +102,11 @@
   private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const parts: Buffer[] = [];
     for await (const part of request) parts.push(part as Buffer);
-    const body = parts.length > 0 ? (decode(Buffer.concat(parts)) as Fields) : {};
+    const body = parts.length > 0 ? (decodeCbor(Buffer.concat(parts)) as Fields) : {};
     const url = new URL(request.url ?? '/', 'http://stand-in');
     const { status, body: answer } = await this.answer(request.method ?? 'GET', url, body);
     response.writeHead(status, { 'content-type': 'application/cbor' });
-    response.end(encode(answer));
+    response.end(encodeCbor(answer));
   }
 
   private async answer(method: string, url: URL, body: Fields): Promise<Answer> {
--- a/test/sim/wire_trace.ts
+++ b/test/sim/wire_trace.ts
@@ -1,12 +1,12 @@
 import { createHash, type Hash } from 'node:crypto';
 import { appendFileSync } from 'node:fs';
 import type { Output } from '../../src/core/messages.js';
-import { encode } from '../../src/io/codecs/cbor.js';
-import { encodeCloudCall } from '../../src/io/codecs/cloud_codec.js';
-import type { HttpCall } from '../../src/io/codecs/http_call.js';
-import { encodeStoreCall } from '../../src/io/codecs/store_codec.js';
-import { encodeUserAnswer } from '../../src/io/codecs/user_codec.js';
-import { COMMANDS_PATH, encodeCommands, encodeWorkerAnswer } from '../../src/io/codecs/worker_codec.js';
+import { encodeCloudRequest } from '../../src/io/cloud/cloud_codec.js';
+import type { HttpRequest } from '../../src/io/http/http_request.js';
+import { encodeStateStoreRequest } from '../../src/io/state_store/state_store_codec.js';
+import { encodeUserResponse } from '../../src/io/users/user_codec.js';
+import { encodeCbor } from '../../src/io/wire/cbor.js';
+import { COMMANDS_PATH, encodeHeartbeatResponse, encodePushedCommands } from '../../src/io/workers/worker_codec.js';
 import type { Build } from './build.js';
 
 const NO_BODY = Buffer.alloc(0);
@@ -18,8 +18,8 @@
   readonly body: Uint8Array;
 }
 
-function sentCall(to: string, { method, path, body }: HttpCall): Sent {
-  return { to, line: `${method} ${path}`, body: body === undefined ? NO_BODY : encode(body) };
+function sentCall(to: string, { method, path, body }: HttpRequest): Sent {
+  return { to, line: `${method} ${path}`, body: body === undefined ? NO_BODY : encodeCbor(body) };
 }
 
 /** Null for what doesn't leave the process. */
@@ -28,19 +28,23 @@
     case 'answerUser': {
       const retryAfterS = 'retryAfterSeconds' in output.response ? (output.response.retryAfterSeconds ?? 0) : 0;
       const line = `${output.response.status} ${retryAfterS}`;
-      return { to: 'user', line, body: encode(encodeUserAnswer(output.response)) };
+      return { to: 'user', line, body: encodeCbor(encodeUserResponse(output.response)) };
     }
     case 'answerWorker':
-      return { to: 'worker', line: `${output.response.status}`, body: encode(encodeWorkerAnswer(output.response)) };
+      return {
+        to: 'worker',
+        line: `${output.response.status}`,
+        body: encodeCbor(encodeHeartbeatResponse(output.response)),
+      };
     case 'store':
-      return sentCall('state', encodeStoreCall(output.operation));
+      return sentCall('state', encodeStateStoreRequest(output.operation));
     case 'cloud':
-      return sentCall('cloud', encodeCloudCall(output.operation));
+      return sentCall('cloud', encodeCloudRequest(output.operation));
     case 'worker':
       return sentCall(output.operation.address, {
         method: 'POST',
         path: COMMANDS_PATH,
-        body: encodeCommands(output.operation),
+        body: encodePushedCommands(output.operation),
       });
     case 'peer':
       return { to: output.recipient, line: 'frame', body: build.encodeFrame(build.ownMessage(output.message)) };
--- a/test/sim/wire_worker.ts
+++ b/test/sim/wire_worker.ts
@@ -1,6 +1,6 @@
 import { createServer, type IncomingMessage, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { decode, encode } from '../../src/io/codecs/cbor.js';
+import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
 import { call, type NodeAddress, pause } from './processes.js';
 
 /* A stand-in worker in real time, by the names on the wire: reports, tokens, leases, sessions, commands, tasks that run. */
@@ -82,7 +82,7 @@
     this.server = createServer((request, response) => {
       void this.onCommands(request).then(({ status, body }) => {
         response.writeHead(status, { 'content-type': 'application/cbor' });
-        response.end(encode(body));
+        response.end(encodeCbor(body));
       });
     });
   }
@@ -193,7 +193,7 @@
   private async onCommands(request: IncomingMessage): Promise<{ status: number; body: Fields }> {
     const parts: Buffer[] = [];
     for await (const part of request) parts.push(part as Buffer);
-    const body = decode(Buffer.concat(parts)) as Fields;
+    const body = decodeCbor(Buffer.concat(parts)) as Fields;
     const crest = BigInt(body.crest as number | bigint);
     const executed = crest >= this.crest && Number(body.roost) === this.roost;
     if (executed) {
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -3,15 +3,15 @@
 import { RangeSet } from '../src/core/jobs/range_set.js';
 import * as records from '../src/core/records.js';
 import type { ImageName, MachineId, MachineTypeName, WallClockTime, ZoneName } from '../src/core/types.js';
-import { decode, encode } from '../src/io/codecs/cbor.js';
-import { encodeFrame, FrameSplitter, type PeerFrame } from '../src/io/peer/peer_codec.js';
+import { encodeFrame, FrameSplitter, type PeerFrame } from '../src/io/peers/peer_codec.js';
+import { decodeCbor, encodeCbor } from '../src/io/wire/cbor.js';
 import type { Build } from './sim/build.js';
 import { oldJobRecord, oldMachineRecord } from './sim/old_names.js';
 import { loadOldVersions, oldFrame } from './sim/old_versions.js';
 import { frames, spec } from './sim/sample_messages.js';
 
 /** What the state service gives back of a value: it passes through CBOR twice. */
-const stored = (value: unknown): unknown => decode(encode(value));
+const stored = (value: unknown): unknown => decodeCbor(encodeCbor(value));
 
 const VALUE_BYTES = 8192;
 const oldVersions = await loadOldVersions();
