--- a/test/call_queue.test.ts
+++ b/test/call_queue.test.ts
@@ -10,7 +10,7 @@
 const PRIORITY = 2;
 const TICK_MS = 10;
 
-type Fate = 'sent' | 'given up';
+type Outcome = 'sent' | 'given up';
 
 interface Arrival {
   readonly afterMs: number;
@@ -18,10 +18,10 @@
 }
 
 /** Plays calls through a queue, and returns what became of each, and after how many milliseconds. */
-function play(arrivals: readonly Arrival[], refuseEarly: boolean): { fate: Fate; waitedMs: number }[] {
+function playArrivals(arrivals: readonly Arrival[], refuseEarly: boolean): { fate: Outcome; waitedMs: number }[] {
   const start = 0 as MonotonicTime;
   const queue = new CallQueue(new TokenBucket(RATE, RATE, start), new TokenBucket(RATE, RATE, start));
-  const fates: { fate: Fate; waitedMs: number }[] = [];
+  const fates: { fate: Outcome; waitedMs: number }[] = [];
   let now = 0;
   const advance = (ms: number): void => {
     for (const end = now + ms; now < end; now += TICK_MS) queue.dispatch(now as MonotonicTime);
@@ -29,7 +29,7 @@
   arrivals.forEach(({ afterMs, writes }, i) => {
     advance(afterMs);
     const cameAt = now;
-    const end = (fate: Fate) => (): void => {
+    const end = (fate: Outcome) => (): void => {
       fates[i] = { fate, waitedMs: now - cameAt };
     };
     const call = {
@@ -50,8 +50,8 @@
 
 test('calls that somebody waits for are refused at once if at all, and only those that would have expired', () => {
   const property = fc.property(fc.array(arrival, { maxLength: 120 }), (arrivals) => {
-    const early = play(arrivals, true);
-    const patient = play(arrivals, false);
+    const early = playArrivals(arrivals, true);
+    const patient = playArrivals(arrivals, false);
     early.forEach(({ fate, waitedMs }, i) => {
       if (fate === 'given up') assert.equal(waitedMs, 0, `call ${i} was held back for ${waitedMs} ms`);
       if (fate === 'given up') assert.equal(patient[i]?.fate, 'given up', `call ${i} would have been sent`);
@@ -64,7 +64,7 @@
 });
 
 test('a crowd of submissions is refused at once beyond what can be written in time', () => {
-  const fates = play(
+  const fates = playArrivals(
     Array.from({ length: 100 }, () => ({ afterMs: 0, writes: 1 })),
     true,
   );
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -15,11 +15,11 @@
 import { decodeCbor, encodeCbor } from '../src/io/wire/cbor.js';
 import { WireError } from '../src/io/wire/fields.js';
 import { decodeHeartbeat, encodeHeartbeatResponse } from '../src/io/workers/worker_codec.js';
-import { frames, job, report } from './sim/sample_messages.js';
+import { peerFrames, wireHeartbeat, wireJob } from './support/sample_messages.js';
 
 test('64-bit counts and tokens pass through CBOR whole', () => {
   const big = (1n << 64n) - 1n;
-  const there = decodeHeartbeat(decodeCbor(encodeCbor({ ...report, crest: big, chirp: (1n << 53n) + 1n })));
+  const there = decodeHeartbeat(decodeCbor(encodeCbor({ ...wireHeartbeat, crest: big, chirp: (1n << 53n) + 1n })));
   assert.equal(there.fencingToken, big);
   assert.equal(there.sequence, (1n << 53n) + 1n);
   const answer = encodeHeartbeatResponse({ status: 200, fencingToken: big as FencingToken, commands: [] });
@@ -27,15 +27,15 @@
 });
 
 test('a job and a report are read as typed values, unknown fields ignored', () => {
-  const spec = decodeJobSpec({ ...job, colour: 'green' });
+  const spec = decodeJobSpec({ ...wireJob, colour: 'green' });
   assert.equal(spec.kind, 'gang');
   assert.equal(spec.priorityLevel, 2);
   assert.equal(spec.deadlineSeconds, 900);
   assert.deepEqual(spec.allowedMachineTypes, ['g8']);
-  const decoded = decodeHeartbeat({ ...report, mystery: [1, 2] });
+  const decoded = decodeHeartbeat({ ...wireHeartbeat, mystery: [1, 2] });
   assert.equal(decoded.tasks.length, 2);
   assert.deepEqual([decoded.tasks[0]?.index, decoded.tasks[0]?.attempt, decoded.tasks[1]?.exitReason], [3, 2n, 'done']);
-  const { breeds: _, grove: __, due_s: ___, ...without } = job;
+  const { breeds: _, grove: __, due_s: ___, ...without } = wireJob;
   assert.equal(decodeJobSpec(without).allowedMachineTypes, null);
   assert.equal(decodeJobSpec(without).deadlineSeconds, null);
 });
@@ -57,14 +57,15 @@
     { same_place: 'yes' },
     { crew: undefined },
   ];
-  for (const wrong of bad) assert.throws(() => decodeJobSpec({ ...job, ...wrong }), WireError, JSON.stringify(wrong));
+  for (const wrong of bad)
+    assert.throws(() => decodeJobSpec({ ...wireJob, ...wrong }), WireError, JSON.stringify(wrong));
   for (const wrong of [
     { chicks: {} },
     { chicks: [{ chick: 'job-1', hop: 1, mood: 'running' }] },
     { crest: -1 },
     { chirp: 'x' },
   ]) {
-    assert.throws(() => decodeHeartbeat({ ...report, ...wrong }), WireError, JSON.stringify(wrong));
+    assert.throws(() => decodeHeartbeat({ ...wireHeartbeat, ...wrong }), WireError, JSON.stringify(wrong));
   }
   assert.throws(() => decodeHeartbeat(null), WireError);
 });
@@ -126,17 +127,17 @@
 });
 
 test('peer frames come back as they went, however the stream is cut', () => {
-  const stream = Buffer.concat(frames.map(encodeFrame));
+  const stream = Buffer.concat(peerFrames.map(encodeFrame));
   for (const size of [1, 3, 7, 64, stream.length]) {
     const splitter = new FrameSplitter();
     const got: PeerFrame[] = [];
     for (let i = 0; i < stream.length; i += size) got.push(...splitter.push(stream.subarray(i, i + size)));
-    assert.deepEqual(got, frames);
+    assert.deepEqual(got, peerFrames);
   }
 });
 
 test('peer frames out of bounds or cut short are refused; unknown kinds and versions are passed over, and the link goes on', () => {
-  const good = encodeFrame(frames[0] as PeerFrame);
+  const good = encodeFrame(peerFrames[0] as PeerFrame);
   const long = Buffer.from(good);
   long.writeUInt32BE(MAX_FRAME_BYTES + 1, 0);
   const other = Buffer.from(good);
@@ -149,11 +150,11 @@
   for (const frame of [long, short]) assert.throws(() => new FrameSplitter().push(frame));
   for (const frame of [other, kind]) {
     const splitter = new FrameSplitter();
-    assert.deepEqual(splitter.push(Buffer.concat([good, frame, good])), [frames[0], frames[0]]);
+    assert.deepEqual(splitter.push(Buffer.concat([good, frame, good])), [peerFrames[0], peerFrames[0]]);
     assert.equal(splitter.skipped, 1);
   }
   // What a later build adds at the end of a payload is not read, and not an error.
   const longer = Buffer.concat([good, Buffer.from([1, 2, 3])]);
   longer.writeUInt32BE(longer.length - 4, 0);
-  assert.deepEqual(new FrameSplitter().push(longer), [frames[0]]);
+  assert.deepEqual(new FrameSplitter().push(longer), [peerFrames[0]]);
 });
--- a/test/cold_start_process.test.ts
+++ b/test/cold_start_process.test.ts
@@ -1,9 +1,17 @@
 import assert from 'node:assert/strict';
 import type { ChildProcess } from 'node:child_process';
 import { test } from 'node:test';
-import { addressOf, call, type NodeAddress, pause, settingsFile, startNode, until } from './sim/processes.js';
-import { WireServices } from './sim/wire_services.js';
-import { WireWorker, WorkRecord } from './sim/wire_worker.js';
+import { FakeServices } from './support/fake_services.js';
+import { FakeWorker, WorkLog } from './support/fake_worker.js';
+import {
+  allocateAddress,
+  type ControllerAddress,
+  pause,
+  sendRequest,
+  startController,
+  waitUntil,
+  writeSettingsFile,
+} from './support/processes.js';
 
 /*
  * The built program, started as deploy/service.toml says, on loopback: three controllers are killed together in the middle of
@@ -11,10 +19,10 @@
  */
 
 const ZONE = 'north';
-const LEASE_S = 10;
-const REPORT_S = 0.5;
+const LEASE_SECONDS = 10;
+const HEARTBEAT_SECONDS = 0.5;
 const WORKERS = 6;
-const NODES = ['node-a', 'node-b', 'node-c'];
+const CONTROLLERS = ['node-a', 'node-b', 'node-c'];
 
 interface JobOptions {
   readonly id: string;
@@ -23,65 +31,65 @@
 }
 
 /** Three controllers, six workers, a state service and a cloud that rents nothing. */
-class Site {
-  readonly record = new WorkRecord();
-  readonly workers: WireWorker[] = [];
+class RealCluster {
+  readonly log = new WorkLog();
+  readonly workers: FakeWorker[] = [];
   /** Every state that any node has told of a job, in order. */
-  readonly told = new Map<string, string[]>();
-  private readonly services = new WireServices(ZONE);
+  readonly statesByJob = new Map<string, string[]>();
+  private readonly services = new FakeServices(ZONE);
   private readonly runMs = new Map<string, number>();
-  private nodes: NodeAddress[] = [];
-  private files: string[] = [];
+  private controllers: ControllerAddress[] = [];
+  private settingsFiles: string[] = [];
   private processes: ChildProcess[] = [];
 
   async start(): Promise<void> {
     const servicesPort = await this.services.start();
-    this.nodes = await Promise.all(NODES.map(addressOf));
-    this.files = this.nodes.map((own) =>
-      settingsFile(
+    this.controllers = await Promise.all(CONTROLLERS.map(allocateAddress));
+    this.settingsFiles = this.controllers.map((own) =>
+      writeSettingsFile(
         own,
-        this.nodes.filter((node) => node !== own),
+        this.controllers.filter((node) => node !== own),
         servicesPort,
-        { leaseS: LEASE_S, reportS: REPORT_S },
+        { leaseSeconds: LEASE_SECONDS, heartbeatSeconds: HEARTBEAT_SECONDS },
       ),
     );
-    this.startNodes();
-    await until('a leader', () => this.services.leader() !== null);
+    this.startControllers();
+    await waitUntil('a leader', () => this.services.leader() !== null);
     for (let i = 0; i < WORKERS; i++) await this.addWorker(`i-00000${i}`);
   }
 
   private async addWorker(id: string): Promise<void> {
-    const options = { id, zone: ZONE, reportMs: REPORT_S * 1000, leaseMs: LEASE_S * 1000 };
+    const options = { id, zone: ZONE, heartbeatMs: HEARTBEAT_SECONDS * 1000, leaseMs: LEASE_SECONDS * 1000 };
     const runMs = (job: string): number => this.runMs.get(job) ?? 1000;
-    const worker = new WireWorker({ ...options, runMs }, this.nodes, this.record);
+    const worker = new FakeWorker({ ...options, runMs }, this.controllers, this.log);
     await worker.start();
     this.workers.push(worker);
     this.services.addMachine(id, worker.address, () => this.loseWorker(worker));
   }
 
-  loseWorker(worker: WireWorker): void {
+  loseWorker(worker: FakeWorker): void {
     worker.stop();
     this.services.removeMachine(worker.id);
     const index = this.workers.indexOf(worker);
     if (index >= 0) this.workers.splice(index, 1);
   }
 
-  startNodes(): void {
-    this.processes = this.files.map(startNode);
+  startControllers(): void {
+    this.processes = this.settingsFiles.map(startController);
   }
 
   /** All at once, by their ids, without a word. */
-  async killNodes(): Promise<void> {
+  async killControllers(): Promise<void> {
     const ended = this.processes.map((child) => new Promise((resolve) => child.once('exit', resolve)));
     for (const child of this.processes) child.kill('SIGKILL');
     await Promise.all(ended);
   }
 
   /** A new leader whose token every worker shows. */
-  async untilRecovered(): Promise<void> {
-    await until('all workers know the leader', () => {
-      const token = this.services.leaderToken();
-      return token !== null && this.workers.every((worker) => worker.knowsToken(token));
+  async waitUntilRecovered(): Promise<void> {
+    await waitUntil('all workers know the leader', () => {
+      const token = this.services.leaderFencingToken();
+      return token !== null && this.workers.every((worker) => worker.hasFencingToken(token));
     });
   }
 
@@ -99,32 +107,33 @@
       ...needs,
       ...wishes,
     };
-    await until(`${id} is accepted`, async () => {
-      const reply = await call(this.nodes[0]?.port ?? 0, 'POST', '/v2/runs', job, 5000);
+    await waitUntil(`${id} is accepted`, async () => {
+      const reply = await sendRequest(this.controllers[0]?.port ?? 0, 'POST', '/v2/runs', job, 5000);
       return reply?.status === 200 || reply?.status === 201;
     });
   }
 
   /** Asks every node for every job, and writes down what it says. */
-  async askAll(ids: readonly string[]): Promise<void> {
-    for (const { port } of this.nodes) {
+  async pollAll(ids: readonly string[]): Promise<void> {
+    for (const { port } of this.controllers) {
       for (const id of ids) {
-        const reply = await call(port, 'GET', `/v2/runs/${id}`, undefined, 2000);
+        const reply = await sendRequest(port, 'GET', `/v2/runs/${id}`, undefined, 2000);
         assert.notEqual(reply?.status, 404, `${id} answered 404`);
-        if (reply?.status === 200) this.told.set(id, [...(this.told.get(id) ?? []), String(reply.body.mood)]);
+        if (reply?.status === 200)
+          this.statesByJob.set(id, [...(this.statesByJob.get(id) ?? []), String(reply.body.mood)]);
       }
     }
   }
 
-  async untilDone(ids: readonly string[]): Promise<void> {
-    await until(
+  async waitUntilDone(ids: readonly string[]): Promise<void> {
+    await waitUntil(
       `${ids.join(' ')} done on every node`,
       async () => {
-        await this.askAll(ids);
+        await this.pollAll(ids);
         return ids.every((id) =>
-          this.told
+          this.statesByJob
             .get(id)
-            ?.slice(-NODES.length)
+            ?.slice(-CONTROLLERS.length)
             .every((mood) => mood === 'done'),
         );
       },
@@ -133,95 +142,96 @@
   }
 
   /** A job that was once called done is never called anything else. */
-  checkAnswers(): void {
-    for (const [id, moods] of this.told) {
+  assertStatesFinal(): void {
+    for (const [id, moods] of this.statesByJob) {
       const first = moods.indexOf('done');
       assert.ok(first >= 0, `${id} was never called done`);
       assert.deepEqual([...new Set(moods.slice(first))], ['done'], id);
     }
   }
 
-  timesCompleted(id: string): number[] {
-    return [...this.record.completed].filter(([task]) => task.startsWith(`${id}/`)).map(([, times]) => times);
+  completionCounts(id: string): number[] {
+    return [...this.log.completionsByTask].filter(([task]) => task.startsWith(`${id}/`)).map(([, times]) => times);
   }
 
-  async end(): Promise<void> {
+  async stop(): Promise<void> {
     for (const child of this.processes) child.kill('SIGKILL');
     for (const worker of this.workers) worker.stop();
     this.services.stop();
   }
 }
 
-async function withSite(play: (site: Site) => Promise<void>): Promise<void> {
-  const site = new Site();
+async function withCluster(play: (site: RealCluster) => Promise<void>): Promise<void> {
+  const site = new RealCluster();
   try {
     await site.start();
     await play(site);
   } finally {
-    await site.end();
+    await site.stop();
   }
 }
 
 test('killed and back within a lease with nothing in disagreement: workers are told nothing', () =>
-  withSite(async (site) => {
-    const { record } = site;
+  withCluster(async (site) => {
+    const { log } = site;
     await site.submit({ id: 'job-1', tasks: 12, cpus: 4 }, 12_000);
-    await until('all tasks run', () => record.liveTasks() === 12);
-    record.resetOrders();
-    await site.killNodes();
+    await waitUntil('all tasks run', () => log.runningTasks() === 12);
+    log.resetCommands();
+    await site.killControllers();
     await pause(2000);
-    site.startNodes();
-    await site.untilRecovered();
+    site.startControllers();
+    await site.waitUntilRecovered();
     await pause(1500);
-    assert.deepEqual(record.orders, { run: 0, stop: 0, reap: 0 });
-    await site.untilDone(['job-1']);
-    site.checkAnswers();
-    assert.deepEqual(site.timesCompleted('job-1'), Array(12).fill(1));
-    assert.equal(Math.max(...record.begun.values()), 1);
-    assert.deepEqual(record.ranTwice, []);
-    assert.deepEqual(record.leasesLost, []);
+    assert.deepEqual(log.commands, { run: 0, stop: 0, reap: 0 });
+    await site.waitUntilDone(['job-1']);
+    site.assertStatesFinal();
+    assert.deepEqual(site.completionCounts('job-1'), Array(12).fill(1));
+    assert.equal(Math.max(...log.startsByTask.values()), 1);
+    assert.deepEqual(log.concurrentRuns, []);
+    assert.deepEqual(log.expiredLeases, []);
   }));
 
 test('tasks end and a machine vanishes while no controller is up: one final answer, nothing done twice', () =>
-  withSite(async (site) => {
-    const { record } = site;
+  withCluster(async (site) => {
+    const { log } = site;
     await site.submit({ id: 'job-2', tasks: 6, cpus: 4 }, 60_000);
-    await until('job-2 runs', () => record.liveTasks() === 6);
+    await waitUntil('job-2 runs', () => log.runningTasks() === 6);
     await site.submit({ id: 'job-1', tasks: 6, cpus: 4 }, 5000);
-    await until('both jobs run', () => record.liveTasks() === 12);
+    await waitUntil('both jobs run', () => log.runningTasks() === 12);
     // All machines are full: it waits until the controllers are back.
     await site.submit({ id: 'job-3', tasks: 9, cpus: 2 }, 1000);
-    await site.killNodes();
-    record.resetOrders();
+    await site.killControllers();
+    log.resetCommands();
     const [vanishing] = site.workers;
     assert.ok(vanishing);
     const lost = vanishing.taskNames;
     site.loseWorker(vanishing);
-    await until('the tasks of job-1 that were left have ended', () => {
+    await waitUntil('the tasks of job-1 that were left have ended', () => {
       const left = 6 - lost.filter((task) => task.startsWith('job-1/')).length;
-      return site.timesCompleted('job-1').length === left;
+      return site.completionCounts('job-1').length === left;
     });
-    site.startNodes();
-    await site.untilDone(['job-1', 'job-3']);
-    site.checkAnswers();
-    assert.deepEqual(site.timesCompleted('job-1'), Array(6).fill(1));
-    assert.deepEqual(site.timesCompleted('job-3'), Array(9).fill(1));
-    for (const [task, times] of record.begun) assert.ok(times <= (lost.includes(task) ? 2 : 1), `${task}: ${times}`);
-    assert.equal(record.orders.stop, 0);
-    assert.deepEqual(record.ranTwice, []);
-    assert.deepEqual(record.leasesLost, []);
+    site.startControllers();
+    await site.waitUntilDone(['job-1', 'job-3']);
+    site.assertStatesFinal();
+    assert.deepEqual(site.completionCounts('job-1'), Array(6).fill(1));
+    assert.deepEqual(site.completionCounts('job-3'), Array(9).fill(1));
+    for (const [task, times] of log.startsByTask)
+      assert.ok(times <= (lost.includes(task) ? 2 : 1), `${task}: ${times}`);
+    assert.equal(log.commands.stop, 0);
+    assert.deepEqual(log.concurrentRuns, []);
+    assert.deepEqual(log.expiredLeases, []);
   }));
 
 test('away for longer than a lease: sessions have moved on, all begins anew and ends once', () =>
-  withSite(async (site) => {
-    const { record } = site;
+  withCluster(async (site) => {
+    const { log } = site;
     await site.submit({ id: 'job-1', tasks: 6, cpus: 4 }, 4000);
-    await until('all tasks run', () => record.liveTasks() === 6);
-    await site.killNodes();
-    await until('all leases have ended', () => site.workers.every((worker) => worker.session > 1));
-    site.startNodes();
-    await site.untilDone(['job-1']);
-    site.checkAnswers();
-    assert.ok(Math.max(...record.begun.values()) <= 2);
-    assert.deepEqual(record.ranTwice, []);
+    await waitUntil('all tasks run', () => log.runningTasks() === 6);
+    await site.killControllers();
+    await waitUntil('all leases have ended', () => site.workers.every((worker) => worker.currentAgentEpoch > 1));
+    site.startControllers();
+    await site.waitUntilDone(['job-1']);
+    site.assertStatesFinal();
+    assert.ok(Math.max(...log.startsByTask.values()) <= 2);
+    assert.deepEqual(log.concurrentRuns, []);
   }));
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -31,7 +31,7 @@
   ZoneName,
 } from '../src/core/types.js';
 import { revision } from '../src/core/types.js';
-import { makeSpec } from './sim/job_options.js';
+import { makeJobSpec } from './sim/job_options.js';
 import { tuning } from './sim/scenario.js';
 
 test('range sets: any order of additions gives the same few ranges', () => {
@@ -78,7 +78,7 @@
 
 test('estimates: a class that runs long is expected to, with care while little was seen', () => {
   const estimates = new RuntimeEstimator();
-  const spec = makeSpec('job-1', 'array', { estimate: '10' });
+  const spec = makeJobSpec('job-1', 'array', { estimate: '10' });
   assert.equal(estimates.expectedSeconds(spec), 10);
   estimates.observe(spec, 40);
   const once = estimates.expectedSeconds(spec);
@@ -88,8 +88,8 @@
 });
 
 test('ranking: at the same wait a step of priority makes up for four times the size', () => {
-  const low = makeSpec('job-1', 'array', { cpus: '1', estimate: '10', rank: '0' });
-  const high = makeSpec('job-2', 'array', { cpus: '3', estimate: '10', rank: '1' });
+  const low = makeJobSpec('job-1', 'array', { cpus: '1', estimate: '10', rank: '0' });
+  const high = makeJobSpec('job-2', 'array', { cpus: '3', estimate: '10', rank: '1' });
   assert.ok(rankingScore(high, 1, 10, 100, 4) < rankingScore(low, 1, 10, 100, 4));
   assert.ok(rankingScore(high, 1, 10, 0, 4) > rankingScore(low, 1, 10, 0, 4));
 });
@@ -131,13 +131,13 @@
 });
 
 test('ranking: small and short first, and waiting makes up for size', () => {
-  const small = makeSpec('job-1', 'array', { cpus: '1', estimate: '10' });
-  const large = makeSpec('job-2', 'gang', { gpus: '4', estimate: '100' });
+  const small = makeJobSpec('job-1', 'array', { cpus: '1', estimate: '10' });
+  const large = makeJobSpec('job-2', 'gang', { gpus: '4', estimate: '100' });
   assert.ok(rankingScore(small, 1, 10, 0, 2) < rankingScore(large, 2, 100, 0, 2));
   assert.ok(rankingScore(small, 1, 10, 0, 2) > rankingScore(large, 2, 100, 600, 2));
 });
 
-const type = (name: string, cpus: number, gpus: number): MachineType => ({
+const makeMachineType = (name: string, cpus: number, gpus: number): MachineType => ({
   name: name as MachineTypeName,
   cpus,
   gpus,
@@ -150,7 +150,7 @@
   zones: ['a' as ZoneName],
 });
 
-function machine(index: number, zone: string, type: MachineType, freeCpus: number, fetchS = 0): PlanMachine {
+function makePlanMachine(index: number, zone: string, type: MachineType, freeCpus: number, fetchS = 0): PlanMachine {
   return {
     index,
     zone: zone as ZoneName,
@@ -169,7 +169,7 @@
   };
 }
 
-function planJob(index: number, over: Partial<PlanJob>): PlanJob {
+function makePlanJob(index: number, over: Partial<PlanJob>): PlanJob {
   return {
     index,
     isGang: false,
@@ -196,11 +196,11 @@
   };
 }
 
-const planner = (): Planner => new Planner({ averageWait: 1, maximumWait: 1, idleShare: 1 });
+const makePlanner = (): Planner => new Planner({ averageWait: 1, maximumWait: 1, idleShare: 1 });
 const zoneA = 'a' as ZoneName;
 const zoneB = 'b' as ZoneName;
 
-const machineOf = (
+const makeMachine = (
   id: string,
   address: string,
   phase: 'booting' | 'up',
@@ -209,7 +209,7 @@
 ): Machine =>
   new Machine({
     id: id as MachineId,
-    type: type('g4', 24, 4),
+    type: makeMachineType('g4', 24, 4),
     zone: zoneA,
     spot: false,
     address,
@@ -221,25 +221,25 @@
 
 test('machines: a machine known only from a report or a list gets no work before it has shown that it hears us', () => {
   const now = 1000 as MonotonicTime;
-  const reported = machineOf('i-1', 'i-1', 'up', now, false);
+  const reported = makeMachine('i-1', 'i-1', 'up', now, false);
   assert.equal(reported.isSchedulable(now, 2000), false);
   reported.confirmReachable();
   assert.equal(reported.isSchedulable(now, 2000), true);
   // What we rented ourselves can't be a late copy of something gone.
-  const rented = machineOf('i-2', '', 'booting', now, true);
+  const rented = makeMachine('i-2', '', 'booting', now, true);
   rented.phase = 'up';
   assert.equal(rented.isSchedulable(now, 2000), true);
   // A list is late: what it shows as booting may be gone as well.
-  const listed = machineOf('i-3', '', 'booting', now, false);
+  const listed = makeMachine('i-3', '', 'booting', now, false);
   listed.phase = 'up';
   assert.equal(listed.isSchedulable(now, 2000), false);
 });
 
 test('planner: filling free room looks only where something could begin, and ends with its steps', () => {
-  const machines = Array.from({ length: 300 }, (_, i) => machine(i, 'a', type('g4', 24, 4), 24));
-  const jobs = Array.from({ length: 200 }, (_, i) => planJob(i, { cpus: 2, gpus: 4 }));
+  const machines = Array.from({ length: 300 }, (_, i) => makePlanMachine(i, 'a', makeMachineType('g4', 24, 4), 24));
+  const jobs = Array.from({ length: 200 }, (_, i) => makePlanJob(i, { cpus: 2, gpus: 4 }));
   const fill = (steps: number): { steps: number; starts: number } => {
-    const evolution = planner();
+    const evolution = makePlanner();
     const plan = evolution.plan(machines, [], null);
     const starts = evolution.backfill(plan, jobs, steps).length;
     return { steps: evolution.steps, starts };
@@ -254,59 +254,63 @@
 });
 
 test('planner: earliest start counts the image fetch; ties go to the machine with least room', () => {
-  const eightCores = type('c8', 8, 0);
-  const cached = planner().plan(
-    [machine(0, 'a', eightCores, 8, 30), machine(1, 'a', eightCores, 8, 0)],
-    [planJob(0, {})],
+  const eightCores = makeMachineType('c8', 8, 0);
+  const cached = makePlanner().plan(
+    [makePlanMachine(0, 'a', eightCores, 8, 30), makePlanMachine(1, 'a', eightCores, 8, 0)],
+    [makePlanJob(0, {})],
     [zoneA],
   );
   assert.equal(cached.starts[0]?.machine, 1);
-  const tight = planner().plan(
-    [machine(0, 'a', eightCores, 8), machine(1, 'a', eightCores, 3)],
-    [planJob(0, {})],
+  const tight = makePlanner().plan(
+    [makePlanMachine(0, 'a', eightCores, 8), makePlanMachine(1, 'a', eightCores, 3)],
+    [makePlanJob(0, {})],
     [zoneA],
   );
   assert.equal(tight.starts[0]?.machine, 1);
 });
 
 test('planner: of very many machines those that are not open to a job do not stand in for those that are', () => {
-  const eightCores = type('c8', 8, 0);
-  const fourGpus = type('g4', 24, 4);
+  const eightCores = makeMachineType('c8', 8, 0);
+  const fourGpus = makeMachineType('g4', 24, 4);
   const unused = Array.from({ length: 500 }, (_, slot) => ({
-    ...machine(slot, 'a', fourGpus, 24),
+    ...makePlanMachine(slot, 'a', fourGpus, 24),
     servesGpuWork: false,
   }));
-  const cores = Array.from({ length: 400 }, (_, i) => machine(500 + i, 'a', eightCores, 8));
-  const job = planJob(0, { tasks: 40, fitsTypesWithoutGpus: true, penaltyFactor: 1 });
-  const plan = planner().plan([...unused, ...cores], [job], [zoneA]);
+  const cores = Array.from({ length: 400 }, (_, i) => makePlanMachine(500 + i, 'a', eightCores, 8));
+  const job = makePlanJob(0, { tasks: 40, fitsTypesWithoutGpus: true, penaltyFactor: 1 });
+  const plan = makePlanner().plan([...unused, ...cores], [job], [zoneA]);
   assert.equal(plan.unplacedTasks.size, 0);
   assert.ok(plan.starts.every((start) => start.machine >= 500));
-  const bound = planJob(0, {
+  const bound = makePlanJob(0, {
     tasks: 40,
     types: ['c8' as MachineTypeName],
     fitsTypesWithoutGpus: true,
     penaltyFactor: 0,
   });
-  const boundPlan = planner().plan([...unused, ...cores], [bound], [zoneA]);
+  const boundPlan = makePlanner().plan([...unused, ...cores], [bound], [zoneA]);
   assert.equal(boundPlan.unplacedTasks.size, 0);
 });
 
 test('planner: work without GPUs takes of a GPU machine only what GPU work cannot use', () => {
-  const fourGpus = type('g4', 24, 4);
-  const tight = { ...machine(0, 'a', fourGpus, 24), spareCpus: 3 };
-  const plan = planner().plan([tight], [planJob(0, { tasks: 8 })], [zoneA]);
+  const fourGpus = makeMachineType('g4', 24, 4);
+  const tight = { ...makePlanMachine(0, 'a', fourGpus, 24), spareCpus: 3 };
+  const plan = makePlanner().plan([tight], [makePlanJob(0, { tasks: 8 })], [zoneA]);
   assert.equal(
     plan.starts.reduce((n, start) => n + start.tasks, 0),
     3,
   );
-  const gpus = planner().plan([tight], [planJob(0, { tasks: 4, gpus: 1, cpus: 6 })], [zoneA]);
+  const gpus = makePlanner().plan([tight], [makePlanJob(0, { tasks: 4, gpus: 1, cpus: 6 })], [zoneA]);
   assert.equal(gpus.starts[0]?.tasks, 4);
 });
 
 test('planner: a gang waits for room for all of it, and later jobs don’t take that room', () => {
-  const eightCores = type('c8', 8, 0);
-  const jobs = [planJob(0, { isGang: true, tasks: 2, cpus: 8 }), planJob(1, { cpus: 8, durationSeconds: 60 })];
-  const plan = planner().plan([machine(0, 'a', eightCores, 8), machine(1, 'a', eightCores, 2)], jobs, [zoneA, zoneA]);
+  const eightCores = makeMachineType('c8', 8, 0);
+  const jobs = [makePlanJob(0, { isGang: true, tasks: 2, cpus: 8 }), makePlanJob(1, { cpus: 8, durationSeconds: 60 })];
+  const plan = makePlanner().plan(
+    [makePlanMachine(0, 'a', eightCores, 8), makePlanMachine(1, 'a', eightCores, 2)],
+    jobs,
+    [zoneA, zoneA],
+  );
   const gang = plan.starts.filter((start) => start.job === 0);
   assert.deepEqual(
     gang.map((start) => start.startAtS),
@@ -316,26 +320,33 @@
 });
 
 test('planner: a spread job keeps to its zones’ limits', () => {
-  const eightCores = type('c8', 8, 0);
+  const eightCores = makeMachineType('c8', 8, 0);
   const zoneAllowance = new Map([
     [zoneA, 3],
     [zoneB, 3],
   ]);
-  const job = planJob(0, { tasks: 5, feasibleZones: [zoneA, zoneB], zoneAllowance });
-  const plan = planner().plan([machine(0, 'a', eightCores, 8), machine(1, 'b', eightCores, 8)], [job], [zoneA]);
+  const job = makePlanJob(0, { tasks: 5, feasibleZones: [zoneA, zoneB], zoneAllowance });
+  const plan = makePlanner().plan(
+    [makePlanMachine(0, 'a', eightCores, 8), makePlanMachine(1, 'b', eightCores, 8)],
+    [job],
+    [zoneA],
+  );
   const inA = plan.starts.filter((start) => start.machine === 0).reduce((n, start) => n + start.tasks, 0);
   assert.equal(inA, 3);
 });
 
 test('evolution: finds the zones that end waits, the same way for the same seed, within its plan steps', () => {
-  const eightCores = type('c8', 8, 0);
-  const machines = [machine(0, 'a', eightCores, 8), machine(1, 'b', eightCores, 8)];
+  const eightCores = makeMachineType('c8', 8, 0);
+  const machines = [makePlanMachine(0, 'a', eightCores, 8), makePlanMachine(1, 'b', eightCores, 8)];
   const jobs = Array.from({ length: 8 }, (_, i) =>
-    planJob(i, { cpus: 2, durationSeconds: 30, feasibleZones: [zoneA, zoneB] }),
+    makePlanJob(i, { cpus: 2, durationSeconds: 30, feasibleZones: [zoneA, zoneB] }),
   );
   const settings = { individuals: 20, generations: 15, mutation: 0.1, planSteps: 1_000_000 };
   const search = (seed: number, steps = 1_000_000) =>
-    new EvolutionarySearch(planner(), xoroshiro128plus(seed), { ...settings, planSteps: steps }).search(machines, jobs);
+    new EvolutionarySearch(makePlanner(), xoroshiro128plus(seed), { ...settings, planSteps: steps }).search(
+      machines,
+      jobs,
+    );
   const best = search(1);
   assert.ok(best.starts.every((start) => start.startAtS === 0));
   assert.equal(search(1).cost, best.cost);
@@ -353,11 +364,11 @@
     page.machines.map(({ id }) => id),
     ['i-1'],
   );
-  const restored = machineOf('i-1', 'i-1', 'up', 0 as MonotonicTime, false);
+  const restored = makeMachine('i-1', 'i-1', 'up', 0 as MonotonicTime, false);
   registry.restore(restored, 'm/0');
   assert.equal(restored.registered, true);
   registry.add(restored);
-  registry.add(machineOf('i-2', 'i-2', 'up', 0 as MonotonicTime, false));
+  registry.add(makeMachine('i-2', 'i-2', 'up', 0 as MonotonicTime, false));
   const due = registry.duePages(0 as MonotonicTime, true);
   assert.deepEqual(
     due.map(({ index }) => index),
@@ -368,10 +379,16 @@
 });
 
 test('planner: a gang begins to fetch where there is room rather than wait for what is expected to end', () => {
-  const fourGpus = type('g4', 24, 4);
-  const fetching = { ...machine(0, 'a', fourGpus, 24, 40), gpus: [4] };
-  const holding = { ...machine(1, 'a', fourGpus, 0, 0), times: [0, 20], cpus: [0, 24], gpus: [0, 4], memGb: [0, 144] };
-  const gang = planJob(0, { isGang: true, gpus: 4, cpus: 20 });
+  const fourGpus = makeMachineType('g4', 24, 4);
+  const fetching = { ...makePlanMachine(0, 'a', fourGpus, 24, 40), gpus: [4] };
+  const holding = {
+    ...makePlanMachine(1, 'a', fourGpus, 0, 0),
+    times: [0, 20],
+    cpus: [0, 24],
+    gpus: [0, 4],
+    memGb: [0, 144],
+  };
+  const gang = makePlanJob(0, { isGang: true, gpus: 4, cpus: 20 });
   const penalties = { ...NO_PENALTIES, futureDiscount: 0.5 };
   const chosen = (gangFutureDiscount: number): number | undefined =>
     new Planner({ averageWait: 1, maximumWait: 1, idleShare: 1 }, { ...penalties, gangFutureDiscount }).plan(
@@ -397,7 +414,7 @@
   const settings = { controllerCount: 1, teamQuotas: [], stateStore, cloud } as unknown as Settings;
   const cluster = new Cluster(new StepContext(settings, tuning, now), 1);
   const gang = (id: string, waitedS: number): Job => {
-    const spec = { ...makeSpec(id, 'gang', { tasks: '2', gpus: '4' }) };
+    const spec = { ...makeJobSpec(id, 'gang', { tasks: '2', gpus: '4' }) };
     const submittedAt = (now.wallClock - waitedS * 1000) as WallClockTime;
     return new Job(
       { spec, submittedAt, state: 'accepted', startTerm: 0, startZone: null, startZones: null, done: new RangeSet() },
@@ -405,7 +422,7 @@
     );
   };
   const jobs = [gang('job-1', 130), gang('job-2', 200), gang('job-3', 20)];
-  const machines = [0, 1, 2, 3, 4, 5].map((i) => machineOf(`i-${i}`, '', 'up', now.monotonic, false));
+  const machines = [0, 1, 2, 3, 4, 5].map((i) => makeMachine(`i-${i}`, '', 'up', now.monotonic, false));
   const starts = machines.map((_, slot) => ({
     job: Math.floor(slot / 2),
     machine: slot,
@@ -422,7 +439,7 @@
 
 test('records: the zones of a job are kept only where its record has room for all of them', () => {
   const zones = ['north', 'south'] as ZoneName[];
-  const spec = makeSpec('job-1', 'array', { tasks: '4' });
+  const spec = makeJobSpec('job-1', 'array', { tasks: '4' });
   const record = { spec, submittedAt: 1 as WallClockTime, state: 'accepted', startTerm: 1, startZone: zoneA } as const;
   const full = { ...record, startZones: zones, done: new RangeSet() };
   const bytes = JSON.stringify(encodeJob(full, 8192)).length;
--- a/test/golden/http_cases.ts
+++ b/test/golden/http_cases.ts
@@ -7,7 +7,7 @@
 import { createHttpServer } from '../../src/io/http/http_server.js';
 import { encodeFrame } from '../../src/io/peers/peer_codec.js';
 import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
-import { job as submission, report as workerReport } from '../sim/sample_messages.js';
+import { wireJob as submission, wireHeartbeat as workerReport } from '../support/sample_messages.js';
 import { cborEntry, type Golden, GoldenFile, hex } from './golden_file.js';
 import { gangSpec } from './samples.js';
 
--- a/test/golden/leader_records.ts
+++ b/test/golden/leader_records.ts
@@ -11,7 +11,7 @@
 } from '../../src/core/types.js';
 import { encodeStateStoreRequest } from '../../src/io/state_store/state_store_codec.js';
 import { encodeCbor } from '../../src/io/wire/cbor.js';
-import { PRESENT } from '../sim/build.js';
+import { CURRENT_BUILD } from '../sim/build.js';
 import { makeSettings } from '../sim/world.js';
 import { cborEntry, type Golden } from './golden_file.js';
 
@@ -72,10 +72,10 @@
     'perch-1' as ControllerName,
     ['perch-1', 'perch-2'] as ControllerName[],
     PRESENT_OPTIONS,
-    PRESENT,
+    CURRENT_BUILD,
   );
-  const features = { recovery: { ...PRESENT.features.recovery, enabled: keepsZones, record_zones: keepsZones } };
-  return new Controller(settings, PRESENT.tuning, '0f3a', 1, at(0), features);
+  const features = { recovery: { ...CURRENT_BUILD.features.recovery, enabled: keepsZones, record_zones: keepsZones } };
+  return new Controller(settings, CURRENT_BUILD.tuning, '0f3a', 1, at(0), features);
 }
 
 function written(op: StateStoreOperation): WrittenCall {
@@ -85,10 +85,10 @@
 
 const PRESENT_OPTIONS = {
   seed: 1,
-  nodes: 2,
+  controllers: 2,
   zones: ['a' as never],
   teams: [],
   types: [],
   capacity: 0,
-  tuning: PRESENT.tuning,
+  tuning: CURRENT_BUILD.tuning,
 };
--- a/test/golden/peer_cases.ts
+++ b/test/golden/peer_cases.ts
@@ -3,7 +3,7 @@
 import type { HeartbeatResponse, JobStatus, PeerStatus, UserResponse } from '../../src/core/messages.js';
 import type { Attempt, Command, ControllerName, FencingToken, JobId, MachineId } from '../../src/core/types.js';
 import { encodeFrame, FrameSplitter, type PeerFrame } from '../../src/io/peers/peer_codec.js';
-import { frames as sampleFrames } from '../sim/sample_messages.js';
+import { peerFrames as sampleFrames } from '../support/sample_messages.js';
 import { GoldenFile, hex, thrownBy, unhex } from './golden_file.js';
 import { emptyReport, fullReport, gangSpec, specs } from './samples.js';
 
--- a/test/golden/problem_cases.ts
+++ b/test/golden/problem_cases.ts
@@ -17,7 +17,7 @@
 import { encodeFrame } from '../../src/io/peers/peer_codec.js';
 import { encodeUserResponse } from '../../src/io/users/user_codec.js';
 import { encodeCbor } from '../../src/io/wire/cbor.js';
-import { makeSpec, type Options } from '../sim/job_options.js';
+import { type JobOptions, makeJobSpec } from '../sim/job_options.js';
 import { tuning } from '../sim/scenario.js';
 import { LIMITS, World } from '../sim/world.js';
 import { cborEntry, type Golden, GoldenFile, hex } from './golden_file.js';
@@ -30,7 +30,7 @@
   return { name: name as TeamName, guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit, gpuLimit };
 }
 
-function makeWorld(nodes: number): World {
+function makeWorld(controllers: number): World {
   const types: MachineType[] = [
     {
       name: 'c8' as MachineTypeName,
@@ -47,7 +47,7 @@
   ];
   const teams = [teamOf('crew', 0, 0), teamOf('tight', 2, 0)];
   const limits = { ...LIMITS, valueBytes: 1024 };
-  return new World({ seed: 3, nodes, zones, teams, types, capacity: 2, tuning, limits });
+  return new World({ seed: 3, controllers, zones, teams, types, capacity: 2, tuning, limits });
 }
 
 const entryOf = (answer: UserResponse | null): Golden =>
@@ -60,7 +60,7 @@
 /** What a node answers, and how long that takes at most; null: nothing. */
 function ask(world: World, node: number, request: UserRequest): UserResponse | null {
   let answer: UserResponse | null = null;
-  world.nodes[node]?.user(request, (given) => {
+  world.controllers[node]?.receiveUserRequest(request, (given) => {
     answer = given;
   });
   world.clock.runUntil(world.clock.now + ANSWER_MS);
@@ -68,9 +68,9 @@
 }
 
 const submit = (spec: JobSpec): UserRequest => ({ op: 'submit', id: spec.id, spec, problem: '' });
-const plain = makeSpec('job-1', 'array', { tasks: '2' });
+const plain = makeJobSpec('job-1', 'array', { tasks: '2' });
 
-const refusedOptions: Readonly<Record<string, readonly [JobSpec['kind'], Options]>> = {
+const refusedOptions: Readonly<Record<string, readonly [JobSpec['kind'], JobOptions]>> = {
   'team not known': ['array', { team: 'nobody' }],
   'more processors than any machine': ['array', { cpus: '9' }],
   'more memory than any machine': ['array', { mem: '33' }],
@@ -90,11 +90,11 @@
 
   test('golden: requests are refused with the words that they were refused with', () => {
     const world = makeWorld(3);
-    world.startNodes();
+    world.startControllers();
     world.clock.runUntil(SETTLE_MS);
     const check = (entry: string, request: UserRequest): void => golden.check(entry, entryOf(ask(world, 0, request)));
     for (const [name, [shape, options]] of Object.entries(refusedOptions)) {
-      check(name, submit(makeSpec('job-9', shape, options)));
+      check(name, submit(makeJobSpec('job-9', shape, options)));
     }
     check('malformed', { op: 'submit', id: 'job-9' as JobId, spec: null, problem: 'crew is not a text' });
     check('asked for, not known', { op: 'poll', id: 'job-9' as JobId });
@@ -109,9 +109,9 @@
 
   test('golden: requests in an outage are refused with the words that they were refused with', () => {
     const world = makeWorld(2);
-    world.startNodes();
+    world.startControllers();
     world.clock.runUntil(SETTLE_MS);
-    world.state.outage(60_000);
+    world.stateStore.outage(60_000);
     const check = (entry: string, request: UserRequest): void => golden.check(entry, entryOf(ask(world, 0, request)));
     check('outage: submission', submit(plain));
     check('outage: question', { op: 'poll', id: plain.id });
@@ -120,18 +120,18 @@
 
   test('golden: a request that no peer answers is refused with the words that it was refused with', () => {
     const world = makeWorld(2);
-    world.startNodes();
+    world.startControllers();
     world.clock.runUntil(SETTLE_MS);
-    world.state.refused.add('perch-0');
+    world.stateStore.refusedHosts.add('perch-0');
     world.clock.runUntil(SETTLE_MS + 1500);
-    world.network.cut('perch-0', 'perch-1', 10_000, 'drop');
+    world.network.partition('perch-0', 'perch-1', 10_000, 'drop');
     golden.check('no peer answers', entryOf(ask(world, 0, submit(plain))));
   });
 
   test('golden: a node that knows no machine types says so as it did', () => {
     const world = makeWorld(1);
-    world.network.cut('cloud', '*', 60_000, 'drop');
-    world.startNodes();
+    world.network.partition('cloud', '*', 60_000, 'drop');
+    world.startControllers();
     world.clock.runUntil(SETTLE_MS);
     golden.check('no machine types', entryOf(ask(world, 0, submit(plain))));
   });
--- a/test/golden/samples.ts
+++ b/test/golden/samples.ts
@@ -21,7 +21,7 @@
   ZoneName,
 } from '../../src/core/types.js';
 import { decodeJobSpec } from '../../src/io/users/user_codec.js';
-import { job as submission } from '../sim/sample_messages.js';
+import { wireJob as submission } from '../support/sample_messages.js';
 
 /** Values of the domain's own types, each field told apart from the others, from which the golden files are made. */
 export const gangSpec: JobSpec = {
--- a/test/golden/service_cases.ts
+++ b/test/golden/service_cases.ts
@@ -30,7 +30,7 @@
   decodePushedCommandsResponse,
   encodePushedCommands,
 } from '../../src/io/workers/worker_codec.js';
-import { report as wireReport } from '../sim/sample_messages.js';
+import { wireHeartbeat as wireReport } from '../support/sample_messages.js';
 import { cborEntry, type Golden, GoldenFile, thrownBy } from './golden_file.js';
 import { gangSpec } from './samples.js';
 
--- a/test/measure/cold_start.ts
+++ b/test/measure/cold_start.ts
@@ -1,8 +1,8 @@
 import { type Histogram, build as makeHistogram } from 'hdr-histogram-js';
 import type { JobId, MachineId, MachineTypeName, TeamName, ZoneName } from '../../src/core/types.js';
-import { type Build, FEATURES_OFF, PRESENT } from '../sim/build.js';
-import { ControllerProcess } from '../sim/controller.js';
-import { makeSpec } from '../sim/job_options.js';
+import { type Build, CURRENT_BUILD, FEATURES_OFF } from '../sim/build.js';
+import { ControllerProcess } from '../sim/controller_process.js';
+import { makeJobSpec } from '../sim/job_options.js';
 import { loadOldVersions } from '../sim/old_versions.js';
 import { events } from '../sim/scenario_events.js';
 import { LIMITS, World } from '../sim/world.js';
@@ -13,20 +13,20 @@
  *   node target/check/test/measure/cold_start.js [WORKERS ...]
  */
 
-const CRASH_S = 40;
-const BACK_S = 5;
-const END_S = 100;
+const CRASH_SECONDS = 40;
+const RESTART_SECONDS = 5;
+const END_SECONDS = 100;
 /** Jobs differ in how long their tasks run, so that some end at any time. */
-const SHORTEST_RUN_S = 25;
-const RUN_STEP_S = 5;
-const RUN_STEPS = 10;
-const SLOTS = 8;
+const SHORTEST_RUN_SECONDS = 25;
+const RUN_STEP_SECONDS = 5;
+const RUN_LENGTHS = 10;
+const TASKS_PER_MACHINE = 8;
 const VANISHING_SHARE = 0.01;
-const LOOK_MS = 20;
+const SAMPLE_INTERVAL_MS = 20;
 const ZONES = ['a', 'b', 'c'] as ZoneName[];
 const C8 = {
   name: 'c8' as MachineTypeName,
-  cpus: SLOTS,
+  cpus: TASKS_PER_MACHINE,
   gpus: 0,
   memoryGb: 32,
   imageCacheGb: 50,
@@ -37,7 +37,7 @@
 const TEAMS = [{ name: 'crew' as TeamName, guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: 0, gpuLimit: 0 }];
 
 /** Processor time of the controllers' steps, in microseconds. */
-let stepMicros = 0;
+let stepMicroseconds = 0;
 
 function meterSteps(): void {
   const { step } = ControllerProcess.prototype;
@@ -45,17 +45,17 @@
     const before = process.cpuUsage();
     step.call(this, input);
     const { user, system } = process.cpuUsage(before);
-    stepMicros += user + system;
+    stepMicroseconds += user + system;
   };
 }
 
 function makeWorld(workers: number, build: Build, oldVersions: ReadonlyMap<string, Build>): World {
   const limits = { ...LIMITS, rps: 500, writeRps: 50, cloudRps: 8, reportMs: 2500, leaseMs: 15_250, cancelMs: 40_250 };
-  const { tuning } = PRESENT;
-  const sizes = { seed: 7, nodes: 5, capacity: workers, zones: ZONES, teams: TEAMS, types: TYPES };
+  const { tuning } = CURRENT_BUILD;
+  const sizes = { seed: 7, controllers: 5, capacity: workers, zones: ZONES, teams: TEAMS, types: TYPES };
   const world = new World({ ...sizes, tuning, limits, builds: [build], oldVersions });
   for (let i = 0; i < workers; i++) {
-    world.cloud.add(TYPES[0] as (typeof TYPES)[0], ZONES[i % ZONES.length] as ZoneName, false, 1);
+    world.cloud.addMachine(TYPES[0] as (typeof TYPES)[0], ZONES[i % ZONES.length] as ZoneName, false, 1);
   }
   return world;
 }
@@ -63,32 +63,34 @@
 /** Arrays that fill all machines twice over; every other one has to be in one zone. */
 function submitWork(world: World, workers: number): void {
   const jobs = Math.max(4, Math.ceil(workers / 20));
-  const tasks = Math.ceil((workers * SLOTS * 2) / jobs);
+  const tasks = Math.ceil((workers * TASKS_PER_MACHINE * 2) / jobs);
   for (let i = 0; i < jobs; i++) {
-    const runS = SHORTEST_RUN_S + RUN_STEP_S * (i % RUN_STEPS);
+    const runS = SHORTEST_RUN_SECONDS + RUN_STEP_SECONDS * (i % RUN_LENGTHS);
     const options: Record<string, string> = { tasks: String(tasks), estimate: String(runS) };
     if (i % 2 === 0) options.sameZone = 'yes';
-    world.clock.in(2000 + i * 5, () => world.submit(makeSpec(`job-${100 + i}`, 'array', options), runS * 1000));
+    world.clock.schedule(2000 + i * 5, () =>
+      world.submit(makeJobSpec(`job-${100 + i}`, 'array', options), runS * 1000),
+    );
   }
 }
 
-interface Measured {
+interface Measurement {
   readonly renewed: Histogram;
   /** Of a job begun before. */
-  firstStartS: number;
+  firstStartSeconds: number;
 }
 
 /** Watches the workers' side: when each was first answered by the new leader, and the first start after that. */
-function watch(world: World, lost: ReadonlySet<MachineId>): Measured {
+function watchRecovery(world: World, lost: ReadonlySet<MachineId>): Measurement {
   const renewed = makeHistogram({ highestTrackableValue: 120_000, numberOfSignificantValueDigits: 3 });
-  const measured: Measured = { renewed, firstStartS: Number.NaN };
-  const startsBefore = new Map(world.rules.startsByJob);
-  const before = world.state.item('leader')?.version;
+  const measured: Measurement = { renewed, firstStartSeconds: Number.NaN };
+  const startsBefore = new Map(world.invariants.startsByJob);
+  const before = world.stateStore.item('leader')?.version;
   const waiting = new Set([...world.workers.keys()].filter((id) => !lost.has(id)));
   let ledAt: number | null = null;
   const look = (): void => {
-    if (world.clock.now < END_S * 1000) world.clock.in(LOOK_MS, look);
-    const leader = world.state.item('leader');
+    if (world.clock.now < END_SECONDS * 1000) world.clock.schedule(SAMPLE_INTERVAL_MS, look);
+    const leader = world.stateStore.item('leader');
     if (!leader || leader.version === before) return;
     ledAt ??= world.clock.now;
     const sinceMs = world.clock.now - ledAt;
@@ -97,22 +99,22 @@
       renewed.recordValue(sinceMs);
       waiting.delete(id);
     }
-    if (Number.isNaN(measured.firstStartS) && hasStartedMore(world, startsBefore))
-      measured.firstStartS = sinceMs / 1000;
+    if (Number.isNaN(measured.firstStartSeconds) && hasStartedMore(world, startsBefore))
+      measured.firstStartSeconds = sinceMs / 1000;
   };
   look();
   return measured;
 }
 
 function hasStartedMore(world: World, startsBefore: ReadonlyMap<JobId, number>): boolean {
-  for (const [id, starts] of startsBefore) if ((world.rules.startsByJob.get(id) ?? 0) > starts) return true;
+  for (const [id, starts] of startsBefore) if ((world.invariants.startsByJob.get(id) ?? 0) > starts) return true;
   return false;
 }
 
-function startsOfBegun(world: World): number {
+function restartCount(world: World): number {
   let begun = 0;
-  for (const [id, starts] of world.rules.startsByJob) {
-    begun += Math.max(0, starts - (world.rules.submitted.get(id)?.taskCount ?? 0));
+  for (const [id, starts] of world.invariants.startsByJob) {
+    begun += Math.max(0, starts - (world.invariants.submitted.get(id)?.taskCount ?? 0));
   }
   return begun;
 }
@@ -120,19 +122,21 @@
 function measure(workers: number, build: Build, vanish: boolean, oldVersions: ReadonlyMap<string, Build>): string {
   const world = makeWorld(workers, build, oldVersions);
   submitWork(world, workers);
-  world.startNodes();
-  world.clock.runUntil(CRASH_S * 1000 - 1);
-  const leasesBefore = world.leasesLost;
+  world.startControllers();
+  world.clock.runUntil(CRASH_SECONDS * 1000 - 1);
+  const leasesBefore = world.expiredLeases;
   const lost = new Set([...world.workers.keys()].slice(0, vanish ? Math.ceil(workers * VANISHING_SHARE) : 0));
-  events.crash?.(world, ['all', String(BACK_S)]);
-  for (const id of lost) world.cloud.take(id);
-  world.orders.reset();
-  const measured = watch(world, lost);
-  stepMicros = 0;
-  world.clock.runUntil(END_S * 1000);
-  const { renewed, firstStartS } = measured;
-  const orders = (['start', 'stop', 'forget', 'inquiry'] as const).map((kind) => world.orders.of(kind)).join('/');
-  const restarted = Math.max(0, startsOfBegun(world));
+  events.crash?.(world, ['all', String(RESTART_SECONDS)]);
+  for (const id of lost) world.cloud.interrupt(id);
+  world.commandCounts.reset();
+  const measured = watchRecovery(world, lost);
+  stepMicroseconds = 0;
+  world.clock.runUntil(END_SECONDS * 1000);
+  const { renewed, firstStartSeconds } = measured;
+  const orders = (['start', 'stop', 'forget', 'inquiry'] as const)
+    .map((kind) => world.commandCounts.count(kind))
+    .join('/');
+  const restarted = Math.max(0, restartCount(world));
   const times = [renewed.getValueAtPercentile(50), renewed.getValueAtPercentile(99), renewed.maxValue];
   const told = times.map((ms) => (ms / 1000).toFixed(2)).join('/');
   const summary = world.leader()?.recoverySummary();
@@ -144,11 +148,11 @@
     orders,
     restarted,
     told,
-    firstStartS.toFixed(2),
+    firstStartSeconds.toFixed(2),
     certainS,
   ];
-  const losses = `${world.leasesLost - leasesBefore}/${world.rules.broken.length}`;
-  return `| ${[...cells, losses, (stepMicros / 1e6).toFixed(2)].join(' | ')} |`;
+  const losses = `${world.expiredLeases - leasesBefore}/${world.invariants.violations.length}`;
+  return `| ${[...cells, losses, (stepMicroseconds / 1e6).toFixed(2)].join(' | ')} |`;
 }
 
 const sizes = process.argv.slice(2).map(Number);
@@ -162,6 +166,7 @@
 console.log('  certain s | leases lost/rules broken | steps, s of processor time |');
 for (const workers of sizes.length > 0 ? sizes : [30, 600, 4000]) {
   for (const vanish of [false, true]) {
-    for (const build of [production, FEATURES_OFF, PRESENT]) console.log(measure(workers, build, vanish, oldVersions));
+    for (const build of [production, FEATURES_OFF, CURRENT_BUILD])
+      console.log(measure(workers, build, vanish, oldVersions));
   }
 }
--- a/test/paused_process.test.ts
+++ b/test/paused_process.test.ts
@@ -1,8 +1,15 @@
 import assert from 'node:assert/strict';
 import type { ChildProcess } from 'node:child_process';
 import { test } from 'node:test';
-import { addressOf, call, settingsFile, startNode, until, WAIT_MS } from './sim/processes.js';
-import { WireServices } from './sim/wire_services.js';
+import { FakeServices } from './support/fake_services.js';
+import {
+  allocateAddress,
+  sendRequest,
+  startController,
+  WAIT_TIMEOUT_MS,
+  waitUntil,
+  writeSettingsFile,
+} from './support/processes.js';
 
 /*
  * A real process is paused by a signal for longer than its lease, with its clocks running on, and continued. What was sent to
@@ -10,78 +17,81 @@
  */
 
 /** The workers' lease: that of the leader is 3 s. */
-const LEASE_S = 10;
+const LEASE_SECONDS = 10;
 
 /** What a worker is told; null: no answer. */
-type Told = { readonly status: number; readonly token: bigint } | null;
+type HeartbeatReply = { readonly status: number; readonly fencingToken: bigint } | null;
 
 /** A worker that shows one task as ended, so that its reports are answered at once. */
-class ReportingWorker {
-  private seq = 0;
-  private token = 0n;
+class HeartbeatSender {
+  private sequence = 0;
+  private highestFencingToken = 0n;
 
   constructor(private readonly id: string) {}
 
-  async report(port: number, timeoutMs = 2000): Promise<Told> {
-    this.seq += 1;
-    const told = await send(port, this.message(), timeoutMs);
-    if (told?.status === 200 && told.token > this.token) this.token = told.token;
+  async send(port: number, timeoutMs = 2000): Promise<HeartbeatReply> {
+    this.sequence += 1;
+    const told = await postHeartbeat(port, this.heartbeat(), timeoutMs);
+    if (told?.status === 200 && told.fencingToken > this.highestFencingToken)
+      this.highestFencingToken = told.fencingToken;
     return told;
   }
 
-  private message(): unknown {
+  private heartbeat(): unknown {
     const at = { breed: 'c8', grove: 'north', loaners: false };
     const ended = { chick: 'job-7/0', hop: 1, mood: 'exited', cause: 'stopped' };
-    const numbers = { roost: 1, chirp: this.seq, crest: this.token };
+    const numbers = { roost: 1, chirp: this.sequence, crest: this.highestFencingToken };
     return { perch: this.id, addr: '127.0.0.1:1', ...at, ...numbers, chicks: [ended] };
   }
 }
 
-async function send(port: number, message: unknown, timeoutMs: number): Promise<Told> {
-  const reply = await call(port, 'POST', '/agent/beat', message, timeoutMs);
-  return reply && { status: reply.status, token: BigInt((reply.body.crest as number | bigint | undefined) ?? 0) };
+async function postHeartbeat(port: number, message: unknown, timeoutMs: number): Promise<HeartbeatReply> {
+  const reply = await sendRequest(port, 'POST', '/agent/beat', message, timeoutMs);
+  return (
+    reply && { status: reply.status, fencingToken: BigInt((reply.body.crest as number | bigint | undefined) ?? 0) }
+  );
 }
 
 /** The token with which a node answers the worker's reports. */
-async function tokenFrom(worker: ReportingWorker, port: number): Promise<bigint> {
+async function fencingTokenOf(worker: HeartbeatSender, port: number): Promise<bigint> {
   let token = 0n;
-  await until('reports are answered', async () => {
-    const told = await worker.report(port);
-    token = told?.token ?? 0n;
+  await waitUntil('reports are answered', async () => {
+    const told = await worker.send(port);
+    token = told?.fencingToken ?? 0n;
     return told?.status === 200;
   });
   return token;
 }
 
 test('a leader that a signal pauses for longer than its lease says nothing with its old token', async () => {
-  const services = new WireServices('north');
+  const services = new FakeServices('north');
   const servicesPort = await services.start();
-  const [first, second] = [await addressOf('node-a'), await addressOf('node-b')];
+  const [first, second] = [await allocateAddress('node-a'), await allocateAddress('node-b')];
   const children: ChildProcess[] = [];
   try {
-    const paused = startNode(settingsFile(first, [second], servicesPort, { leaseS: LEASE_S }));
+    const paused = startController(writeSettingsFile(first, [second], servicesPort, { leaseSeconds: LEASE_SECONDS }));
     children.push(paused);
-    await until('node-a leads', () => services.leader() === 'node-a');
-    const worker = new ReportingWorker('i-000001');
-    const oldToken = await tokenFrom(worker, first.port);
+    await waitUntil('node-a leads', () => services.leader() === 'node-a');
+    const worker = new HeartbeatSender('i-000001');
+    const oldToken = await fencingTokenOf(worker, first.port);
     // Its machine is on record by now: nothing else would hold an answer back.
-    assert.equal(await tokenFrom(worker, first.port), oldToken);
-    children.push(startNode(settingsFile(second, [first], servicesPort, { leaseS: LEASE_S })));
-    await until('node-b answers', async () => (await new ReportingWorker('i-000002').report(second.port)) !== null);
+    assert.equal(await fencingTokenOf(worker, first.port), oldToken);
+    children.push(startController(writeSettingsFile(second, [first], servicesPort, { leaseSeconds: LEASE_SECONDS })));
+    await waitUntil('node-b answers', async () => (await new HeartbeatSender('i-000002').send(second.port)) !== null);
 
     paused.kill('SIGSTOP');
-    const queued = worker.report(first.port, WAIT_MS);
-    await until('node-b leads', () => services.leader() === 'node-b');
-    const newToken = await tokenFrom(new ReportingWorker('i-000003'), second.port);
+    const queued = worker.send(first.port, WAIT_TIMEOUT_MS);
+    await waitUntil('node-b leads', () => services.leader() === 'node-b');
+    const newToken = await fencingTokenOf(new HeartbeatSender('i-000003'), second.port);
     assert.ok(newToken > oldToken);
 
     paused.kill('SIGCONT');
     const told = await queued;
-    assert.ok(told?.status !== 200 || told.token === newToken, 'an answer with the old token');
-    const later = new ReportingWorker('i-000004');
-    await until('node-a takes reports to the new leader', async () => {
-      const answer = await later.report(first.port);
-      assert.ok(answer?.status !== 200 || answer.token === newToken);
+    assert.ok(told?.status !== 200 || told.fencingToken === newToken, 'an answer with the old token');
+    const later = new HeartbeatSender('i-000004');
+    await waitUntil('node-a takes reports to the new leader', async () => {
+      const answer = await later.send(first.port);
+      assert.ok(answer?.status !== 200 || answer.fencingToken === newToken);
       return answer !== null && (answer.status === 200 || answer.status === 421);
     });
     assert.equal(paused.exitCode, null);
--- a/test/recovery_properties.test.ts
+++ b/test/recovery_properties.test.ts
@@ -31,7 +31,7 @@
 const SEED = Number(process.env.FC_SEED ?? 28);
 const RUNS = Number(process.env.FC_RUNS ?? 0);
 
-function check<T>(property: fc.IProperty<T>, runs: number): void {
+function checkProperty<T>(property: fc.IProperty<T>, runs: number): void {
   const path = process.env.FC_PATH ? { path: process.env.FC_PATH } : {};
   const { failed, seed, counterexamplePath, counterexample, errorInstance } = fc.check(property, {
     seed: SEED,
@@ -58,10 +58,10 @@
 interface JobState {
   startTerm: number;
   /** The zones that the store holds, and those that the present leader goes by; null: any. */
-  stored: ZoneName[] | null;
-  believed: ZoneName[] | null;
+  recordedZones: ZoneName[] | null;
+  believedZones: ZoneName[] | null;
   /** The machine of each task; null: it is on none. */
-  readonly places: (number | null)[];
+  readonly machineByTask: (number | null)[];
 }
 
 type Step =
@@ -70,35 +70,35 @@
   | { readonly kind: 'end'; readonly job: number; readonly task: number };
 
 /** What is true: where tasks are, and what the store holds. Leaders come and go; some know nothing of zones. */
-class Truth {
+class ClusterModel {
   leaderTerm = 0;
-  since: number | null = null;
+  zonesKeptSince: number | null = null;
   readonly jobs: JobState[] = Array.from({ length: JOBS }, () => ({
     startTerm: 0,
-    stored: null,
-    believed: null,
-    places: Array(TASKS).fill(null),
+    recordedZones: null,
+    believedZones: null,
+    machineByTask: Array(TASKS).fill(null),
   }));
   private term: unknown = null;
 
-  take(step: Step): void {
+  apply(step: Step): void {
     if (step.kind === 'elect') {
       this.elect(step.keepsZones);
       return;
     }
     const job = this.jobs[step.job] as JobState;
-    if (step.kind === 'end') job.places[step.task] = null;
-    else if (job.places[step.task] === null) this.start(job, step.task, step.machine, step.writes);
+    if (step.kind === 'end') job.machineByTask[step.task] = null;
+    else if (job.machineByTask[step.task] === null) this.start(job, step.task, step.machine, step.writes);
   }
 
   elect(keepsZones: boolean): void {
     const value = nextTermValue(this.term, keepsZones);
     this.term = value;
     this.leaderTerm = value.n;
-    this.since = value.zones ?? null;
+    this.zonesKeptSince = value.zones ?? null;
     for (const job of this.jobs) {
-      const believed = keepsZones ? believedZones(job.startTerm, job.stored, this.since) : null;
-      job.believed = believed && [...believed];
+      const believed = keepsZones ? believedZones(job.startTerm, job.recordedZones, this.zonesKeptSince) : null;
+      job.believedZones = believed && [...believed];
     }
   }
 
@@ -107,31 +107,33 @@
     const isFirst = job.startTerm === 0;
     if (isFirst) {
       job.startTerm = this.leaderTerm;
-      job.believed = this.since === null ? null : [];
+      job.believedZones = this.zonesKeptSince === null ? null : [];
     }
     const zone = zoneOf(machine);
-    const isNewZone = job.believed !== null && !job.believed.includes(zone);
-    if (isNewZone) job.believed?.push(zone);
-    if (isFirst || isNewZone || writes) job.stored = job.believed && [...job.believed];
-    job.places[task] = machine;
+    const isNewZone = job.believedZones !== null && !job.believedZones.includes(zone);
+    if (isNewZone) job.believedZones?.push(zone);
+    if (isFirst || isNewZone || writes) job.recordedZones = job.believedZones && [...job.believedZones];
+    job.machineByTask[task] = machine;
   }
 
-  unseen(job: number, listed: ReadonlySet<number>): number[] {
-    return (this.jobs[job] as JobState).places.filter((place) => place !== null && !listed.has(place)) as number[];
+  unseenMachines(job: number, listed: ReadonlySet<number>): number[] {
+    return (this.jobs[job] as JobState).machineByTask.filter(
+      (place) => place !== null && !listed.has(place),
+    ) as number[];
   }
 
   /** What the present leader knows of a job once these machines have told their lists. */
   factsOf(job: number, listed: ReadonlySet<number>): EarlierJob {
-    const { startTerm, believed, places } = this.jobs[job] as JobState;
-    const found = places.filter((place) => place !== null && listed.has(place)).length;
+    const { startTerm, believedZones, machineByTask } = this.jobs[job] as JobState;
+    const found = machineByTask.filter((place) => place !== null && listed.has(place)).length;
     const asks = { types: null, zone: null, spotOk: true, cpus: 1, gpus: 0 };
-    const startZones = believed && new Set(believed);
+    const startZones = believedZones && new Set(believedZones);
     const facts = { id: `job-${job}` as JobId, team: TEAM, startTerm, startZones };
     return { ...facts, unaccountedTasks: TASKS - found, ...asks };
   }
 }
 
-const step: fc.Arbitrary<Step> = fc.oneof(
+const arbitraryStep: fc.Arbitrary<Step> = fc.oneof(
   fc.record({ kind: fc.constant('elect' as const), keepsZones: fc.boolean() }),
   fc.record({
     kind: fc.constant('start' as const),
@@ -143,7 +145,7 @@
   fc.record({ kind: fc.constant('end' as const), job: fc.nat(JOBS - 1), task: fc.nat(TASKS - 1) }),
 );
 
-function recoveryWith(truth: Truth, listed: ReadonlySet<number>): Recovery {
+function recoveryWith(truth: ClusterModel, listed: ReadonlySet<number>): Recovery {
   const recovery = new Recovery({ term: truth.leaderTerm, now: NOW });
   for (let machine = 0; machine < MACHINES; machine++) {
     const kind = { type: 'c8' as MachineTypeName, zone: zoneOf(machine), spot: false, cpus: CPUS, gpus: 0 };
@@ -156,70 +158,83 @@
 
 test('whatever runs on a machine that told nothing is held to be possible, and counts against its team', () => {
   const listedMachines = fc.uniqueArray(fc.nat(MACHINES - 1));
-  const history = fc.array(step, { maxLength: 40 });
+  const history = fc.array(arbitraryStep, { maxLength: 40 });
   const property = fc.property(history, fc.boolean(), listedMachines, (steps, lastKeeps, listedList) => {
-    const truth = new Truth();
+    const truth = new ClusterModel();
     truth.elect(true);
-    for (const each of steps) truth.take(each);
+    for (const each of steps) truth.apply(each);
     truth.elect(lastKeeps);
     const listed = new Set(listedList);
     const recovery = recoveryWith(truth, listed);
     const jobs = truth.jobs.map((_, job) => truth.factsOf(job, listed));
     jobs.forEach((job, i) => {
-      const places = truth.unseen(i, listed);
+      const places = truth.unseenMachines(i, listed);
       if (places.length > 0) assert.ok(recovery.mayRunUnseen(job, NOW), `${job.id} runs on ${places.join(' ')}`);
     });
-    const unseen = jobs.reduce((sum, _, job) => sum + truth.unseen(job, listed).length, 0);
+    const unseen = jobs.reduce((sum, _, job) => sum + truth.unseenMachines(job, listed).length, 0);
     const counted = recovery.teamExposure(jobs, NOW)?.get(TEAM)?.cpus ?? 0;
     assert.ok(counted >= unseen, `${unseen} tasks run unseen, ${counted} count`);
     const isAllListed = listed.size === MACHINES;
     assert.equal(recovery.isReconciled(NOW), isAllListed);
     if (isAllListed) assert.ok(jobs.every((job) => !recovery.mayRunUnseen(job, NOW)));
   });
-  check(property, 3000);
+  checkProperty(property, 3000);
 });
 
 // ---- what a task is
 
 const REASONS: ExitReason[] = ['done', 'stopped', 'peers_gone', 'alone', 'error', 'no_room', 'busy', 'unknown'];
-const ended = fc.constantFrom<ExitReason | null>(null, ...REASONS);
-const attempts = fc.bigInt({ min: 1n, max: 6n }).map((value) => value as Attempt);
-const recorded = fc.record({
+const arbitraryExitReason = fc.constantFrom<ExitReason | null>(null, ...REASONS);
+const arbitraryAttempt = fc.bigInt({ min: 1n, max: 6n }).map((value) => value as Attempt);
+const arbitraryRecordedJob = fc.record({
   kind: fc.constant('recorded' as const),
   cancelled: fc.boolean(),
   taskDone: fc.boolean(),
   isService: fc.boolean(),
 });
-const storedJob: fc.Arbitrary<StoredJob> = fc.oneof(
-  recorded,
+const arbitraryStoredJob: fc.Arbitrary<StoredJob> = fc.oneof(
+  arbitraryRecordedJob,
   fc.constantFrom<StoredJob>({ kind: 'unreadable' }, { kind: 'unread' }, { kind: 'absent' }),
 );
-const otherPlace = fc.option(fc.record({ machine: fc.constant('i-9' as MachineId), attempt: attempts }));
+const arbitraryOtherPlace = fc.option(
+  fc.record({ machine: fc.constant('i-9' as MachineId), attempt: arbitraryAttempt }),
+);
 
 test('nothing is concluded from what can’t be read, nothing dropped without a record, and results are recorded once', () => {
-  const property = fc.property(attempts, ended, storedJob, otherPlace, (attempt, reason, job, otherPlacement) => {
-    const { action } = classify({ attempt, exitReason: reason, job, otherPlacement });
-    if (job.kind === 'unreadable') assert.equal(action, 'leave');
-    if (job.kind === 'unread') assert.equal(action, 'readRecord');
-    if (action === 'forget') assert.notEqual(reason, null);
-    if (job.kind !== 'recorded') return;
-    const isNewResult = reason === 'done' && !job.isService && !job.taskDone && !job.cancelled;
-    assert.equal(action === 'recordResult', isNewResult);
-    if (reason === null && otherPlacement === null) assert.equal(action === 'adopt', !job.cancelled && !job.taskDone);
-  });
-  check(property, 1000);
+  const property = fc.property(
+    arbitraryAttempt,
+    arbitraryExitReason,
+    arbitraryStoredJob,
+    arbitraryOtherPlace,
+    (attempt, reason, job, otherPlacement) => {
+      const { action } = classify({ attempt, exitReason: reason, job, otherPlacement });
+      if (job.kind === 'unreadable') assert.equal(action, 'leave');
+      if (job.kind === 'unread') assert.equal(action, 'readRecord');
+      if (action === 'forget') assert.notEqual(reason, null);
+      if (job.kind !== 'recorded') return;
+      const isNewResult = reason === 'done' && !job.isService && !job.taskDone && !job.cancelled;
+      assert.equal(action === 'recordResult', isNewResult);
+      if (reason === null && otherPlacement === null) assert.equal(action === 'adopt', !job.cancelled && !job.taskDone);
+    },
+  );
+  checkProperty(property, 1000);
 });
 
 test('of two places of a task one alone is stopped, the same one whichever is found first', () => {
-  const property = fc.property(attempts, fc.bigInt({ min: 1n, max: 6n }), recorded, (lower, by, job) => {
-    const machine = 'i-9' as MachineId;
-    const higher = (lower + by) as Attempt;
-    const found = (attempt: Attempt, first: Attempt): string =>
-      classify({ attempt, exitReason: null, job, otherPlacement: { machine, attempt: first } }).action;
-    assert.equal(found(lower, higher), 'stop');
-    assert.equal(found(higher, lower), 'adoptAndStopOther');
-  });
-  check(property, 300);
+  const property = fc.property(
+    arbitraryAttempt,
+    fc.bigInt({ min: 1n, max: 6n }),
+    arbitraryRecordedJob,
+    (lower, by, job) => {
+      const machine = 'i-9' as MachineId;
+      const higher = (lower + by) as Attempt;
+      const found = (attempt: Attempt, first: Attempt): string =>
+        classify({ attempt, exitReason: null, job, otherPlacement: { machine, attempt: first } }).action;
+      assert.equal(found(lower, higher), 'stop');
+      assert.equal(found(higher, lower), 'adoptAndStopOther');
+    },
+  );
+  checkProperty(property, 300);
 });
 
 // ---- the storm
@@ -257,7 +272,7 @@
       assert.ok(within <= 2 * perWindow, `${within} lists in 50 ms`);
     }
   });
-  check(property, 500);
+  checkProperty(property, 500);
 });
 
 // ---- whole worlds
@@ -273,62 +288,68 @@
 ];
 const END_LINES = ['at 200 cancel job-4', 'until 330'];
 
-const seconds = (from: number, to: number): fc.Arbitrary<number> =>
+const halfSeconds = (from: number, to: number): fc.Arbitrary<number> =>
   fc.integer({ min: from * 2, max: to * 2 }).map((half) => half / 2);
 const machineName = fc.nat(3).map((number) => `i-00000${number}`);
-const line = (...parts: fc.Arbitrary<string | number>[]): fc.Arbitrary<string> =>
-  fc.tuple(seconds(8, 90), ...parts).map(([at, ...words]) => `at ${at} ${words.join(' ')}`);
-const word = (text: string): fc.Arbitrary<string> => fc.constant(text);
+const scenarioLine = (...parts: fc.Arbitrary<string | number>[]): fc.Arbitrary<string> =>
+  fc.tuple(halfSeconds(8, 90), ...parts).map(([at, ...words]) => `at ${at} ${words.join(' ')}`);
+const constantWord = (text: string): fc.Arbitrary<string> => fc.constant(text);
 
-const coldStart = line(word('crash all'), seconds(0.5, 25));
-const trouble = fc.oneof(
+const coldStart = scenarioLine(constantWord('crash all'), halfSeconds(0.5, 25));
+const fault = fc.oneof(
   coldStart,
-  line(word('crash leader'), seconds(0.5, 6)),
-  line(word('crash-at'), fc.constantFrom('before-take', 'after-take'), word('2 0.2')),
-  line(word('cut'), machineName, word('*'), seconds(2, 25), fc.constantFrom('hold', 'drop')),
-  line(word('take'), machineName),
-  line(word('hang'), machineName, seconds(1, 20)),
-  line(word('duplicate-reports'), seconds(5, 40)),
-  line(word('hold-reports'), machineName, seconds(2, 20)),
-  line(word('late-writes 0.3'), seconds(2, 15)),
-  line(word('outage'), seconds(1, 15)),
-  line(word('refuse leader'), seconds(2, 15)),
-  line(word('cancel'), fc.constantFrom('job-1', 'job-2', 'job-3')),
-  line(word('downgrade perch-1 latest'), seconds(0.5, 3)),
+  scenarioLine(constantWord('crash leader'), halfSeconds(0.5, 6)),
+  scenarioLine(constantWord('crash-at'), fc.constantFrom('before-take', 'after-take'), constantWord('2 0.2')),
+  scenarioLine(
+    constantWord('cut'),
+    machineName,
+    constantWord('*'),
+    halfSeconds(2, 25),
+    fc.constantFrom('hold', 'drop'),
+  ),
+  scenarioLine(constantWord('take'), machineName),
+  scenarioLine(constantWord('hang'), machineName, halfSeconds(1, 20)),
+  scenarioLine(constantWord('duplicate-reports'), halfSeconds(5, 40)),
+  scenarioLine(constantWord('hold-reports'), machineName, halfSeconds(2, 20)),
+  scenarioLine(constantWord('late-writes 0.3'), halfSeconds(2, 15)),
+  scenarioLine(constantWord('outage'), halfSeconds(1, 15)),
+  scenarioLine(constantWord('refuse leader'), halfSeconds(2, 15)),
+  scenarioLine(constantWord('cancel'), fc.constantFrom('job-1', 'job-2', 'job-3')),
+  scenarioLine(constantWord('downgrade perch-1 latest'), halfSeconds(0.5, 3)),
 );
 
-function play(lines: readonly string[]): ReturnType<typeof runScenario> {
+function runGeneratedScenario(lines: readonly string[]): ReturnType<typeof runScenario> {
   const text = [MACHINE_LINES, ...JOB_LINES, ...lines, ...END_LINES].join('\n');
   return runScenario(parseScenarioText('generated', `# generated\n${text}\n`), oldVersions);
 }
 
 test('after any troubles round cold starts no rule is broken, and every job has one final answer', () => {
-  const troubles = fc.tuple(coldStart, fc.array(trouble, { minLength: 1, maxLength: 6 }));
+  const troubles = fc.tuple(coldStart, fc.array(fault, { minLength: 1, maxLength: 6 }));
   const property = fc.property(troubles, ([first, rest]) => {
-    const { world, failures } = play([first, ...rest]);
+    const { world, failures } = runGeneratedScenario([first, ...rest]);
     const open = ['job-1', 'job-2', 'job-3', 'job-4'].filter((id) => {
-      return world.rules.isAccepted(id as JobId) && !world.rules.finalOf(id as JobId);
+      return world.invariants.isAccepted(id as JobId) && !world.invariants.finalStateOf(id as JobId);
     });
     assert.deepEqual([...failures, ...world.errors, ...open], []);
     assert.equal(world.leader()?.recoverySummary()?.unreconciledMachines ?? 0, 0);
   });
-  check(property, 60);
+  checkProperty(property, 60);
 });
 
 test('where truth and record agree nothing is stopped and nothing begun twice, however often all controllers fall', () => {
-  const fall = fc.tuple(seconds(8, 60), seconds(0.5, 7)).map(([at, back]) => `at ${at} crash all ${back}`);
+  const fall = fc.tuple(halfSeconds(8, 60), halfSeconds(0.5, 7)).map(([at, back]) => `at ${at} crash all ${back}`);
   const property = fc.property(fc.array(fall, { minLength: 1, maxLength: 3 }), (falls) => {
-    const { world } = play(falls);
+    const { world } = runGeneratedScenario(falls);
     // Falls that meet may keep all controllers away for longer than a lease.
-    fc.pre(world.leasesLost === 0);
-    assert.deepEqual(world.rules.broken, []);
+    fc.pre(world.expiredLeases === 0);
+    assert.deepEqual(world.invariants.violations, []);
     const tasks = new Map([
       ['job-1', 20],
       ['job-2', 3],
       ['job-3', 12],
       ['job-4', 2],
     ]);
-    for (const [id, count] of tasks) assert.ok((world.rules.startsByJob.get(id as JobId) ?? 0) <= count, id);
+    for (const [id, count] of tasks) assert.ok((world.invariants.startsByJob.get(id as JobId) ?? 0) <= count, id);
   });
-  check(property, 30);
+  checkProperty(property, 30);
 });
--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -7,12 +7,12 @@
 import { loadOldVersions } from './sim/old_versions.js';
 import { parseScenario, runScenario, usesOldVersions } from './sim/scenario.js';
 
-const dir = fileURLToPath(new URL('../../../test/scenarios/', import.meta.url));
-const only = process.env.SCENARIO;
+const scenarioDirectory = fileURLToPath(new URL('../../../test/scenarios/', import.meta.url));
+const nameFilter = process.env.SCENARIO;
 
-for (const file of readdirSync(dir).sort()) {
-  if (!file.endsWith('.txt') || (only && !file.includes(only))) continue;
-  const scenario = parseScenario(join(dir, file));
+for (const file of readdirSync(scenarioDirectory).sort()) {
+  if (!file.endsWith('.txt') || (nameFilter && !file.includes(nameFilter))) continue;
+  const scenario = parseScenario(join(scenarioDirectory, file));
   test(`${file}: ${scenario.title}`, async () => {
     const { world, failures } = usesOldVersions(scenario)
       ? runScenario(scenario, await loadOldVersions())
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -12,10 +12,10 @@
 import { createHttpServer } from '../src/io/http/http_server.js';
 import { decodeCbor, encodeCbor } from '../src/io/wire/cbor.js';
 
-const root = fileURLToPath(new URL('../../../', import.meta.url));
-const main = join(root, 'target/check/src/main.js');
-const seen: UserRequest[] = [];
-const reports: Heartbeat[] = [];
+const repositoryRoot = fileURLToPath(new URL('../../../', import.meta.url));
+const mainModule = join(repositoryRoot, 'target/check/src/main.js');
+const userRequests: UserRequest[] = [];
+const heartbeats: Heartbeat[] = [];
 let server: Server;
 let port = 0;
 
@@ -23,13 +23,13 @@
   server = createHttpServer(
     {
       handleUserRequest: async (request): Promise<UserResponse> => {
-        seen.push(request);
+        userRequests.push(request);
         if (request.op === 'submit' && request.spec === null) return { status: 400, problem: request.problem };
         if (request.op === 'poll') return { status: 503, problem: 'busy', retryAfterSeconds: 1 };
         return { status: 201, id: request.id, jobStatus: 'queued', done: 0, running: 0 };
       },
       handleHeartbeat: async (report): Promise<HeartbeatResponse> => {
-        reports.push(report);
+        heartbeats.push(report);
         return { status: 200, fencingToken: 5n as FencingToken, commands: [] };
       },
       isHealthy: () => true,
@@ -46,13 +46,13 @@
   server.close();
 });
 
-interface Got {
+interface HttpResponse {
   status: number;
   headers: NodeJS.Dict<string | string[]>;
   body: Record<string, unknown>;
 }
 
-function ask(method: string, path: string, body?: Buffer): Promise<Got> {
+function sendRequest(method: string, path: string, body?: Buffer): Promise<HttpResponse> {
   return new Promise((resolve, reject) => {
     const req = request({ port, host: '127.0.0.1', method, path }, (res) => {
       const parts: Buffer[] = [];
@@ -68,7 +68,7 @@
   });
 }
 
-const job = {
+const wireJob = {
   ref: 'job-1',
   flock: 'f',
   crew: 'c',
@@ -89,45 +89,48 @@
 };
 
 test('users: good and bad submissions, unknown paths, wrong methods', async () => {
-  const good = await ask('POST', '/v2/runs', encodeCbor(job));
+  const good = await sendRequest('POST', '/v2/runs', encodeCbor(wireJob));
   assert.equal(good.status, 201);
   assert.deepEqual(good.body, { ref: 'job-1', mood: 'queued', done: 0, running: 0 });
   for (const body of [
     Buffer.from('nonsense'),
     encodeCbor([1]),
     encodeCbor({}),
-    encodeCbor({ ...job, cpus: -1 }),
+    encodeCbor({ ...wireJob, cpus: -1 }),
     Buffer.alloc(0),
   ]) {
-    assert.equal((await ask('POST', '/v2/runs', body)).status, 400);
+    assert.equal((await sendRequest('POST', '/v2/runs', body)).status, 400);
   }
-  assert.equal((await ask('POST', '/v2/runs', encodeCbor({ ...job, pad: 'x'.repeat(70_000) }))).status, 400);
-  assert.equal((await ask('GET', '/nowhere')).status, 404);
-  assert.equal((await ask('GET', '/v2/runs/..%2f..')).status, 404);
-  assert.equal((await ask('GET', '/v2/runs')).status, 405);
-  assert.equal((await ask('DELETE', '/v2/runs/job-1')).status, 405);
-  assert.equal((await ask('GET', '/agent/beat')).status, 405);
-  assert.equal((await ask('GET', '/up')).status, 200);
+  assert.equal(
+    (await sendRequest('POST', '/v2/runs', encodeCbor({ ...wireJob, pad: 'x'.repeat(70_000) }))).status,
+    400,
+  );
+  assert.equal((await sendRequest('GET', '/nowhere')).status, 404);
+  assert.equal((await sendRequest('GET', '/v2/runs/..%2f..')).status, 404);
+  assert.equal((await sendRequest('GET', '/v2/runs')).status, 405);
+  assert.equal((await sendRequest('DELETE', '/v2/runs/job-1')).status, 405);
+  assert.equal((await sendRequest('GET', '/agent/beat')).status, 405);
+  assert.equal((await sendRequest('GET', '/up')).status, 200);
 });
 
 test('users: a busy answer says when to come back; a malformed repeat still reaches the request handler by its id', async () => {
-  const busy = await ask('GET', '/v2/runs/job-1');
+  const busy = await sendRequest('GET', '/v2/runs/job-1');
   assert.equal(busy.status, 503);
   assert.equal(busy.headers['retry-after'], '1');
-  await ask('POST', '/v2/runs', encodeCbor({ ref: 'job-77' }));
-  assert.equal(seen.at(-1)?.id, 'job-77');
-  await ask('POST', '/v2/runs/job-78/withdraw');
-  assert.deepEqual(seen.at(-1), { op: 'cancel', id: 'job-78' });
+  await sendRequest('POST', '/v2/runs', encodeCbor({ ref: 'job-77' }));
+  assert.equal(userRequests.at(-1)?.id, 'job-77');
+  await sendRequest('POST', '/v2/runs/job-78/withdraw');
+  assert.deepEqual(userRequests.at(-1), { op: 'cancel', id: 'job-78' });
 });
 
 test('users: a service is taken with a run time of 0; one of an unknown shape, without a field or below zero is not', async () => {
-  const service = { ...job, ref: 'job-77', shape: 'daemon', flight_s: 0, chicks: 3 };
-  assert.equal((await ask('POST', '/v2/runs', encodeCbor(service))).status, 201);
-  const taken = seen.at(-1);
+  const service = { ...wireJob, ref: 'job-77', shape: 'daemon', flight_s: 0, chicks: 3 };
+  assert.equal((await sendRequest('POST', '/v2/runs', encodeCbor(service))).status, 201);
+  const taken = userRequests.at(-1);
   assert.ok(taken?.op === 'submit' && taken.spec?.kind === 'service' && taken.spec.estimatedRuntimeSeconds === 0);
   const { flight_s: _left, ...short } = service;
   for (const bad of [{ ...service, shape: 'demon' }, { ...service, chicks: 0 }, { ...service, flight_s: -1 }, short]) {
-    assert.equal((await ask('POST', '/v2/runs', encodeCbor(bad))).status, 400);
+    assert.equal((await sendRequest('POST', '/v2/runs', encodeCbor(bad))).status, 400);
   }
 });
 
@@ -143,18 +146,18 @@
     crest: 0,
     chicks: [],
   };
-  const got = await ask('POST', '/agent/beat', encodeCbor(report));
+  const got = await sendRequest('POST', '/agent/beat', encodeCbor(report));
   assert.deepEqual([got.status, got.body], [200, { crest: 5n, calls: [] }]);
-  assert.equal(reports.at(-1)?.machine, 'i-1');
-  assert.equal((await ask('POST', '/agent/beat', encodeCbor({ ...report, roost: 'x' }))).status, 400);
+  assert.equal(heartbeats.at(-1)?.machine, 'i-1');
+  assert.equal((await sendRequest('POST', '/agent/beat', encodeCbor({ ...report, roost: 'x' }))).status, 400);
   const task = { chick: 'job-1/0', hop: 3, mood: 'running' };
-  const withTasks = (...chicks: unknown[]): Promise<Got> =>
-    ask('POST', '/agent/beat', encodeCbor({ ...report, chicks }));
-  const taken = reports.length;
+  const withTasks = (...chicks: unknown[]): Promise<HttpResponse> =>
+    sendRequest('POST', '/agent/beat', encodeCbor({ ...report, chicks }));
+  const taken = heartbeats.length;
   assert.equal((await withTasks({ ...task, mood: 'dreaming' })).status, 400);
   assert.equal((await withTasks({ ...task, hop: undefined })).status, 400);
   assert.equal((await withTasks(task, { ...task, mood: 'exited', cause: 'done' })).status, 400);
-  assert.equal(reports.length, taken);
+  assert.equal(heartbeats.length, taken);
   // A refused start is shown beside the attempt that is there.
   assert.equal((await withTasks(task, { ...task, hop: 4, mood: 'exited', cause: 'in_use' })).status, 200);
 });
@@ -163,7 +166,7 @@
   const idle = Array.from({ length: 30 }, () => connect(port, '127.0.0.1'));
   idle[0]?.write('POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Le');
   idle[1]?.write('not http at all\r\n\r\n');
-  assert.equal((await ask('GET', '/up')).status, 200);
+  assert.equal((await sendRequest('GET', '/up')).status, 200);
   for (const socket of idle) socket.destroy();
 });
 
@@ -171,82 +174,86 @@
   new Promise((resolve, reject) => server.getConnections((error, count) => (error ? reject(error) : resolve(count))));
 
 test('connections persist, and end with their answer once most sockets are taken', async () => {
-  const kept = await ask('GET', '/up');
+  const kept = await sendRequest('GET', '/up');
   assert.notEqual(kept.headers.connection, 'close');
   // The server has 200 sockets, 170 of them for others.
   const idle = Array.from({ length: 140 }, () => connect(port, '127.0.0.1'));
   await Promise.all(idle.map((socket) => new Promise((resolve) => socket.once('connect', resolve))));
   // The server takes connections in one after the other.
   while ((await openConnections()) < idle.length) await new Promise((resolve) => setImmediate(resolve));
-  const crowded = await ask('GET', '/up');
+  const crowded = await sendRequest('GET', '/up');
   assert.equal(crowded.headers.connection, 'close');
   for (const socket of idle) socket.destroy();
 });
 
-function cli(...args: string[]): { status: number | null; out: string; err: string } {
-  const run = spawnSync(process.execPath, [main, ...args], { cwd: root, encoding: 'utf8', timeout: 20_000 });
+function runCli(...args: string[]): { status: number | null; out: string; err: string } {
+  const run = spawnSync(process.execPath, [mainModule, ...args], {
+    cwd: repositoryRoot,
+    encoding: 'utf8',
+    timeout: 20_000,
+  });
   return { status: run.status, out: run.stdout, err: run.stderr };
 }
 
-function settings(change: (text: string) => string = (text) => text): string {
+function writeSettings(change: (text: string) => string = (text) => text): string {
   const file = join(mkdtempSync(join(tmpdir(), 'magpielift-')), 'settings.toml');
-  writeFileSync(file, change(readFileSync(join(root, 'test/settings.toml'), 'utf8')));
+  writeFileSync(file, change(readFileSync(join(repositoryRoot, 'test/settings.toml'), 'utf8')));
   return file;
 }
 
 test('command line: help, version, and settings checked at start', () => {
-  assert.match(cli('--help').out, /--config/);
-  assert.match(cli('--version').out, /^\d+\.\d+\.\d+/);
-  assert.equal(cli('check', '--config', settings()).status, 0);
+  assert.match(runCli('--help').out, /--config/);
+  assert.match(runCli('--version').out, /^\d+\.\d+\.\d+/);
+  assert.equal(runCli('check', '--config', writeSettings()).status, 0);
   assert.equal(
-    cli(
+    runCli(
       'check',
       '--config',
-      settings((text) => `future = 1\n${text}`),
+      writeSettings((text) => `future = 1\n${text}`),
     ).status,
     0,
   );
-  const missing = cli(
+  const missing = runCli(
     '--config',
-    settings((text) => text.replace(/^lease_s.*$/m, '')),
+    writeSettings((text) => text.replace(/^lease_s.*$/m, '')),
   );
   assert.equal(missing.status, 2);
   assert.match(missing.err, /settings\.toml: deployment\.workers\.lease_s: /);
   assert.equal(missing.err.trim().split('\n').length, 1);
   assert.equal(
-    cli(
+    runCli(
       '--config',
-      settings((text) => text.replace('rps = 200.0', 'rps = "many"')),
+      writeSettings((text) => text.replace('rps = 200.0', 'rps = "many"')),
     ).status,
     2,
   );
   const limits = '[deployment.state.next]\nvalue_kb = 2.0\n\n[deployment.cloud]';
-  const withNext = (limits: string): string => settings((text) => text.replace('[deployment.cloud]', limits));
-  assert.equal(cli('check', '--config', withNext(limits)).status, 0);
-  assert.equal(cli('check', '--config', withNext(limits.replace('value_kb = 2.0', 'other = "x"'))).status, 0);
-  const wrong = cli('--config', withNext(limits.replace('2.0', '-2.0')));
+  const withNext = (limits: string): string => writeSettings((text) => text.replace('[deployment.cloud]', limits));
+  assert.equal(runCli('check', '--config', withNext(limits)).status, 0);
+  assert.equal(runCli('check', '--config', withNext(limits.replace('value_kb = 2.0', 'other = "x"'))).status, 0);
+  const wrong = runCli('--config', withNext(limits.replace('2.0', '-2.0')));
   assert.equal(wrong.status, 2);
   assert.match(wrong.err, /settings\.toml: deployment\.state\.next\.value_kb: /);
-  assert.equal(cli('--config', '/nonexistent').status, 2);
-  assert.equal(cli().status, 2);
-  assert.equal(cli('--nonsense').status, 2);
+  assert.equal(runCli('--config', '/nonexistent').status, 2);
+  assert.equal(runCli().status, 2);
+  assert.equal(runCli('--nonsense').status, 2);
 });
 
 test('command line: a wrong tuning value is refused by name', () => {
   const dir = mkdtempSync(join(tmpdir(), 'magpielift-'));
   const file = join(dir, 'tuning.toml');
-  const text = readFileSync(join(root, 'deploy/tuning.toml'), 'utf8');
+  const text = readFileSync(join(repositoryRoot, 'deploy/tuning.toml'), 'utf8');
   writeFileSync(file, text.replace(/^mutation.*$/m, 'mutation = 3'));
-  const run = cli('check', '--config', settings(), '--tuning', file);
+  const run = runCli('check', '--config', writeSettings(), '--tuning', file);
   assert.equal(run.status, 2);
   assert.match(run.err, /scheduler\.mutation/);
 });
 
 test('command line: what is switched on is checked, with file and field; what is left out is off', () => {
   const file = join(mkdtempSync(join(tmpdir(), 'magpielift-')), 'features.toml');
-  const check = (text: string): ReturnType<typeof cli> => {
+  const check = (text: string): ReturnType<typeof runCli> => {
     writeFileSync(file, text);
-    return cli('check', '--config', settings(), '--features', file);
+    return runCli('check', '--config', writeSettings(), '--features', file);
   };
   assert.equal(check('').status, 0);
   assert.equal(check('[recovery]\nenabled = true\n').status, 0);
@@ -263,16 +270,16 @@
     assert.match(refused.err, said);
     assert.equal(refused.err.trim().split('\n').length, 1);
   }
-  assert.equal(cli('check', '--config', settings(), '--features', '/nonexistent').status, 2);
+  assert.equal(runCli('check', '--config', writeSettings(), '--features', '/nonexistent').status, 2);
 });
 
 test('command line: a tuning key under its old name is refused with the new one', () => {
   const file = join(mkdtempSync(join(tmpdir(), 'magpielift-')), 'tuning.toml');
-  const text = readFileSync(join(root, 'deploy/tuning.toml'), 'utf8');
+  const text = readFileSync(join(repositoryRoot, 'deploy/tuning.toml'), 'utf8');
   const renamed = { gpu_penalty_s: 'gpu_reluctance_s', future_discount: 'future_doubt' };
   for (const [newKey, oldKey] of Object.entries(renamed)) {
     writeFileSync(file, text.replace(newKey, oldKey));
-    const refused = cli('check', '--config', settings(), '--tuning', file);
+    const refused = runCli('check', '--config', writeSettings(), '--tuning', file);
     assert.equal(refused.status, 2);
     assert.match(refused.err, new RegExp(`tuning\\.toml: scheduler\\.${oldKey}: is now named ${newKey}`));
     assert.equal(refused.err.trim().split('\n').length, 1);
@@ -280,8 +287,8 @@
 });
 
 test('a node alone starts, says it is healthy, and answers 503 while it can’t reach the state service', async () => {
-  const child = spawn(process.execPath, [main, '--config', settings()], {
-    cwd: root,
+  const child = spawn(process.execPath, [mainModule, '--config', writeSettings()], {
+    cwd: repositoryRoot,
     stdio: ['ignore', 'ignore', 'pipe'],
   });
   try {
@@ -291,8 +298,8 @@
     });
     const own = port;
     port = 18_080;
-    const up = await ask('GET', '/up');
-    const submitted = await ask('POST', '/v2/runs', encodeCbor(job));
+    const up = await sendRequest('GET', '/up');
+    const submitted = await sendRequest('POST', '/v2/runs', encodeCbor(wireJob));
     port = own;
     assert.equal(up.status, 200);
     assert.equal(submitted.status, 503);
--- a/test/sim/build.ts
+++ b/test/sim/build.ts
@@ -32,7 +32,7 @@
 
 const deployFile = (name: string): string => fileURLToPath(new URL(`../../../../deploy/${name}`, import.meta.url));
 
-export const PRESENT: Build = {
+export const CURRENT_BUILD: Build = {
   name: 'present',
   controllerClass: Controller,
   encodeFrame,
@@ -46,9 +46,9 @@
 };
 
 /** The present build with all features off, as an operator may run it beside others. */
-export const FEATURES_OFF: Build = { ...PRESENT, name: 'features-off', features: ALL_OFF };
+export const FEATURES_OFF: Build = { ...CURRENT_BUILD, name: 'features-off', features: ALL_OFF };
 
 /** The builds of this version. */
-export const PRESENT_BUILDS: readonly Build[] = [PRESENT, FEATURES_OFF];
+export const CURRENT_BUILDS: readonly Build[] = [CURRENT_BUILD, FEATURES_OFF];
 
-export const isPresent = (build: Build): boolean => PRESENT_BUILDS.includes(build);
+export const isCurrent = (build: Build): boolean => CURRENT_BUILDS.includes(build);
--- a/test/sim/clock.ts
+++ b/test/sim/clock.ts
@@ -1,8 +1,8 @@
 import { type RandomGenerator, unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand';
 
-interface Event {
+interface ScheduledEvent {
   readonly at: number;
-  readonly order: number;
+  readonly nextOrder: number;
   readonly run: () => void;
 }
 
@@ -10,38 +10,38 @@
 export class Clock {
   now = 0;
   private readonly random: RandomGenerator;
-  private heap: Event[] = [];
-  private order = 0;
+  private queue: ScheduledEvent[] = [];
+  private nextOrder = 0;
 
   constructor(seed: number) {
     this.random = xoroshiro128plus(seed);
   }
 
   /** A number from `lo` up to `hi`. */
-  between(low: number, high: number): number {
+  randomBetween(low: number, high: number): number {
     return low + (unsafeUniformIntDistribution(0, 1_000_000, this.random) / 1_000_000) * (high - low);
   }
 
-  pick<T>(from: readonly T[]): T {
+  pickRandom<T>(from: readonly T[]): T {
     return from[unsafeUniformIntDistribution(0, from.length - 1, this.random)] as T;
   }
 
-  in(ms: number, run: () => void): void {
-    const event: Event = { at: this.now + Math.max(0, ms), order: this.order++, run };
-    const heap = this.heap;
+  schedule(ms: number, run: () => void): void {
+    const event: ScheduledEvent = { at: this.now + Math.max(0, ms), nextOrder: this.nextOrder++, run };
+    const heap = this.queue;
     heap.push(event);
     let i = heap.length - 1;
     while (i > 0) {
       const up = (i - 1) >> 1;
-      if (!before(event, heap[up] as Event)) break;
-      heap[i] = heap[up] as Event;
+      if (!isBefore(event, heap[up] as ScheduledEvent)) break;
+      heap[i] = heap[up] as ScheduledEvent;
       i = up;
     }
     heap[i] = event;
   }
 
-  private pop(): Event | undefined {
-    const heap = this.heap;
+  private pop(): ScheduledEvent | undefined {
+    const heap = this.queue;
     const first = heap[0];
     const last = heap.pop();
     if (!first || !last || heap.length === 0) return first;
@@ -49,9 +49,9 @@
     for (;;) {
       let down = 2 * i + 1;
       if (down >= heap.length) break;
-      if (down + 1 < heap.length && before(heap[down + 1] as Event, heap[down] as Event)) down += 1;
-      if (!before(heap[down] as Event, last)) break;
-      heap[i] = heap[down] as Event;
+      if (down + 1 < heap.length && isBefore(heap[down + 1] as ScheduledEvent, heap[down] as ScheduledEvent)) down += 1;
+      if (!isBefore(heap[down] as ScheduledEvent, last)) break;
+      heap[i] = heap[down] as ScheduledEvent;
       i = down;
     }
     heap[i] = last;
@@ -59,8 +59,8 @@
   }
 
   runUntil(end: number): void {
-    while (this.heap.length > 0 && (this.heap[0] as Event).at <= end) {
-      const event = this.pop() as Event;
+    while (this.queue.length > 0 && (this.queue[0] as ScheduledEvent).at <= end) {
+      const event = this.pop() as ScheduledEvent;
       this.now = event.at;
       event.run();
     }
@@ -68,4 +68,5 @@
   }
 }
 
-const before = (a: Event, b: Event): boolean => a.at < b.at || (a.at === b.at && a.order < b.order);
+const isBefore = (a: ScheduledEvent, b: ScheduledEvent): boolean =>
+  a.at < b.at || (a.at === b.at && a.nextOrder < b.nextOrder);
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -2,41 +2,41 @@
 import type { CloudMachine, MachineId, MachineType, ZoneName } from '../../src/core/types.js';
 import type { Clock } from './clock.js';
 
-interface Rented {
+interface ProvisionedMachine {
   readonly id: MachineId;
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  readonly since: number;
+  readonly provisionedAt: number;
   phase: 'booting' | 'running' | 'failed';
 }
 
 /** Machines rented before `until` take so many times as long to come up, and that share of them never does. */
-export interface BootTrouble {
+export interface BootFault {
   readonly factor: number;
-  readonly neverShare: number;
+  readonly neverBootsShare: number;
   readonly until: number;
   /** Null: in all zones. */
   readonly zone: string | null;
 }
 
 export interface CloudEvents {
-  boot(id: MachineId, type: MachineType, zone: ZoneName, spot: boolean): void;
-  gone(id: MachineId): void;
+  onBooted(id: MachineId, type: MachineType, zone: ZoneName, spot: boolean): void;
+  onGone(id: MachineId): void;
   /** A machine is about to be deleted because it was asked for. */
-  returned(id: MachineId): void;
+  onTermination(id: MachineId): void;
 }
 
 /** Our stand-in for the cloud: rentals by request name, lists that lag and go backwards, machines that never come up. */
-export class Cloud {
-  readonly machines = new Map<MachineId, Rented>();
-  private readonly answered = new Map<string, MachineId[]>();
-  private history: { at: number; list: CloudMachine[] }[] = [];
-  private count = 0;
-  down = false;
-  neverBoot = 0;
-  private bootTroubles: BootTrouble[] = [];
-  rentals = 0;
+export class SimulatedCloud {
+  readonly machines = new Map<MachineId, ProvisionedMachine>();
+  private readonly provisionedByRequest = new Map<string, MachineId[]>();
+  private listHistory: { at: number; currentList: CloudMachine[] }[] = [];
+  private lastMachineNumber = 0;
+  isDown = false;
+  neverBootCount = 0;
+  private bootFaults: BootFault[] = [];
+  provisionedCount = 0;
 
   constructor(
     private readonly clock: Clock,
@@ -46,14 +46,14 @@
     private readonly events: CloudEvents,
   ) {
     const tick = (): void => {
-      this.history.push({ at: clock.now, list: this.list() });
-      if (this.history.length > 200) this.history.shift();
-      clock.in(500, tick);
+      this.listHistory.push({ at: clock.now, currentList: this.currentList() });
+      if (this.listHistory.length > 200) this.listHistory.shift();
+      clock.schedule(500, tick);
     };
     tick();
   }
 
-  private list(): CloudMachine[] {
+  private currentList(): CloudMachine[] {
     return [...this.machines.values()]
       .map((machine) => ({
         id: machine.id,
@@ -62,95 +62,95 @@
         zone: machine.zone,
         spot: machine.spot,
         phase: machine.phase,
-        ageSeconds: (this.clock.now - machine.since) / 1000,
+        ageSeconds: (this.clock.now - machine.provisionedAt) / 1000,
       }))
       .sort((a, b) => (a.id < b.id ? -1 : 1));
   }
 
-  add(type: MachineType, zone: ZoneName, spot: boolean, bootMs: number | null): MachineId {
-    const id = `i-${String(this.count++).padStart(6, '0')}` as MachineId;
-    const machine: Rented = { id, type, zone, spot, since: this.clock.now, phase: 'booting' };
+  addMachine(type: MachineType, zone: ZoneName, spot: boolean, bootMs: number | null): MachineId {
+    const id = `i-${String(this.lastMachineNumber++).padStart(6, '0')}` as MachineId;
+    const machine: ProvisionedMachine = { id, type, zone, spot, provisionedAt: this.clock.now, phase: 'booting' };
     this.machines.set(id, machine);
     if (bootMs !== null) {
-      this.clock.in(bootMs, () => {
+      this.clock.schedule(bootMs, () => {
         if (this.machines.get(id) !== machine || machine.phase !== 'booting') return;
         machine.phase = 'running';
-        this.events.boot(id, type, zone, spot);
+        this.events.onBooted(id, type, zone, spot);
       });
     }
     return id;
   }
 
-  take(id: MachineId): void {
-    if (this.machines.delete(id)) this.events.gone(id);
+  interrupt(id: MachineId): void {
+    if (this.machines.delete(id)) this.events.onGone(id);
   }
 
-  fail(id: MachineId): void {
+  failMachine(id: MachineId): void {
     const machine = this.machines.get(id);
     if (!machine) return;
     machine.phase = 'failed';
-    this.events.gone(id);
+    this.events.onGone(id);
   }
 
   serve(op: CloudOperation, reply: (result: Result<CloudResponse>) => void): void {
-    this.clock.in(this.clock.between(50, 250), () => reply(this.run(op)));
+    this.clock.schedule(this.clock.randomBetween(50, 250), () => reply(this.execute(op)));
   }
 
   /** The list as it was some time ago. */
-  private lateList(after: MachineId | null): Result<CloudResponse> {
-    const lag = this.clock.between(0.2, 2) * this.listLagMs;
+  private staleList(after: MachineId | null): Result<CloudResponse> {
+    const lag = this.clock.randomBetween(0.2, 2) * this.listLagMs;
     let list: CloudMachine[] = [];
-    for (const entry of this.history) if (entry.at <= this.clock.now - lag) list = entry.list;
+    for (const entry of this.listHistory) if (entry.at <= this.clock.now - lag) list = entry.currentList;
     return { ok: true, value: { machines: list.filter(({ id }) => after === null || id > after), more: false } };
   }
 
-  private delete(id: MachineId): void {
-    this.events.returned(id);
-    if (this.machines.delete(id)) this.events.gone(id);
+  private terminate(id: MachineId): void {
+    this.events.onTermination(id);
+    if (this.machines.delete(id)) this.events.onGone(id);
   }
 
-  addBootTrouble(trouble: BootTrouble): void {
-    this.bootTroubles.push(trouble);
+  addBootFault(trouble: BootFault): void {
+    this.bootFaults.push(trouble);
   }
 
   /** How long a machine takes to come up; null: for ever. */
   private bootMs(type: MachineType, zone: ZoneName): number | null {
-    const usual = type.bootSeconds * 1000 * this.clock.between(0.6, 1.5);
-    const trouble = this.bootTroubles.find(
+    const usual = type.bootSeconds * 1000 * this.clock.randomBetween(0.6, 1.5);
+    const trouble = this.bootFaults.find(
       (each) => this.clock.now < each.until && (each.zone === null || each.zone === zone),
     );
     if (!trouble) return usual;
-    return this.clock.between(0, 1) < trouble.neverShare ? null : usual * trouble.factor;
+    return this.clock.randomBetween(0, 1) < trouble.neverBootsShare ? null : usual * trouble.factor;
   }
 
-  private rent(op: Extract<CloudOperation, { op: 'rent' }>): Result<CloudResponse> {
-    const before = this.answered.get(op.idempotencyKey);
+  private provision(op: Extract<CloudOperation, { op: 'rent' }>): Result<CloudResponse> {
+    const before = this.provisionedByRequest.get(op.idempotencyKey);
     if (before) return { ok: true, value: { provisioned: before } };
     const type = this.types.find(({ name }) => name === op.machineType);
     const free = this.capacity - this.machines.size;
     if (!type || free <= 0) return { ok: false, why: 'no_capacity' };
     const ids: MachineId[] = [];
     for (let i = 0; i < Math.min(free, op.count); i++) {
-      const never = this.neverBoot > 0;
-      if (never) this.neverBoot -= 1;
-      ids.push(this.add(type, op.zone, op.spot, never ? null : this.bootMs(type, op.zone)));
-      this.rentals += 1;
+      const never = this.neverBootCount > 0;
+      if (never) this.neverBootCount -= 1;
+      ids.push(this.addMachine(type, op.zone, op.spot, never ? null : this.bootMs(type, op.zone)));
+      this.provisionedCount += 1;
     }
-    this.answered.set(op.idempotencyKey, ids);
+    this.provisionedByRequest.set(op.idempotencyKey, ids);
     return { ok: true, value: { provisioned: ids } };
   }
 
-  private run(op: CloudOperation): Result<CloudResponse> {
-    if (this.down) return { ok: false, why: 'refused' };
+  private execute(op: CloudOperation): Result<CloudResponse> {
+    if (this.isDown) return { ok: false, why: 'refused' };
     switch (op.op) {
       case 'types':
         return { ok: true, value: { machineTypes: this.types.map((type) => ({ ...type })) } };
       case 'list':
-        return this.lateList(op.after);
+        return this.staleList(op.after);
       case 'rent':
-        return this.rent(op);
+        return this.provision(op);
       case 'delete':
-        for (const id of op.machines) this.delete(id);
+        for (const id of op.machines) this.terminate(id);
         return { ok: true, value: {} };
     }
   }
--- a/test/sim/controller.ts
+++ b/test/sim/controller_process.ts
@@ -21,24 +21,24 @@
 import { checkExpiry } from '../../src/io/output_expiry.js';
 import type { FrameSplitter, PeerFrame } from '../../src/io/peers/peer_codec.js';
 import type { RecoverySummary } from '../../src/recovery/index.js';
-import { type Build, isPresent, type SimulatedController } from './build.js';
-import type { Cloud } from './cloud.js';
+import { type Build, isCurrent, type SimulatedController } from './build.js';
+import type { SimulatedCloud } from './cloud.js';
 import type { World } from './world.js';
 
 /** A controller process as the world runs it: killed without a word, started again with nothing. */
 export class ControllerProcess {
-  private node: SimulatedController | null = null;
+  private controller: SimulatedController | null = null;
   /** One for each peer that speaks to it over bytes. */
   private splitters = new Map<ControllerName, FrameSplitter>();
-  private callbacks = new Map<number, (answer: never) => void>();
-  private requests = 0;
-  private timerSeq = 0;
-  private starts = 0;
-  private epoch = 0;
+  private pendingReplies = new Map<number, (answer: never) => void>();
+  private lastRequestId = 0;
+  private timerGeneration = 0;
+  private startCount = 0;
+  private generation = 0;
   private frozenUntil = 0;
-  private inputsWhileFrozen: Input[] = [];
+  private deferredInputs: Input[] = [];
   /** The next step that makes such outputs is followed by a pause before they are sent. */
-  pauseBeforeSending: { readonly ms: number; isDue(outputs: readonly Output[]): boolean } | null = null;
+  pauseBeforeOutputs: { readonly ms: number; isDue(outputs: readonly Output[]): boolean } | null = null;
 
   constructor(
     private readonly world: World,
@@ -48,60 +48,60 @@
   ) {}
 
   /** From its next start on it runs another build. */
-  become(build: Build): void {
+  installBuild(build: Build): void {
     this.build = build;
   }
 
-  get up(): boolean {
-    return this.node !== null;
+  get isRunning(): boolean {
+    return this.controller !== null;
   }
 
-  get healthy(): boolean {
+  get isHealthy(): boolean {
     if (this.world.clock.now < this.frozenUntil) return false;
-    return this.node?.isHealthy(this.now().monotonic) ?? false;
+    return this.controller?.isHealthy(this.clockReading().monotonic) ?? false;
   }
 
   start(): void {
-    if (this.node) return;
-    this.starts += 1;
-    this.epoch += 1;
+    if (this.controller) return;
+    this.startCount += 1;
+    this.generation += 1;
     const { world } = this;
-    this.node = new this.build.controllerClass(
+    this.controller = new this.build.controllerClass(
       this.settings(this.build),
-      isPresent(this.build) ? world.options.tuning : this.build.tuning,
-      `${this.name}-${this.starts}`,
-      world.options.seed + this.starts,
-      this.now(),
+      isCurrent(this.build) ? world.options.tuning : this.build.tuning,
+      `${this.name}-${this.startCount}`,
+      world.options.seed + this.startCount,
+      this.clockReading(),
       this.build.features,
     );
     this.step({ kind: 'start' });
   }
 
   crash(): void {
-    this.node = null;
+    this.controller = null;
     this.splitters.clear();
     this.frozenUntil = 0;
-    this.inputsWhileFrozen = [];
-    this.callbacks.clear();
-    this.epoch += 1;
+    this.deferredInputs = [];
+    this.pendingReplies.clear();
+    this.generation += 1;
   }
 
-  private now(): ClockReading {
+  private clockReading(): ClockReading {
     const elapsed = this.world.clock.now;
     return { monotonic: elapsed as MonotonicTime, wallClock: (1_790_000_000_000 + elapsed) as WallClockTime };
   }
 
   /** The process stands still while its clocks run on; what comes meanwhile waits in its sockets. */
   freeze(ms: number): void {
-    if (!this.node) return;
-    const { epoch, world } = this;
+    if (!this.controller) return;
+    const { generation, world } = this;
     this.frozenUntil = world.clock.now + ms;
-    world.clock.in(ms, () => {
-      if (epoch !== this.epoch) return;
-      const waited = this.inputsWhileFrozen;
-      this.inputsWhileFrozen = [];
+    world.clock.schedule(ms, () => {
+      if (generation !== this.generation) return;
+      const waited = this.deferredInputs;
+      this.deferredInputs = [];
       // Either comes first on waking: timers that are due, or what was read from the sockets.
-      const timerFirst = world.clock.between(0, 1) < 0.5;
+      const timerFirst = world.clock.randomBetween(0, 1) < 0.5;
       if (timerFirst) this.step({ kind: 'timer' });
       for (const input of waited) this.step(input);
       if (!timerFirst) this.step({ kind: 'timer' });
@@ -109,123 +109,123 @@
   }
 
   step(input: Input): void {
-    const { node } = this;
-    if (!node) return;
+    const { controller } = this;
+    if (!controller) return;
     if (this.world.clock.now < this.frozenUntil) {
-      if (input.kind !== 'timer') this.inputsWhileFrozen.push(input);
+      if (input.kind !== 'timer') this.deferredInputs.push(input);
       return;
     }
-    const outputs = node.step(this.now(), input);
-    if (this.pauseBeforeSending?.isDue(outputs)) this.carryOutAfterPause(outputs);
-    else for (const output of outputs) this.carryOutIfDue(output);
-    const next = node.nextTimerAt();
+    const outputs = controller.step(this.clockReading(), input);
+    if (this.pauseBeforeOutputs?.isDue(outputs)) this.performAfterPause(outputs);
+    else for (const output of outputs) this.performUnlessExpired(output);
+    const next = controller.nextTimerAt();
     if (next === null) return;
-    const ifAlive = ++this.timerSeq;
-    this.world.clock.in(Math.max(1, next - this.world.clock.now), () => {
-      if (ifAlive === this.timerSeq && this.node === node) this.step({ kind: 'timer' });
+    const ifAlive = ++this.timerGeneration;
+    this.world.clock.schedule(Math.max(1, next - this.world.clock.now), () => {
+      if (ifAlive === this.timerGeneration && this.controller === controller) this.step({ kind: 'timer' });
     });
   }
 
   /** The process is paused between making outputs and sending them. */
-  private carryOutAfterPause(outputs: readonly Output[]): void {
-    const ms = this.pauseBeforeSending?.ms ?? 0;
-    this.pauseBeforeSending = null;
-    const carryOut = this.mine(() => {
-      for (const output of outputs) this.carryOutIfDue(output);
+  private performAfterPause(outputs: readonly Output[]): void {
+    const ms = this.pauseBeforeOutputs?.ms ?? 0;
+    this.pauseBeforeOutputs = null;
+    const carryOut = this.ifStillRunning(() => {
+      for (const output of outputs) this.performUnlessExpired(output);
     });
     // What was about to be sent goes out first; only then does the process look at what waits for it.
-    this.world.clock.in(ms - 1, carryOut);
+    this.world.clock.schedule(ms - 1, carryOut);
     this.freeze(ms);
   }
 
-  private carryOutIfDue(output: Output): void {
-    const { output: due, reply } = checkExpiry(output, this.now().monotonic);
-    if (due) this.carryOut(due);
+  private performUnlessExpired(output: Output): void {
+    const { output: due, reply } = checkExpiry(output, this.clockReading().monotonic);
+    if (due) this.perform(due);
     if (reply)
-      this.world.clock.in(
+      this.world.clock.schedule(
         1,
-        this.mine(() => this.step(reply)),
+        this.ifStillRunning(() => this.step(reply)),
       );
   }
 
   /** Runs `then` only if the same process still lives. */
-  private mine<T extends unknown[]>(then: (...answer: T) => void): (...answer: T) => void {
-    const { epoch } = this;
+  private ifStillRunning<T extends unknown[]>(then: (...answer: T) => void): (...answer: T) => void {
+    const { generation } = this;
     return (...answer) => {
-      if (epoch === this.epoch && this.node) then(...answer);
+      if (generation === this.generation && this.controller) then(...answer);
     };
   }
 
-  private carryOut(output: Output): void {
+  private perform(output: Output): void {
     const { world } = this;
     const { network } = world;
     world.trace?.add(world.clock.now, this.name, this.build, output);
     switch (output.kind) {
       case 'answerUser':
       case 'answerWorker': {
-        const wait = this.callbacks.get(output.requestId);
-        this.callbacks.delete(output.requestId);
+        const wait = this.pendingReplies.get(output.requestId);
+        this.pendingReplies.delete(output.requestId);
         wait?.(output.response as never);
         break;
       }
       case 'store': {
-        const done = this.mine((result: Result<StateStoreResponse> | null) =>
+        const done = this.ifStillRunning((result: Result<StateStoreResponse> | null) =>
           this.step({ kind: 'storeReply', callId: output.callId, result: result ?? { ok: false, why: 'unknown' } }),
         );
-        world.meters.storeOp(output.operation);
-        network.call(
+        world.meters.onStoreCall(output.operation);
+        network.request(
           this.name,
           'state',
           output.timeoutMs,
-          (reply) => world.state.serve(this.name, output.operation, reply),
+          (reply) => world.stateStore.serve(this.name, output.operation, reply),
           done,
         );
         break;
       }
       case 'cloud': {
-        const done = this.mine((result: Parameters<Parameters<Cloud['serve']>[1]>[0] | null) =>
+        const done = this.ifStillRunning((result: Parameters<Parameters<SimulatedCloud['serve']>[1]>[0] | null) =>
           this.step({ kind: 'cloudReply', callId: output.callId, result: result ?? { ok: false, why: 'unknown' } }),
         );
-        world.meters.cloudOp();
-        network.call(this.name, 'cloud', 4000, (reply) => world.cloud.serve(output.operation, reply), done);
+        world.meters.onCloudCall();
+        network.request(this.name, 'cloud', 4000, (reply) => world.cloud.serve(output.operation, reply), done);
         break;
       }
       case 'worker': {
-        const carriedOut = this.mine((value: CommandPushResponse | null) =>
+        const carriedOut = this.ifStillRunning((value: CommandPushResponse | null) =>
           this.step({
             kind: 'workerReply',
             callId: output.callId,
             result: value ? { ok: true, value } : { ok: false, why: 'unknown' },
           }),
         );
-        world.meters.commandsOpened(1);
+        world.meters.addOpenCommands(1);
         const done = (value: CommandPushResponse | null): void => {
-          world.meters.commandsOpened(-1);
+          world.meters.addOpenCommands(-1);
           carriedOut(value);
         };
         const worker = world.workers.get(output.operation.address as MachineId);
-        network.call(
+        network.request(
           this.name,
           output.operation.address,
           2500,
-          (reply) => worker?.takeCommands(output.operation, reply),
+          (reply) => worker?.receivePushedCommands(output.operation, reply),
           done,
         );
         break;
       }
       case 'peer': {
-        const to = world.nodes.find((node) => node.name === output.recipient);
-        if (world.bytes) {
+        const to = world.controllers.find((node) => node.name === output.recipient);
+        if (world.encodesPeerMessages) {
           const frame = this.build.encodeFrame(this.build.ownMessage(output.message));
-          network.send(this.name, output.recipient, () => to?.fromPeerBytes(this.name, frame));
+          network.send(this.name, output.recipient, () => to?.receivePeerBytes(this.name, frame));
           break;
         }
-        world.meters.frame(output.message);
-        network.send(this.name, output.recipient, () => to?.fromPeer(this.name, output.message));
+        world.meters.onPeerMessage(output.message);
+        network.send(this.name, output.recipient, () => to?.receivePeerMessage(this.name, output.message));
         break;
       }
       case 'log':
-        world.meters.logLine(output);
+        world.meters.onLogEvent(output);
         if (world.verbose)
           console.error((world.clock.now / 1000).toFixed(2), this.name, output.level, output.event, output.fields);
         if (output.level === 'error') world.errors.push(`${output.event} ${JSON.stringify(output.fields)}`);
@@ -234,16 +234,16 @@
   }
 
   recoverySummary(): RecoverySummary | null {
-    return this.node?.recoverySummary?.() ?? null;
+    return this.controller?.recoverySummary?.() ?? null;
   }
 
-  fromPeer(sender: ControllerName, message: PeerMessage): void {
+  receivePeerMessage(sender: ControllerName, message: PeerMessage): void {
     this.step({ kind: 'peer', sender, message });
   }
 
   /** As the link does it: a frame that the build can't take ends the connection. */
-  fromPeerBytes(from: ControllerName, frame: Buffer): void {
-    if (!this.node) return;
+  receivePeerBytes(from: ControllerName, frame: Buffer): void {
+    if (!this.controller) return;
     const splitter = this.splitters.get(from) ?? new this.build.splitterClass();
     this.splitters.set(from, splitter);
     let frames: PeerFrame[];
@@ -254,20 +254,20 @@
       this.world.errors.push(`${this.name} ended the link from ${from}: ${(error as Error).message}`);
       return;
     }
-    for (const frame of frames) if (frame.kind !== 'hello') this.fromPeer(from, frame);
+    for (const frame of frames) if (frame.kind !== 'hello') this.receivePeerMessage(from, frame);
   }
 
-  report(heartbeat: Heartbeat, reply: (answer: HeartbeatResponse) => void): void {
-    if (!this.node) return;
-    const requestId = ++this.requests;
-    this.callbacks.set(requestId, reply as (answer: never) => void);
+  receiveHeartbeat(heartbeat: Heartbeat, reply: (answer: HeartbeatResponse) => void): void {
+    if (!this.controller) return;
+    const requestId = ++this.lastRequestId;
+    this.pendingReplies.set(requestId, reply as (answer: never) => void);
     this.step({ kind: 'report', requestId, heartbeat });
   }
 
-  user(request: UserRequest, reply: (answer: UserResponse) => void): void {
-    if (!this.node) return;
-    const requestId = ++this.requests;
-    this.callbacks.set(requestId, reply as (answer: never) => void);
+  receiveUserRequest(request: UserRequest, reply: (answer: UserResponse) => void): void {
+    if (!this.controller) return;
+    const requestId = ++this.lastRequestId;
+    this.pendingReplies.set(requestId, reply as (answer: never) => void);
     this.step({ kind: 'user', requestId, request });
   }
 }
--- a/test/sim/idle_room.ts
+++ b/test/sim/idle_capacity.ts
@@ -1,59 +1,60 @@
 import type { JobId, JobSpec } from '../../src/core/types.js';
-import type { Worker } from './worker.js';
+import type { SimulatedWorker } from './worker.js';
 import type { World } from './world.js';
 
-const LOOK_MS = 3000;
-const WAIT_MS = 90_000;
+const CHECK_INTERVAL_MS = 3000;
+const LONGEST_WAIT_MS = 90_000;
 
 /**
  * Once all troubles are over, no job waits 90 s while machines that fit have room and its team is under its limit. Only
  * jobs with nothing on any machine are judged, and only room that is there for all that would have to start together.
  */
-export class IdleRoom {
-  private readonly since = new Map<JobId, number>();
-  private readonly told = new Set<JobId>();
+export class IdleCapacityCheck {
+  private readonly idleSince = new Map<JobId, number>();
+  private readonly reported = new Set<JobId>();
 
   constructor(private readonly world: World) {
     const look = (): void => {
-      this.look();
-      world.clock.in(LOOK_MS, look);
+      this.check();
+      world.clock.schedule(CHECK_INTERVAL_MS, look);
     };
-    world.clock.in(LOOK_MS, look);
+    world.clock.schedule(CHECK_INTERVAL_MS, look);
   }
 
-  private look(): void {
-    const { clock, rules } = this.world;
-    for (const spec of rules.submitted.values()) {
-      const room = clock.now > rules.troublesUntil && this.waits(spec) ? this.room(spec) : null;
+  private check(): void {
+    const { clock, invariants } = this.world;
+    for (const spec of invariants.submitted.values()) {
+      const room = clock.now > invariants.faultsUntil && this.isWaiting(spec) ? this.findFreeCapacity(spec) : null;
       if (room === null) {
-        this.since.delete(spec.id);
+        this.idleSince.delete(spec.id);
         continue;
       }
-      const since = Math.max(this.since.get(spec.id) ?? clock.now, rules.lastStart.get(spec.id) ?? 0);
-      this.since.set(spec.id, since);
-      if (clock.now - since < WAIT_MS || this.told.has(spec.id)) continue;
-      this.told.add(spec.id);
-      rules.idleRoom(spec.id, room.id);
+      const since = Math.max(this.idleSince.get(spec.id) ?? clock.now, invariants.lastStartAt.get(spec.id) ?? 0);
+      this.idleSince.set(spec.id, since);
+      if (clock.now - since < LONGEST_WAIT_MS || this.reported.has(spec.id)) continue;
+      this.reported.add(spec.id);
+      invariants.onIdleCapacity(spec.id, room.id);
     }
   }
 
-  private waits(spec: JobSpec): boolean {
-    const { rules, faulty, workers } = this.world;
-    if (!rules.isAccepted(spec.id) || rules.cancelAsked.has(spec.id) || rules.isDone(spec.id)) return false;
-    if (faulty.has(spec.id)) return false;
+  private isWaiting(spec: JobSpec): boolean {
+    const { invariants, faultyJobs, workers } = this.world;
+    if (!invariants.isAccepted(spec.id) || invariants.cancellationRequested.has(spec.id) || invariants.isDone(spec.id))
+      return false;
+    if (faultyJobs.has(spec.id)) return false;
     for (const worker of workers.values())
       for (const task of worker.tasks.values()) if (task.job === spec.id) return false;
     return true;
   }
 
   /** A machine of those that would take it now, or null. */
-  private room(spec: JobSpec): Worker | null {
+  private findFreeCapacity(spec: JobSpec): SimulatedWorker | null {
     const together = spec.kind === 'gang' ? spec.taskCount : 1;
     // A gang that spreads needs room in several zones: not judged here.
-    if (!this.underLimit(spec, together) || (spec.zoneSpread && together > 1)) return null;
-    const perZone = new Map<string, { tasks: number; worker: Worker }>();
+    if (!this.isWithinQuota(spec, together) || (spec.zoneSpread && together > 1)) return null;
+    const perZone = new Map<string, { tasks: number; worker: SimulatedWorker }>();
     for (const worker of this.world.workers.values()) {
-      const tasks = this.takes(worker, spec);
+      const tasks = this.tasksThatFit(worker, spec);
       if (tasks <= 0) continue;
       const zone = spec.singleZone ? worker.zone : 'any';
       const found = perZone.get(zone) ?? { tasks: 0, worker };
@@ -64,13 +65,14 @@
     return null;
   }
 
-  private takes(worker: Worker, spec: JobSpec): number {
-    if (!worker.alive || worker.hung || worker.failsTasks || worker.speed < 1 || worker.noticeAt !== null) return 0;
+  private tasksThatFit(worker: SimulatedWorker, spec: JobSpec): number {
+    if (!worker.isAlive || worker.isHung || worker.failsTasks || worker.speed < 1 || worker.interruptionAt !== null)
+      return 0;
     if ((worker.spot && !spec.toleratesSpot) || (spec.zone !== null && spec.zone !== worker.zone)) return 0;
     if (spec.allowedMachineTypes !== null && !spec.allowedMachineTypes.includes(worker.type.name)) return 0;
     let { cpus, gpus, memoryGb } = worker.type;
     for (const task of worker.tasks.values()) {
-      const other = this.world.rules.specOf(task.job);
+      const other = this.world.invariants.specOf(task.job);
       if (!other || task.phase === 'exited') continue;
       cpus -= other.cpus;
       gpus -= other.gpus;
@@ -80,14 +82,14 @@
     return Math.min(of(cpus, spec.cpus), of(gpus, spec.gpus), of(memoryGb, spec.memoryGb));
   }
 
-  private underLimit(spec: JobSpec, tasks: number): boolean {
+  private isWithinQuota(spec: JobSpec, tasks: number): boolean {
     const team = this.world.options.teams.find((each) => each.name === spec.team);
     if (!team) return false;
     let cpus = spec.cpus * tasks;
     let gpus = spec.gpus * tasks;
     for (const worker of this.world.workers.values()) {
       for (const task of worker.tasks.values()) {
-        const other = this.world.rules.specOf(task.job);
+        const other = this.world.invariants.specOf(task.job);
         if (!other || other.team !== spec.team || task.phase === 'exited') continue;
         cpus += other.cpus;
         gpus += other.gpus;
--- a/test/sim/invalid_requests.ts
+++ b/test/sim/invalid_requests.ts
@@ -1,25 +1,25 @@
 import type { JobId, JobSpec } from '../../src/core/types.js';
-import { type Build, isPresent } from './build.js';
-import { makeSpec, type Options } from './job_options.js';
+import { type Build, isCurrent } from './build.js';
+import { type JobOptions, makeJobSpec } from './job_options.js';
 import type { World } from './world.js';
 
 /**
  * The version in production accepts gangs that are to be in one zone and in several. A later old version passes submissions
  * on to it unchecked; the present one never does, so its answers are always judged.
  */
-function mayTakeSplitGangs(world: World, asked: Build): boolean {
-  if (isPresent(asked)) return false;
-  return asked.name === 'production' || world.nodes.some((node) => node.build.name === 'production');
+function mayAcceptSplitGangs(world: World, asked: Build): boolean {
+  if (isCurrent(asked)) return false;
+  return asked.name === 'production' || world.controllers.some((node) => node.build.name === 'production');
 }
 
 /** One of the requests that users should not make, and some make. */
 export function sendInvalidRequest(world: World, turn: number): void {
-  const { clock, rules } = world;
-  const all = [...rules.submitted.values()].filter((spec) => rules.isAccepted(spec.id));
+  const { clock, invariants } = world;
+  const all = [...invariants.submitted.values()].filter((spec) => invariants.isAccepted(spec.id));
   const id = `job-9${String(clock.now | 0)}${turn}` as JobId;
-  const impossible = (shape: JobSpec['kind'], options: Options, excused?: (asked: Build) => boolean): void => {
-    const spec = makeSpec(id, shape, options);
-    rules.neverRuns.add(id);
+  const impossible = (shape: JobSpec['kind'], options: JobOptions, excused?: (asked: Build) => boolean): void => {
+    const spec = makeJobSpec(id, shape, options);
+    invariants.infeasibleJobs.add(id);
     world.request({ op: 'submit', id, spec, problem: '' }, excused);
   };
   switch (turn % 8) {
@@ -33,24 +33,24 @@
       impossible(
         'gang',
         { tasks: '3', sameZone: 'yes', spread: 'yes', team: world.options.teams[0]?.name ?? '' },
-        (asked) => mayTakeSplitGangs(world, asked),
+        (asked) => mayAcceptSplitGangs(world, asked),
       );
       return;
     case 3:
       impossible('array', { team: 'nobody' });
       return;
     case 4:
-      rules.neverRuns.add(id);
+      invariants.infeasibleJobs.add(id);
       world.request({ op: 'submit', id, spec: null, problem: 'plumage is not a text' });
       return;
     case 5: {
-      const spec = all.length > 0 ? clock.pick(all) : undefined;
+      const spec = all.length > 0 ? clock.pickRandom(all) : undefined;
       if (spec) world.request({ op: 'submit', id: spec.id, spec, problem: '' });
       return;
     }
     case 6: {
-      const done = all.filter((spec) => rules.finalOf(spec.id) === 'done');
-      if (done.length > 0) world.request({ op: 'cancel', id: clock.pick(done).id });
+      const done = all.filter((spec) => invariants.finalStateOf(spec.id) === 'done');
+      if (done.length > 0) world.request({ op: 'cancel', id: clock.pickRandom(done).id });
       return;
     }
     default:
--- a/test/sim/old_versions.ts
+++ b/test/sim/old_versions.ts
@@ -26,7 +26,7 @@
 }
 
 /** The versions that test/old_versions.txt names, in its order. */
-function oldVersions(): OldVersion[] {
+function readOldVersions(): OldVersion[] {
   const lines = readText('test/old_versions.txt')
     .split('\n')
     .filter((line) => line !== '' && !line.startsWith('#'));
@@ -41,7 +41,7 @@
   });
 }
 
-async function load(version: OldVersion): Promise<Build> {
+async function loadVersion(version: OldVersion): Promise<Build> {
   const { name, commit, readsAnnouncedLimits, names } = version;
   const directory = `target/old_versions/${commit}`;
   if (!existsSync(fileURLToPath(repositoryFile(`${directory}/built`)))) {
@@ -49,14 +49,14 @@
       `version ${name} (${commit}) is not built: the history may be missing (tools/old_versions.sh builds it)`,
     );
   }
-  const part = async <T>(path: string): Promise<T> =>
+  const importModule = async <T>(path: string): Promise<T> =>
     (await import(repositoryFile(`${directory}/build/${path}.js`).href)) as T;
-  const { Node: nodeClass } = await part<Readonly<Record<'Node', OldNodeClass>>>('core/node');
-  const { encodeFrame, FrameSplitter: splitterClass } = await part<typeof import('../../src/io/peers/peer_codec.js')>(
-    names === 'names-2' ? 'io/peer/peer_codec' : 'io/peer_codec',
-  );
-  const records = await part<Build['records']>('core/records');
-  const { loadTuning } = await part<{ loadTuning: (file: string) => Tuning }>('config/tuning');
+  const { Node: nodeClass } = await importModule<Readonly<Record<'Node', OldNodeClass>>>('core/node');
+  const { encodeFrame, FrameSplitter: splitterClass } = await importModule<
+    typeof import('../../src/io/peers/peer_codec.js')
+  >(names === 'names-2' ? 'io/peer/peer_codec' : 'io/peer_codec');
+  const records = await importModule<Build['records']>('core/records');
+  const { loadTuning } = await importModule<{ loadTuning: (file: string) => Tuning }>('config/tuning');
   const tuning = loadTuning(fileURLToPath(repositoryFile(`${directory}/checkout/deploy/tuning.toml`)));
   const controllerClass = controllerClassOf(nodeClass, names);
   const ownMessage = names === 'names-2' ? oldMessage<PeerMessage> : (message: PeerMessage): PeerMessage => message;
@@ -64,14 +64,14 @@
   return { ...properties, controllerClass, ownMessage, encodeFrame, splitterClass, records };
 }
 
-let loading: Promise<ReadonlyMap<string, Build>> | null = null;
+let loadedVersions: Promise<ReadonlyMap<string, Build>> | null = null;
 
 /** Every earlier version that the tests run beside this one, by its name; fails where one could not be built. */
 export function loadOldVersions(): Promise<ReadonlyMap<string, Build>> {
-  loading ??= Promise.all(oldVersions().map(load)).then(
+  loadedVersions ??= Promise.all(readOldVersions().map(loadVersion)).then(
     (builds) => new Map(builds.map((build) => [build.name, build])),
   );
-  return loading;
+  return loadedVersions;
 }
 
 /** How builds with `names-1` call what those with `names-2` renamed; on the wire nothing was. */
--- a/test/sim/rate_limit.ts
+++ b/test/sim/rate_limiter.ts
@@ -1,7 +1,7 @@
 import type { Clock } from './clock.js';
 
 /** A rate as the state service enforces it: bursts of one second's worth, whatever is beyond is refused. */
-export class RateLimit {
+export class RateLimiter {
   private tokens: number;
   private refilledAt: number;
 
@@ -14,7 +14,7 @@
   }
 
   /** Takes `count` tokens if they are there. */
-  allows(count: number): boolean {
+  tryTake(count: number): boolean {
     if (!Number.isFinite(this.perSecond)) return true;
     const elapsedS = (this.clock.now - this.refilledAt) / 1000;
     this.refilledAt = this.clock.now;
--- a/test/sim/recovery_events.ts
+++ b/test/sim/recovery_events.ts
@@ -1,80 +1,81 @@
 import { RangeSet } from '../../src/core/jobs/range_set.js';
 import { decodeJob, encodeJob, jobKey, pageKey } from '../../src/core/records.js';
 import type { Attempt, JobId, MachineId, WallClockTime } from '../../src/core/types.js';
-import { makeSpec, num, readOptions } from './job_options.js';
-import type { Worker } from './worker.js';
+import { makeJobSpec, numberOption, readOptions } from './job_options.js';
+import type { SimulatedWorker } from './worker.js';
 import type { World } from './world.js';
 
-type Event = (world: World, words: string[]) => void;
+type ScenarioEvent = (world: World, words: string[]) => void;
 
 /** A value as a later release might write it. */
 const FUTURE_VALUE = { v: 99, of: 'a later release' };
 
 /** Values that were replaced, to be put back. */
-const replaced = new WeakMap<World, Map<string, unknown>>();
+const replacedValues = new WeakMap<World, Map<string, unknown>>();
 
-function garble(world: World, key: string): void {
-  const values = replaced.get(world) ?? new Map<string, unknown>();
-  replaced.set(world, values);
-  values.set(key, world.state.item(key)?.value);
-  world.garbledKeys.add(key);
-  world.state.overwrite(key, FUTURE_VALUE);
+function corrupt(world: World, key: string): void {
+  const values = replacedValues.get(world) ?? new Map<string, unknown>();
+  replacedValues.set(world, values);
+  values.set(key, world.stateStore.item(key)?.value);
+  world.corruptedKeys.add(key);
+  world.stateStore.overwrite(key, FUTURE_VALUE);
 }
 
 /** A machine that doesn't hold the task yet. */
-function workerWithout(world: World, id: string | undefined, index: string | undefined): Worker | undefined {
+function workerWithout(world: World, id: string | undefined, index: string | undefined): SimulatedWorker | undefined {
   return [...world.workers.values()].find((worker) => !worker.tasks.has(`${id}/${index}`));
 }
 
 /** Events that set what is stored and what workers hold at odds. */
-export const recoveryEvents: Readonly<Record<string, Event>> = {
+export const recoveryEvents: Readonly<Record<string, ScenarioEvent>> = {
   /** count-orders: what workers are told is counted from now on */
   'count-orders'(world) {
-    world.orders.reset();
+    world.commandCounts.reset();
   },
   /** plant MACHINE|other JOB INDEX ATTEMPT key=value ...: a task is there that no controller of this world has started */
   plant(world, [machine, id, index, attempt, ...rest]) {
     const worker = machine === 'other' ? workerWithout(world, id, index) : world.workers.get(machine as MachineId);
     if (!worker) throw new Error(`no machine ${machine}`);
     const options = readOptions(rest);
-    if (!world.rules.specOf(id as JobId)) world.rules.planted.set(id as JobId, makeSpec(id ?? '', 'array', options));
-    worker.plant(id as JobId, Number(index), BigInt(attempt ?? '1') as Attempt);
-    world.setRunMs(id as JobId, num(options, 'run', 10) * 1000);
+    if (!world.invariants.specOf(id as JobId))
+      world.invariants.injectedJobs.set(id as JobId, makeJobSpec(id ?? '', 'array', options));
+    worker.injectTask(id as JobId, Number(index), BigInt(attempt ?? '1') as Attempt);
+    world.setRunMs(id as JobId, numberOption(options, 'run', 10) * 1000);
   },
   /** record-late JOB: the record of a planted job turns up, as its submission carried out late would write it */
   'record-late'(world, [id]) {
-    const spec = world.rules.planted.get(id as JobId);
+    const spec = world.invariants.injectedJobs.get(id as JobId);
     if (!spec) throw new Error(`${id} was not planted`);
     world.follow(spec, world.runMs(spec.id));
     const record = { spec, submittedAt: world.clock.now as WallClockTime, state: 'accepted', startTerm: 1 } as const;
     const value = encodeJob({ ...record, startZone: null, startZones: null, done: new RangeSet() }, 8192);
-    world.state.overwrite(jobKey(spec.id), value);
+    world.stateStore.overwrite(jobKey(spec.id), value);
   },
   /** garble-job JOB, garble-page N: the value becomes one that this version can't read */
   'garble-job'(world, [id]) {
-    garble(world, jobKey(id as JobId));
+    corrupt(world, jobKey(id as JobId));
   },
   'garble-page'(world, [no]) {
-    garble(world, pageKey(Number(no)));
+    corrupt(world, pageKey(Number(no)));
   },
   /** restore: garbled values are as they were, if nobody has written them since */
   restore(world) {
-    for (const [key, value] of replaced.get(world) ?? []) {
-      const isUntouched = JSON.stringify(world.state.item(key)?.value) === JSON.stringify(FUTURE_VALUE);
-      world.garbledKeys.delete(key);
-      if (isUntouched) world.state.overwrite(key, value);
+    for (const [key, value] of replacedValues.get(world) ?? []) {
+      const isUntouched = JSON.stringify(world.stateStore.item(key)?.value) === JSON.stringify(FUTURE_VALUE);
+      world.corruptedKeys.delete(key);
+      if (isUntouched) world.stateStore.overwrite(key, value);
       else world.errors.push(`${key} was written over`);
     }
   },
 };
 
-type Check = (world: World, words: string[]) => string | null;
+type ScenarioCheck = (world: World, words: string[]) => string | null;
 
 /** What recovery is expected to have done. */
-export const recoveryChecks: Readonly<Record<string, Check>> = {
+export const recoveryChecks: Readonly<Record<string, ScenarioCheck>> = {
   /** expect orders KIND at-most|at-least N: since they were last counted anew */
   orders(world, [kind, bound, wanted]) {
-    const count = world.orders.of(kind as Parameters<World['orders']['of']>[0]);
+    const count = world.commandCounts.count(kind as Parameters<World['commandCounts']['count']>[0]);
     const holds = bound === 'at-most' ? count <= Number(wanted) : count >= Number(wanted);
     return holds ? null : `${count} orders to ${kind}, not ${bound} ${wanted}`;
   },
@@ -131,7 +132,7 @@
   },
   /** expect zones-of JOB ZONE ...: the zones that its record names */
   'zones-of'(world, [id, ...zones]) {
-    const record = decodeJob(world.state.item(jobKey(id as JobId))?.value);
+    const record = decodeJob(world.stateStore.item(jobKey(id as JobId))?.value);
     const named = [...(record?.startZones ?? [])].sort().join(' ');
     return named === zones.sort().join(' ') ? null : `the record of ${id} names ${named}`;
   },
--- a/test/sim/scenario.ts
+++ b/test/sim/scenario.ts
@@ -1,10 +1,10 @@
 import { readFileSync } from 'node:fs';
 import { basename } from 'node:path';
 import type { MachineType, MachineTypeName, TeamName, TeamQuota, ZoneName } from '../../src/core/types.js';
-import { type Build, PRESENT } from './build.js';
-import { num, readOptions } from './job_options.js';
+import { type Build, CURRENT_BUILD } from './build.js';
+import { numberOption, readOptions } from './job_options.js';
 import { checks } from './scenario_checks.js';
-import { buildNamed, events, NO_VERSIONS } from './scenario_events.js';
+import { buildNamed, events, NO_OLD_VERSIONS } from './scenario_events.js';
 import { LIMITS, type Limits, World } from './world.js';
 
 /*
@@ -63,7 +63,7 @@
   return { file, title, lines };
 }
 
-const TYPES: MachineType[] = [
+const MACHINE_TYPES: MachineType[] = [
   {
     name: 'c8',
     cpus: 8,
@@ -90,12 +90,12 @@
   },
 ].map((t) => ({ ...t, name: t.name as MachineTypeName }));
 
-export const { tuning } = PRESENT;
+export const { tuning } = CURRENT_BUILD;
 
 /** The old versions that its nodes run at first; none: all run the present one. */
-const versionNames = (scenario: Scenario): readonly string[] =>
+const oldVersionNames = (scenario: Scenario): readonly string[] =>
   scenario.lines.find((line) => line.words[0] === 'versions')?.words.slice(1) ?? [];
-export const usesOldVersions = (scenario: Scenario): boolean => versionNames(scenario).length > 0;
+export const usesOldVersions = (scenario: Scenario): boolean => oldVersionNames(scenario).length > 0;
 
 function readLimits(scenario: Scenario): Limits {
   const limits: Record<keyof Limits, number> = { ...LIMITS };
@@ -108,23 +108,23 @@
   return limits;
 }
 
-export interface Outcome {
+export interface ScenarioResult {
   readonly world: World;
   readonly failures: string[];
 }
 
-const linesOf = (scenario: Scenario, statement: string): readonly ScenarioLine[] =>
+const statements = (scenario: Scenario, statement: string): readonly ScenarioLine[] =>
   scenario.lines.filter(({ words }) => words[0] === statement);
 
 /** What a statement that stands there once says, as a number. */
-function numberOf(scenario: Scenario, statement: string, otherwise: number): number {
-  return Number(linesOf(scenario, statement)[0]?.words[1] ?? otherwise);
+function numberStatement(scenario: Scenario, statement: string, otherwise: number): number {
+  return Number(statements(scenario, statement)[0]?.words[1] ?? otherwise);
 }
 
 function readTeams(scenario: Scenario): TeamQuota[] {
-  const teams = linesOf(scenario, 'team').map(({ words }) => {
+  const teams = statements(scenario, 'team').map(({ words }) => {
     const options = readOptions(words.slice(2));
-    const amount = (key: string): number => num(options, key, 0);
+    const amount = (key: string): number => numberOption(options, key, 0);
     return {
       name: words[1] as TeamName,
       guaranteedCpus: amount('cpus'),
@@ -139,15 +139,15 @@
 }
 
 function makeWorld(scenario: Scenario, oldVersions: ReadonlyMap<string, Build>): World {
-  const zones = (linesOf(scenario, 'zones')[0]?.words.slice(1) ?? ['a']) as ZoneName[];
-  const builds = versionNames(scenario).map((name) => buildNamed(oldVersions, name));
+  const zones = (statements(scenario, 'zones')[0]?.words.slice(1) ?? ['a']) as ZoneName[];
+  const builds = oldVersionNames(scenario).map((name) => buildNamed(oldVersions, name));
   return new World({
-    seed: numberOf(scenario, 'seed', 1),
-    nodes: numberOf(scenario, 'nodes', 3),
+    seed: numberStatement(scenario, 'seed', 1),
+    controllers: numberStatement(scenario, 'nodes', 3),
     zones,
     teams: readTeams(scenario),
-    types: TYPES.map((type) => ({ ...type, zones })),
-    capacity: numberOf(scenario, 'capacity', 8),
+    types: MACHINE_TYPES.map((type) => ({ ...type, zones })),
+    capacity: numberStatement(scenario, 'capacity', 8),
     tuning,
     limits: readLimits(scenario),
     ...(builds.length > 0 ? { builds, oldVersions } : {}),
@@ -155,7 +155,7 @@
 }
 
 /** Throws, naming file and line, where a word of the scenario isn't known. */
-function known<T>(
+function requireKnown<T>(
   scenario: Scenario,
   line: ScenarioLine,
   what: string,
@@ -167,45 +167,48 @@
 }
 
 function addMachines(scenario: Scenario, world: World): void {
-  for (const line of linesOf(scenario, 'machines')) {
+  for (const line of statements(scenario, 'machines')) {
     const [, count, typeName, zone, kind] = line.words;
     const type = world.options.types.find(({ name }) => name === typeName);
-    const rented = known(scenario, line, 'machine type', typeName, type);
-    for (let i = 0; i < Number(count); i++) world.cloud.add(rented, zone as ZoneName, kind === 'spot', 1);
+    const rented = requireKnown(scenario, line, 'machine type', typeName, type);
+    for (let i = 0; i < Number(count); i++) world.cloud.addMachine(rented, zone as ZoneName, kind === 'spot', 1);
   }
 }
 
 function scheduleEvents(scenario: Scenario, world: World): void {
   const { clock } = world;
-  for (const line of linesOf(scenario, 'at')) {
+  for (const line of statements(scenario, 'at')) {
     const [, at, name, ...words] = line.words;
-    const event = known(scenario, line, 'event', name, events[name ?? '']);
-    clock.in(Number(at) * 1000, () => event(world, words));
+    const event = requireKnown(scenario, line, 'event', name, events[name ?? '']);
+    clock.schedule(Number(at) * 1000, () => event(world, words));
   }
-  for (const line of linesOf(scenario, 'every')) {
+  for (const line of statements(scenario, 'every')) {
     const [from, to, step] = line.words.slice(1, 4).map(Number) as [number, number, number];
     const [name, id, ...words] = line.words.slice(4);
-    const event = known(scenario, line, 'event', name, events[name ?? '']);
-    for (let at = from; at <= to; at += step) clock.in(at * 1000, () => event(world, [`${id}${at}`, ...words]));
+    const event = requireKnown(scenario, line, 'event', name, events[name ?? '']);
+    for (let at = from; at <= to; at += step) clock.schedule(at * 1000, () => event(world, [`${id}${at}`, ...words]));
   }
 }
 
 function failedChecks(scenario: Scenario, world: World): string[] {
-  return linesOf(scenario, 'expect').flatMap((line) => {
+  return statements(scenario, 'expect').flatMap((line) => {
     const [, name, ...words] = line.words;
-    const check = known(scenario, line, 'check', name, checks[name ?? '']);
+    const check = requireKnown(scenario, line, 'check', name, checks[name ?? '']);
     const problem = check(world, words);
     return problem ? [`line ${line.number}: ${problem}`] : [];
   });
 }
 
 /** `oldVersions`: for scenarios that begin with some of them. */
-export function runScenario(scenario: Scenario, oldVersions: ReadonlyMap<string, Build> = NO_VERSIONS): Outcome {
+export function runScenario(
+  scenario: Scenario,
+  oldVersions: ReadonlyMap<string, Build> = NO_OLD_VERSIONS,
+): ScenarioResult {
   const world = makeWorld(scenario, oldVersions);
   addMachines(scenario, world);
-  world.startNodes();
+  world.startControllers();
   scheduleEvents(scenario, world);
-  world.clock.runUntil(numberOf(scenario, 'until', 60) * 1000);
+  world.clock.runUntil(numberStatement(scenario, 'until', 60) * 1000);
   world.trace?.end(basename(scenario.file));
-  return { world, failures: [...world.rules.broken, ...failedChecks(scenario, world)] };
+  return { world, failures: [...world.invariants.violations, ...failedChecks(scenario, world)] };
 }
--- a/test/sim/state_service.ts
+++ b/test/sim/state_store.ts
@@ -7,7 +7,7 @@
 } from '../../src/core/messages.js';
 import { type LeaseId, type Revision, revision } from '../../src/core/types.js';
 import type { Clock } from './clock.js';
-import { RateLimit } from './rate_limit.js';
+import { RateLimiter } from './rate_limiter.js';
 
 interface Lease {
   readonly ttlMs: number;
@@ -17,54 +17,54 @@
 
 type Transaction = Extract<StateStoreOperation, { op: 'txn' }>;
 type Reply = (result: Result<StateStoreResponse>) => void;
-const no = (why: 'refused' | 'conflict' | 'gone' | 'rejected'): Result<StateStoreResponse> => ({ ok: false, why });
-const yes = (value: StateStoreResponse): Result<StateStoreResponse> => ({ ok: true, value });
+const failure = (why: 'refused' | 'conflict' | 'gone' | 'rejected'): Result<StateStoreResponse> => ({ ok: false, why });
+const success = (value: StateStoreResponse): Result<StateStoreResponse> => ({ ok: true, value });
 
-const tellsOfJobs = (op: StateStoreOperation): boolean =>
+const readsJobs = (op: StateStoreOperation): boolean =>
   ((op.op === 'watch' || op.op === 'list') && op.prefix === 'j/') || (op.op === 'get' && op.key.startsWith('j/'));
 
 /** Our stand-in for the state service, by its protocol: versions, leases, watches, outages, and refusals of one node. */
-export class StateService {
-  private rev = 100n;
+export class SimulatedStateStore {
+  private currentRevision = 100n;
   private leases = new Map<bigint, Lease>();
-  private lastLease = 0n;
+  private lastLeaseId = 0n;
   private readonly items = new Map<string, { item: StoredEntry; lease: bigint | null }>();
   private events: WatchEvent[] = [];
   private watchers = new Set<() => void>();
-  private down = false;
-  private lateShare = 0;
-  private callRate: RateLimit;
-  private writeRate: RateLimit;
+  private isDown = false;
+  private delayedWriteShare = 0;
+  private callRate: RateLimiter;
+  private writeRate: RateLimiter;
   /** Calls refused for coming too often. */
   throttled = 0;
-  private slowness = 1;
+  private latencyFactor = 1;
   /** Transactions that were carried out late. */
-  lateDone = 0;
+  delayedWritesApplied = 0;
   /** Called when a transaction is refused for its size. */
-  onTooLarge: (from: string) => void = () => {};
-  readonly refused = new Set<string>();
+  onOversizedTransaction: (from: string) => void = () => {};
+  readonly refusedHosts = new Set<string>();
   /** Nodes that are told nothing of jobs. */
-  readonly toldNothingOfJobs = new Set<string>();
-  writes = 0;
+  readonly jobReadsRefusedFor = new Set<string>();
+  changesApplied = 0;
   /** The longest value that was written, as text. */
-  longest = 0;
+  largestValueLength = 0;
   /** Called after a transaction that changed these keys. */
   onChanged: (keys: readonly string[]) => void = () => {};
   /** Called before an operation is carried out and once more before its answer leaves. */
-  onOp: (from: string, op: StateStoreOperation, carriedOut: boolean) => void = () => {};
+  onOperation: (from: string, op: StateStoreOperation, carriedOut: boolean) => void = () => {};
 
   constructor(
     private readonly clock: Clock,
     private limits: { txnOps: number; valueBytes: number },
   ) {
-    this.callRate = new RateLimit(clock, Number.POSITIVE_INFINITY);
+    this.callRate = new RateLimiter(clock, Number.POSITIVE_INFINITY);
     this.writeRate = this.callRate;
   }
 
   outage(ms: number): void {
-    this.down = true;
-    this.clock.in(ms, () => {
-      this.down = false;
+    this.isDown = true;
+    this.clock.schedule(ms, () => {
+      this.isDown = false;
       for (const lease of this.leases.values()) lease.endsAt = this.clock.now + lease.ttlMs;
       for (const watcher of [...this.watchers]) watcher();
     });
@@ -79,73 +79,73 @@
   }
 
   /** For a while this share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones. */
-  lateWrites(share: number, ms: number): void {
-    this.lateShare = share;
-    this.clock.in(ms, () => {
-      this.lateShare = 0;
+  delayWrites(share: number, ms: number): void {
+    this.delayedWriteShare = share;
+    this.clock.schedule(ms, () => {
+      this.delayedWriteShare = 0;
     });
   }
 
-  slow(factor: number, ms: number): void {
-    this.slowness = factor;
-    this.clock.in(ms, () => {
-      this.slowness = 1;
+  slowDown(factor: number, ms: number): void {
+    this.latencyFactor = factor;
+    this.clock.schedule(ms, () => {
+      this.latencyFactor = 1;
     });
   }
 
   /** Lowers what it takes, as the real one does without notice. */
-  lower(limits: { txnOps: number; valueBytes: number; rps: number; writeRps: number }): void {
+  lowerLimits(limits: { txnOps: number; valueBytes: number; rps: number; writeRps: number }): void {
     this.limits = limits;
-    this.callRate = new RateLimit(this.clock, limits.rps);
-    this.writeRate = new RateLimit(this.clock, limits.writeRps);
+    this.callRate = new RateLimiter(this.clock, limits.rps);
+    this.writeRate = new RateLimiter(this.clock, limits.writeRps);
   }
 
-  private withinRates(op: StateStoreOperation): boolean {
-    const within = this.callRate.allows(1) && (op.op !== 'txn' || this.writeRate.allows(op.changes.length));
+  private takeFromRateLimits(op: StateStoreOperation): boolean {
+    const within = this.callRate.tryTake(1) && (op.op !== 'txn' || this.writeRate.tryTake(op.changes.length));
     if (!within) this.throttled += 1;
     return within;
   }
 
-  private carryOutLate(op: StateStoreOperation): void {
-    if (this.down) {
-      this.clock.in(1000, () => this.carryOutLate(op));
+  private applyDelayedWrite(op: StateStoreOperation): void {
+    if (this.isDown) {
+      this.clock.schedule(1000, () => this.applyDelayedWrite(op));
       return;
     }
-    this.lateDone += 1;
-    this.run('late', op, () => {});
+    this.delayedWritesApplied += 1;
+    this.execute('late', op, () => {});
   }
 
   serve(from: string, op: StateStoreOperation, reply: Reply): void {
-    const latency = this.clock.between(1, 6) * this.slowness;
-    this.clock.in(latency, () => {
-      if (this.down || this.refused.has(from)) return reply(no('refused'));
-      if (!this.withinRates(op)) return reply({ ok: false, why: 'refused', throttled: true });
-      if (this.toldNothingOfJobs.has(from) && tellsOfJobs(op)) return reply(no('refused'));
-      if (this.lateShare > 0 && op.op === 'txn' && op.changes.length > 0) {
-        if (this.clock.between(0, 1) < this.lateShare) {
-          return this.clock.in(this.clock.between(2000, 12_000), () => this.carryOutLate(op));
+    const latency = this.clock.randomBetween(1, 6) * this.latencyFactor;
+    this.clock.schedule(latency, () => {
+      if (this.isDown || this.refusedHosts.has(from)) return reply(failure('refused'));
+      if (!this.takeFromRateLimits(op)) return reply({ ok: false, why: 'refused', throttled: true });
+      if (this.jobReadsRefusedFor.has(from) && readsJobs(op)) return reply(failure('refused'));
+      if (this.delayedWriteShare > 0 && op.op === 'txn' && op.changes.length > 0) {
+        if (this.clock.randomBetween(0, 1) < this.delayedWriteShare) {
+          return this.clock.schedule(this.clock.randomBetween(2000, 12_000), () => this.applyDelayedWrite(op));
         }
       }
-      this.onOp(from, op, false);
-      this.run(from, op, (result) => {
-        this.onOp(from, op, true);
+      this.onOperation(from, op, false);
+      this.execute(from, op, (result) => {
+        this.onOperation(from, op, true);
         reply(result);
       });
     });
   }
 
-  private expire(): void {
-    for (const [id, lease] of [...this.leases]) if (!this.down && this.clock.now > lease.endsAt) this.end(id);
+  private expireLeases(): void {
+    for (const [id, lease] of [...this.leases]) if (!this.isDown && this.clock.now > lease.endsAt) this.endLease(id);
   }
 
-  private end(id: bigint): void {
+  private endLease(id: bigint): void {
     const lease = this.leases.get(id);
     if (!lease) return;
     this.leases.delete(id);
     if (lease.keys.size === 0) return;
-    this.rev += 1n;
+    this.currentRevision += 1n;
     for (const key of lease.keys) this.drop(key);
-    this.notify();
+    this.notifyWatchers();
   }
 
   private drop(key: string): void {
@@ -153,51 +153,51 @@
     if (!old) return;
     if (old.lease !== null) this.leases.get(old.lease)?.keys.delete(key);
     this.items.delete(key);
-    this.events.push({ drop: key, version: revision(this.rev) });
+    this.events.push({ drop: key, version: revision(this.currentRevision) });
   }
 
-  private notify(): void {
+  private notifyWatchers(): void {
     for (const watcher of [...this.watchers]) watcher();
   }
 
-  private run(from: string, op: StateStoreOperation, reply: Reply): void {
-    this.expire();
+  private execute(from: string, op: StateStoreOperation, reply: Reply): void {
+    this.expireLeases();
     switch (op.op) {
       case 'get': {
         const found = this.items.get(op.key);
-        reply(yes({ item: found ? found.item : null, revision: revision(this.rev) }));
+        reply(success({ item: found ? found.item : null, revision: revision(this.currentRevision) }));
         return;
       }
       case 'list': {
         const keys = this.keys(op.prefix).filter((key) => op.after === null || key > op.after);
         const items = keys.slice(0, op.limit).map((key) => this.items.get(key)?.item as StoredEntry);
-        reply(yes({ items, more: keys.length > op.limit, revision: revision(this.rev) }));
+        reply(success({ items, more: keys.length > op.limit, revision: revision(this.currentRevision) }));
         return;
       }
       case 'grant': {
-        const id = ++this.lastLease;
+        const id = ++this.lastLeaseId;
         this.leases.set(id, { ttlMs: op.ttlMs, endsAt: this.clock.now + op.ttlMs, keys: new Set() });
-        this.clock.in(op.ttlMs + 50, () => this.check());
-        reply(yes({ lease: id as LeaseId }));
+        this.clock.schedule(op.ttlMs + 50, () => this.expireLeasesIfUp());
+        reply(success({ lease: id as LeaseId }));
         return;
       }
       case 'renew': {
         const lease = this.leases.get(op.lease);
         if (!lease) {
-          reply(no('gone'));
+          reply(failure('gone'));
           return;
         }
         lease.endsAt = this.clock.now + lease.ttlMs;
-        this.clock.in(lease.ttlMs + 50, () => this.check());
-        reply(yes({}));
+        this.clock.schedule(lease.ttlMs + 50, () => this.expireLeasesIfUp());
+        reply(success({}));
         return;
       }
       case 'revoke':
-        this.end(op.lease);
-        reply(yes({}));
+        this.endLease(op.lease);
+        reply(success({}));
         return;
       case 'txn':
-        reply(this.txn(from, op));
+        reply(this.transact(from, op));
         return;
       case 'watch':
         this.watch(from, op.prefix, op.after, op.waitMs, reply);
@@ -205,49 +205,49 @@
     }
   }
 
-  private check(): void {
-    if (!this.down) this.expire();
+  private expireLeasesIfUp(): void {
+    if (!this.isDown) this.expireLeases();
   }
 
-  private txn(from: string, op: Transaction): Result<StateStoreResponse> {
+  private transact(from: string, op: Transaction): Result<StateStoreResponse> {
     const tooMany = op.changes.length > this.limits.txnOps || op.conditions.length > 4 * this.limits.txnOps;
     const bytes = op.changes.map((change) => ('put' in change ? JSON.stringify(change.value).length : 0));
     const longest = Math.max(0, ...bytes);
     if (tooMany || longest > this.limits.valueBytes) {
-      this.onTooLarge(from);
-      return no('rejected');
+      this.onOversizedTransaction(from);
+      return failure('rejected');
     }
     const leases = op.changes.map((change) => ('put' in change ? change.lease : undefined));
-    if (leases.some((lease) => lease !== undefined && !this.leases.has(lease))) return no('rejected');
-    this.longest = Math.max(this.longest, longest);
+    if (leases.some((lease) => lease !== undefined && !this.leases.has(lease))) return failure('rejected');
+    this.largestValueLength = Math.max(this.largestValueLength, longest);
     const failed = op.conditions.filter(({ key, version }) => (this.items.get(key)?.item.version ?? 0n) !== version);
     if (failed.length > 0) return { ok: false, why: 'conflict', keys: failed.map(({ key }) => key) };
-    if (op.changes.length > 0) this.carryOut(op);
-    return yes({ revision: revision(this.rev) });
+    if (op.changes.length > 0) this.applyChanges(op);
+    return success({ revision: revision(this.currentRevision) });
   }
 
-  private carryOut(op: Transaction): void {
-    this.rev += 1n;
-    this.writes += op.changes.length;
+  private applyChanges(op: Transaction): void {
+    this.currentRevision += 1n;
+    this.changesApplied += op.changes.length;
     for (const change of op.changes) {
       if ('drop' in change) this.drop(change.drop);
       else this.put(change.put, change.value, change.lease ?? null);
     }
-    this.notify();
+    this.notifyWatchers();
     this.onChanged(op.changes.map((change) => ('drop' in change ? change.drop : change.put)));
   }
 
   /** Changes a value as nobody in this world would. */
   overwrite(key: string, value: unknown): void {
-    this.rev += 1n;
+    this.currentRevision += 1n;
     this.put(key, value, null);
-    this.notify();
+    this.notifyWatchers();
   }
 
   private put(key: string, value: unknown, lease: LeaseId | null): void {
     const old = this.items.get(key);
     if (old && old.lease !== null) this.leases.get(old.lease)?.keys.delete(key);
-    const version = revision(this.rev);
+    const version = revision(this.currentRevision);
     this.items.set(key, { item: { key, value, version }, lease });
     if (lease !== null) this.leases.get(lease)?.keys.add(key);
     this.events.push({ put: key, value, version });
@@ -263,15 +263,15 @@
     const answer = (): void => {
       open = false;
       this.watchers.delete(look);
-      reply(yes({ events: news(), revision: revision(this.rev) }));
+      reply(success({ events: news(), revision: revision(this.currentRevision) }));
     };
     const look = (): void => {
-      if (open && !this.down && !this.refused.has(from) && news().length > 0) answer();
+      if (open && !this.isDown && !this.refusedHosts.has(from) && news().length > 0) answer();
     };
     this.watchers.add(look);
-    this.clock.in(waitMs, () => {
+    this.clock.schedule(waitMs, () => {
       // An open watch stays open during an outage.
-      if (open && !this.down && !this.refused.has(from)) answer();
+      if (open && !this.isDown && !this.refusedHosts.has(from)) answer();
     });
     look();
   }
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -17,44 +17,44 @@
 import { advanceTask } from './task_execution.js';
 import type { World } from './world.js';
 
-export interface Task {
+export interface SimulatedTask {
   readonly job: JobId;
   readonly index: number;
   readonly attempt: Attempt;
   phase: TaskPhase;
   reason: ExitReason | null;
   saved: boolean;
-  imageAt: number;
-  workMs: number;
+  imagePulledAt: number;
+  progressMs: number;
   savedAt: number | null;
-  waitingSince: number | null;
+  gatheringSince: number | null;
 }
 
 const TICK_MS = 100;
 
 /** Our stand-in for a worker: reports, commands, tokens, leases and gangs as the protocol says. */
-export class Worker {
+export class SimulatedWorker {
   session = 1n;
   private seq = 0n;
   token = 0n;
-  readonly tasks = new Map<string, Task>();
-  private leaseFrom: number;
-  private nodeIndex: number;
-  private nextReportAt: number;
-  private reporting = false;
+  readonly tasks = new Map<string, SimulatedTask>();
+  private leaseRenewedAt: number;
+  private controllerIndex: number;
+  private nextHeartbeatAt: number;
+  private isHeartbeatPending = false;
   /** Something has changed that the next report should tell soon. */
-  changed = true;
-  private lastReportAt = Number.NEGATIVE_INFINITY;
-  private tokenChangeAt = Number.NEGATIVE_INFINITY;
-  noticeAt: number | null = null;
+  hasUnreportedChange = true;
+  private lastHeartbeatAt = Number.NEGATIVE_INFINITY;
+  private fencingTokenChangedAt = Number.NEGATIVE_INFINITY;
+  interruptionAt: number | null = null;
   hungUntil = 0;
   /** Until then it reaches no controller, while direct commands reach it. */
-  noReportsUntil = 0;
+  heartbeatsLostUntil = 0;
   /** Reports sent before then are held, and reach whoever leads afterwards; nobody waits for those answers. */
-  reportsHeldUntil = 0;
+  heartbeatsDelayedUntil = 0;
   failsTasks = false;
   speed = 1;
-  alive = true;
+  isAlive = true;
   readonly images = new Set<string>();
 
   constructor(
@@ -64,71 +64,71 @@
     readonly zone: ZoneName,
     readonly spot: boolean,
   ) {
-    this.leaseFrom = world.clock.now;
-    this.nodeIndex = Math.floor(world.clock.between(0, world.nodes.length - 0.001));
-    this.nextReportAt = world.clock.now + world.clock.between(1, 300);
+    this.leaseRenewedAt = world.clock.now;
+    this.controllerIndex = Math.floor(world.clock.randomBetween(0, world.controllers.length - 0.001));
+    this.nextHeartbeatAt = world.clock.now + world.clock.randomBetween(1, 300);
     const tick = (): void => {
-      if (!this.alive) return;
+      if (!this.isAlive) return;
       this.tick();
-      world.clock.in(TICK_MS, tick);
+      world.clock.schedule(TICK_MS, tick);
     };
-    world.clock.in(world.clock.between(1, TICK_MS), tick);
+    world.clock.schedule(world.clock.randomBetween(1, TICK_MS), tick);
   }
 
   private get now(): number {
     return this.world.clock.now;
   }
 
-  get hung(): boolean {
+  get isHung(): boolean {
     return this.now < this.hungUntil;
   }
 
-  die(): void {
-    this.alive = false;
-    this.clear();
+  terminate(): void {
+    this.isAlive = false;
+    this.dropTasks();
   }
 
-  private clear(): void {
+  private dropTasks(): void {
     for (const task of this.tasks.values()) {
-      if (task.phase !== 'exited') this.leave(task);
+      if (task.phase !== 'exited') this.onTaskLeft(task);
       this.world.removeGangMember(this, task);
     }
     this.tasks.clear();
   }
 
-  private leave(task: Task): void {
-    if (task.phase !== 'fetching') this.world.rules.ended(task.job, task.index, this.id);
+  private onTaskLeft(task: SimulatedTask): void {
+    if (task.phase !== 'fetching') this.world.invariants.onTaskEnded(task.job, task.index, this.id);
   }
 
-  exit(task: Task, reason: ExitReason, saved = false): void {
-    this.leave(task);
+  exitTask(task: SimulatedTask, reason: ExitReason, saved = false): void {
+    this.onTaskLeft(task);
     task.phase = 'exited';
     task.reason = reason;
     task.saved = saved;
-    this.changed = true;
+    this.hasUnreportedChange = true;
     // A replica that ends has no result.
-    const service = this.world.rules.specOf(task.job)?.kind === 'service';
-    if (reason === 'done' && !service) this.world.rules.completed(task.job, task.index);
+    const service = this.world.invariants.specOf(task.job)?.kind === 'service';
+    if (reason === 'done' && !service) this.world.invariants.onTaskCompleted(task.job, task.index);
   }
 
   private tick(): void {
-    const { lease } = this.world.settings;
+    const { leaseMs } = this.world.workerTiming;
     // A hanging machine executes nothing; once its lease is over, what it held can't go on.
-    if (this.now - this.leaseFrom > lease) {
-      if (this.tasks.size > 0) this.world.leasesLost += 1;
-      this.clear();
+    if (this.now - this.leaseRenewedAt > leaseMs) {
+      if (this.tasks.size > 0) this.world.expiredLeases += 1;
+      this.dropTasks();
       this.session += 1n;
       this.seq = 0n;
-      this.leaseFrom = this.now;
-      this.changed = true;
+      this.leaseRenewedAt = this.now;
+      this.hasUnreportedChange = true;
     }
-    if (this.hung) return;
+    if (this.isHung) return;
     for (const task of this.tasks.values()) advanceTask(this.world, this, task, TICK_MS);
-    const early = this.changed && this.now - this.lastReportAt >= 500;
-    if (!this.reporting && (this.now >= this.nextReportAt || early)) this.report();
+    const early = this.hasUnreportedChange && this.now - this.lastHeartbeatAt >= 500;
+    if (!this.isHeartbeatPending && (this.now >= this.nextHeartbeatAt || early)) this.report();
   }
 
-  private makeReport(): Heartbeat {
+  private makeHeartbeat(): Heartbeat {
     this.seq += 1n;
     return {
       machine: this.id,
@@ -139,7 +139,8 @@
       agentEpoch: this.session as AgentEpoch,
       sequence: this.seq as SequenceNumber,
       fencingToken: this.token as FencingToken,
-      interruptionNoticeSeconds: this.noticeAt === null ? null : Math.max(0, (this.noticeAt - this.now) / 1000),
+      interruptionNoticeSeconds:
+        this.interruptionAt === null ? null : Math.max(0, (this.interruptionAt - this.now) / 1000),
       tasks: [...this.tasks.values()].map((task) => ({
         job: task.job,
         index: task.index,
@@ -153,106 +154,106 @@
 
   private report(): void {
     const { world } = this;
-    this.reporting = true;
-    this.changed = false;
-    this.lastReportAt = this.now;
+    this.isHeartbeatPending = true;
+    this.hasUnreportedChange = false;
+    this.lastHeartbeatAt = this.now;
     const sentAt = this.now;
     const session = this.session;
-    const report = this.makeReport();
-    const node = world.nodes[this.nodeIndex % world.nodes.length] as World['nodes'][number];
-    if (this.now < this.noReportsUntil) {
-      this.reporting = false;
-      this.nextNode();
+    const report = this.makeHeartbeat();
+    const node = world.controllers[this.controllerIndex % world.controllers.length] as World['controllers'][number];
+    if (this.now < this.heartbeatsLostUntil) {
+      this.isHeartbeatPending = false;
+      this.tryNextController();
       return;
     }
-    if (this.now < this.reportsHeldUntil) {
-      world.clock.in(this.reportsHeldUntil - this.now + world.clock.between(1, 500), () => {
-        (world.leader() ?? node).report(report, () => {});
+    if (this.now < this.heartbeatsDelayedUntil) {
+      world.clock.schedule(this.heartbeatsDelayedUntil - this.now + world.clock.randomBetween(1, 500), () => {
+        (world.leader() ?? node).receiveHeartbeat(report, () => {});
       });
-      world.clock.in(4000, () => {
-        this.reporting = false;
-        this.nextNode();
+      world.clock.schedule(4000, () => {
+        this.isHeartbeatPending = false;
+        this.tryNextController();
       });
       return;
     }
-    if (this.now < world.duplicatesUntil) {
+    if (this.now < world.duplicateHeartbeatsUntil) {
       // The network delivers it once more, long after, to whatever node; nobody waits for that answer.
-      const other = world.clock.pick(world.nodes);
-      world.clock.in(world.clock.between(1000, 60_000), () => other.report(report, () => {}));
+      const other = world.clock.pickRandom(world.controllers);
+      world.clock.schedule(world.clock.randomBetween(1000, 60_000), () => other.receiveHeartbeat(report, () => {}));
     }
-    world.network.call<HeartbeatResponse>(
+    world.network.request<HeartbeatResponse>(
       this.id,
       node.name,
       4000,
-      (reply) => node.report(report, reply),
+      (reply) => node.receiveHeartbeat(report, reply),
       (answer) => {
-        if (!this.alive) return;
-        this.reporting = false;
-        this.nextReportAt = this.now + world.settings.report * world.clock.between(0.75, 1.25);
-        if (answer?.status === 200 && !this.hung) this.accept(answer, sentAt, session);
-        else if (answer?.status === 421 && answer.redirectTo !== null) this.moveTo(answer.redirectTo);
-        else if (answer?.status !== 200) this.nextNode();
+        if (!this.isAlive) return;
+        this.isHeartbeatPending = false;
+        this.nextHeartbeatAt = this.now + world.workerTiming.heartbeatMs * world.clock.randomBetween(0.75, 1.25);
+        if (answer?.status === 200 && !this.isHung) this.acceptResponse(answer, sentAt, session);
+        else if (answer?.status === 421 && answer.redirectTo !== null) this.followRedirect(answer.redirectTo);
+        else if (answer?.status !== 200) this.tryNextController();
       },
     );
   }
 
-  private moveTo(name: ControllerName): void {
-    const index = this.world.nodes.findIndex((node) => node.name === name);
-    if (index < 0 || index === this.nodeIndex) {
-      this.nextNode();
+  private followRedirect(name: ControllerName): void {
+    const index = this.world.controllers.findIndex((node) => node.name === name);
+    if (index < 0 || index === this.controllerIndex) {
+      this.tryNextController();
       return;
     }
-    this.nodeIndex = index;
-    this.nextReportAt = this.now + this.world.clock.between(0, 500);
+    this.controllerIndex = index;
+    this.nextHeartbeatAt = this.now + this.world.clock.randomBetween(0, 500);
   }
 
-  private nextNode(): void {
-    this.nodeIndex = (this.nodeIndex + 1) % this.world.nodes.length;
-    this.nextReportAt = this.now + 1000;
+  private tryNextController(): void {
+    this.controllerIndex = (this.controllerIndex + 1) % this.world.controllers.length;
+    this.nextHeartbeatAt = this.now + 1000;
   }
 
-  private accept(answer: Extract<HeartbeatResponse, { status: 200 }>, sentAt: number, session: bigint): void {
+  private acceptResponse(answer: Extract<HeartbeatResponse, { status: 200 }>, sentAt: number, session: bigint): void {
     if (session !== this.session || answer.fencingToken < this.token) return;
-    this.raise(answer.fencingToken);
-    this.leaseFrom = Math.max(this.leaseFrom, sentAt);
+    this.raiseFencingToken(answer.fencingToken);
+    this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sentAt);
     for (const command of answer.commands) this.execute(command);
   }
 
-  private raise(token: bigint): void {
+  private raiseFencingToken(token: bigint): void {
     if (token <= this.token) return;
     this.token = token;
-    if (this.now - this.tokenChangeAt < this.world.settings.lease / 2) return;
-    this.tokenChangeAt = this.now;
-    this.changed = true;
+    if (this.now - this.fencingTokenChangedAt < this.world.workerTiming.leaseMs / 2) return;
+    this.fencingTokenChangedAt = this.now;
+    this.hasUnreportedChange = true;
   }
 
   /** A direct command; a hanging machine takes it when it goes on. */
-  takeCommands(op: CommandPush, reply: (value: CommandPushResponse) => void): void {
-    if (!this.alive) return;
-    if (this.hung) {
-      this.world.clock.in(this.hungUntil - this.now + 1, () => this.takeCommands(op, reply));
+  receivePushedCommands(op: CommandPush, reply: (value: CommandPushResponse) => void): void {
+    if (!this.isAlive) return;
+    if (this.isHung) {
+      this.world.clock.schedule(this.hungUntil - this.now + 1, () => this.receivePushedCommands(op, reply));
       return;
     }
     const executed = op.fencingToken >= this.token && op.agentEpoch === this.session;
     if (executed) {
-      this.world.orders.directCall(op);
-      this.raise(op.fencingToken);
+      this.world.commandCounts.onPushedCommands(op);
+      this.raiseFencingToken(op.fencingToken);
       for (const command of op.commands) this.execute(command);
     }
-    reply({ executed, heartbeat: this.makeReport() });
+    reply({ executed, heartbeat: this.makeHeartbeat() });
   }
 
   /** A task runs here that no controller started, as far as this world knows. */
-  plant(job: JobId, index: number, attempt: Attempt): void {
-    const from = { phase: 'running', reason: null, saved: false, imageAt: this.now, workMs: 0 } as const;
-    const task: Task = { job, index, attempt, ...from, savedAt: null, waitingSince: this.now };
+  injectTask(job: JobId, index: number, attempt: Attempt): void {
+    const from = { phase: 'running', reason: null, saved: false, imagePulledAt: this.now, progressMs: 0 } as const;
+    const task: SimulatedTask = { job, index, attempt, ...from, savedAt: null, gatheringSince: this.now };
     this.tasks.set(`${job}/${index}`, task);
     this.world.addGangMember(this, task);
-    this.changed = true;
+    this.hasUnreportedChange = true;
   }
 
   private execute(command: Command): void {
-    this.world.orders.command(command);
+    this.world.commandCounts.onCommand(command);
     const key = `${command.job}/${command.index}`;
     const task = this.tasks.get(key);
     if (command.op === 'forget') {
@@ -261,44 +262,45 @@
         this.world.removeGangMember(this, task);
       }
     } else if (command.op === 'stop') {
-      if (task && task.attempt === command.attempt) this.stop(task, command.gracePeriodSeconds);
-    } else if (!task || task.attempt !== command.attempt) this.start(command.job, command.index, command.attempt, task);
+      if (task && task.attempt === command.attempt) this.stopTask(task, command.gracePeriodSeconds);
+    } else if (!task || task.attempt !== command.attempt)
+      this.startTask(command.job, command.index, command.attempt, task);
   }
 
-  private stop(task: Task, graceS: number): void {
-    const spec = this.world.rules.specOf(task.job);
+  private stopTask(task: SimulatedTask, graceS: number): void {
+    const spec = this.world.invariants.specOf(task.job);
     if (!spec || task.phase === 'exited') return;
     if (task.phase === 'saving') {
-      if (graceS === 0) this.exit(task, 'stopped');
+      if (graceS === 0) this.exitTask(task, 'stopped');
       return;
     }
     if (task.phase === 'running' && spec.checkpointIntervalSeconds > 0 && graceS >= spec.checkpointDurationSeconds) {
       task.phase = 'saving';
       task.savedAt = this.now + spec.checkpointDurationSeconds * 1000;
-      this.changed = true;
-    } else this.exit(task, 'stopped');
+      this.hasUnreportedChange = true;
+    } else this.exitTask(task, 'stopped');
   }
 
-  private start(job: JobId, index: number, attempt: Attempt, old: Task | undefined): void {
-    const spec = this.world.rules.specOf(job);
-    const task: Task = {
+  private startTask(job: JobId, index: number, attempt: Attempt, old: SimulatedTask | undefined): void {
+    const spec = this.world.invariants.specOf(job);
+    const task: SimulatedTask = {
       job,
       index,
       attempt,
       phase: 'fetching',
       reason: null,
       saved: false,
-      imageAt: this.now,
-      workMs: this.world.progress(job, index),
+      imagePulledAt: this.now,
+      progressMs: this.world.checkpointedMs(job, index),
       savedAt: null,
-      waitingSince: null,
+      gatheringSince: null,
     };
     if (!spec) return;
     if (old && old.phase !== 'exited') return;
     let cpus = spec.cpus;
     let gpus = spec.gpus;
     for (const task of this.tasks.values()) {
-      const other = this.world.rules.specOf(task.job);
+      const other = this.world.invariants.specOf(task.job);
       if (!other || task.phase === 'exited') continue;
       cpus += other.cpus;
       gpus += other.gpus;
@@ -306,13 +308,13 @@
     if (old) this.world.removeGangMember(this, old);
     this.tasks.set(`${job}/${index}`, task);
     this.world.addGangMember(this, task);
-    this.changed = true;
+    this.hasUnreportedChange = true;
     if (cpus > this.type.cpus || gpus > this.type.gpus) {
       task.phase = 'exited';
       task.reason = 'no_room';
       return;
     }
-    task.imageAt =
+    task.imagePulledAt =
       this.now + (this.images.has(spec.image) ? 0 : (spec.imageGb / this.type.imagePullGbPerSecond) * 1000);
   }
 }
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -11,19 +11,19 @@
   TeamQuota,
   ZoneName,
 } from '../../src/core/types.js';
-import { type Build, isPresent, PRESENT } from './build.js';
+import { ServiceAvailability } from './availability.js';
+import { type Build, CURRENT_BUILD, isCurrent } from './build.js';
 import { Clock } from './clock.js';
-import { Cloud } from './cloud.js';
-import { ControllerProcess } from './controller.js';
-import { IdleRoom } from './idle_room.js';
-import { Meters } from './meters.js';
+import { SimulatedCloud } from './cloud.js';
+import { CommandCounts } from './command_counts.js';
+import { ControllerProcess } from './controller_process.js';
+import { IdleCapacityCheck } from './idle_capacity.js';
+import { Invariants } from './invariants.js';
+import { ResourceMeters } from './meters.js';
 import { Network } from './network.js';
-import { Orders } from './orders.js';
-import { Rules } from './rules.js';
-import { StateService } from './state_service.js';
-import { Uptime } from './uptime.js';
+import { SimulatedStateStore } from './state_store.js';
 import { WireTrace } from './wire_trace.js';
-import { type Task, Worker } from './worker.js';
+import { type SimulatedTask, SimulatedWorker } from './worker.js';
 
 /** What a deployment allows and asks, as its settings say it. */
 export interface Limits {
@@ -60,13 +60,13 @@
 };
 
 interface GangMember {
-  readonly worker: Worker;
-  readonly task: Task;
+  readonly worker: SimulatedWorker;
+  readonly task: SimulatedTask;
 }
 
 export interface WorldOptions {
   readonly seed: number;
-  readonly nodes: number;
+  readonly controllers: number;
   readonly zones: readonly ZoneName[];
   readonly teams: readonly TeamQuota[];
   readonly types: readonly MachineType[];
@@ -81,127 +81,134 @@
 
 const USER_TIMEOUT_MS = 5000;
 /** Looks of each user at each node, and within which time. */
-const CLOSE_LOOKS = 4;
-const CLOSE_LOOK_MS = 60;
+const POLLS_PER_BURST = 4;
+const POLL_BURST_MS = 60;
 /** Within this time a leader hears that a job's last task has ended. */
-const DONE_NOTICED_MS = 2500;
+const COMPLETION_NOTICED_MS = 2500;
 
 interface UserJob {
   readonly spec: JobSpec;
   readonly runMs: number;
-  settled: boolean;
+  isSettled: boolean;
 }
 
 export class World {
   readonly clock: Clock;
   readonly network: Network;
-  readonly state: StateService;
-  readonly cloud: Cloud;
-  readonly rules: Rules;
-  readonly nodes: ControllerProcess[] = [];
-  readonly workers = new Map<MachineId, Worker>();
-  readonly faulty = new Set<JobId>();
+  readonly stateStore: SimulatedStateStore;
+  readonly cloud: SimulatedCloud;
+  readonly invariants: Invariants;
+  readonly controllers: ControllerProcess[] = [];
+  readonly workers = new Map<MachineId, SimulatedWorker>();
+  readonly faultyJobs = new Set<JobId>();
   readonly errors: string[] = [];
   readonly limits: Limits;
-  readonly settings: { lease: number; report: number; gangWait: number; gangPeer: number };
-  readonly meters: Meters;
-  readonly orders = new Orders();
+  readonly workerTiming: { leaseMs: number; heartbeatMs: number; gangWaitMs: number; gangPeerMs: number };
+  readonly meters: ResourceMeters;
+  readonly commandCounts = new CommandCounts();
   /** Keys whose values were made unreadable on purpose. */
-  readonly garbledKeys = new Set<string>();
-  private readonly onRecord = new Set<string>();
+  readonly corruptedKeys = new Set<string>();
+  private readonly registeredMachines = new Set<string>();
   /** Until then every report is delivered once more, late. */
-  duplicatesUntil = 0;
+  duplicateHeartbeatsUntil = 0;
   /** Transactions of the present build that were refused for their size: earlier builds don't know of announced limits. */
-  refusedSizes = 0;
+  oversizedTransactions = 0;
   /** Until then users look closely at whatever happens to a job. */
-  closeLooksUntil = 0;
+  pollBurstsUntil = 0;
   /** Leases that ran out on workers with tasks. */
-  leasesLost = 0;
+  expiredLeases = 0;
   /** Peers' messages go through the codecs of both ends. */
-  readonly bytes: boolean;
-  readonly uptime = new Uptime(this);
+  readonly encodesPeerMessages: boolean;
+  readonly availability = new ServiceAvailability(this);
   verbose = process.env.SIM_LOG === '1';
   /** Null: nothing is traced. */
   readonly trace = WireTrace.fromEnvironment();
   private readonly jobs = new Map<JobId, UserJob>();
   /** Of the jobs that end before then this share is called off just then. */
   cancelAtEnd = { share: 0, until: 0 };
-  private readonly plantedRunMs = new Map<JobId, number>();
-  private readonly saved = new Map<string, number>();
+  private readonly injectedRunMs = new Map<JobId, number>();
+  private readonly checkpoints = new Map<string, number>();
   private readonly gangIndex = new Map<string, GangMember[]>();
 
   constructor(readonly options: WorldOptions) {
     this.clock = new Clock(options.seed);
-    this.bytes = options.builds !== undefined;
+    this.encodesPeerMessages = options.builds !== undefined;
     this.network = new Network(this.clock);
     this.limits = options.limits ?? LIMITS;
-    this.settings = { lease: this.limits.leaseMs, report: this.limits.reportMs, gangWait: 40_000, gangPeer: 5000 };
-    this.meters = new Meters(this.clock);
-    this.state = new StateService(this.clock, this.limits);
-    this.rules = new Rules(this.clock, options.teams, this.limits.cancelMs);
-    this.rules.onNews = (job) => this.lookClosely(job);
-    this.rules.onDone = (job) => {
-      if (this.clock.now < this.closeLooksUntil) {
-        this.clock.in(this.clock.between(0, DONE_NOTICED_MS), () => this.lookClosely(job));
+    this.workerTiming = {
+      leaseMs: this.limits.leaseMs,
+      heartbeatMs: this.limits.reportMs,
+      gangWaitMs: 40_000,
+      gangPeerMs: 5000,
+    };
+    this.meters = new ResourceMeters(this.clock);
+    this.stateStore = new SimulatedStateStore(this.clock, this.limits);
+    this.invariants = new Invariants(this.clock, options.teams, this.limits.cancelMs);
+    this.invariants.onStatusChange = (job) => this.sendPollBurst(job);
+    this.invariants.onCompleted = (job) => {
+      if (this.clock.now < this.pollBurstsUntil) {
+        this.clock.schedule(this.clock.randomBetween(0, COMPLETION_NOTICED_MS), () => this.sendPollBurst(job));
       }
-      if (this.clock.now >= this.cancelAtEnd.until || this.clock.between(0, 1) >= this.cancelAtEnd.share) return;
+      if (this.clock.now >= this.cancelAtEnd.until || this.clock.randomBetween(0, 1) >= this.cancelAtEnd.share) return;
       // The leader hears of the end, writes it, and others read it: each of these moments is met.
-      const after = this.clock.between(0, 1) < 0.5 ? 0 : this.clock.between(0, 2500);
-      this.clock.in(after, () => this.cancel(job));
+      const after = this.clock.randomBetween(0, 1) < 0.5 ? 0 : this.clock.randomBetween(0, 2500);
+      this.clock.schedule(after, () => this.cancel(job));
     };
-    this.state.onChanged = (keys) => {
+    this.stateStore.onChanged = (keys) => {
       if (keys.some((key) => key.startsWith(records.MACHINE_PREFIX))) this.checkRegistry();
     };
-    this.state.onTooLarge = (from) => {
-      if (this.nodes.some((node) => node.name === from && isPresent(node.build))) this.refusedSizes += 1;
+    this.stateStore.onOversizedTransaction = (from) => {
+      if (this.controllers.some((node) => node.name === from && isCurrent(node.build))) this.oversizedTransactions += 1;
     };
-    new IdleRoom(this);
-    this.uptime.begin();
-    const names = Array.from({ length: options.nodes }, (_, i) => `perch-${i}` as ControllerName);
-    const builds = options.builds ?? [PRESENT];
+    new IdleCapacityCheck(this);
+    this.availability.start();
+    const names = Array.from({ length: options.controllers }, (_, i) => `perch-${i}` as ControllerName);
+    const builds = options.builds ?? [CURRENT_BUILD];
     names.forEach((name, i) => {
       const build = builds[i % builds.length] as Build;
-      this.nodes.push(new ControllerProcess(this, name, (build) => makeSettings(name, names, options, build), build));
+      this.controllers.push(
+        new ControllerProcess(this, name, (build) => makeSettings(name, names, options, build), build),
+      );
     });
-    this.cloud = new Cloud(this.clock, options.types, options.capacity, 3000, {
-      boot: (id, type, zone, spot) => this.boot(id, type, zone, spot),
-      returned: (id) => {
-        if ((this.workers.get(id)?.tasks.size ?? 0) > 0) this.meters.returnedBusy += 1;
+    this.cloud = new SimulatedCloud(this.clock, options.types, options.capacity, 3000, {
+      onBooted: (id, type, zone, spot) => this.addWorker(id, type, zone, spot),
+      onTermination: (id) => {
+        if ((this.workers.get(id)?.tasks.size ?? 0) > 0) this.meters.terminatedWhileBusy += 1;
       },
-      gone: (id) => {
-        this.workers.get(id)?.die();
+      onGone: (id) => {
+        this.workers.get(id)?.terminate();
         this.workers.delete(id);
       },
     });
   }
 
-  startNodes(): void {
-    for (const node of this.nodes) this.clock.in(this.clock.between(0, 300), () => node.start());
+  startControllers(): void {
+    for (const node of this.controllers) this.clock.schedule(this.clock.randomBetween(0, 300), () => node.start());
   }
 
-  boot(id: MachineId, type: MachineType, zone: ZoneName, spot: boolean): void {
-    this.workers.set(id, new Worker(this, id, type, zone, spot));
+  addWorker(id: MachineId, type: MachineType, zone: ZoneName, spot: boolean): void {
+    this.workers.set(id, new SimulatedWorker(this, id, type, zone, spot));
   }
 
   /** A machine once on record stays there for as long as it is rented, whatever is rewritten on the way. */
   private checkRegistry(): void {
     const now = new Set<string>();
-    for (const key of this.state.keys(records.MACHINE_PREFIX)) {
+    for (const key of this.stateStore.keys(records.MACHINE_PREFIX)) {
       // What a page holds that was made unreadable on purpose isn't known here either.
-      if (this.garbledKeys.has(key)) return;
-      for (const machine of records.decodePage(this.state.item(key)?.value)?.machines ?? []) now.add(machine.id);
+      if (this.corruptedKeys.has(key)) return;
+      for (const machine of records.decodePage(this.stateStore.item(key)?.value)?.machines ?? []) now.add(machine.id);
     }
-    for (const id of this.onRecord) {
-      if (!now.has(id) && this.cloud.machines.has(id as MachineId)) this.rules.unregistered(id);
-      if (!now.has(id)) this.onRecord.delete(id);
+    for (const id of this.registeredMachines) {
+      if (!now.has(id) && this.cloud.machines.has(id as MachineId)) this.invariants.onUnregistered(id);
+      if (!now.has(id)) this.registeredMachines.delete(id);
     }
-    for (const id of now) this.onRecord.add(id);
+    for (const id of now) this.registeredMachines.add(id);
   }
 
   /** The leader as the store knows it. */
   leader(): ControllerProcess | undefined {
-    const value = this.state.item('leader')?.value as { node?: string } | undefined;
-    return this.nodes.find((node) => node.name === value?.node);
+    const value = this.stateStore.item('leader')?.value as { node?: string } | undefined;
+    return this.controllers.find((node) => node.name === value?.node);
   }
 
   // ---- what workers ask of the world
@@ -211,12 +218,12 @@
     return this.gangIndex.get(`${job}#${attempt}`) ?? [];
   }
 
-  addGangMember(worker: Worker, task: Task): void {
+  addGangMember(worker: SimulatedWorker, task: SimulatedTask): void {
     const key = `${task.job}#${task.attempt}`;
     this.gangIndex.set(key, [...(this.gangIndex.get(key) ?? []), { worker, task }]);
   }
 
-  removeGangMember(worker: Worker, task: Task): void {
+  removeGangMember(worker: SimulatedWorker, task: SimulatedTask): void {
     const key = `${task.job}#${task.attempt}`;
     const left = this.gangMembers(task.job, task.attempt).filter(
       (member) => member.worker !== worker || member.task !== task,
@@ -226,69 +233,74 @@
   }
 
   runMs(job: JobId): number {
-    return this.jobs.get(job)?.runMs ?? this.plantedRunMs.get(job) ?? 10_000;
+    return this.jobs.get(job)?.runMs ?? this.injectedRunMs.get(job) ?? 10_000;
   }
 
   /** For jobs that nobody submitted. */
   setRunMs(job: JobId, ms: number): void {
-    this.plantedRunMs.set(job, ms);
+    this.injectedRunMs.set(job, ms);
   }
 
-  progress(job: JobId, index: number): number {
-    return this.saved.get(`${job}/${index}`) ?? 0;
+  checkpointedMs(job: JobId, index: number): number {
+    return this.checkpoints.get(`${job}/${index}`) ?? 0;
   }
 
-  saveProgress(job: JobId, index: number, ms: number): void {
+  saveCheckpoint(job: JobId, index: number, ms: number): void {
     const key = `${job}/${index}`;
-    this.saved.set(key, Math.max(ms, this.saved.get(key) ?? 0));
+    this.checkpoints.set(key, Math.max(ms, this.checkpoints.get(key) ?? 0));
   }
 
   // ---- users
 
-  private ask(
+  private sendUserRequest(
     request: UserRequest,
     done: (answer: UserResponse | null, asked?: Build, givenAt?: number, leftAt?: number) => void,
   ): void {
     // As the load balancer sees it: healthy nodes, else any that is up.
-    const up = this.nodes.filter((node) => node.up);
-    const healthy = up.filter((node) => node.healthy);
-    const node = healthy.length > 0 ? this.clock.pick(healthy) : up.length > 0 ? this.clock.pick(up) : this.nodes[0];
+    const up = this.controllers.filter((node) => node.isRunning);
+    const healthy = up.filter((node) => node.isHealthy);
+    const node =
+      healthy.length > 0
+        ? this.clock.pickRandom(healthy)
+        : up.length > 0
+          ? this.clock.pickRandom(up)
+          : this.controllers[0];
     if (!node) {
       done(null);
       return;
     }
     const { build } = node;
-    this.askNode(node, request, (answer, givenAt, leftAt) => done(answer, build, givenAt, leftAt));
+    this.sendUserRequestTo(node, request, (answer, givenAt, leftAt) => done(answer, build, givenAt, leftAt));
   }
 
-  private askNode(
+  private sendUserRequestTo(
     node: ControllerProcess,
     request: UserRequest,
     done: (answer: UserResponse | null, givenAt: number, leftAt: number) => void,
   ): void {
     let givenAt = this.clock.now;
     const serve = (reply: (answer: UserResponse) => void): void =>
-      node.user(request, (answer) => {
+      node.receiveUserRequest(request, (answer) => {
         givenAt = this.clock.now;
         reply(answer);
       });
     // With one question at a time an answer that arrives is the newest; only close looks overtake each other.
-    const closeLooks = this.closeLooksUntil > 0;
-    this.network.call<UserResponse>('users', node.name, USER_TIMEOUT_MS, serve, (answer) =>
+    const closeLooks = this.pollBurstsUntil > 0;
+    this.network.request<UserResponse>('users', node.name, USER_TIMEOUT_MS, serve, (answer) =>
       done(answer, closeLooks ? givenAt : this.clock.now, givenAt),
     );
   }
 
   /** Users ask all nodes, again and again within milliseconds, and repeat the submission. */
-  private lookClosely(id: JobId): void {
-    const spec = this.rules.submitted.get(id);
-    if (this.clock.now >= this.closeLooksUntil || !spec) return;
-    for (const node of this.nodes) {
-      for (let look = 0; look < CLOSE_LOOKS; look++) {
+  private sendPollBurst(id: JobId): void {
+    const spec = this.invariants.submitted.get(id);
+    if (this.clock.now >= this.pollBurstsUntil || !spec) return;
+    for (const node of this.controllers) {
+      for (let look = 0; look < POLLS_PER_BURST; look++) {
         const request: UserRequest = look === 0 ? { op: 'submit', id, spec, problem: '' } : { op: 'poll', id };
-        this.clock.in(this.clock.between(0, CLOSE_LOOK_MS), () =>
-          this.askNode(node, request, (answer, givenAt) => {
-            if (answer) this.rules.onAnswer(id, answer, givenAt);
+        this.clock.schedule(this.clock.randomBetween(0, POLL_BURST_MS), () =>
+          this.sendUserRequestTo(node, request, (answer, givenAt) => {
+            if (answer) this.invariants.onResponse(id, answer, givenAt);
           }),
         );
       }
@@ -296,41 +308,41 @@
   }
 
   submit(spec: JobSpec, runMs: number): void {
-    this.rules.submit(spec);
-    this.jobs.set(spec.id, { spec, runMs, settled: false });
-    this.submitAgain(spec, this.clock.now + 60_000);
+    this.invariants.onSubmitted(spec);
+    this.jobs.set(spec.id, { spec, runMs, isSettled: false });
+    this.retrySubmission(spec, this.clock.now + 60_000);
   }
 
-  private submitAgain(spec: JobSpec, until: number): void {
-    this.ask({ op: 'submit', id: spec.id, spec, problem: '' }, (answer, _, givenAt) => {
-      if (answer) this.rules.onAnswer(spec.id, answer, givenAt);
+  private retrySubmission(spec: JobSpec, until: number): void {
+    this.sendUserRequest({ op: 'submit', id: spec.id, spec, problem: '' }, (answer, _, givenAt) => {
+      if (answer) this.invariants.onResponse(spec.id, answer, givenAt);
       if (answer && 'jobStatus' in answer) return this.poll(spec.id);
       if ((answer === null || answer.status === 503) && this.clock.now < until) {
-        this.clock.in(1000, () => this.submitAgain(spec, until));
+        this.clock.schedule(1000, () => this.retrySubmission(spec, until));
       }
     });
   }
 
   /** A user asks for the job from now on, whoever submitted it. */
   follow(spec: JobSpec, runMs: number): void {
-    this.rules.submit(spec);
-    this.jobs.set(spec.id, { spec, runMs, settled: false });
+    this.invariants.onSubmitted(spec);
+    this.jobs.set(spec.id, { spec, runMs, isSettled: false });
     this.poll(spec.id);
   }
 
   private poll(id: JobId): void {
-    this.clock.in(this.clock.between(4000, 6000), () => {
-      this.ask({ op: 'poll', id }, (answer, _, givenAt) => {
-        if (answer) this.rules.onAnswer(id, answer, givenAt);
-        if (!answer || !('jobStatus' in answer)) this.rules.onNoAnswer(id);
+    this.clock.schedule(this.clock.randomBetween(4000, 6000), () => {
+      this.sendUserRequest({ op: 'poll', id }, (answer, _, givenAt) => {
+        if (answer) this.invariants.onResponse(id, answer, givenAt);
+        if (!answer || !('jobStatus' in answer)) this.invariants.onNoResponse(id);
         const job = this.jobs.get(id);
-        if (job && this.rules.finalOf(id)) job.settled = true;
+        if (job && this.invariants.finalStateOf(id)) job.isSettled = true;
         // Users may ask again at any later time: every final state is asked for twice more.
-        if (job?.settled)
-          this.clock.in(10_000, () =>
-            this.ask(
+        if (job?.isSettled)
+          this.clock.schedule(10_000, () =>
+            this.sendUserRequest(
               { op: 'poll', id },
-              (later, __, laterGivenAt) => later && this.rules.onAnswer(id, later, laterGivenAt),
+              (later, __, laterGivenAt) => later && this.invariants.onResponse(id, later, laterGivenAt),
             ),
           );
         else this.poll(id);
@@ -339,14 +351,14 @@
   }
 
   cancel(id: JobId): void {
-    this.rules.cancelAsked.add(id);
+    this.invariants.cancellationRequested.add(id);
     const again = (until: number): void => {
-      this.ask({ op: 'cancel', id }, (answer, _, givenAt, leftAt) => {
+      this.sendUserRequest({ op: 'cancel', id }, (answer, _, givenAt, leftAt) => {
         // A user who calls off what has yet to be accepted may be told 404 just before the submission gets through.
-        const isEarlier404 = answer?.status === 404 && this.rules.wasAcceptedAfter(id, leftAt ?? this.clock.now);
-        if (answer && !isEarlier404) this.rules.onAnswer(id, answer, givenAt);
+        const isEarlier404 = answer?.status === 404 && this.invariants.wasAcceptedAfter(id, leftAt ?? this.clock.now);
+        if (answer && !isEarlier404) this.invariants.onResponse(id, answer, givenAt);
         if ((answer === null || answer.status === 503) && this.clock.now < until)
-          this.clock.in(1000, () => again(until));
+          this.clock.schedule(1000, () => again(until));
       });
     };
     again(this.clock.now + 60_000);
@@ -354,14 +366,14 @@
 
   /** Any node may be asked; what it says is judged by the rules, unless `excused` says that its build knows no better. */
   request(request: UserRequest, excused: (asked: Build) => boolean = () => false): void {
-    this.ask(request, (answer, asked) => {
-      if (answer && asked && !excused(asked)) this.rules.onAnswer(request.id, answer);
+    this.sendUserRequest(request, (answer, asked) => {
+      if (answer && asked && !excused(asked)) this.invariants.onResponse(request.id, answer);
     });
   }
 
-  pollUnknown(id: JobId, seen: (answer: UserResponse | null) => void): void {
-    this.ask({ op: 'poll', id }, (answer) => {
-      if (answer) this.rules.onAnswer(id, answer);
+  pollUntracked(id: JobId, seen: (answer: UserResponse | null) => void): void {
+    this.sendUserRequest({ op: 'poll', id }, (answer) => {
+      if (answer) this.invariants.onResponse(id, answer);
       seen(answer);
     });
   }
