--- a/test/sim/wire_services.ts
+++ b/test/support/fake_services.ts
@@ -7,24 +7,24 @@
  * time and by the names on the wire.
  */
 
-interface Entry {
+interface StoreEntry {
   readonly data: unknown;
-  readonly feather: number;
-  readonly tether: number | null;
+  readonly version: number;
+  readonly lease: number | null;
 }
 
 interface Lease {
-  readonly lifeMs: number;
-  end: NodeJS.Timeout;
+  readonly durationMs: number;
+  expiry: NodeJS.Timeout;
 }
 
-interface WireMachine {
+interface FakeMachine {
   readonly addr: string;
   readonly addedAt: number;
-  readonly onDeleted: () => void;
+  readonly onTerminated: () => void;
 }
 
-interface Answer {
+interface HttpAnswer {
   readonly status: number;
   readonly body: unknown;
 }
@@ -33,16 +33,16 @@
 
 const NOT_FOUND = 404;
 const CONFLICT = 409;
-const NO_CAPACITY: Answer = { status: 503, body: { error: 'no capacity' } };
+const NO_CAPACITY: HttpAnswer = { status: 503, body: { error: 'no capacity' } };
 
 /** One store and one cloud with a single machine type, on one address. */
-export class WireServices {
-  private readonly entries = new Map<string, Entry>();
+export class FakeServices {
+  private readonly entries = new Map<string, StoreEntry>();
   private readonly leases = new Map<number, Lease>();
-  private readonly machines = new Map<string, WireMachine>();
-  private changed: (() => void)[] = [];
+  private readonly machines = new Map<string, FakeMachine>();
+  private changeListeners: (() => void)[] = [];
   private revision = 1;
-  private lastLease = 0;
+  private lastLeaseId = 0;
   private readonly server: Server;
 
   constructor(private readonly zone: string) {
@@ -55,7 +55,7 @@
   }
 
   stop(): void {
-    for (const { end } of this.leases.values()) clearTimeout(end);
+    for (const { expiry } of this.leases.values()) clearTimeout(expiry);
     this.server.closeAllConnections();
     this.server.close();
   }
@@ -67,21 +67,21 @@
   }
 
   /** The fencing token of whoever holds the lead; null: nobody. */
-  leaderToken(): bigint | null {
+  leaderFencingToken(): bigint | null {
     const entry = this.entries.get('leader');
-    return entry ? BigInt(entry.feather) : null;
+    return entry ? BigInt(entry.version) : null;
   }
 
   /** A machine that the cloud shows as running; `onDeleted` is called when it is returned. */
-  addMachine(id: string, addr: string, onDeleted: () => void): void {
-    this.machines.set(id, { addr, addedAt: performance.now(), onDeleted });
+  addMachine(id: string, addr: string, onTerminated: () => void): void {
+    this.machines.set(id, { addr, addedAt: performance.now(), onTerminated });
   }
 
   removeMachine(id: string): void {
     this.machines.delete(id);
   }
 
-  private listMachines(parameters: URLSearchParams): Answer {
+  private listMachines(parameters: URLSearchParams): HttpAnswer {
     const after = parameters.get('after') ?? '';
     const place = { breed: 'c8', grove: this.zone, loaners: false, mood: 'running' };
     const heldS = (addedAt: number): number => (performance.now() - addedAt) / 1000;
@@ -90,11 +90,11 @@
     return ok({ perches, has_next: false });
   }
 
-  private deleteMachines(body: Fields): Answer {
+  private terminateMachines(body: Fields): HttpAnswer {
     for (const id of body.perches as string[]) {
       const machine = this.machines.get(id);
       this.machines.delete(id);
-      machine?.onDeleted();
+      machine?.onTerminated();
     }
     return ok({});
   }
@@ -109,10 +109,10 @@
     response.end(encodeCbor(answer));
   }
 
-  private async answer(method: string, url: URL, body: Fields): Promise<Answer> {
+  private async answer(method: string, url: URL, body: Fields): Promise<HttpAnswer> {
     const { pathname, searchParams } = url;
     if (pathname === '/catalog') return ok({ breeds: [this.machineType()] });
-    if (pathname === '/hosts/delete') return this.deleteMachines(body);
+    if (pathname === '/hosts/delete') return this.terminateMachines(body);
     if (pathname === '/hosts' && method === 'POST') return NO_CAPACITY;
     if (pathname === '/hosts') return this.listMachines(searchParams);
     if (pathname === '/kv') return this.list(searchParams.get('under') ?? '');
@@ -120,7 +120,7 @@
     if (pathname === '/multi') return this.transaction(body);
     if (pathname === '/grants') return this.grant(Number(body.life_ms));
     if (pathname.startsWith('/grants/')) return this.onLease(method, Number(pathname.split('/')[2]));
-    if (pathname === '/follow') return await this.follow(searchParams);
+    if (pathname === '/follow') return await this.watch(searchParams);
     return { status: NOT_FOUND, body: {} };
   }
 
@@ -129,21 +129,21 @@
     return { name: 'c8', ...size, rate: 0.4, spot_price: 0.1, startup_s: 20, groves: [this.zone] };
   }
 
-  private get(key: string): Answer {
+  private get(key: string): HttpAnswer {
     const entry = this.entries.get(key);
     if (!entry) return { status: NOT_FOUND, body: { molt: this.revision } };
-    return ok({ k: key, data: entry.data, feather: entry.feather, tether: entry.tether });
+    return ok({ k: key, data: entry.data, feather: entry.version, tether: entry.lease });
   }
 
-  private list(prefix: string): Answer {
+  private list(prefix: string): HttpAnswer {
     const found = [...this.entries].filter(([key]) => key.startsWith(prefix));
-    const entries = found.map(([k, { data, feather }]) => ({ k, data, feather }));
+    const entries = found.map(([k, { data, version }]) => ({ k, data, feather: version }));
     return ok({ entries, has_next: false, molt: this.revision });
   }
 
-  private transaction(body: Fields): Answer {
+  private transaction(body: Fields): HttpAnswer {
     const conditions = (body.if ?? []) as { k: string; feather: number }[];
-    const failed = conditions.filter(({ k, feather }) => (this.entries.get(k)?.feather ?? 0) !== Number(feather));
+    const failed = conditions.filter(({ k, feather }) => (this.entries.get(k)?.version ?? 0) !== Number(feather));
     if (failed.length > 0) return { status: CONFLICT, body: { failed: failed.map(({ k }) => k), molt: this.revision } };
     const changes = (body.then ?? []) as Fields[];
     if (changes.length === 0) return ok({ molt: this.revision });
@@ -152,52 +152,52 @@
       if (typeof change.drop === 'string') this.entries.delete(change.drop);
       else this.put(String(change.put), change.data, change.tether === undefined ? null : Number(change.tether));
     }
-    this.tellWatches();
+    this.notifyWatchers();
     return ok({ molt: this.revision });
   }
 
-  private put(key: string, data: unknown, tether: number | null): void {
-    this.entries.set(key, { data, feather: this.revision, tether });
+  private put(key: string, data: unknown, lease: number | null): void {
+    this.entries.set(key, { data, version: this.revision, lease });
   }
 
-  private grant(lifeMs: number): Answer {
-    this.lastLease += 1;
-    const id = this.lastLease;
-    this.leases.set(id, { lifeMs, end: setTimeout(() => this.endLease(id), lifeMs) });
+  private grant(durationMs: number): HttpAnswer {
+    this.lastLeaseId += 1;
+    const id = this.lastLeaseId;
+    this.leases.set(id, { durationMs, expiry: setTimeout(() => this.endLease(id), durationMs) });
     return ok({ tether: id });
   }
 
-  private onLease(method: string, id: number): Answer {
+  private onLease(method: string, id: number): HttpAnswer {
     const lease = this.leases.get(id);
     if (!lease) return { status: NOT_FOUND, body: {} };
-    clearTimeout(lease.end);
+    clearTimeout(lease.expiry);
     if (method === 'DELETE') this.endLease(id);
-    else lease.end = setTimeout(() => this.endLease(id), lease.lifeMs);
+    else lease.expiry = setTimeout(() => this.endLease(id), lease.durationMs);
     return ok({});
   }
 
   private endLease(id: number): void {
     this.leases.delete(id);
     this.revision += 1;
-    for (const [key, { tether }] of this.entries) if (tether === id) this.entries.delete(key);
-    this.tellWatches();
+    for (const [key, { lease }] of this.entries) if (lease === id) this.entries.delete(key);
+    this.notifyWatchers();
   }
 
-  private tellWatches(): void {
-    const waiting = this.changed;
-    this.changed = [];
+  private notifyWatchers(): void {
+    const waiting = this.changeListeners;
+    this.changeListeners = [];
     for (const tell of waiting) tell();
   }
 
   /** Tells at once of everything that has changed; a dropped key is only noticed by reading it again. */
-  private async follow(parameters: URLSearchParams): Promise<Answer> {
+  private async watch(parameters: URLSearchParams): Promise<HttpAnswer> {
     const prefix = parameters.get('under') ?? '';
     const after = Number(parameters.get('after'));
     const until = performance.now() + Number(parameters.get('wait_ms'));
     const news = (): Fields[] =>
       [...this.entries]
-        .filter(([key, { feather }]) => key.startsWith(prefix) && feather > after)
-        .map(([put, { data, feather }]) => ({ put, data, feather }));
+        .filter(([key, { version }]) => key.startsWith(prefix) && version > after)
+        .map(([put, { data, version }]) => ({ put, data, feather: version }));
     const atFirst = this.revision;
     while (news().length === 0 && this.revision === atFirst && performance.now() < until) {
       await this.nextChange(until - performance.now());
@@ -208,7 +208,7 @@
   private nextChange(ms: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = setTimeout(resolve, ms);
-      this.changed.push(() => {
+      this.changeListeners.push(() => {
         clearTimeout(timer);
         resolve();
       });
@@ -216,4 +216,4 @@
   }
 }
 
-const ok = (body: unknown): Answer => ({ status: 200, body });
+const ok = (body: unknown): HttpAnswer => ({ status: 200, body });
--- a/test/sim/processes.ts
+++ b/test/support/processes.ts
@@ -9,11 +9,11 @@
 
 /* Real controller processes on loopback, and what talks to them. */
 
-export const root = fileURLToPath(new URL('../../../../', import.meta.url));
-const LOOK_MS = 50;
-export const WAIT_MS = 30_000;
+export const repositoryRoot = fileURLToPath(new URL('../../../../', import.meta.url));
+const POLL_INTERVAL_MS = 50;
+export const WAIT_TIMEOUT_MS = 30_000;
 
-export interface NodeAddress {
+export interface ControllerAddress {
   readonly name: string;
   readonly port: number;
   readonly peerPort: number;
@@ -28,43 +28,43 @@
   });
 }
 
-export async function addressOf(name: string): Promise<NodeAddress> {
+export async function allocateAddress(name: string): Promise<ControllerAddress> {
   return { name, port: await freePort(), peerPort: await freePort() };
 }
 
 /** What the settings of a deployment say otherwise than the example. */
-export interface Changes {
-  readonly leaseS: number;
-  readonly reportS?: number;
+export interface SettingsOverrides {
+  readonly leaseSeconds: number;
+  readonly heartbeatSeconds?: number;
 }
 
 function settingsText(
-  own: NodeAddress,
-  others: readonly NodeAddress[],
+  own: ControllerAddress,
+  others: readonly ControllerAddress[],
   servicesPort: number,
-  changes: Changes,
+  changes: SettingsOverrides,
 ): string {
   const siblings = others.map(
     ({ name, peerPort }) =>
       `[[siblings]]\nhost_name = "${name}"\narea = "north"\naddress = "127.0.0.1:${peerPort}"\n\n`,
   );
-  return readFileSync(join(root, 'test/settings.toml'), 'utf8')
+  return readFileSync(join(repositoryRoot, 'test/settings.toml'), 'utf8')
     .replace(/host_name = .*/, `host_name = "${own.name}"`)
     .replace('127.0.0.1:18080', `127.0.0.1:${own.port}`)
     .replace('127.0.0.1:18081', `127.0.0.1:${own.peerPort}`)
     .replaceAll('"127.0.0.1:1"', `"127.0.0.1:${servicesPort}"`)
     .replace(/^initial_size = .*/m, `initial_size = ${others.length + 1}`)
-    .replace(/^lease_s = .*/m, `lease_s = ${changes.leaseS.toFixed(1)}`)
-    .replace(/^report_s = .*/m, `report_s = ${(changes.reportS ?? 2).toFixed(1)}`)
+    .replace(/^lease_s = .*/m, `lease_s = ${changes.leaseSeconds.toFixed(1)}`)
+    .replace(/^report_s = .*/m, `report_s = ${(changes.heartbeatSeconds ?? 2).toFixed(1)}`)
     .replace('[endpoints]', `${siblings.join('')}[endpoints]`);
 }
 
 /** Writes the settings of one of several nodes, and returns the file. */
-export function settingsFile(
-  own: NodeAddress,
-  others: readonly NodeAddress[],
+export function writeSettingsFile(
+  own: ControllerAddress,
+  others: readonly ControllerAddress[],
   servicesPort: number,
-  changes: Changes,
+  changes: SettingsOverrides,
 ): string {
   const file = join(mkdtempSync(join(tmpdir(), 'magpielift-')), 'settings.toml');
   writeFileSync(file, settingsText(own, others, servicesPort, changes));
@@ -72,46 +72,50 @@
 }
 
 /** The program and arguments with which the platform runs a node. */
-function runLine(): readonly string[] {
-  const run = /^run = "(.*)"$/m.exec(readFileSync(join(root, 'deploy/service.toml'), 'utf8'))?.[1];
+function runCommand(): readonly string[] {
+  const run = /^run = "(.*)"$/m.exec(readFileSync(join(repositoryRoot, 'deploy/service.toml'), 'utf8'))?.[1];
   if (!run) throw new Error('deploy/service.toml names no run line');
   return run.split(' ');
 }
 
 /** Starts a node as the platform does: the settings file is the last argument. */
-export function startNode(file: string): ChildProcess {
-  const [program = '', ...args] = runLine();
+export function startController(file: string): ChildProcess {
+  const [program = '', ...args] = runCommand();
   // What nodes log goes where NODE_LOGS says, a file for each process.
   const directory = process.env.NODE_LOGS;
   const log = directory
     ? openSync(join(directory, `${basename(dirname(file))}-${performance.now()}.log`), 'w')
     : 'ignore';
-  return spawn(program, [...args, file], { cwd: root, stdio: ['ignore', 'ignore', log] });
+  return spawn(program, [...args, file], { cwd: repositoryRoot, stdio: ['ignore', 'ignore', log] });
 }
 
-export async function until(what: string, holds: () => boolean | Promise<boolean>, waitMs = WAIT_MS): Promise<void> {
+export async function waitUntil(
+  what: string,
+  holds: () => boolean | Promise<boolean>,
+  waitMs = WAIT_TIMEOUT_MS,
+): Promise<void> {
   const end = performance.now() + waitMs;
   while (!(await holds())) {
     if (performance.now() > end) throw new Error(`not within ${waitMs} ms: ${what}`);
-    await pause(LOOK_MS);
+    await pause(POLL_INTERVAL_MS);
   }
 }
 
 export const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-export interface HttpReply {
+export interface HttpResponse {
   readonly status: number;
   readonly body: Record<string, unknown>;
 }
 
 /** One request of its own connection; null: no answer in time. */
-export function call(
+export function sendRequest(
   port: number,
   method: 'GET' | 'POST',
   path: string,
   message: unknown,
   timeoutMs: number,
-): Promise<HttpReply | null> {
+): Promise<HttpResponse | null> {
   return new Promise((resolve) => {
     const outgoing = request({ port, host: '127.0.0.1', method, path, agent: false }, (answer) => {
       const parts: Buffer[] = [];
--- a/test/sim/sample_messages.ts
+++ b/test/support/sample_messages.ts
@@ -5,7 +5,7 @@
 import { decodeHeartbeat } from '../../src/io/workers/worker_codec.js';
 
 /** A submission as it comes over the wire. */
-export const job = {
+export const wireJob = {
   ref: 'job-000412',
   flock: 'train',
   crew: 'vision',
@@ -29,7 +29,7 @@
 };
 
 /** A worker's report as it comes over the wire. */
-export const report = {
+export const wireHeartbeat = {
   perch: 'i-000231',
   addr: '10.1.0.232:9000',
   breed: 'g8',
@@ -45,9 +45,9 @@
   ],
 };
 
-export const spec = decodeJobSpec(job);
+export const jobSpec = decodeJobSpec(wireJob);
 /** Frames between nodes of every kind, with every shape of their payloads. */
-export const frames: PeerFrame[] = [
+export const peerFrames: PeerFrame[] = [
   { kind: 'hello', node: 'perch-1' as ControllerName },
   {
     kind: 'status',
@@ -71,39 +71,39 @@
       acknowledgesCancellations: true,
     },
   },
-  { kind: 'cancellation', id: 14, job: spec.id },
+  { kind: 'cancellation', id: 14, job: jobSpec.id },
   { kind: 'cancellationAck', id: 14 },
-  { kind: 'request', id: 7, request: { op: 'submit', id: spec.id, spec, problem: '' } },
-  { kind: 'request', id: 8, request: { op: 'submit', id: spec.id, spec: null, problem: 'crew is not a text' } },
+  { kind: 'request', id: 7, request: { op: 'submit', id: jobSpec.id, spec: jobSpec, problem: '' } },
+  { kind: 'request', id: 8, request: { op: 'submit', id: jobSpec.id, spec: null, problem: 'crew is not a text' } },
   {
     kind: 'request',
     id: 8,
     request: {
       op: 'submit',
-      id: spec.id,
-      spec: { ...spec, allowedMachineTypes: null, deadlineSeconds: null },
+      id: jobSpec.id,
+      spec: { ...jobSpec, allowedMachineTypes: null, deadlineSeconds: null },
       problem: '',
     },
   },
-  { kind: 'request', id: 9, request: { op: 'poll', id: spec.id } as UserRequest },
-  { kind: 'requestAnswer', id: 7, response: { status: 201, id: spec.id, jobStatus: 'queued', done: 0, running: 0 } },
+  { kind: 'request', id: 9, request: { op: 'poll', id: jobSpec.id } as UserRequest },
+  { kind: 'requestAnswer', id: 7, response: { status: 201, id: jobSpec.id, jobStatus: 'queued', done: 0, running: 0 } },
   { kind: 'requestAnswer', id: 8, response: { status: 503, problem: 'später', retryAfterSeconds: 1 } as UserResponse },
   { kind: 'requestAnswer', id: 9, response: { status: 404, problem: 'no such job' } },
 ];
 
-frames.push(
-  { kind: 'report', id: 2 ** 50 + 1, heartbeat: decodeHeartbeat(report) },
+peerFrames.push(
+  { kind: 'report', id: 2 ** 50 + 1, heartbeat: decodeHeartbeat(wireHeartbeat) },
   {
     kind: 'report',
     id: 11,
     heartbeat: {
-      ...decodeHeartbeat({ ...report, chicks: [] }),
+      ...decodeHeartbeat({ ...wireHeartbeat, chicks: [] }),
       interruptionNoticeSeconds: 7.5,
       spot: false,
       fencingToken: ((1n << 64n) - 1n) as FencingToken,
       tasks: [
         {
-          job: spec.id,
+          job: jobSpec.id,
           index: 99_999,
           attempt: (1n << 60n) as Attempt,
           phase: 'exited',
@@ -123,9 +123,9 @@
       status: 200,
       fencingToken: ((1n << 63n) + 1n) as FencingToken,
       commands: [
-        { op: 'start', job: spec.id, index: 3, attempt: 5n as Attempt },
-        { op: 'stop', job: spec.id, index: 4, attempt: 6n as Attempt, gracePeriodSeconds: 2.5 },
-        { op: 'forget', job: spec.id, index: 5, attempt: 7n as Attempt },
+        { op: 'start', job: jobSpec.id, index: 3, attempt: 5n as Attempt },
+        { op: 'stop', job: jobSpec.id, index: 4, attempt: 6n as Attempt, gracePeriodSeconds: 2.5 },
+        { op: 'forget', job: jobSpec.id, index: 5, attempt: 7n as Attempt },
       ],
     },
   },
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -8,17 +8,17 @@
 import type { Build } from './sim/build.js';
 import { oldJobRecord, oldMachineRecord } from './sim/old_names.js';
 import { loadOldVersions, oldFrame } from './sim/old_versions.js';
-import { frames, spec } from './sim/sample_messages.js';
+import { jobSpec, peerFrames } from './support/sample_messages.js';
 
 /** What the state service gives back of a value: it passes through CBOR twice. */
-const stored = (value: unknown): unknown => decodeCbor(encodeCbor(value));
+const throughStore = (value: unknown): unknown => decodeCbor(encodeCbor(value));
 
 const VALUE_BYTES = 8192;
 const oldVersions = await loadOldVersions();
 
-const jobs: records.JobRecord[] = (['accepted', 'done', 'cancelled'] as const).flatMap((state) => [
+const jobRecords: records.JobRecord[] = (['accepted', 'done', 'cancelled'] as const).flatMap((state) => [
   {
-    spec,
+    spec: jobSpec,
     submittedAt: 1_790_000_000_123 as WallClockTime,
     state,
     startTerm: 0,
@@ -28,7 +28,7 @@
   },
   {
     spec: {
-      ...spec,
+      ...jobSpec,
       kind: 'array',
       taskCount: 100,
       allowedMachineTypes: null,
@@ -49,7 +49,7 @@
   },
 ]);
 
-const machines: records.MachineRecord[] = [
+const machineRecords: records.MachineRecord[] = [
   {
     id: 'i-000231' as MachineId,
     address: '10.1.0.232:9000',
@@ -70,7 +70,7 @@
   },
 ];
 
-const oldMachines = machines.map(oldMachineRecord);
+const oldMachines = machineRecords.map(oldMachineRecord);
 
 const comparable = (record: records.JobRecord | null): unknown =>
   record && { ...record, done: record.done.toPairs(VALUE_BYTES) };
@@ -82,18 +82,20 @@
 }
 
 /** Kinds of frame that a version knows: those after them go only to peers that announced them. */
-const knownFrames = (build: Build): PeerFrame[] =>
-  frames.filter(({ kind }) => build.name !== 'production' || (kind !== 'cancellation' && kind !== 'cancellationAck'));
+const framesKnownTo = (build: Build): PeerFrame[] =>
+  peerFrames.filter(
+    ({ kind }) => build.name !== 'production' || (kind !== 'cancellation' && kind !== 'cancellationAck'),
+  );
 
 for (const [name, old] of oldVersions) {
   test(`${name}: keys and job records are written alike and read by both`, () => {
     assert.equal(old.records.LEADER_KEY, records.LEADER_KEY);
     assert.equal(old.records.TERM_KEY, records.TERM_KEY);
-    assert.equal(old.records.jobKey(spec.id), records.jobKey(spec.id));
+    assert.equal(old.records.jobKey(jobSpec.id), records.jobKey(jobSpec.id));
     assert.equal(old.records.pageKey(3), records.pageKey(3));
-    for (const record of jobs) {
-      const oldValue = stored(old.records.encodeJob(oldJobRecord(record), VALUE_BYTES));
-      const newValue = stored(records.encodeJob(record, VALUE_BYTES));
+    for (const record of jobRecords) {
+      const oldValue = throughStore(old.records.encodeJob(oldJobRecord(record), VALUE_BYTES));
+      const newValue = throughStore(records.encodeJob(record, VALUE_BYTES));
       assert.deepEqual(newValue, oldValue);
       assert.deepEqual(comparable(records.decodeJob(oldValue)), comparable(record));
       assert.deepEqual(comparable(old.records.decodeJob(newValue)), withoutZones(record));
@@ -101,35 +103,35 @@
   });
 
   test(`${name}: reads past the zones that a job's record names, and drops them when it writes the record`, () => {
-    for (const record of jobs) {
+    for (const record of jobRecords) {
       const withZones = { ...record, startZones: ['a', 'b'] as ZoneName[] };
-      const value = stored(records.encodeJob(withZones, VALUE_BYTES));
+      const value = throughStore(records.encodeJob(withZones, VALUE_BYTES));
       assert.deepEqual(comparable(records.decodeJob(value)), comparable(withZones));
       const read = old.records.decodeJob(value);
       assert.deepEqual(comparable(read), withoutZones(record));
-      const rewritten = stored(old.records.encodeJob(read as records.JobRecord, VALUE_BYTES));
+      const rewritten = throughStore(old.records.encodeJob(read as records.JobRecord, VALUE_BYTES));
       assert.deepEqual(comparable(records.decodeJob(rewritten)), comparable(record));
     }
   });
 
   test(`${name}: registry pages are written alike and read by both`, () => {
-    const oldValue = stored(old.records.encodePage(oldMachines, 16));
-    const newValue = stored(records.encodePage(machines, 16));
+    const oldValue = throughStore(old.records.encodePage(oldMachines, 16));
+    const newValue = throughStore(records.encodePage(machineRecords, 16));
     assert.deepEqual(newValue, oldValue);
-    assert.deepEqual(records.decodePage(oldValue), { machines, complete: true });
+    assert.deepEqual(records.decodePage(oldValue), { machines: machineRecords, complete: true });
     const decoded = old.records.decodePage(newValue) as unknown;
     assert.deepEqual(decoded, old.names === 'names-2' ? { machines: oldMachines, complete: true } : oldMachines);
   });
 
   test(`${name}: the leader key is read by both as it stands`, () => {
-    const value = stored({ node: 'perch-1', incarnation: '0f3a', lease: '17', term: 4 });
+    const value = throughStore({ node: 'perch-1', incarnation: '0f3a', lease: '17', term: 4 });
     const expected = { node: 'perch-1', incarnation: '0f3a', lease: '17', term: 4 };
     assert.deepEqual(records.decodeLeader(value), expected);
     assert.deepEqual(old.records.decodeLeader(value), expected);
   });
 
   test(`${name}: peer frames are the same bytes and read by both`, () => {
-    for (const frame of knownFrames(old)) {
+    for (const frame of framesKnownTo(old)) {
       const newBytes = encodeFrame(frame);
       const oldBytes = old.encodeFrame(oldFrame(old, frame) as PeerFrame);
       // The bit of a status that announces later kinds is one that the version in production neither sets nor reads.
@@ -143,19 +145,19 @@
 }
 
 test('a service that an old leader put on record as done is read as accepted, with all of its replicas to run', () => {
-  const service = { ...spec, kind: 'service' as const, taskCount: 3 };
+  const service = { ...jobSpec, kind: 'service' as const, taskCount: 3 };
   const done = {
-    ...(jobs[0] as records.JobRecord),
+    ...(jobRecords[0] as records.JobRecord),
     spec: service,
     state: 'done' as const,
     done: RangeSet.from([[0, 2]]),
   };
   for (const { records: old } of oldVersions.values()) {
-    const read = records.decodeJob(stored(old.encodeJob(oldJobRecord(done), VALUE_BYTES)));
+    const read = records.decodeJob(throughStore(old.encodeJob(oldJobRecord(done), VALUE_BYTES)));
     assert.equal(read?.state, 'accepted');
     assert.equal(read?.done.count, 0);
     const cancelled = records.decodeJob(
-      stored(old.encodeJob({ ...oldJobRecord(done), state: 'cancelled' }, VALUE_BYTES)),
+      throughStore(old.encodeJob({ ...oldJobRecord(done), state: 'cancelled' }, VALUE_BYTES)),
     );
     assert.equal(cancelled?.state, 'cancelled');
   }
