--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -98,7 +98,7 @@
     this.durableStartTerm = record.startTerm;
     this.startTerm = record.startTerm;
     this.startZone = record.startZone;
-    this.doneTasks = RangeSet.from(record.done.toPairs());
+    this.doneTasks = RangeSet.from(record.done.pairs());
     if (this.doneTasks.count > 0) this.failureHistory.recordSuccess();
   }
 
--- a/src/core/jobs/range_set.ts
+++ b/src/core/jobs/range_set.ts
@@ -68,7 +68,7 @@
   }
 
   /** The first ranges, as many as fit into so many bytes of text: a record must fit the store's limit for a value. */
-  toPairs(bytes = Number.POSITIVE_INFINITY): [number, number][] {
+  pairs(bytes = Number.POSITIVE_INFINITY): [number, number][] {
     const fitting: [number, number][] = [];
     let left = bytes;
     for (const [first, last] of this.ranges) {
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -125,7 +125,7 @@
   const value = { ...fields, done: [] as [number, number][] };
   if (done.count === 0) return value;
   const bytesLeft = valueBytes - SPARE_BYTES - Buffer.byteLength(JSON.stringify(value));
-  return { ...value, done: done.toPairs(bytesLeft) };
+  return { ...value, done: done.pairs(bytesLeft) };
 }
 
 /** Whether a job's record has room for the names of these zones. Earlier releases leave none when they accept a job. */
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -37,16 +37,16 @@
 test('range sets: any order of additions gives the same few ranges', () => {
   const set = new RangeSet();
   for (const n of [5, 3, 4, 9, 0, 1, 2, 4]) set.add(n);
-  assert.deepEqual(set.toPairs(), [
+  assert.deepEqual(set.pairs(), [
     [0, 5],
     [9, 9],
   ]);
   assert.equal(set.count, 7);
   assert.ok(set.has(4) && !set.has(6));
-  assert.deepEqual(RangeSet.from(set.toPairs()).toPairs(), set.toPairs());
+  assert.deepEqual(RangeSet.from(set.pairs()).pairs(), set.pairs());
   const many = new RangeSet();
   for (let n = 0; n < 100_000; n++) many.add((n * 7919) % 100_000);
-  assert.deepEqual(many.toPairs(), [[0, 99_999]]);
+  assert.deepEqual(many.pairs(), [[0, 99_999]]);
 });
 
 test('token buckets: renewals pass an empty bucket, the rest goes by priority, nothing waits for ever', () => {
--- a/test/golden/record_cases.ts
+++ b/test/golden/record_cases.ts
@@ -11,7 +11,7 @@
 const MAX_IMAGES = 16;
 
 const bytesOf = (entry: Golden): Buffer => unhex((entry as { cbor: string }).cbor);
-const comparable = (record: records.JobRecord | null): unknown => record && { ...record, done: record.done.toPairs() };
+const comparable = (record: records.JobRecord | null): unknown => record && { ...record, done: record.done.pairs() };
 const rewritten = (value: unknown, valueBytes = VALUE_BYTES): Buffer => {
   const record = records.decodeJob(value);
   assert.ok(record);
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -73,12 +73,12 @@
 const oldMachines = machineRecords.map(oldMachineRecord);
 
 const comparable = (record: records.JobRecord | null): unknown =>
-  record && { ...record, done: record.done.toPairs(VALUE_BYTES) };
+  record && { ...record, done: record.done.pairs(VALUE_BYTES) };
 
 /** A record as a version reads it that knows nothing of the zones in which jobs were started. */
 function withoutZones(record: records.JobRecord): unknown {
   const { startZones: _, ...known } = oldJobRecord(record);
-  return { ...known, done: record.done.toPairs(VALUE_BYTES) };
+  return { ...known, done: record.done.pairs(VALUE_BYTES) };
 }
 
 /** Kinds of frame that a version knows: those after them go only to peers that announced them. */
