--- /dev/null
+++ b/test/core/machines/spot_interruption_rate.test.ts
@@ -0,0 +1,23 @@
+import assert from 'node:assert/strict';
+import { describe, test } from 'node:test';
+import { expectedSpotDelaySeconds, SpotInterruptionRate } from '../../../src/core/machines/spot_interruption_rate.js';
+
+describe('SpotInterruptionRate', () => {
+  test('delays long work without checkpoints the more, the more machines were interrupted', () => {
+    const interruptions = new SpotInterruptionRate();
+    interruptions.observe(4, 60);
+    const calm = interruptions.perSecond;
+    for (let i = 0; i < 3; i++) interruptions.recordInterruption();
+    assert.ok(interruptions.perSecond > 5 * calm);
+    assert.ok(
+      expectedSpotDelaySeconds(interruptions.perSecond, 100, 0) >
+        expectedSpotDelaySeconds(interruptions.perSecond, 100, 10),
+    );
+    assert.ok(
+      expectedSpotDelaySeconds(interruptions.perSecond, 100, 0) >
+        4 * expectedSpotDelaySeconds(interruptions.perSecond, 30, 0),
+    );
+    for (let i = 0; i < 100; i++) interruptions.observe(4, 10);
+    assert.ok(interruptions.perSecond < 2 * calm);
+  });
+});
--- /dev/null
+++ b/test/core/scheduler/gang_reservation.test.ts
@@ -0,0 +1,52 @@
+import assert from 'node:assert/strict';
+import { describe, test } from 'node:test';
+import { Job } from '../../../src/core/jobs/job.js';
+import { RangeSet } from '../../../src/core/jobs/range_set.js';
+import { Cluster } from '../../../src/core/leadership/cluster.js';
+import { reserveForOverdueGangs } from '../../../src/core/scheduler/gang_reservation.js';
+import type { Settings } from '../../../src/core/settings.js';
+import { StepContext } from '../../../src/core/step_context.js';
+import type { ClockReading, JobId, MonotonicTime, WallClockTime } from '../../../src/core/types.js';
+import { revision } from '../../../src/core/types.js';
+import { makeJobSpec } from '../../sim/job_options.js';
+import { tuning } from '../../sim/scenario.js';
+import { makeMachine } from '../../support/machine_fixtures.js';
+
+describe('gang reservation', () => {
+  test('reserves planned machines for the longest overdue gang of a zone, and for no other gang of it', () => {
+    const now: ClockReading = { monotonic: 500_000 as MonotonicTime, wallClock: 1_790_000_000_000 as WallClockTime };
+    const stateStore = {
+      requestsPerSecond: 10,
+      writesPerSecond: 10,
+      announcedRequestsPerSecond: 10,
+      announcedWritesPerSecond: 10,
+      maxValueBytes: 8192,
+      maxChangesPerTransaction: 8,
+    };
+    const cloud = { requestsPerSecond: 5, listStalenessMs: 0 };
+    const settings = { controllerCount: 1, teamQuotas: [], stateStore, cloud } as unknown as Settings;
+    const cluster = new Cluster(new StepContext(settings, tuning, now), 1);
+    const gang = (id: string, waitedS: number): Job => {
+      const spec = { ...makeJobSpec(id, 'gang', { tasks: '2', gpus: '4' }) };
+      const submittedAt = (now.wallClock - waitedS * 1000) as WallClockTime;
+      return new Job(
+        { spec, submittedAt, state: 'accepted', startTerm: 0, startZone: null, startZones: null, done: new RangeSet() },
+        revision(1),
+      );
+    };
+    const jobs = [gang('job-1', 130), gang('job-2', 200), gang('job-3', 20)];
+    const machines = [0, 1, 2, 3, 4, 5].map((i) => makeMachine(`i-${i}`, '', 'up', now.monotonic, false));
+    const starts = machines.map((_, slot) => ({
+      job: Math.floor(slot / 2),
+      machine: slot,
+      tasks: 1,
+      roomAtS: 20,
+      startAtS: 30,
+    }));
+    reserveForOverdueGangs(cluster, starts, jobs, machines);
+    const keptFor = machines.map((kept) => kept.reservedFor(now.monotonic));
+    assert.deepEqual(keptFor, [null, null, 'job-2', 'job-2', null, null]);
+    assert.equal(machines[2]?.isReservedForOther('job-1' as JobId, now.monotonic), true);
+    assert.equal(machines[2]?.reservedFor((now.monotonic + 5000) as MonotonicTime), null);
+  });
+});
--- /dev/null
+++ b/test/core/scheduler/planner.test.ts
@@ -0,0 +1,134 @@
+import assert from 'node:assert/strict';
+import { describe, test } from 'node:test';
+import { NO_PENALTIES } from '../../../src/core/scheduler/plan_types.js';
+import { Planner } from '../../../src/core/scheduler/planner.js';
+import type { MachineTypeName } from '../../../src/core/types.js';
+import { makeMachineType, zoneA, zoneB } from '../../support/machine_fixtures.js';
+import { makePlanJob, makePlanMachine, makePlanner } from '../../support/plan_fixtures.js';
+
+describe('Planner', () => {
+  test('backfills only where something could start, within its plan steps', () => {
+    const machines = Array.from({ length: 300 }, (_, i) => makePlanMachine(i, 'a', makeMachineType('g4', 24, 4), 24));
+    const jobs = Array.from({ length: 200 }, (_, i) => makePlanJob(i, { cpus: 2, gpus: 4 }));
+    const fill = (steps: number): { steps: number; starts: number } => {
+      const evolution = makePlanner();
+      const plan = evolution.plan(machines, [], null);
+      const starts = evolution.backfill(plan, jobs, steps).length;
+      return { steps: evolution.steps, starts };
+    };
+    const free = fill(1_000_000);
+    assert.equal(free.starts, 200);
+    const bounded = fill(1500);
+    assert.ok(bounded.steps < 1500 + 300 && bounded.starts > 0 && bounded.starts < 200, JSON.stringify(bounded));
+    // With nothing free for any of them, none of the 200 looks over the 300 machines.
+    for (const machine of machines) machine.gpus[0] = 3;
+    assert.deepEqual(fill(1_000_000), { steps: 0, starts: 0 });
+  });
+
+  test('counts the image pull into the earliest start, and breaks ties by the least free capacity', () => {
+    const eightCores = makeMachineType('c8', 8, 0);
+    const cached = makePlanner().plan(
+      [makePlanMachine(0, 'a', eightCores, 8, 30), makePlanMachine(1, 'a', eightCores, 8, 0)],
+      [makePlanJob(0, {})],
+      [zoneA],
+    );
+    assert.equal(cached.starts[0]?.machine, 1);
+    const tight = makePlanner().plan(
+      [makePlanMachine(0, 'a', eightCores, 8), makePlanMachine(1, 'a', eightCores, 3)],
+      [makePlanJob(0, {})],
+      [zoneA],
+    );
+    assert.equal(tight.starts[0]?.machine, 1);
+  });
+
+  test('finds the feasible machines of a job among very many infeasible ones', () => {
+    const eightCores = makeMachineType('c8', 8, 0);
+    const fourGpus = makeMachineType('g4', 24, 4);
+    const unused = Array.from({ length: 500 }, (_, slot) => ({
+      ...makePlanMachine(slot, 'a', fourGpus, 24),
+      servesGpuWork: false,
+    }));
+    const cores = Array.from({ length: 400 }, (_, i) => makePlanMachine(500 + i, 'a', eightCores, 8));
+    const job = makePlanJob(0, { tasks: 40, fitsTypesWithoutGpus: true, penaltyFactor: 1 });
+    const plan = makePlanner().plan([...unused, ...cores], [job], [zoneA]);
+    assert.equal(plan.unplacedTasks.size, 0);
+    assert.ok(plan.starts.every((start) => start.machine >= 500));
+    const bound = makePlanJob(0, {
+      tasks: 40,
+      types: ['c8' as MachineTypeName],
+      fitsTypesWithoutGpus: true,
+      penaltyFactor: 0,
+    });
+    const boundPlan = makePlanner().plan([...unused, ...cores], [bound], [zoneA]);
+    assert.equal(boundPlan.unplacedTasks.size, 0);
+  });
+
+  test('gives work without GPUs only the part of a GPU machine that GPU work cannot use', () => {
+    const fourGpus = makeMachineType('g4', 24, 4);
+    const tight = { ...makePlanMachine(0, 'a', fourGpus, 24), spareCpus: 3 };
+    const plan = makePlanner().plan([tight], [makePlanJob(0, { tasks: 8 })], [zoneA]);
+    assert.equal(
+      plan.starts.reduce((n, start) => n + start.tasks, 0),
+      3,
+    );
+    const gpus = makePlanner().plan([tight], [makePlanJob(0, { tasks: 4, gpus: 1, cpus: 6 })], [zoneA]);
+    assert.equal(gpus.starts[0]?.tasks, 4);
+  });
+
+  test('starts a gang where all of it fits, and keeps later jobs off that capacity', () => {
+    const eightCores = makeMachineType('c8', 8, 0);
+    const jobs = [
+      makePlanJob(0, { isGang: true, tasks: 2, cpus: 8 }),
+      makePlanJob(1, { cpus: 8, durationSeconds: 60 }),
+    ];
+    const plan = makePlanner().plan(
+      [makePlanMachine(0, 'a', eightCores, 8), makePlanMachine(1, 'a', eightCores, 2)],
+      jobs,
+      [zoneA, zoneA],
+    );
+    const gang = plan.starts.filter((start) => start.job === 0);
+    assert.deepEqual(
+      gang.map((start) => start.startAtS),
+      [20, 20],
+    );
+    assert.ok((plan.starts.find((start) => start.job === 1)?.startAtS ?? 0) >= 30);
+  });
+
+  test('keeps a zone-spread job within the allowance of each zone', () => {
+    const eightCores = makeMachineType('c8', 8, 0);
+    const zoneAllowance = new Map([
+      [zoneA, 3],
+      [zoneB, 3],
+    ]);
+    const job = makePlanJob(0, { tasks: 5, feasibleZones: [zoneA, zoneB], zoneAllowance });
+    const plan = makePlanner().plan(
+      [makePlanMachine(0, 'a', eightCores, 8), makePlanMachine(1, 'b', eightCores, 8)],
+      [job],
+      [zoneA],
+    );
+    const inA = plan.starts.filter((start) => start.machine === 0).reduce((n, start) => n + start.tasks, 0);
+    assert.equal(inA, 3);
+  });
+
+  test('lets a gang pull its image on free capacity rather than wait for tasks expected to end', () => {
+    const fourGpus = makeMachineType('g4', 24, 4);
+    const fetching = { ...makePlanMachine(0, 'a', fourGpus, 24, 40), gpus: [4] };
+    const holding = {
+      ...makePlanMachine(1, 'a', fourGpus, 0, 0),
+      times: [0, 20],
+      cpus: [0, 24],
+      gpus: [0, 4],
+      memGb: [0, 144],
+    };
+    const gang = makePlanJob(0, { isGang: true, gpus: 4, cpus: 20 });
+    const penalties = { ...NO_PENALTIES, futureDiscount: 0.5 };
+    const chosen = (gangFutureDiscount: number): number | undefined =>
+      new Planner({ averageWait: 1, maximumWait: 1, idleShare: 1 }, { ...penalties, gangFutureDiscount }).plan(
+        [fetching, holding],
+        [gang],
+        [zoneA],
+      ).starts[0]?.machine;
+    assert.equal(chosen(0.5), 1);
+    assert.equal(chosen(2), 0);
+  });
+});
--- /dev/null
+++ b/test/support/machine_fixtures.ts
@@ -0,0 +1,39 @@
+import { Machine } from '../../src/core/machines/machine.js';
+import type { MachineId, MachineType, MachineTypeName, MonotonicTime, ZoneName } from '../../src/core/types.js';
+
+/** Machine types and machines as unit tests need them. */
+export const zoneA = 'a' as ZoneName;
+
+export const zoneB = 'b' as ZoneName;
+
+export const makeMachineType = (name: string, cpus: number, gpus: number): MachineType => ({
+  name: name as MachineTypeName,
+  cpus,
+  gpus,
+  memoryGb: 64,
+  imageCacheGb: 50,
+  imagePullGbPerSecond: 1,
+  pricePerHour: 1,
+  spotPricePerHour: 0.5,
+  bootSeconds: 30,
+  zones: ['a' as ZoneName],
+});
+
+export const makeMachine = (
+  id: string,
+  address: string,
+  phase: 'booting' | 'up',
+  now: MonotonicTime,
+  provisionedByThisLeader: boolean,
+): Machine =>
+  new Machine({
+    id: id as MachineId,
+    type: makeMachineType('g4', 24, 4),
+    zone: zoneA,
+    spot: false,
+    address,
+    reconciled: true,
+    phase,
+    provisionedByThisLeader,
+    now,
+  });
--- /dev/null
+++ b/test/support/plan_fixtures.ts
@@ -0,0 +1,58 @@
+import type { PlanJob, PlanMachine } from '../../src/core/scheduler/plan_types.js';
+import { Planner } from '../../src/core/scheduler/planner.js';
+import type { ImageName, MachineType, ZoneName } from '../../src/core/types.js';
+
+/** Jobs, machines and planners as the planner's unit tests need them. */
+export function makePlanMachine(
+  index: number,
+  zone: string,
+  type: MachineType,
+  freeCpus: number,
+  fetchS = 0,
+): PlanMachine {
+  return {
+    index,
+    zone: zone as ZoneName,
+    type: type,
+    spot: false,
+    times: freeCpus < type.cpus ? [0, 20] : [0],
+    cpus: freeCpus < type.cpus ? [freeCpus, type.cpus] : [type.cpus],
+    gpus: freeCpus < type.cpus ? [type.gpus, type.gpus] : [type.gpus],
+    memGb: freeCpus < type.cpus ? [64, 64] : [64],
+    servesGpuWork: true,
+    spareCpus: type.cpus,
+    spareMemoryGb: type.memoryGb,
+    reservedForGangs: false,
+    imagePullSeconds: () => fetchS,
+    largestCachedImageShare: 0,
+  };
+}
+
+export function makePlanJob(index: number, over: Partial<PlanJob>): PlanJob {
+  return {
+    index,
+    isGang: false,
+    tasks: 1,
+    durationSeconds: 10,
+    cpus: 1,
+    gpus: 0,
+    memoryGb: 1,
+    image: 'i' as ImageName,
+    imageGb: 1,
+    types: null,
+    fitsTypesWithoutGpus: false,
+    toleratesSpot: true,
+    spotDelaySeconds: 0,
+    singleZone: false,
+    zoneAllowance: null,
+    feasibleZones: ['a' as ZoneName],
+    boundZone: null,
+    priorityWeight: 1,
+    waitedSeconds: 0,
+    penaltyFactor: 1,
+    excludedMachines: null,
+    ...over,
+  };
+}
+
+export const makePlanner = (): Planner => new Planner({ averageWait: 1, maximumWait: 1, idleShare: 1 });
--- a/tools/run_tests.sh
+++ b/tools/run_tests.sh
@@ -5,7 +5,10 @@
 results=target/tests.tap
 node --test --test-reporter=spec --test-reporter-destination=stdout \
   --test-reporter=tap --test-reporter-destination="$results" target/check/test/*.test.js && exit 0
-failed=$(sed -n 's/^not ok [0-9]* - //p' "$results")
+# The tests that failed, at any depth; a suite is none of them where only its tests failed.
+failed=$(awk '/^ *not ok [0-9]+ - / { if (name != "") print name; name = $0; sub(/^ *not ok [0-9]+ - /, "", name) }
+  /^ *failureType: .subtestsFailed./ { name = "" }
+  END { if (name != "") print name }' "$results")
 # A run that failed without naming a test, or that never got to the end, is no known one.
 [ -n "$failed" ] && grep -q '^# tests [1-9]' "$results" || exit 1
 unknown=0
