--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -1,7 +1,8 @@
+/** The command line: options, commands, and what the program says and returns where a setting is refused. */
 import { Command } from 'commander';
 import { loadFeatures } from '../config/features.js';
 import { loadPlatform, type PlatformSettings } from '../config/platform.js';
-import { SettingsError } from '../config/settings_file.js';
+import { SettingsError } from '../config/settings_error.js';
 import { loadTuning } from '../config/tuning.js';
 import type { Features } from '../core/features.js';
 import type { Tuning } from '../core/settings.js';
@@ -9,16 +10,17 @@
 
 const DEFAULT_TUNING_FILE = 'deploy/tuning.toml';
 const DEFAULT_FEATURES_FILE = 'deploy/features.toml';
-/** Of a wrong setting or option. */
+/** The exit code for a refused setting or option. */
 const SETTINGS_EXIT_CODE = 2;
 
+/** The paths that the options give. */
 interface FileOptions {
-  config?: string;
-  tuning: string;
-  features: string;
+  readonly config?: string;
+  readonly tuning: string;
+  readonly features: string;
 }
 
-/** All that a node is told at its start. */
+/** All that a controller is told at its start. */
 export interface Configuration {
   readonly platform: PlatformSettings;
   readonly tuning: Tuning;
@@ -26,7 +28,7 @@
 }
 
 function loadConfiguration(files: FileOptions): Configuration {
-  if (!files.config) throw new SettingsError('--config FILE is required');
+  if (!files.config) throw new SettingsError('missingOption', { problem: '--config FILE is required' });
   const platform = loadPlatform(files.config);
   return { platform, tuning: loadTuning(files.tuning), features: loadFeatures(files.features) };
 }
@@ -48,7 +50,10 @@
     .option('--tuning <file>', "the operators' own tuning (TOML)", DEFAULT_TUNING_FILE)
     .option('--features <file>', 'what the deployment switches on (TOML)', DEFAULT_FEATURES_FILE);
 
-/** The command line. `serve` is what runs without a command; a console would become one more command here. */
+/**
+ * Returns the command line, which has yet to parse its arguments. `serve` is what runs without a command; a console would
+ * become one more command here.
+ */
 export function createProgram(serve: (configuration: Configuration) => void): Command {
   const program = withFileOptions(new Command('magpielift'))
     .description('a small cluster scheduler: runs a controller node until it is killed')
--- a/src/config/settings_file.ts
+++ b/src/config/settings_file.ts
@@ -1,39 +1,47 @@
+/** Reads one settings file: TOML on disk, checked against a schema. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
+import { SettingsError } from './settings_error.js';
 
-/** A settings problem: one line, naming file and field. */
-export class SettingsError extends Error {}
+/** What a TOML file holds, by its top-level keys; the values have yet to be checked. */
+export type TomlDocument = Readonly<Record<string, unknown>>;
 
-/** Reads a TOML file; throws `SettingsError` where it can't be read or isn't TOML. */
-export function readTomlFile(file: string): unknown {
-  let text: string;
+/** Returns what a TOML file holds; throws `SettingsError` if it can't be read or isn't TOML. */
+export function readTomlFile(file: string): TomlDocument {
+  return parseToml(file, readText(file));
+}
+
+function readText(file: string): string {
   try {
-    text = readFileSync(file, 'utf8');
-  } catch (error) {
-    throw new SettingsError(`${file}: cannot be read (${(error as NodeJS.ErrnoException).code ?? 'error'})`);
+    return readFileSync(file, 'utf8');
+  } catch (cause) {
+    const code = (cause as NodeJS.ErrnoException).code ?? 'error';
+    throw new SettingsError('unreadableFile', { file, problem: `cannot be read (${code})`, cause });
   }
+}
+
+function parseToml(file: string, text: string): TomlDocument {
   try {
     return parse(text);
-  } catch (error) {
-    throw new SettingsError(`${file}: not TOML: ${(error as Error).message.split('\n')[0]}`);
+  } catch (cause) {
+    const [firstLine] = (cause as Error).message.split('\n');
+    throw new SettingsError('invalidToml', { file, problem: `not TOML: ${firstLine}`, cause });
   }
 }
 
-/** Checks what was read from a file; fields that the schema doesn't name are ignored. */
-export function parseSettings<S extends v.GenericSchema>(file: string, raw: unknown, schema: S): v.InferOutput<S> {
-  const result = v.safeParse(schema, raw);
+/**
+ * Returns the document as the schema reads it, with defaults filled in. Throws `SettingsError` on the first value that the
+ * schema refuses. A key that the schema doesn't name is refused by a strict schema and ignored by any other.
+ */
+export function parseSettings<Schema extends v.GenericSchema>(
+  file: string,
+  document: TomlDocument,
+  schema: Schema,
+): v.InferOutput<Schema> {
+  const result = v.safeParse(schema, document);
   if (result.success) return result.output;
   const issue = result.issues[0];
-  throw new SettingsError(`${file}: ${v.getDotPath(issue) ?? '(top level)'}: ${issue.message}`);
+  const field = v.getDotPath(issue) ?? '(top level)';
+  throw new SettingsError('invalidValue', { file, field, problem: issue.message });
 }
-
-// ---- kinds of value
-
-export const positiveNumber = v.pipe(v.number(), v.finite(), v.gtValue(0));
-export const nonNegativeNumber = v.pipe(v.number(), v.finite(), v.minValue(0));
-export const numberBetween = (least: number, most: number) => v.pipe(v.number(), v.minValue(least), v.maxValue(most));
-export const positiveInteger = v.pipe(v.number(), v.integer(), v.minValue(1));
-export const fraction = v.pipe(v.number(), v.gtValue(0), v.maxValue(1));
-export const nonEmptyText = v.pipe(v.string(), v.minLength(1));
-export const hostAndPort = v.pipe(v.string(), v.regex(/^[^:\s]+:\d{1,5}$/, 'must be host:port'));
--- a/src/io/http/http_server.ts
+++ b/src/io/http/http_server.ts
@@ -5,8 +5,9 @@
 import type { Heartbeat, JobId } from '../../core/types.js';
 import { decodeJobSpec, encodeUserResponse } from '../users/user_codec.js';
 import { encodeCbor } from '../wire/cbor.js';
-import { WireError, type WireMap } from '../wire/fields.js';
+import type { WireMap } from '../wire/fields.js';
 import { parseJobId } from '../wire/job_id.js';
+import { WireError } from '../wire/wire_error.js';
 import { decodeHeartbeat, encodeHeartbeatResponse } from '../workers/worker_codec.js';
 import { readCborMap } from './request_body.js';
 
--- a/src/io/http/request_body.ts
+++ b/src/io/http/request_body.ts
@@ -1,6 +1,7 @@
 import type { HttpBindings } from '@hono/node-server';
 import { decodeCbor } from '../wire/cbor.js';
-import { expectMap, WireError, type WireMap } from '../wire/fields.js';
+import { expectMap, type WireMap } from '../wire/fields.js';
+import { WireError } from '../wire/wire_error.js';
 
 const MAX_BODY_BYTES = 64 * 1024;
 
@@ -34,8 +35,8 @@
   let value: unknown;
   try {
     value = decodeCbor(bytes);
-  } catch {
-    throw new WireError('not CBOR');
+  } catch (cause) {
+    throw new WireError('not CBOR', cause);
   }
   return expectMap(value, 'the body');
 }
--- a/src/io/peers/frame_buffer.ts
+++ b/src/io/peers/frame_buffer.ts
@@ -1,6 +1,7 @@
 /**
  * Reading and writing of the payloads of peer frames: big-endian numbers, and texts behind their length in bytes.
  */
+import { ApplicationError } from '../../errors.js';
 
 /** Bytes before a frame's payload: four of its length, one of its version, one of its kind. */
 export const FRAME_HEADER_BYTES = 6;
@@ -12,7 +13,11 @@
 const INITIAL_BYTES = 4096;
 
 /** A frame that can't be trusted: the connection it came on is closed. */
-export class FrameError extends Error {}
+export class FrameError extends ApplicationError<'malformedFrame'> {
+  constructor(problem: string) {
+    super('malformedFrame', problem);
+  }
+}
 
 /** Frames are written one at a time into this buffer and copied out: a fresh one for each costs as much again. */
 let sharedBuffer = Buffer.alloc(INITIAL_BYTES);
--- a/src/io/peers/peer_connections.ts
+++ b/src/io/peers/peer_connections.ts
@@ -1,4 +1,5 @@
 import { createServer, type Server, type Socket } from 'node:net';
+import type { PeerAddress } from '../../config/platform.js';
 import type { PeerMessage } from '../../core/messages.js';
 import type { ControllerName } from '../../core/types.js';
 import { parseHostPort } from '../address.js';
@@ -17,12 +18,12 @@
 
   constructor(
     private readonly self: ControllerName,
-    peers: readonly { readonly name: ControllerName; readonly addr: string }[],
+    peers: readonly PeerAddress[],
     private readonly onMessage: (from: ControllerName, message: PeerMessage) => void,
     private readonly log: Log,
   ) {
     this.peerNames = new Set(peers.map((peer) => peer.name));
-    for (const { name, addr } of peers) this.outbound.set(name, new OutboundConnection(self, addr));
+    for (const { name, address } of peers) this.outbound.set(name, new OutboundConnection(self, address));
     this.server = createServer((socket) => this.accept(socket));
     this.server.maxConnections = MAX_INBOUND_CONNECTIONS;
   }
--- a/src/io/users/user_codec.ts
+++ b/src/io/users/user_codec.ts
@@ -17,10 +17,10 @@
   optionalTextField,
   textField,
   uint64Field,
-  WireError,
   type WireMap,
 } from '../wire/fields.js';
 import { parseJobId } from '../wire/job_id.js';
+import { WireError } from '../wire/wire_error.js';
 
 /** Submissions and answers to users, by the names that they have on the wire. */
 const JOB_KINDS: Readonly<Record<string, JobKind>> = { batch: 'array', ensemble: 'gang', daemon: 'service' };
--- a/src/io/wire/fields.ts
+++ b/src/io/wire/fields.ts
@@ -1,10 +1,8 @@
 /**
  * Readers for the fields of decoded messages. Each throws `WireError`, naming the field, where the value is missing or of
- * another type. They are plain functions rather than a schema because every report passes through them.
+ * another type. They are plain functions rather than a schema because every heartbeat passes through them.
  */
-
-/** A message, or a field of it, that isn't what the protocol says. */
-export class WireError extends Error {}
+import { WireError } from './wire_error.js';
 
 /** A decoded map whose fields have yet to be checked. */
 export type WireMap = Record<string, unknown>;
@@ -12,17 +10,20 @@
 const MAX_TEXT_LENGTH = 200;
 const UINT64_LIMIT = 1n << 64n;
 
+/** Returns a decoded value that has to be a map; `what` names it in the error. */
 export function expectMap(value: unknown, what: string): WireMap {
   if (typeof value !== 'object' || value === null || Array.isArray(value)) throw new WireError(`${what} is not a map`);
   return value as WireMap;
 }
 
+/** Reads a list; its items have yet to be checked. */
 export function listField(fields: WireMap, key: string): unknown[] {
   const value = fields[key];
   if (!Array.isArray(value)) throw new WireError(`${key} is not a list`);
   return value;
 }
 
+/** Reads a text of 1 to 200 characters. */
 export function textField(fields: WireMap, key: string): string {
   const value = fields[key];
   if (typeof value !== 'string' || value.length === 0 || value.length > MAX_TEXT_LENGTH) {
@@ -33,17 +34,19 @@
 
 const isMissing = (fields: WireMap, key: string): boolean => fields[key] === undefined || fields[key] === null;
 
+/** Reads a text as `textField` does; null: it is null or left out. */
 export function optionalTextField(fields: WireMap, key: string): string | null {
   return isMissing(fields, key) ? null : textField(fields, key);
 }
 
+/** Reads a boolean. */
 export function booleanField(fields: WireMap, key: string): boolean {
   const value = fields[key];
   if (typeof value !== 'boolean') throw new WireError(`${key} is not a boolean`);
   return value;
 }
 
-/** A count, version, token or attempt: an integer from 0 to below 2^64. */
+/** Reads a count, version, token or attempt: an integer from 0 to below 2^64. */
 export function uint64Field(fields: WireMap, key: string): bigint {
   const value = fields[key];
   if (typeof value === 'bigint' && value >= 0n && value < UINT64_LIMIT) return value;
@@ -51,7 +54,7 @@
   throw new WireError(`${key} is not a count`);
 }
 
-/** An amount: finite and not negative. */
+/** Reads an amount: finite and not negative, in the unit that the protocol gives the field. */
 export function amountField(fields: WireMap, key: string): number {
   const raw = fields[key];
   const value = typeof raw === 'bigint' ? Number(raw) : raw;
@@ -59,11 +62,12 @@
   return value;
 }
 
+/** Reads an amount; null: it is null or left out. */
 export function optionalAmountField(fields: WireMap, key: string): number | null {
   return isMissing(fields, key) ? null : amountField(fields, key);
 }
 
-/** The value that a word on the wire stands for. */
+/** Reads a word on the wire and returns the value that it stands for in `values`. */
 export function enumField<T>(fields: WireMap, key: string, values: Readonly<Record<string, T>>): T {
   const word = fields[key];
   if (typeof word === 'string' && Object.hasOwn(values, word)) return values[word] as T;
--- a/src/io/workers/worker_codec.ts
+++ b/src/io/workers/worker_codec.ts
@@ -21,10 +21,10 @@
   optionalAmountField,
   textField,
   uint64Field,
-  WireError,
   type WireMap,
 } from '../wire/fields.js';
 import { parseJobId } from '../wire/job_id.js';
+import { WireError } from '../wire/wire_error.js';
 
 /** Workers' reports, the answers to them, and direct commands, by the names that they have on the wire. */
 const TASK_PHASES: Readonly<Record<string, TaskPhase>> = {
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -13,7 +13,7 @@
 import { decodeStateStoreResponse, encodeStateStoreRequest } from '../src/io/state_store/state_store_codec.js';
 import { decodeJobSpec, encodeUserResponse } from '../src/io/users/user_codec.js';
 import { decodeCbor, encodeCbor } from '../src/io/wire/cbor.js';
-import { WireError } from '../src/io/wire/fields.js';
+import { WireError } from '../src/io/wire/wire_error.js';
 import { decodeHeartbeat, encodeHeartbeatResponse } from '../src/io/workers/worker_codec.js';
 import { peerFrames, wireHeartbeat, wireJob } from './support/sample_messages.js';
 
