--- a/src/core/leadership/state_restorer.ts
+++ b/src/core/leadership/state_restorer.ts
@@ -58,7 +58,7 @@
     const phase = address === '' ? 'booting' : 'up';
     const machine = new Machine({ id, type, zone, spot, address, reconciled: false, phase, now });
     machine.images.restore(record.images, record.imagePullSpeed, imageSizesGb, now);
-    if (previousTerms.recovery) machine.leaseRenewedAt = this.lastLeaseRenewalAt(id);
+    if (previousTerms.recovery) machine.messages.restoreLeaseRenewal(this.lastLeaseRenewalAt(id));
     machines.set(id, machine);
     this.registry.restore(machine, key);
     previousTerms.onMachineRestored(machine);
--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -2,7 +2,7 @@
 import type { Cluster } from '../leadership/cluster.js';
 import { workerLeaseExpiryMs } from '../leadership/lease_bounds.js';
 import { moveReplica } from '../scheduler/service_placement.js';
-import { type AgentEpoch, addMilliseconds, type JobId, type MonotonicTime, type SequenceNumber } from '../types.js';
+import { addMilliseconds, type JobId, type MonotonicTime } from '../types.js';
 import type { Machine } from './machine.js';
 import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO, type StragglerEvidence } from './straggler_detector.js';
 
@@ -42,10 +42,10 @@
     const leaseExpiryMs = workerLeaseExpiryMs(settings);
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase === 'booting' && machine.reconciled) continue;
-      if (machine.phase === 'up' && machine.isHeartbeatOverdue(now, settings.workers.heartbeatIntervalMs))
+      if (machine.phase === 'up' && machine.messages.isHeartbeatOverdue(now, settings.workers.heartbeatIntervalMs))
         this.cluster.releasePlanned(machine);
       const mayHoldTasks = !machine.reconciled || !machine.isEmpty;
-      if (mayHoldTasks && now - machine.leaseRenewedAt > leaseExpiryMs) this.onLeaseExpired(machine);
+      if (mayHoldTasks && now - machine.messages.leaseRenewedAt > leaseExpiryMs) this.onLeaseExpired(machine);
     }
   }
 
@@ -106,11 +106,7 @@
       reconciled: machine.reconciled,
     });
     this.cluster.releaseEverything(machine);
-    if (machine.agentEpoch !== null) {
-      machine.agentEpoch = (machine.agentEpoch + 1n) as AgentEpoch;
-      machine.sequence = 0n as SequenceNumber;
-      machine.lastHeartbeatSequence = null;
-    }
+    machine.messages.expireEpoch();
     machine.unconfirmedStarts.clear();
     this.cluster.markReconciled(machine, 'leaseEnded');
     this.scheduleRoundSoon();
@@ -121,9 +117,9 @@
     let reporting = 0;
     let unresponsive = 0;
     for (const machine of this.cluster.machines.values()) {
-      if (machine.phase !== 'up' || machine.firstHeartbeatAt === null) continue;
+      if (machine.phase !== 'up' || machine.messages.firstHeartbeatAt === null) continue;
       reporting += 1;
-      if (machine.unresponsiveSince !== null) unresponsive += 1;
+      if (machine.reachability.isUnresponsive) unresponsive += 1;
     }
     return reporting >= MIN_MACHINES_FOR_ISOLATION_CHECK && unresponsive * 2 > reporting;
   }
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,7 +1,6 @@
 import type { Job, Placement } from '../jobs/job.js';
 import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type {
-  AgentEpoch,
   Attempt,
   JobId,
   MachineId,
@@ -9,10 +8,11 @@
   MachineTypeName,
   MonotonicTime,
   Resources,
-  SequenceNumber,
   ZoneName,
 } from '../types.js';
+import { AgentMessages } from './agent_messages.js';
 import { ImageCache } from './image_cache.js';
+import { Reachability } from './reachability.js';
 import { StragglerDetector } from './straggler_detector.js';
 import { TaskFailures } from './task_failures.js';
 
@@ -69,11 +69,6 @@
   readonly now: MonotonicTime;
 }
 
-/** After so many report periods without a report a machine gets no new work. */
-export const HEARTBEAT_OVERDUE_AFTER_PERIODS = 2.5;
-/** After so many answers in a row that had no effect a machine counts as unresponsive. */
-export const UNRESPONSIVE_AFTER_IGNORED_RESPONSES = 2;
-
 /** A rented machine and its worker, as the leader knows them. */
 export class Machine {
   readonly id: MachineId;
@@ -87,29 +82,10 @@
   /** False while it may hold tasks of an earlier leader that are not known here: its own list has yet to come. */
   reconciled: boolean;
 
-  agentEpoch: AgentEpoch | null = null;
-  sequence: SequenceNumber | null = null;
-  /** Highest token that the worker has shown. */
-  highestFencingToken = 0n;
-  /** The last sign of life: a report newer than any before, or an answer to a direct command. */
-  lastContactAt: MonotonicTime;
-  /** When its lease may last have begun anew: by a report that was answered, or a new session. */
-  leaseRenewedAt: MonotonicTime;
-  /** Its last report, not counting answers to direct commands. */
-  lastHeartbeatAt: MonotonicTime;
-  /** The newest report of the present session; answers to direct commands are numbered in the same row. */
-  lastHeartbeatSequence: SequenceNumber | null = null;
-  firstHeartbeatAt: MonotonicTime | null = null;
-
-  /** False for one known only from a list or a report that may be a late copy, until something sent reaches it. */
-  reachabilityConfirmed: boolean;
-  /** Reports answered in this term that still carried an earlier leader's token. */
-  staleTokenHeartbeats = 0;
-  /** How many answers in a row had no effect. */
-  ignoredResponses = 0;
-  /** Since when it reports but doesn't react to answers: it gets no work. */
-  unresponsiveSince: MonotonicTime | null = null;
-  nextProbeAt = 0 as MonotonicTime;
+  /** The order of its agent's messages, and when they came. */
+  readonly messages: AgentMessages;
+  /** Whether what is sent to it arrives. */
+  readonly reachability: Reachability;
 
   provisionedAt: MonotonicTime;
   /** Rented by this leader: when it comes up tells how long boots take. */
@@ -158,11 +134,9 @@
     this.phase = init.phase;
     this.reconciled = init.reconciled;
     this.provisionedByThisLeader = init.provisionedByThisLeader ?? false;
-    this.reachabilityConfirmed = this.provisionedByThisLeader;
+    this.messages = new AgentMessages(now);
+    this.reachability = new Reachability(this.provisionedByThisLeader);
     this.images = new ImageCache(init.type);
-    this.lastContactAt = now;
-    this.leaseRenewedAt = now;
-    this.lastHeartbeatAt = now;
     this.provisionedAt = now;
     this.idleSince = now;
   }
@@ -171,20 +145,6 @@
     return this.type.name;
   }
 
-  /** Something sent has reached it. Returns whether it had counted as unresponsive. */
-  confirmReachable(): boolean {
-    const wasUnresponsive = this.unresponsiveSince !== null;
-    this.ignoredResponses = 0;
-    this.reachabilityConfirmed = true;
-    this.unresponsiveSince = null;
-    return wasUnresponsive;
-  }
-
-  /** Whether no report has come for so long that it gets no new work. */
-  isHeartbeatOverdue(now: MonotonicTime, reportMs: number): boolean {
-    return now - this.lastHeartbeatAt >= HEARTBEAT_OVERDUE_AFTER_PERIODS * reportMs;
-  }
-
   /**
    * Whether new work may be given to it. One whose reports don't come may never take what it is given, and its lease ends
    * whatever it answers to direct commands (no-reports-machine.txt, property): those don't count here.
@@ -192,10 +152,9 @@
   isSchedulable(now: MonotonicTime, reportMs: number): boolean {
     return (
       this.phase === 'up' &&
-      !this.isHeartbeatOverdue(now, reportMs) &&
+      !this.messages.isHeartbeatOverdue(now, reportMs) &&
       this.reconciled &&
-      this.reachabilityConfirmed &&
-      this.unresponsiveSince === null &&
+      this.reachability.isUsable &&
       this.drainReason === null &&
       this.unexpectedTasks.size === 0 &&
       this.interruptionAt === null &&
--- a/src/core/machines/machine_list.ts
+++ b/src/core/machines/machine_list.ts
@@ -65,8 +65,7 @@
   private onListedRunning(machine: Machine): void {
     const now = this.cluster.context.now.monotonic;
     machine.phase = 'up';
-    machine.lastContactAt = now;
-    machine.lastHeartbeatAt = now;
+    machine.messages.expectHeartbeats(now);
   }
 
   /** Rented by an earlier leader, or by a request carried out late: taken into use like any other. */
--- a/src/core/machines/scale_in.ts
+++ b/src/core/machines/scale_in.ts
@@ -1,7 +1,8 @@
 import type { Cluster } from '../leadership/cluster.js';
 import type { MonotonicTime } from '../types.js';
+import { HEARTBEAT_OVERDUE_AFTER_PERIODS } from './agent_messages.js';
 import { CAPACITY_TOLERANCE, type Capacity } from './guaranteed_capacity.js';
-import { type DrainReason, HEARTBEAT_OVERDUE_AFTER_PERIODS, type Machine, startKey, startKeyOf } from './machine.js';
+import { type DrainReason, type Machine, startKey, startKeyOf } from './machine.js';
 
 /** What the cloud takes in one request, and how many requests are under way at once. */
 const TERMINATION_BATCH_SIZE = 100;
@@ -58,10 +59,10 @@
     const { heartbeatIntervalMs, leaseMs } = settings.workers;
     let up = 0;
     let heard = 0;
-    for (const { phase, lastContactAt } of this.cluster.machines.values()) {
+    for (const { phase, messages } of this.cluster.machines.values()) {
       if (phase !== 'up') continue;
       up += 1;
-      if (now.monotonic - lastContactAt < HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs) heard += 1;
+      if (now.monotonic - messages.lastContactAt < HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs) heard += 1;
     }
     const ledLongEnough = now.monotonic - leadingSince > JUDGE_HEARTBEATS_AFTER_PERIODS * heartbeatIntervalMs;
     return {
@@ -80,7 +81,7 @@
     if (machine.phase === 'booting') return this.hasBootTimedOut(machine, overview.now) ? 'never came up' : null;
     const silence = overview.mayJudgeHeartbeats ? overdueHeartbeatReason(machine, overview) : null;
     if (silence !== null) return silence;
-    if (holdsOnlyUnconfirmedStarts(machine) && overview.now - machine.lastContactAt < overview.leaseMs) {
+    if (holdsOnlyUnconfirmedStarts(machine) && overview.now - machine.messages.lastContactAt < overview.leaseMs) {
       return 'a start may still arrive there';
     }
     return overview.mayJudgeHeartbeats && isLongUnresponsive(machine, overview) ? 'does not answer commands' : null;
@@ -111,7 +112,7 @@
     // Made empty on purpose, for a job that is on its way here.
     if (machine.reservedFor(now) !== null) return false;
     if (machine.ageSeconds(now) < MIN_CHARGED_SECONDS) return false;
-    const idleSince = Math.max(machine.idleSince, machine.firstHeartbeatAt ?? machine.idleSince);
+    const idleSince = Math.max(machine.idleSince, machine.messages.firstHeartbeatAt ?? machine.idleSince);
     return (now - idleSince) / 1000 >= this.cluster.context.tuning.machines.idle_return_s;
   }
 
@@ -165,7 +166,7 @@
   machine: Machine,
   { now, heartbeatIntervalMs, leaseMs, fewOverdue }: FleetOverview,
 ): DrainReason | null {
-  const silentMs = now - machine.lastContactAt;
+  const silentMs = now - machine.messages.lastContactAt;
   const missesReports = silentMs > HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs;
   if (machine.spot && machine.interruptionAt !== null && missesReports) return 'taken by the cloud';
   // Deleting it proves it empty sooner than its lease would.
@@ -176,7 +177,8 @@
 }
 
 function isLongUnresponsive(machine: Machine, { now, leaseMs }: FleetOverview): boolean {
-  return machine.unresponsiveSince !== null && now - machine.unresponsiveSince > leaseMs + GIVE_UP_AFTER_LEASE_MS;
+  const { unresponsiveSince } = machine.reachability;
+  return unresponsiveSince !== null && now - unresponsiveSince > leaseMs + GIVE_UP_AFTER_LEASE_MS;
 }
 
 /** Whether results are there that aren't on record; ends kept only against a late start go with the machine. */
--- a/src/core/workers/backlogged_heartbeats.ts
+++ b/src/core/workers/backlogged_heartbeats.ts
@@ -48,7 +48,7 @@
     replaced?.respond?.(UNAVAILABLE);
     if (this.backlog.admit(this.context.now.monotonic)) return false;
     this.backlog.add(machine.id, list);
-    machine.lastHeartbeatSequence = heartbeat.sequence;
+    machine.messages.recordHeartbeatSequence(heartbeat.sequence);
     this.context.timers.setIfUnset('reportBacklog', this.backlog.nextDueAt() ?? this.context.now.monotonic);
     return true;
   }
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -44,16 +44,16 @@
       const planned = this.plannedReplicas(machine);
       if (stops.length === 0 && planned.length === 0) continue;
       anyLeft = true;
-      if (!this.canPush(machine)) continue;
+      const { agentEpoch } = machine.messages;
+      if (agentEpoch === null || !this.canPush(machine)) continue;
       if (this.context.openCommandPushCount >= MAX_PUSHES_IN_FLIGHT) break;
-      this.pushCommands(machine, machine.agentEpoch, stops, planned);
+      this.pushCommands(machine, agentEpoch, stops, planned);
     }
     if (anyLeft) this.context.timers.set('workerCommands', this.context.after(RETRY_INTERVAL_MS));
   }
 
-  private canPush(machine: Machine): machine is Machine & { agentEpoch: AgentEpoch } {
-    if (!machine.reconciled || !machine.address || machine.agentEpoch === null || machine.terminationInFlight)
-      return false;
+  private canPush(machine: Machine): boolean {
+    if (!machine.reconciled || !machine.address || machine.terminationInFlight) return false;
     return !machine.commandInFlight && machine.nextCommandAt <= this.context.now.monotonic;
   }
 
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -1,7 +1,7 @@
 import { LeaseRenewals } from '../../recovery/index.js';
 import type { Cluster } from '../leadership/cluster.js';
 import type { LeaderState } from '../leadership/leader.js';
-import { Machine, UNRESPONSIVE_AFTER_IGNORED_RESPONSES } from '../machines/machine.js';
+import { Machine } from '../machines/machine.js';
 import type { HeartbeatResponse } from '../messages.js';
 import type { StepContext } from '../step_context.js';
 import type { Command, FencingToken, Heartbeat, MonotonicTime, SequenceNumber } from '../types.js';
@@ -9,7 +9,6 @@
 import { compileCommands } from './commands.js';
 import type { Reconciler } from './reconciler.js';
 import { isGangStartDue, mayStart } from './start_checks.js';
-import { isNewerStatus } from './status_reconciliation.js';
 
 /** A report is held for so long at most for records and rounds that its answer waits for. */
 const MAX_DEFERRAL_MS = 600;
@@ -17,8 +16,6 @@
 const IDLE_DEFERRAL_SHARE = 0.8;
 const MAX_IDLE_DEFERRAL_MS = 2500;
 const IMMINENT_ROUND_MS = 20;
-/** A worker shows a new token with its next report or the one after; what goes on without it isn't listening. */
-const MAX_STALE_TOKEN_HEARTBEATS = 4;
 
 interface DeferredResponse {
   readonly reply: HeartbeatResponder;
@@ -88,7 +85,7 @@
       respond(this.emptyResponse);
       return;
     }
-    if (isDuplicate(machine, heartbeat)) {
+    if (machine.messages.isDuplicateHeartbeat(heartbeat)) {
       this.dropDuplicate(machine, heartbeat, respond);
       return;
     }
@@ -112,11 +109,11 @@
 
   /** Takes in the list of tasks that came with a report, and answers the report, or holds the answer back. */
   private processStatus({ machine, heartbeat, respond, isFirst }: BackloggedHeartbeat): void {
-    const newer = isNewerStatus(machine, heartbeat);
+    const newer = machine.messages.isNewer(heartbeat);
     const freed = this.reconciler.reconcile(machine, heartbeat, 'report');
-    machine.lastHeartbeatSequence = heartbeat.sequence;
+    machine.messages.recordHeartbeatSequence(heartbeat.sequence);
     if (respond === null) return;
-    const taken = newer && machine.sequence === heartbeat.sequence && machine.agentEpoch === heartbeat.agentEpoch;
+    const taken = newer && machine.messages.isLatest(heartbeat);
     if (taken) this.respondOrDefer(machine, heartbeat, respond, freed || isFirst);
     else respond(this.emptyResponse);
   }
@@ -171,33 +168,27 @@
 
   /** A machine that may be long gone, and goes on to show an old token, is not answered any more. */
   private ignoresResponses(machine: Machine, report: Heartbeat): boolean {
-    if (!this.hasStaleToken(report) || machine.reachabilityConfirmed) return false;
-    machine.staleTokenHeartbeats += 1;
-    return machine.staleTokenHeartbeats > MAX_STALE_TOKEN_HEARTBEATS;
+    return this.hasStaleToken(report) && machine.reachability.recordStaleToken();
   }
 
   /** Signs that the last answers have not arrived: an old token after one, or a lease that ran out all the same. */
   private countIgnoredResponse(machine: Machine, report: Heartbeat): void {
-    if (machine.firstHeartbeatAt === null) return;
-    const answeredLately =
-      this.context.now.monotonic - machine.leaseRenewedAt < this.context.settings.workers.leaseMs / 2;
-    const isNewSession = machine.agentEpoch !== null && report.agentEpoch > machine.agentEpoch;
-    if (isNewSession && answeredLately) machine.ignoredResponses = UNRESPONSIVE_AFTER_IGNORED_RESPONSES;
-    else if (this.hasStaleToken(report)) machine.ignoredResponses += 1;
+    const { messages, reachability } = machine;
+    if (messages.firstHeartbeatAt === null) return;
+    const sinceRenewalMs = this.context.now.monotonic - messages.leaseRenewedAt;
+    const answeredLately = sinceRenewalMs < this.context.settings.workers.leaseMs / 2;
+    if (messages.beginsNewEpoch(report) && answeredLately) reachability.recordLostResponses();
+    else if (this.hasStaleToken(report)) reachability.recordIgnoredResponse();
   }
 
   /** Returns whether it is the machine's first report to this leader. */
   private recordHeartbeat(machine: Machine, report: Heartbeat): boolean {
     const { monotonic } = this.context.now;
-    machine.lastContactAt = monotonic;
-    machine.leaseRenewedAt = monotonic;
-    machine.lastHeartbeatAt = monotonic;
+    const isFirst = machine.messages.recordHeartbeat(monotonic);
     if (report.address) machine.address = report.address;
     if (machine.phase === 'booting') this.onMachineUp(machine);
-    if (machine.firstHeartbeatAt !== null) return false;
-    machine.firstHeartbeatAt = monotonic;
-    machine.idleSince = monotonic;
-    return true;
+    if (isFirst) machine.idleSince = monotonic;
+    return isFirst;
   }
 
   private onMachineUp(machine: Machine): void {
@@ -290,7 +281,7 @@
       return;
     }
     const all = machine.reconciled ? compileCommands(this.cluster, machine) : [];
-    const mayStartTasks = this.leader.mayStartTasks() && machine.sequence === seq;
+    const mayStartTasks = this.leader.mayStartTasks() && machine.messages.latestSequence === seq;
     const commands = all.filter((command) => {
       if (command.op !== 'start') return true;
       return mayStartTasks && this.markSent(machine, command, seq);
@@ -309,10 +300,3 @@
     return true;
   }
 }
-
-/** One report is in flight at a time, and numbers rise: whatever isn't newer than the last is a copy or came too late. */
-function isDuplicate({ agentEpoch, lastHeartbeatSequence }: Machine, report: Heartbeat): boolean {
-  if (agentEpoch === null) return false;
-  if (report.agentEpoch !== agentEpoch) return report.agentEpoch < agentEpoch;
-  return lastHeartbeatSequence !== null && report.sequence <= lastHeartbeatSequence;
-}
--- a/src/core/workers/reconciler.ts
+++ b/src/core/workers/reconciler.ts
@@ -1,6 +1,6 @@
 import type { Cluster } from '../leadership/cluster.js';
 import type { LeaderState } from '../leadership/leader.js';
-import { type Machine, UNRESPONSIVE_AFTER_IGNORED_RESPONSES } from '../machines/machine.js';
+import type { Machine } from '../machines/machine.js';
 import type { StepContext } from '../step_context.js';
 import type { AgentEpoch, FencingToken, Heartbeat } from '../types.js';
 import { reconcileStatus, type StatusSource } from './status_reconciliation.js';
@@ -50,7 +50,7 @@
 
   /** One that has reported to this leader shows its token with the next report, and needs no question. */
   private heartbeatWillSuffice(machine: Machine): boolean {
-    return this.cluster.previousTerms.recovery !== null && machine.firstHeartbeatAt !== null;
+    return this.cluster.previousTerms.recovery !== null && machine.messages.firstHeartbeatAt !== null;
   }
 
   private reconcileNext(): void {
@@ -87,45 +87,43 @@
   probeMachines(): void {
     const now = this.context.now.monotonic;
     for (const machine of this.cluster.machines.values()) {
-      if (machine.phase !== 'up' || machine.nextProbeAt > now || !this.needsProbe(machine)) continue;
+      if (machine.phase !== 'up' || !machine.reachability.isProbeDue(now) || !this.needsProbe(machine)) continue;
       if (machine.commandInFlight || !machine.address || machine.terminationInFlight) continue;
       if (this.context.openCommandPushCount >= MAX_PUSHES_IN_FLIGHT) return;
-      machine.nextProbeAt = this.context.after(PROBE_INTERVAL_MS);
-      this.requestStatus(machine, machine.agentEpoch ?? FIRST_AGENT_EPOCH, MAX_STATUS_REQUEST_TRIES, () => {});
+      machine.reachability.recordProbe(this.context.after(PROBE_INTERVAL_MS));
+      this.requestStatus(machine, machine.messages.agentEpoch ?? FIRST_AGENT_EPOCH, MAX_STATUS_REQUEST_TRIES, () => {});
     }
   }
 
   private needsProbe(machine: Machine): boolean {
-    if (machine.unresponsiveSince !== null || !machine.reachabilityConfirmed) return true;
+    if (!machine.reachability.isUsable) return true;
     // Whether the machine of a replica is gone decides when the replica runs elsewhere.
     const overdueMs = HEARTBEAT_MISSED_AFTER_INTERVALS * this.context.settings.workers.heartbeatIntervalMs;
-    return this.context.now.monotonic - machine.lastContactAt >= overdueMs && machine.hasReplica();
+    return this.context.now.monotonic - machine.messages.lastContactAt >= overdueMs && machine.hasReplica();
   }
 
   /** Takes in a list of tasks, from a report or from the answer to a direct command. Returns whether room came free. */
   reconcile(machine: Machine, report: Heartbeat, source: StatusSource): boolean {
-    if (report.fencingToken === this.fencingToken && machine.highestFencingToken < this.fencingToken)
+    if (report.fencingToken === this.fencingToken && machine.messages.highestFencingToken < this.fencingToken)
       this.onReachable(machine);
     const freed = reconcileStatus(this.cluster, machine, report, this.fencingToken, source);
-    if (source === 'commandAnswer') machine.lastContactAt = this.context.now.monotonic;
+    if (source === 'commandAnswer') machine.messages.recordCommandResponse(this.context.now.monotonic);
     if (freed) this.leader.schedulePlanningRoundSoon();
     this.leader.lookUpSuspectedOrphans();
-    const ignores = machine.ignoredResponses >= UNRESPONSIVE_AFTER_IGNORED_RESPONSES;
-    if (ignores && machine.unresponsiveSince === null) this.markUnresponsive(machine);
+    if (machine.reachability.shouldMarkUnresponsive) this.markUnresponsive(machine);
     return freed;
   }
 
   /** Something sent has reached the machine. */
   onReachable(machine: Machine): void {
-    if (!machine.confirmReachable()) return;
+    if (!machine.reachability.confirm()) return;
     this.context.log('info', 'machine answers commands again', { machine: machine.id });
     this.leader.schedulePlanningRoundSoon();
   }
 
   /** What is sent doesn't reach it, whatever is heard of it: no new work, until an answer to a command proves otherwise. */
   private markUnresponsive(machine: Machine): void {
-    machine.unresponsiveSince = this.context.now.monotonic;
-    machine.nextProbeAt = this.context.after(PROBE_INTERVAL_MS);
+    machine.reachability.markUnresponsive(this.context.now.monotonic, this.context.after(PROBE_INTERVAL_MS));
     this.context.log('info', 'machine reports but does not react to answers: unresponsive', { machine: machine.id });
     this.cluster.releasePlanned(machine);
     this.leader.schedulePlanningRoundSoon();
--- a/src/core/workers/start_checks.ts
+++ b/src/core/workers/start_checks.ts
@@ -10,7 +10,7 @@
     job.isStartDurable(machine.zone) &&
     !job.gangBroken &&
     machine.registered &&
-    machine.unresponsiveSince === null
+    !machine.reachability.isUnresponsive
   );
 }
 
--- a/src/core/workers/status_reconciliation.ts
+++ b/src/core/workers/status_reconciliation.ts
@@ -19,12 +19,6 @@
 
 const isLive = (task: TaskStatus): task is LiveTaskStatus => task.phase !== 'exited';
 
-/** Whether a report is newer than anything seen of this machine. */
-export function isNewerStatus({ agentEpoch, sequence }: Machine, report: Heartbeat): boolean {
-  if (agentEpoch === null || sequence === null) return true;
-  return report.agentEpoch > agentEpoch || (report.agentEpoch === agentEpoch && report.sequence > sequence);
-}
-
 /**
  * Takes in a worker's list of tasks. A list counts only if it carries this leader's token (so no older command can still
  * be executed) and is newer than any before it: lists can arrive late and in any order. Returns whether room came free.
@@ -36,11 +30,11 @@
   token: FencingToken,
   source: StatusSource,
 ): boolean {
-  if (report.fencingToken > machine.highestFencingToken) machine.highestFencingToken = report.fencingToken;
-  if (!isNewerStatus(machine, report)) return false;
+  machine.messages.recordFencingToken(report.fencingToken);
+  if (!machine.messages.isNewer(report)) return false;
   // Without our token the list may be older than a command of an earlier leader that is still on its way.
   // And what nobody has listed may be long gone: a late copy of its list must not bring back tasks that ended.
-  if (report.fencingToken !== token && (machine.registered || !machine.reconciled || !machine.reachabilityConfirmed))
+  if (report.fencingToken !== token && (machine.registered || !machine.reconciled || !machine.reachability.isConfirmed))
     return false;
   const newSession = applyAgentEpoch(cluster, machine, report);
   const becameReconciled = !machine.reconciled;
@@ -53,17 +47,10 @@
 
 /** Returns whether a new session ended what was on the machine. */
 function applyAgentEpoch(cluster: Cluster, machine: Machine, report: Heartbeat): boolean {
-  const before = machine.agentEpoch;
-  const isNewSession = before !== null && report.agentEpoch > before;
-  if (isNewSession) onNewAgentEpoch(cluster, machine, report);
-  if (before !== report.agentEpoch) {
-    machine.lastHeartbeatSequence = null;
-    // The answer to a direct command may be the first to tell of a session: its lease began some time before now.
-    machine.leaseRenewedAt = cluster.context.now.monotonic;
-  }
-  machine.agentEpoch = report.agentEpoch;
-  machine.sequence = report.sequence;
-  return isNewSession;
+  const change = machine.messages.recordStatus(report, cluster.context.now.monotonic);
+  if (change !== 'newEpoch') return false;
+  onNewAgentEpoch(cluster, machine, report);
+  return true;
 }
 
 function onNewAgentEpoch(cluster: Cluster, machine: Machine, report: Heartbeat): void {
@@ -142,7 +129,7 @@
       if (revertStart(cluster, placement)) freed = true;
     }
   }
-  if (startDropped) machine.ignoredResponses += 1;
+  if (startDropped) machine.reachability.recordIgnoredResponse();
   return freed;
 }
 
@@ -174,7 +161,7 @@
   const now = cluster.context.now.monotonic;
   const { job } = placement;
   const hasJustStarted = placement.phase === 'sent';
-  if (hasJustStarted) machine.ignoredResponses = 0;
+  if (hasJustStarted) machine.reachability.recordEffect();
   placement.phase = task.phase;
   if (task.phase === 'fetching') machine.images.onPulling(job.spec, hasJustStarted, now);
   else machine.images.onPresent(job.spec, now);
--- a/test/core/machines/machine.test.ts
+++ b/test/core/machines/machine.test.ts
@@ -8,7 +8,7 @@
     const now = 1000 as MonotonicTime;
     const reported = makeMachine('i-1', 'i-1', 'up', now, false);
     assert.equal(reported.isSchedulable(now, 2000), false);
-    reported.confirmReachable();
+    reported.reachability.confirm();
     assert.equal(reported.isSchedulable(now, 2000), true);
     // What we rented ourselves can't be a late copy of something gone.
     const rented = makeMachine('i-2', '', 'booting', now, true);
