--- a/src/core/machines/scale_out_demand.ts
+++ b/src/core/machines/scale_out_demand.ts
@@ -110,7 +110,7 @@
 
   /** Booting machines, by type, on which the plan starts nothing. */
   private unusedProvisioning(): Map<MachineTypeName, number> {
-    const used = new Set(this.round.capacityPlan.starts.map((start) => start.machine));
+    const used = new Set(this.round.capacityPlan.starts.map((start) => start.machineIndex));
     const unused = new Map<MachineTypeName, number>();
     this.round.machines.forEach((machine, slot) => {
       if (!this.cluster.isExpected(machine) || used.has(slot)) return;
@@ -127,8 +127,8 @@
       late.set(slot, (late.get(slot) ?? 0) + tasks);
     };
     for (const start of capacityPlan.starts) {
-      const job = planJobs[start.job] as PlanJob;
-      if (start.startAtS > this.soonestOnNewMachineSeconds(job) + marginS) add(start.job, start.tasks);
+      const job = planJobs[start.jobIndex] as PlanJob;
+      if (start.startAtSeconds > this.soonestOnNewMachineSeconds(job) + marginS) add(start.jobIndex, start.tasks);
     }
     for (const [slot, tasks] of capacityPlan.unplacedTasks) add(slot, tasks);
     return [...late]
@@ -195,7 +195,11 @@
    * rented for more would stand idle, be returned, and be rented again.
    */
   private canRun(job: PlanJob, type: MachineType): boolean {
-    if (tasksPerMachine(job, type) < 1 || (job.types !== null && !job.types.includes(type.name))) return false;
+    if (
+      tasksPerMachine(job, type) < 1 ||
+      (job.allowedMachineTypes !== null && !job.allowedMachineTypes.includes(type.name))
+    )
+      return false;
     if (job.gpus > 0 || type.gpus === 0 || job.penaltyFactor === 0) return true;
     const spare = spareCapacityOfType(type, this.gpuDemand);
     return spare.cpus + RESOURCE_TOLERANCE >= job.cpus && spare.memoryGb + RESOURCE_TOLERANCE >= job.memoryGb;
--- a/src/core/scheduler/apply_plan.ts
+++ b/src/core/scheduler/apply_plan.ts
@@ -7,7 +7,7 @@
 /** A start that the plan sees within so many seconds is for now. */
 const START_NOW_SECONDS = 0.05;
 
-const startsNow = ({ roomAtS }: PlannedStart): boolean => roomAtS <= START_NOW_SECONDS;
+const startsNow = ({ freeAtSeconds }: PlannedStart): boolean => freeAtSeconds <= START_NOW_SECONDS;
 
 /**
  * Gives places to what a plan starts now, in its order: what was ranked before has first call on its team's limit too.
@@ -21,9 +21,9 @@
 ): number {
   const startsByJob = new Map<number, PlannedStart[]>();
   for (const start of starts) {
-    const others = startsByJob.get(start.job);
+    const others = startsByJob.get(start.jobIndex);
     if (others) others.push(start);
-    else startsByJob.set(start.job, [start]);
+    else startsByJob.set(start.jobIndex, [start]);
   }
   let placed = 0;
   for (const [slot, parts] of startsByJob) {
@@ -41,7 +41,7 @@
   machines: readonly Machine[],
 ): number {
   let placed = 0;
-  for (const { machine: slot, tasks } of parts) {
+  for (const { machineIndex: slot, tasks } of parts) {
     const machine = machines[slot] as Machine;
     for (const index of job.pendingTasks(tasks)) {
       if (!canPlaceTask(cluster, job, machine)) break;
@@ -57,7 +57,7 @@
   if (job.placements.size > 0 || cluster.quotas.remainingTasks(job.spec) < job.spec.taskCount) return 0;
   const attempt = cluster.nextAttempt();
   let index = 0;
-  for (const { machine: slot, tasks } of parts) {
+  for (const { machineIndex: slot, tasks } of parts) {
     const machine = machines[slot] as Machine;
     for (let task = 0; task < tasks; task++) {
       if (!canPlaceTask(cluster, job, machine)) {
--- a/src/core/scheduler/backfill.ts
+++ b/src/core/scheduler/backfill.ts
@@ -27,7 +27,8 @@
     job.memoryGb >= other.memoryGb &&
     job.durationSeconds >= other.durationSeconds &&
     (other.toleratesSpot || !job.toleratesSpot) &&
-    (other.types === null || (job.types?.every((type) => other.types?.includes(type)) ?? false)) &&
+    (other.allowedMachineTypes === null ||
+      (job.allowedMachineTypes?.every((type) => other.allowedMachineTypes?.includes(type)) ?? false)) &&
     job.feasibleZones.every((zone) => other.feasibleZones.includes(zone)) &&
     other.excludedMachines === null &&
     (!other.isGang || (job.isGang && job.tasks >= other.tasks && (job.singleZone || !other.singleZone)))
--- a/src/core/scheduler/candidates.ts
+++ b/src/core/scheduler/candidates.ts
@@ -62,35 +62,35 @@
 export function machinesWithFreeCapacityNow(
   job: PlanJob,
   machines: readonly PlanMachine[],
-  slots: readonly number[],
+  machineIndices: readonly number[],
 ): readonly number[] {
-  if (slots.length <= MAX_MACHINES_ALL_CONSIDERED) return slots;
+  if (machineIndices.length <= MAX_MACHINES_ALL_CONSIDERED) return machineIndices;
   const enough = Math.max(MIN_MACHINES_CONSIDERED, job.tasks);
   const holders: number[] = [];
   const others: number[] = [];
-  for (const slot of slots) {
+  for (const slot of machineIndices) {
     const machine = machines[slot] as PlanMachine;
-    if (elementAt(machine.times, 0) > 0 || !fitsNow(machine, job)) continue;
+    if (elementAt(machine.stepTimesSeconds, 0) > 0 || !fitsNow(machine, job)) continue;
     // What `findCandidates` would leave out must not count as enough.
     if (!isEligible(job, machine) || !fitsType(job, machine.type)) continue;
     if (machine.imagePullSeconds(job.image, job.imageGb) === 0) holders.push(slot);
     else if (others.length < enough) others.push(slot);
     if (holders.length >= enough) return holders;
   }
-  return holders.length + others.length >= enough ? [...holders, ...others] : slots;
+  return holders.length + others.length >= enough ? [...holders, ...others] : machineIndices;
 }
 
 /** The machines among `slots` that may take tasks of the job at some time. */
 export function findCandidates(
   job: PlanJob,
   machines: readonly PlanMachine[],
-  slots: Iterable<number>,
+  machineIndices: Iterable<number>,
   penalties: PlacementPenalties,
 ): Candidate[] {
   const found: Candidate[] = [];
   /** By type, the share that one task takes; negative where it doesn't fit. */
   const shares = new Map<MachineType, number>();
-  for (const machineIndex of slots) {
+  for (const machineIndex of machineIndices) {
     const machine = machines[machineIndex] as PlanMachine;
     // Most machines with GPUs have nothing to spare: looking no further there is a third of the cost of small work.
     if (!isEligible(job, machine)) continue;
@@ -120,14 +120,14 @@
   candidate: Candidate,
   job: PlanJob,
   step: number,
-  count: number,
+  taskCount: number,
   futureDiscount: number,
 ): void {
-  const roomAtS = elementAt(candidate.machine.times, step);
-  candidate.taskCount = count;
+  const freeAtSeconds = elementAt(candidate.machine.stepTimesSeconds, step);
+  candidate.taskCount = taskCount;
   candidate.step = step;
-  candidate.startSeconds = roomAtS + candidate.imagePullSeconds;
-  candidate.delayRank = delayRankOf(candidate.startSeconds + futureDiscount * roomAtS + candidate.penaltySeconds);
+  candidate.startSeconds = freeAtSeconds + candidate.imagePullSeconds;
+  candidate.delayRank = delayRankOf(candidate.startSeconds + futureDiscount * freeAtSeconds + candidate.penaltySeconds);
   candidate.slack = slackAfter(candidate.machine, step, job);
 }
 
--- a/src/core/scheduler/capacity_timeline.ts
+++ b/src/core/scheduler/capacity_timeline.ts
@@ -17,10 +17,10 @@
     zone: machine.zone,
     type: machine.type,
     spot: machine.spot,
-    times: machine.times.slice(),
-    cpus: machine.cpus.slice(),
-    gpus: machine.gpus.slice(),
-    memGb: machine.memGb.slice(),
+    stepTimesSeconds: machine.stepTimesSeconds.slice(),
+    freeCpus: machine.freeCpus.slice(),
+    freeGpus: machine.freeGpus.slice(),
+    freeMemoryGb: machine.freeMemoryGb.slice(),
     spareCpus: machine.spareCpus,
     spareMemoryGb: machine.spareMemoryGb,
     servesGpuWork: machine.servesGpuWork,
@@ -42,7 +42,7 @@
 /** Whether a task of the job could run on an empty machine of the type. */
 export function fitsType(job: PlanJob, type: MachineType): boolean {
   return (
-    (job.types === null || job.types.includes(type.name)) &&
+    (job.allowedMachineTypes === null || job.allowedMachineTypes.includes(type.name)) &&
     job.cpus <= type.cpus + TOLERANCE &&
     job.gpus <= type.gpus + TOLERANCE &&
     job.memoryGb <= type.memoryGb + TOLERANCE
@@ -50,18 +50,23 @@
 }
 
 /** How many tasks fit from a step on for as long as they need. */
-export function fittingTasks(machine: PlanMachine, step: number, durationS: number, task: Resources): number {
-  const until = elementAt(machine.times, step) + durationS;
+export function fittingTasks(machine: PlanMachine, step: number, durationSeconds: number, task: Resources): number {
+  const untilSeconds = elementAt(machine.stepTimesSeconds, step) + durationSeconds;
   let cpus = Number.POSITIVE_INFINITY;
   let gpus = Number.POSITIVE_INFINITY;
-  let memGb = Number.POSITIVE_INFINITY;
-  for (let i = step; i < machine.times.length && (i === step || elementAt(machine.times, i) < until - TOLERANCE); i++) {
-    if (elementAt(machine.cpus, i) < cpus) cpus = elementAt(machine.cpus, i);
-    if (elementAt(machine.gpus, i) < gpus) gpus = elementAt(machine.gpus, i);
-    if (elementAt(machine.memGb, i) < memGb) memGb = elementAt(machine.memGb, i);
-    if (cpus + TOLERANCE < task.cpus || gpus + TOLERANCE < task.gpus || memGb + TOLERANCE < task.memoryGb) return 0;
+  let memoryGb = Number.POSITIVE_INFINITY;
+  for (
+    let i = step;
+    i < machine.stepTimesSeconds.length &&
+    (i === step || elementAt(machine.stepTimesSeconds, i) < untilSeconds - TOLERANCE);
+    i++
+  ) {
+    if (elementAt(machine.freeCpus, i) < cpus) cpus = elementAt(machine.freeCpus, i);
+    if (elementAt(machine.freeGpus, i) < gpus) gpus = elementAt(machine.freeGpus, i);
+    if (elementAt(machine.freeMemoryGb, i) < memoryGb) memoryGb = elementAt(machine.freeMemoryGb, i);
+    if (cpus + TOLERANCE < task.cpus || gpus + TOLERANCE < task.gpus || memoryGb + TOLERANCE < task.memoryGb) return 0;
   }
-  return Math.min(countFitting(cpus, task.cpus), countFitting(gpus, task.gpus), countFitting(memGb, task.memoryGb));
+  return Math.min(countFitting(cpus, task.cpus), countFitting(gpus, task.gpus), countFitting(memoryGb, task.memoryGb));
 }
 
 /** Whether a job is held to the cores and memory that GPU work has no use for. */
@@ -79,14 +84,14 @@
 }
 
 /** As `fitCount`, and without taking from GPU work what it needs beside its GPUs. */
-export function allowedTasks(machine: PlanMachine, step: number, durationS: number, job: PlanJob): number {
-  if (!isLimitedToSpareCapacity(machine, job)) return fittingTasks(machine, step, durationS, job);
+export function allowedTasks(machine: PlanMachine, step: number, durationSeconds: number, job: PlanJob): number {
+  if (!isLimitedToSpareCapacity(machine, job)) return fittingTasks(machine, step, durationSeconds, job);
   const spare = Math.min(
     job.cpus > 0 ? machine.spareCpus / job.cpus : Number.POSITIVE_INFINITY,
     job.memoryGb > 0 ? machine.spareMemoryGb / job.memoryGb : Number.POSITIVE_INFINITY,
   );
   if (spare + TOLERANCE < 1) return 0;
-  return Math.min(Math.floor(spare + TOLERANCE), fittingTasks(machine, step, durationS, job));
+  return Math.min(Math.floor(spare + TOLERANCE), fittingTasks(machine, step, durationSeconds, job));
 }
 
 /** Whether so much is free at the first step, not asking for how long. */
@@ -95,9 +100,9 @@
     if (machine.spareCpus + TOLERANCE < task.cpus || machine.spareMemoryGb + TOLERANCE < task.memoryGb) return false;
   }
   return (
-    elementAt(machine.cpus, 0) + TOLERANCE >= task.cpus &&
-    elementAt(machine.gpus, 0) + TOLERANCE >= task.gpus &&
-    elementAt(machine.memGb, 0) + TOLERANCE >= task.memoryGb
+    elementAt(machine.freeCpus, 0) + TOLERANCE >= task.cpus &&
+    elementAt(machine.freeGpus, 0) + TOLERANCE >= task.gpus &&
+    elementAt(machine.freeMemoryGb, 0) + TOLERANCE >= task.memoryGb
   );
 }
 
@@ -105,62 +110,68 @@
 export function slackAfter(machine: PlanMachine, step: number, task: Resources): number {
   const { type } = machine;
   let least = 1;
-  if (type.gpus > 0) least = Math.min(least, (elementAt(machine.gpus, step) - task.gpus) / type.gpus);
-  if (type.cpus > 0) least = Math.min(least, (elementAt(machine.cpus, step) - task.cpus) / type.cpus);
-  if (type.memoryGb > 0) least = Math.min(least, (elementAt(machine.memGb, step) - task.memoryGb) / type.memoryGb);
+  if (type.gpus > 0) least = Math.min(least, (elementAt(machine.freeGpus, step) - task.gpus) / type.gpus);
+  if (type.cpus > 0) least = Math.min(least, (elementAt(machine.freeCpus, step) - task.cpus) / type.cpus);
+  if (type.memoryGb > 0)
+    least = Math.min(least, (elementAt(machine.freeMemoryGb, step) - task.memoryGb) / type.memoryGb);
   return least;
 }
 
 /** The last step that begins by the time; the first where none does. */
 export function lastStepBy(machine: PlanMachine, time: number): number {
-  let step = machine.times.length - 1;
-  while (step > 0 && elementAt(machine.times, step) > time + TOLERANCE) step -= 1;
+  let step = machine.stepTimesSeconds.length - 1;
+  while (step > 0 && elementAt(machine.stepTimesSeconds, step) > time + TOLERANCE) step -= 1;
   return step;
 }
 
 /** The step that begins at the time, made where there is none. */
 function ensureStepAt(machine: PlanMachine, time: number): number {
   const step = lastStepBy(machine, time);
-  const begins = elementAt(machine.times, step);
+  const begins = elementAt(machine.stepTimesSeconds, step);
   if (Math.abs(begins - time) <= TOLERANCE || time <= begins) return step;
-  machine.times.splice(step + 1, 0, time);
-  machine.cpus.splice(step + 1, 0, elementAt(machine.cpus, step));
-  machine.gpus.splice(step + 1, 0, elementAt(machine.gpus, step));
-  machine.memGb.splice(step + 1, 0, elementAt(machine.memGb, step));
+  machine.stepTimesSeconds.splice(step + 1, 0, time);
+  machine.freeCpus.splice(step + 1, 0, elementAt(machine.freeCpus, step));
+  machine.freeGpus.splice(step + 1, 0, elementAt(machine.freeGpus, step));
+  machine.freeMemoryGb.splice(step + 1, 0, elementAt(machine.freeMemoryGb, step));
   return step + 1;
 }
 
 /** Takes the room of so many tasks for a time. */
 export function reserveCapacity(
   machine: PlanMachine,
-  fromS: number,
-  durationS: number,
-  count: number,
+  fromSeconds: number,
+  durationSeconds: number,
+  taskCount: number,
   task: Resources,
 ): void {
-  const first = ensureStepAt(machine, fromS);
-  const end = ensureStepAt(machine, fromS + durationS);
+  const first = ensureStepAt(machine, fromSeconds);
+  const end = ensureStepAt(machine, fromSeconds + durationSeconds);
   for (let step = first; step < end; step++) {
-    machine.cpus[step] = elementAt(machine.cpus, step) - count * task.cpus;
-    machine.gpus[step] = elementAt(machine.gpus, step) - count * task.gpus;
-    machine.memGb[step] = elementAt(machine.memGb, step) - count * task.memoryGb;
+    machine.freeCpus[step] = elementAt(machine.freeCpus, step) - taskCount * task.cpus;
+    machine.freeGpus[step] = elementAt(machine.freeGpus, step) - taskCount * task.gpus;
+    machine.freeMemoryGb[step] = elementAt(machine.freeMemoryGb, step) - taskCount * task.memoryGb;
   }
   if (task.gpus > 0 || machine.type.gpus === 0) return;
-  machine.spareCpus -= count * task.cpus;
-  machine.spareMemoryGb -= count * task.memoryGb;
+  machine.spareCpus -= taskCount * task.cpus;
+  machine.spareMemoryGb -= taskCount * task.memoryGb;
 }
 
 /** How much of the machines is in use over the next minute, by GPUs where they have some and by cores elsewhere. */
 export function utilization(machines: readonly PlanMachine[]): number {
   let used = 0;
   let available = 0;
-  for (const { type, times, gpus, cpus } of machines) {
+  for (const { type, stepTimesSeconds, freeGpus, freeCpus } of machines) {
     const capacity = type.gpus > 0 ? type.gpus : type.cpus;
-    const free = type.gpus > 0 ? gpus : cpus;
-    for (let step = 0; step < times.length && elementAt(times, step) < UTILIZATION_HORIZON_SECONDS; step++) {
-      const next = step + 1 < times.length ? elementAt(times, step + 1) : UTILIZATION_HORIZON_SECONDS;
+    const free = type.gpus > 0 ? freeGpus : freeCpus;
+    for (
+      let step = 0;
+      step < stepTimesSeconds.length && elementAt(stepTimesSeconds, step) < UTILIZATION_HORIZON_SECONDS;
+      step++
+    ) {
+      const next =
+        step + 1 < stepTimesSeconds.length ? elementAt(stepTimesSeconds, step + 1) : UTILIZATION_HORIZON_SECONDS;
       const share =
-        (Math.min(UTILIZATION_HORIZON_SECONDS, next) - elementAt(times, step)) / UTILIZATION_HORIZON_SECONDS;
+        (Math.min(UTILIZATION_HORIZON_SECONDS, next) - elementAt(stepTimesSeconds, step)) / UTILIZATION_HORIZON_SECONDS;
       available += share;
       used += share * (1 - elementAt(free, step) / capacity);
     }
--- a/src/core/scheduler/evolutionary_search.ts
+++ b/src/core/scheduler/evolutionary_search.ts
@@ -4,11 +4,11 @@
 import type { Planner } from './planner.js';
 
 export interface SearchSettings {
-  readonly individuals: number;
+  readonly populationSize: number;
   readonly generations: number;
-  readonly mutation: number;
+  readonly mutationRate: number;
   /** Most plan steps that one search may spend. */
-  readonly planSteps: number;
+  readonly maxPlanSteps: number;
 }
 
 /** Chances are drawn in thousandths. */
@@ -51,19 +51,19 @@
     const first = evaluate(seed ?? randomGenes());
     // With one feasible zone for every job there is nothing to search: the planner alone decides.
     if (jobs.every(({ feasibleZones }) => feasibleZones.length === 1)) return first.plan;
-    const { individuals, generations } = this.settings;
+    const { populationSize, generations } = this.settings;
     let population: Individual[] = [first];
-    while (population.length < individuals && this.hasStepsLeft()) population.push(evaluate(randomGenes()));
+    while (population.length < populationSize && this.hasStepsLeft()) population.push(evaluate(randomGenes()));
     for (let generation = 0; generation < generations && population.length > 1 && this.hasStepsLeft(); generation++) {
       const offspring = this.breed(population, jobs, evaluate);
-      population = [...population, ...offspring].sort((a, b) => a.plan.cost - b.plan.cost).slice(0, individuals);
+      population = [...population, ...offspring].sort((a, b) => a.plan.cost - b.plan.cost).slice(0, populationSize);
     }
     const best = population.reduce((least, other) => (other.plan.cost < least.plan.cost ? other : least));
     return best.plan;
   }
 
   private hasStepsLeft(): boolean {
-    return this.stepsSpent < this.settings.planSteps;
+    return this.stepsSpent < this.settings.maxPlanSteps;
   }
 
   /** A generation of offspring of parents drawn from the population. */
@@ -73,7 +73,7 @@
     evaluate: (genes: ZoneName[]) => Individual,
   ): Individual[] {
     const offspring: Individual[] = [];
-    while (offspring.length < this.settings.individuals && this.hasStepsLeft()) {
+    while (offspring.length < this.settings.populationSize && this.hasStepsLeft()) {
       const children = this.crossover(this.pickRandom(population).genes, this.pickRandom(population).genes);
       for (const genes of children) {
         this.mutate(genes, jobs);
@@ -95,7 +95,7 @@
 
   /** At the mutation rate, moves one job to a feasible zone or swaps the zones of two. */
   private mutate(genes: ZoneName[], jobs: readonly PlanJob[]): void {
-    if (this.randomBelow(MUTATION_SCALE) >= this.settings.mutation * MUTATION_SCALE) return;
+    if (this.randomBelow(MUTATION_SCALE) >= this.settings.mutationRate * MUTATION_SCALE) return;
     const index = this.randomBelow(genes.length);
     const job = jobs[index] as PlanJob;
     if (this.randomBelow(2) === 0) genes[index] = this.pickRandom(job.feasibleZones);
--- a/src/core/scheduler/gang_reservation.ts
+++ b/src/core/scheduler/gang_reservation.ts
@@ -38,11 +38,11 @@
   machines: readonly Machine[],
 ): Map<Job, Machine[]> {
   const planned = new Map<Job, Machine[]>();
-  for (const { job: slot, machine } of starts) {
+  for (const { jobIndex: slot, machineIndex } of starts) {
     const job = jobs[slot] as Job;
     if (!job.isGang || job.placements.size > 0 || !isOverdue(cluster, job)) continue;
     const chosen = planned.get(job) ?? [];
-    chosen.push(machines[machine] as Machine);
+    chosen.push(machines[machineIndex] as Machine);
     planned.set(job, chosen);
   }
   return planned;
--- a/src/core/scheduler/gang_search.ts
+++ b/src/core/scheduler/gang_search.ts
@@ -100,10 +100,10 @@
   const freed: FreedCapacity[] = [];
   for (const { machine, imagePullSeconds } of candidates) {
     let counted = 0;
-    for (let step = 0; step < machine.times.length && counted < job.tasks; step++) {
+    for (let step = 0; step < machine.stepTimesSeconds.length && counted < job.tasks; step++) {
       const count = allowedTasks(machine, step, imagePullSeconds + job.durationSeconds, job);
       if (count <= counted) continue;
-      freed.push({ atSeconds: elementAt(machine.times, step), tasks: count - counted });
+      freed.push({ atSeconds: elementAt(machine.stepTimesSeconds, step), tasks: count - counted });
       counted = count;
     }
   }
@@ -121,14 +121,20 @@
 }
 
 /** What the candidates offer a gang from a time on, the best first. */
-function gangOptions(job: PlanJob, zone: ZoneName, candidates: readonly Candidate[], roomAtS: number): GangOption[] {
+function gangOptions(
+  job: PlanJob,
+  zone: ZoneName,
+  candidates: readonly Candidate[],
+  freeAtSeconds: number,
+): GangOption[] {
   const options: GangOption[] = [];
   for (const candidate of candidates) {
     const { machine, imagePullSeconds, penaltySeconds } = candidate;
-    if (elementAt(machine.times, 0) > roomAtS + RESOURCE_TOLERANCE) continue;
-    const step = lastStepBy(machine, roomAtS);
-    const durationS = roomAtS - elementAt(machine.times, step) + imagePullSeconds + job.durationSeconds;
-    const taskCount = allowedTasks(machine, step, durationS, job);
+    if (elementAt(machine.stepTimesSeconds, 0) > freeAtSeconds + RESOURCE_TOLERANCE) continue;
+    const step = lastStepBy(machine, freeAtSeconds);
+    const durationSeconds =
+      freeAtSeconds - elementAt(machine.stepTimesSeconds, step) + imagePullSeconds + job.durationSeconds;
+    const taskCount = allowedTasks(machine, step, durationSeconds, job);
     if (taskCount === 0) continue;
     options.push({
       candidate,
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -18,7 +18,7 @@
 
 /** A machine that is kept for a job on its way there. */
 interface Reservation {
-  readonly slot: number;
+  readonly machineIndex: number;
   readonly job: JobId;
 }
 
@@ -45,19 +45,19 @@
     this.machineIndexById = new Map(this.machines.map(({ id }, slot) => [id, slot]));
     this.planMachines = toPlanMachines(cluster, this.machines, ranked);
     this.poolRepresentatives = onePerCapacityPool(this.planMachines);
-    this.reservations = this.machines.flatMap((machine, slot) => {
+    this.reservations = this.machines.flatMap((machine, machineIndex) => {
       const job = machine.reservedFor(now);
-      return job === null ? [] : [{ slot, job }];
+      return job === null ? [] : [{ machineIndex, job }];
     });
   }
 
   /** Adds a job, unless no zone could host it. */
-  addJob({ job, tasks, waitedS }: Pick<RankedJob, 'job' | 'tasks' | 'waitedS'>): number | null {
+  addJob({ job, tasks, waitedSeconds }: Pick<RankedJob, 'job' | 'tasks' | 'waitedSeconds'>): number | null {
     const zones = this.feasibleZones(job);
     if (zones.length === 0) return null;
     const slot = this.jobs.length;
     this.jobs.push(job);
-    this.planJobs.push(this.toPlanJob(job, tasks, waitedS, zones, slot));
+    this.planJobs.push(this.toPlanJob(job, tasks, waitedSeconds, zones, slot));
     return slot;
   }
 
@@ -92,7 +92,7 @@
       memoryGb: spec.memoryGb,
       image: spec.image,
       imageGb: spec.imageGb,
-      types: spec.allowedMachineTypes,
+      allowedMachineTypes: spec.allowedMachineTypes,
       fitsTypesWithoutGpus: fitsTypesWithoutGpus(this.cluster, job),
       toleratesSpot: spec.toleratesSpot,
       spotDelaySeconds: expectedSpotDelaySeconds(
@@ -113,7 +113,7 @@
 
   private excludedMachines(job: Job): Set<number> | null {
     const slots = new Set<number>();
-    for (const reservation of this.reservations) if (reservation.job !== job.id) slots.add(reservation.slot);
+    for (const reservation of this.reservations) if (reservation.job !== job.id) slots.add(reservation.machineIndex);
     for (const id of job.failureHistory.avoidedMachines(this.cluster.context.now.monotonic)) {
       const slot = this.machineIndexById.get(id);
       if (slot !== undefined) slots.add(slot);
@@ -182,30 +182,33 @@
 }
 
 /** What is free on a machine now, and from each expected end of its tasks on. */
-function freeCapacity(cluster: Cluster, machine: Machine): Pick<PlanMachine, 'times' | 'cpus' | 'gpus' | 'memGb'> {
+function freeCapacity(
+  cluster: Cluster,
+  machine: Machine,
+): Pick<PlanMachine, 'stepTimesSeconds' | 'freeCpus' | 'freeGpus' | 'freeMemoryGb'> {
   const now = cluster.context.now.monotonic;
-  const times = [machine.phase === 'booting' ? remainingBootSeconds(cluster, machine, now) : 0];
-  const cpus = [machine.type.cpus - machine.usedCpus];
-  const gpus = [machine.type.gpus - machine.usedGpus];
-  const memGb = [machine.type.memoryGb - machine.usedMemoryGb];
+  const stepTimesSeconds = [machine.phase === 'booting' ? remainingBootSeconds(cluster, machine, now) : 0];
+  const freeCpus = [machine.type.cpus - machine.usedCpus];
+  const freeGpus = [machine.type.gpus - machine.usedGpus];
+  const freeMemoryGb = [machine.type.memoryGb - machine.usedMemoryGb];
   const ends = [...machine.placements.values()]
     .map((placement) => ({ atS: remainingSeconds(cluster, placement, now), spec: placement.job.spec }))
     .sort((a, b) => a.atS - b.atS);
   for (const { atS, spec } of ends) {
-    let step = times.length - 1;
+    let step = stepTimesSeconds.length - 1;
     // Ends within a second of each other are one step: a machine of 64 cores would have as many steps as tasks.
-    if (atS > (times[step] as number) + SAME_END_SECONDS) {
-      times.push(Math.ceil(atS));
-      cpus.push(cpus[step] as number);
-      gpus.push(gpus[step] as number);
-      memGb.push(memGb[step] as number);
+    if (atS > (stepTimesSeconds[step] as number) + SAME_END_SECONDS) {
+      stepTimesSeconds.push(Math.ceil(atS));
+      freeCpus.push(freeCpus[step] as number);
+      freeGpus.push(freeGpus[step] as number);
+      freeMemoryGb.push(freeMemoryGb[step] as number);
       step += 1;
     }
-    cpus[step] = (cpus[step] as number) + spec.cpus;
-    gpus[step] = (gpus[step] as number) + spec.gpus;
-    memGb[step] = (memGb[step] as number) + spec.memoryGb;
+    freeCpus[step] = (freeCpus[step] as number) + spec.cpus;
+    freeGpus[step] = (freeGpus[step] as number) + spec.gpus;
+    freeMemoryGb[step] = (freeMemoryGb[step] as number) + spec.memoryGb;
   }
-  return { times, cpus, gpus, memGb };
+  return { stepTimesSeconds, freeCpus, freeGpus, freeMemoryGb };
 }
 
 /** Seconds until a task is expected to leave its machine. */
--- a/src/core/scheduler/plan_types.ts
+++ b/src/core/scheduler/plan_types.ts
@@ -12,10 +12,10 @@
   readonly type: MachineType;
   readonly spot: boolean;
   /** From `times[step]` on, so much is free. */
-  times: number[];
-  cpus: number[];
-  gpus: number[];
-  memGb: number[];
+  stepTimesSeconds: number[];
+  freeCpus: number[];
+  freeGpus: number[];
+  freeMemoryGb: number[];
   /** What jobs without GPUs may still take of a machine with GPUs: only what GPU work could not use anyway. */
   spareCpus: number;
   spareMemoryGb: number;
@@ -37,7 +37,7 @@
   readonly durationSeconds: number;
   readonly image: ImageName;
   readonly imageGb: number;
-  readonly types: readonly MachineTypeName[] | null;
+  readonly allowedMachineTypes: readonly MachineTypeName[] | null;
   /** It asks for no GPUs, and machines without any could take it. */
   readonly fitsTypesWithoutGpus: boolean;
   readonly toleratesSpot: boolean;
@@ -61,12 +61,12 @@
 
 /** Tasks of a job that the plan puts on a machine. */
 export interface PlannedStart {
-  readonly job: number;
-  readonly machine: number;
+  readonly jobIndex: number;
+  readonly machineIndex: number;
   readonly tasks: number;
   /** When the room is there, and when the image is too. */
-  readonly roomAtS: number;
-  readonly startAtS: number;
+  readonly freeAtSeconds: number;
+  readonly startAtSeconds: number;
 }
 
 export interface Plan {
--- a/src/core/scheduler/planner.ts
+++ b/src/core/scheduler/planner.ts
@@ -165,7 +165,8 @@
     const room = new Map<ZoneName, number>();
     for (const { machine } of this.candidatesInZones(job, job.feasibleZones)) {
       const count =
-        fittingTasks(machine, 0, job.durationSeconds, job) - elementAt(machine.times, 0) * LATER_CAPACITY_DISCOUNT;
+        fittingTasks(machine, 0, job.durationSeconds, job) -
+        elementAt(machine.stepTimesSeconds, 0) * LATER_CAPACITY_DISCOUNT;
       room.set(machine.zone, (room.get(machine.zone) ?? 0) + count);
     }
     let best = job.feasibleZones[0] as ZoneName;
@@ -205,7 +206,7 @@
     const { machine } = candidate;
     const durationS = candidate.imagePullSeconds + job.durationSeconds;
     candidate.taskCount = 0;
-    for (let step = 0; step < machine.times.length; step++) {
+    for (let step = 0; step < machine.stepTimesSeconds.length; step++) {
       const count = allowedTasks(machine, step, durationS, job);
       if (count > 0) {
         recordOffer(candidate, job, step, count, this.penalties.futureDiscount);
@@ -215,10 +216,16 @@
   }
 
   /** Starts tasks of an array where the candidate offers room. */
-  private startArrayTasks(job: PlanJob, candidate: Candidate, tasks: number, starts: PlannedStart[]): void {
-    const roomAtS = elementAt(candidate.machine.times, candidate.step);
-    starts.push({ job: job.index, machine: candidate.machineIndex, tasks, roomAtS, startAtS: candidate.startSeconds });
-    this.reserve(candidate, roomAtS, candidate.imagePullSeconds + job.durationSeconds, tasks, job);
+  private startArrayTasks(jobIndex: PlanJob, candidate: Candidate, tasks: number, starts: PlannedStart[]): void {
+    const freeAtSeconds = elementAt(candidate.machine.stepTimesSeconds, candidate.step);
+    starts.push({
+      jobIndex: jobIndex.index,
+      machineIndex: candidate.machineIndex,
+      tasks,
+      freeAtSeconds,
+      startAtSeconds: candidate.startSeconds,
+    });
+    this.reserve(candidate, freeAtSeconds, candidate.imagePullSeconds + jobIndex.durationSeconds, tasks, jobIndex);
   }
 
   // ---- gangs
@@ -238,19 +245,19 @@
   }
 
   private startGang(
-    job: PlanJob,
+    jobIndex: PlanJob,
     { freeAtSeconds, startSeconds, allocations }: GangPlacement,
     starts: PlannedStart[],
   ): void {
     for (const { candidate, tasks } of allocations) {
       starts.push({
-        job: job.index,
-        machine: candidate.machineIndex,
+        jobIndex: jobIndex.index,
+        machineIndex: candidate.machineIndex,
         tasks,
-        roomAtS: freeAtSeconds,
-        startAtS: startSeconds,
+        freeAtSeconds,
+        startAtSeconds: startSeconds,
       });
-      this.reserve(candidate, freeAtSeconds, startSeconds - freeAtSeconds + job.durationSeconds, tasks, job);
+      this.reserve(candidate, freeAtSeconds, startSeconds - freeAtSeconds + jobIndex.durationSeconds, tasks, jobIndex);
     }
   }
 
@@ -266,7 +273,7 @@
     const stepLimit = this.steps + maxSteps;
     const least = minimumDemands(jobs);
     const hasRoom = (machine: PlanMachine): boolean =>
-      elementAt(machine.times, 0) <= RESOURCE_TOLERANCE && least.some((demand) => fitsNow(machine, demand));
+      elementAt(machine.stepTimesSeconds, 0) <= RESOURCE_TOLERANCE && least.some((demand) => fitsNow(machine, demand));
     const free = new Set(this.machines.filter(hasRoom).map(({ index }) => index));
     const failed: PlanJob[] = [];
     const starts: PlannedStart[] = [];
@@ -276,7 +283,7 @@
       if (job.zoneAllowance || failed.some((other) => isAtLeastAsDemanding(job, other))) continue;
       const started = this.backfillJob(job, this.candidatesAmong(job, free));
       if (started.length === 0) failed.push(job);
-      const used = started.map(({ machine }) => this.machines[machine] as PlanMachine);
+      const used = started.map(({ machineIndex }) => this.machines[machineIndex] as PlanMachine);
       for (const { index: slot } of used.filter((machine) => !hasRoom(machine))) free.delete(slot);
       starts.push(...started);
     }
@@ -301,29 +308,29 @@
     return starts;
   }
 
-  private backfillArray(job: PlanJob, candidates: readonly Candidate[]): PlannedStart[] {
+  private backfillArray(jobIndex: PlanJob, candidates: readonly Candidate[]): PlannedStart[] {
     const starts: PlannedStart[] = [];
     const offers: Candidate[] = [];
     for (const candidate of candidates) {
-      if (!job.feasibleZones.includes(candidate.machine.zone)) continue;
-      const count = allowedTasks(candidate.machine, 0, candidate.imagePullSeconds + job.durationSeconds, job);
+      if (!jobIndex.feasibleZones.includes(candidate.machine.zone)) continue;
+      const count = allowedTasks(candidate.machine, 0, candidate.imagePullSeconds + jobIndex.durationSeconds, jobIndex);
       if (count === 0) continue;
-      recordOffer(candidate, job, 0, count, this.penalties.futureDiscount);
+      recordOffer(candidate, jobIndex, 0, count, this.penalties.futureDiscount);
       offers.push(candidate);
     }
     offers.sort((a, b) => (precedes(a, b) ? -1 : 1));
-    let left = job.tasks;
+    let left = jobIndex.tasks;
     for (const candidate of offers) {
       if (left <= 0) break;
       const tasks = Math.min(left, candidate.taskCount);
       starts.push({
-        job: job.index,
-        machine: candidate.machineIndex,
+        jobIndex: jobIndex.index,
+        machineIndex: candidate.machineIndex,
         tasks,
-        roomAtS: 0,
-        startAtS: candidate.imagePullSeconds,
+        freeAtSeconds: 0,
+        startAtSeconds: candidate.imagePullSeconds,
       });
-      this.reserve(candidate, 0, candidate.imagePullSeconds + job.durationSeconds, tasks, job);
+      this.reserve(candidate, 0, candidate.imagePullSeconds + jobIndex.durationSeconds, tasks, jobIndex);
       left -= tasks;
     }
     return starts;
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -48,7 +48,8 @@
 /** By slot, when the plan sees room for a whole job; infinite where it sees none. */
 function capacityAvailableAt({ capacityPlan }: RoundResult): Map<number, number> {
   const roomAt = new Map<number, number>();
-  for (const { job, roomAtS } of capacityPlan.starts) roomAt.set(job, Math.max(roomAt.get(job) ?? 0, roomAtS));
+  for (const { jobIndex, freeAtSeconds } of capacityPlan.starts)
+    roomAt.set(jobIndex, Math.max(roomAt.get(jobIndex) ?? 0, freeAtSeconds));
   for (const slot of capacityPlan.unplacedTasks.keys()) roomAt.set(slot, Number.POSITIVE_INFINITY);
   return roomAt;
 }
--- a/src/core/scheduler/priority.ts
+++ b/src/core/scheduler/priority.ts
@@ -8,9 +8,15 @@
  * The design's ranking: what is asked for (GPUs, or cores where there are none) times the remaining estimate, over one
  * plus user priority times the wait in seconds. The smallest goes first.
  */
-export function rankingScore(spec: JobSpec, tasks: number, remainingS: number, waitedS: number, base: number): number {
+export function rankingScore(
+  spec: JobSpec,
+  tasks: number,
+  remainingSeconds: number,
+  waitedSeconds: number,
+  base: number,
+): number {
   const asked = (spec.gpus > 0 ? spec.gpus : spec.cpus) * tasks;
-  return (asked * remainingS) / (1 + priorityWeight(spec.priorityLevel, base) * Math.max(0, waitedS));
+  return (asked * remainingSeconds) / (1 + priorityWeight(spec.priorityLevel, base) * Math.max(0, waitedSeconds));
 }
 
 export interface UrgencySettings {
@@ -25,19 +31,19 @@
 export function urgencyFactor(
   spec: JobSpec,
   objectives: readonly ServiceLevelObjective[],
-  waitedS: number,
-  fetchS: number,
-  runS: number,
+  waitedSeconds: number,
+  pullSeconds: number,
+  runSeconds: number,
   settings: UrgencySettings,
 ): number {
   let most = 0;
   for (const objective of objectives) {
     if (objective.jobClass !== spec.jobClass) continue;
     let slack = Number.POSITIVE_INFINITY;
-    if (objective.kind === 'wait') slack = objective.withinSeconds - waitedS - fetchS;
-    else if (objective.kind === 'finished') slack = objective.withinSeconds - waitedS - fetchS - runS;
+    if (objective.kind === 'wait') slack = objective.withinSeconds - waitedSeconds - pullSeconds;
+    else if (objective.kind === 'finished') slack = objective.withinSeconds - waitedSeconds - pullSeconds - runSeconds;
     else if (spec.deadlineSeconds !== null)
-      slack = spec.deadlineSeconds * objective.deadlineFactor - waitedS - fetchS - runS;
+      slack = spec.deadlineSeconds * objective.deadlineFactor - waitedSeconds - pullSeconds - runSeconds;
     if (slack < 0) continue;
     most = Math.max(most, 1 - slack / settings.horizonSeconds);
   }
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -9,7 +9,7 @@
 export interface RankedJob {
   readonly job: Job;
   readonly tasks: number;
-  readonly waitedS: number;
+  readonly waitedSeconds: number;
   /** Groups go one after the other, higher ones first; within a group the smallest value does. */
   readonly group: RankGroup;
   readonly score: number;
@@ -127,9 +127,9 @@
   const overdue = isOverdue(cluster, job);
   const tasks = plannedTasks(cluster, job, waiting, overdue);
   const waited = waitedSeconds(cluster, job);
-  if (overdue) return { job, tasks, waitedS: waited, group: RANK_GROUPS.overdue, score: -waited };
+  if (overdue) return { job, tasks, waitedSeconds: waited, group: RANK_GROUPS.overdue, score: -waited };
   const group = rankGroupOf(job, guaranteed);
-  return { job, tasks, waitedS: waited, group, score: jobRankingScore(cluster, job, tasks) };
+  return { job, tasks, waitedSeconds: waited, group, score: jobRankingScore(cluster, job, tasks) };
 }
 
 /**
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -96,10 +96,10 @@
     return { plan: empty, capacity: empty };
   }
   const search = new EvolutionarySearch(planner, xoroshiro128plus(seed), {
-    individuals: tuning.individuals,
+    populationSize: tuning.individuals,
     generations: tuning.generations,
-    mutation: tuning.mutation,
-    planSteps: tuning.plan_steps,
+    mutationRate: tuning.mutation,
+    maxPlanSteps: tuning.plan_steps,
   });
   const oneZone = jobs.every(({ feasibleZones }) => feasibleZones.length === 1);
   const overAllZones = oneZone ? null : planner.plan(machines, jobs, null);
@@ -110,9 +110,9 @@
 /** For each job the zone in which a plan over all zones puts most of it. */
 function mainZones(plan: Plan, jobs: readonly PlanJob[]): ZoneName[] {
   const counts = jobs.map(() => new Map<ZoneName, number>());
-  for (const { job, machine, tasks } of plan.starts) {
-    const { zone } = plan.machines[machine] as PlanMachine;
-    const count = counts[job] as Map<ZoneName, number>;
+  for (const { jobIndex, machineIndex, tasks } of plan.starts) {
+    const { zone } = plan.machines[machineIndex] as PlanMachine;
+    const count = counts[jobIndex] as Map<ZoneName, number>;
     count.set(zone, (count.get(zone) ?? 0) + tasks);
   }
   return jobs.map((job, i) => {
@@ -127,7 +127,7 @@
 
 function findUnplannedTasks(jobs: readonly PlanJob[], starts: readonly PlannedStart[]): UnplannedTasks[] {
   const placed = new Map<number, number>();
-  for (const { job, tasks } of starts) placed.set(job, (placed.get(job) ?? 0) + tasks);
+  for (const { jobIndex, tasks } of starts) placed.set(jobIndex, (placed.get(jobIndex) ?? 0) + tasks);
   return jobs.map((job) => ({ job, tasks: job.tasks - (placed.get(job.index) ?? 0) })).filter(({ tasks }) => tasks > 0);
 }
 
@@ -144,7 +144,7 @@
       Math.min(job.startableCount, cluster.quotas.remainingTasks(job.spec)),
     );
     if (tasks <= 0) continue;
-    const slot = input.addJob({ job, tasks, waitedS: waitedSeconds(cluster, job) });
+    const slot = input.addJob({ job, tasks, waitedSeconds: waitedSeconds(cluster, job) });
     if (slot !== null) unplacedTasks.set(slot, tasks);
   }
   return { ...plan, unplacedTasks };
--- a/test/core/scheduler/evolutionary_search.test.ts
+++ b/test/core/scheduler/evolutionary_search.test.ts
@@ -12,14 +12,14 @@
     const jobs = Array.from({ length: 8 }, (_, i) =>
       makePlanJob(i, { cpus: 2, durationSeconds: 30, feasibleZones: [zoneA, zoneB] }),
     );
-    const settings = { individuals: 20, generations: 15, mutation: 0.1, planSteps: 1_000_000 };
+    const settings = { populationSize: 20, generations: 15, mutationRate: 0.1, maxPlanSteps: 1_000_000 };
     const search = (seed: number, steps = 1_000_000) =>
-      new EvolutionarySearch(makePlanner(), xoroshiro128plus(seed), { ...settings, planSteps: steps }).search(
+      new EvolutionarySearch(makePlanner(), xoroshiro128plus(seed), { ...settings, maxPlanSteps: steps }).search(
         machines,
         jobs,
       );
     const best = search(1);
-    assert.ok(best.starts.every((start) => start.startAtS === 0));
+    assert.ok(best.starts.every((start) => start.startAtSeconds === 0));
     assert.equal(search(1).cost, best.cost);
     assert.ok(search(2, 50).starts.length > 0);
   });
--- a/test/core/scheduler/gang_reservation.test.ts
+++ b/test/core/scheduler/gang_reservation.test.ts
@@ -36,12 +36,12 @@
     };
     const jobs = [gang('job-1', 130), gang('job-2', 200), gang('job-3', 20)];
     const machines = [0, 1, 2, 3, 4, 5].map((i) => makeMachine(`i-${i}`, '', 'up', now.monotonic, false));
-    const starts = machines.map((_, slot) => ({
-      job: Math.floor(slot / 2),
-      machine: slot,
+    const starts = machines.map((_, machineIndex) => ({
+      jobIndex: Math.floor(machineIndex / 2),
+      machineIndex,
       tasks: 1,
-      roomAtS: 20,
-      startAtS: 30,
+      freeAtSeconds: 20,
+      startAtSeconds: 30,
     }));
     reserveForOverdueGangs(cluster, starts, jobs, machines);
     const keptFor = machines.map((kept) => kept.reservedFor(now.monotonic));
--- a/test/core/scheduler/planner.test.ts
+++ b/test/core/scheduler/planner.test.ts
@@ -21,7 +21,7 @@
     const bounded = fill(1500);
     assert.ok(bounded.steps < 1500 + 300 && bounded.starts > 0 && bounded.starts < 200, JSON.stringify(bounded));
     // With nothing free for any of them, none of the 200 looks over the 300 machines.
-    for (const machine of machines) machine.gpus[0] = 3;
+    for (const machine of machines) machine.freeGpus[0] = 3;
     assert.deepEqual(fill(1_000_000), { steps: 0, starts: 0 });
   });
 
@@ -32,13 +32,13 @@
       [makePlanJob(0, {})],
       [zoneA],
     );
-    assert.equal(cached.starts[0]?.machine, 1);
+    assert.equal(cached.starts[0]?.machineIndex, 1);
     const tight = makePlanner().plan(
       [makePlanMachine(0, 'a', eightCores, 8), makePlanMachine(1, 'a', eightCores, 3)],
       [makePlanJob(0, {})],
       [zoneA],
     );
-    assert.equal(tight.starts[0]?.machine, 1);
+    assert.equal(tight.starts[0]?.machineIndex, 1);
   });
 
   test('finds the feasible machines of a job among very many infeasible ones', () => {
@@ -52,10 +52,10 @@
     const job = makePlanJob(0, { tasks: 40, fitsTypesWithoutGpus: true, penaltyFactor: 1 });
     const plan = makePlanner().plan([...unused, ...cores], [job], [zoneA]);
     assert.equal(plan.unplacedTasks.size, 0);
-    assert.ok(plan.starts.every((start) => start.machine >= 500));
+    assert.ok(plan.starts.every((start) => start.machineIndex >= 500));
     const bound = makePlanJob(0, {
       tasks: 40,
-      types: ['c8' as MachineTypeName],
+      allowedMachineTypes: ['c8' as MachineTypeName],
       fitsTypesWithoutGpus: true,
       penaltyFactor: 0,
     });
@@ -86,12 +86,12 @@
       jobs,
       [zoneA, zoneA],
     );
-    const gang = plan.starts.filter((start) => start.job === 0);
+    const gang = plan.starts.filter((start) => start.jobIndex === 0);
     assert.deepEqual(
-      gang.map((start) => start.startAtS),
+      gang.map((start) => start.startAtSeconds),
       [20, 20],
     );
-    assert.ok((plan.starts.find((start) => start.job === 1)?.startAtS ?? 0) >= 30);
+    assert.ok((plan.starts.find((start) => start.jobIndex === 1)?.startAtSeconds ?? 0) >= 30);
   });
 
   test('keeps a zone-spread job within the allowance of each zone', () => {
@@ -106,19 +106,19 @@
       [job],
       [zoneA],
     );
-    const inA = plan.starts.filter((start) => start.machine === 0).reduce((n, start) => n + start.tasks, 0);
+    const inA = plan.starts.filter((start) => start.machineIndex === 0).reduce((n, start) => n + start.tasks, 0);
     assert.equal(inA, 3);
   });
 
   test('lets a gang pull its image on free capacity rather than wait for tasks expected to end', () => {
     const fourGpus = makeMachineType('g4', 24, 4);
-    const fetching = { ...makePlanMachine(0, 'a', fourGpus, 24, 40), gpus: [4] };
+    const fetching = { ...makePlanMachine(0, 'a', fourGpus, 24, 40), freeGpus: [4] };
     const holding = {
       ...makePlanMachine(1, 'a', fourGpus, 0, 0),
-      times: [0, 20],
-      cpus: [0, 24],
-      gpus: [0, 4],
-      memGb: [0, 144],
+      stepTimesSeconds: [0, 20],
+      freeCpus: [0, 24],
+      freeGpus: [0, 4],
+      freeMemoryGb: [0, 144],
     };
     const gang = makePlanJob(0, { isGang: true, gpus: 4, cpus: 20 });
     const penalties = { ...NO_PENALTIES, futureDiscount: 0.5 };
@@ -127,7 +127,7 @@
         [fetching, holding],
         [gang],
         [zoneA],
-      ).starts[0]?.machine;
+      ).starts[0]?.machineIndex;
     assert.equal(chosen(0.5), 1);
     assert.equal(chosen(2), 0);
   });
