--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -10,4 +10,5 @@
 import './core/scheduler/evolutionary_search.test.js';
 import './core/scheduler/gang_reservation.test.js';
 import './core/scheduler/planner.test.js';
+import './core/scheduler/plans.test.js';
 import './core/scheduler/priority.test.js';
