--- a/src/core/jobs/job_cache.ts
+++ b/src/core/jobs/job_cache.ts
@@ -1,5 +1,5 @@
 import { type PrefixRead, readPrefix } from '../calls/state_store_reads.js';
-import { CLOCK_DRIFT, maxJobViewAgeMs } from '../leadership/lease_bounds.js';
+import { CLOCK_DRIFT, maxJobViewAgeMs } from '../lease_bounds.js';
 import type { Result, StateStoreResponse, StoredEntry, WatchEvent } from '../messages.js';
 import { decodeJob, JOB_PREFIX, type JobRecord } from '../records.js';
 import type { StepContext } from '../step_context.js';
--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -1,4 +1,5 @@
-import { encodeTerm, nextTermValue, type TermValue, type ZonesKeptSince } from '../../recovery/index.js';
+import { encodeTerm, nextTermRecord, type StartZonesRecordedSince, type TermRecord } from '../../recovery/index.js';
+import { CLOCK_DRIFT, leaderLeaseMs } from '../lease_bounds.js';
 import type { Result, StateChange, StateStoreResponse, StoredEntry, VersionCondition } from '../messages.js';
 import { decodeLeader, encodeLeader, LEADER_KEY, type LeaderRecord, TERM_KEY } from '../records.js';
 import type { StepContext } from '../step_context.js';
@@ -12,7 +13,6 @@
   type Revision,
   revision,
 } from '../types.js';
-import { CLOCK_DRIFT, leaderLeaseMs } from './lease_bounds.js';
 
 const WATCH_MS = 5000;
 const WATCH_TIMEOUT_MARGIN_MS = 2000;
@@ -38,7 +38,7 @@
   readonly term: number;
   readonly leaseId: LeaseId;
   /** Since which term every leader has kept the zones in which jobs were started; null: this one doesn't. */
-  readonly startZonesRecordedSince: ZonesKeptSince;
+  readonly startZonesRecordedSince: StartZonesRecordedSince;
 }
 
 export interface ElectionCallbacks {
@@ -48,7 +48,7 @@
 
 /** A lease that was granted for a candidacy, and when it was asked for. */
 interface Candidacy {
-  readonly term: TermValue;
+  readonly term: TermRecord;
   readonly leaseId: LeaseId;
   readonly grantSentAt: MonotonicTime;
 }
@@ -197,11 +197,11 @@
       if (!result.ok) return this.retryAfter(RETRY_MS);
       const item = result.value.item ?? null;
       const { enabled, record_zones } = this.context.features.recovery;
-      this.campaign(nextTermValue(item?.value, enabled && record_zones), item ? item.version : ABSENT_VERSION);
+      this.campaign(nextTermRecord(item?.value, enabled && record_zones), item ? item.version : ABSENT_VERSION);
     });
   }
 
-  private campaign(term: TermValue, termVersion: Revision): void {
+  private campaign(term: TermRecord, termVersion: Revision): void {
     let grantSentAt = this.context.now.monotonic;
     const onResult = (result: Result<StateStoreResponse>): void => {
       const leaseId = result.ok ? result.value.lease : undefined;
--- a/src/core/leadership/job_record_lookup.ts
+++ b/src/core/leadership/job_record_lookup.ts
@@ -1,8 +1,8 @@
 import type { JobCache } from '../jobs/job_cache.js';
 import { jobKey } from '../records.js';
+import type { PreviousTerms } from '../state/previous_terms.js';
 import type { StepContext } from '../step_context.js';
 import type { JobId } from '../types.js';
-import type { PreviousTerms } from './previous_terms.js';
 
 /** Nobody but workers' tasks waits for these reads. */
 const LOOKUP_PRIORITY = 2;
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -1,5 +1,6 @@
 import type { RecoverySummary } from '../../recovery/index.js';
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
+import { maxJobViewAgeMs } from '../lease_bounds.js';
 import { Autoscaler } from '../machines/autoscaler.js';
 import { HealthChecks } from '../machines/health_checks.js';
 import type { Machine } from '../machines/machine.js';
@@ -11,16 +12,15 @@
 import { preempt } from '../scheduler/preemption.js';
 import { scheduleRound } from '../scheduler/round.js';
 import { placeServices } from '../scheduler/service_placement.js';
+import { Cluster } from '../state/cluster.js';
 import type { StepContext, TimerName } from '../step_context.js';
 import type { Heartbeat, JobId, MonotonicTime } from '../types.js';
 import type { HeartbeatResponder } from '../workers/backlogged_heartbeats.js';
-import { CommandPusher } from '../workers/command_pusher.js';
-import { HeartbeatHandler } from '../workers/heartbeat_handler.js';
-import { Reconciler } from '../workers/reconciler.js';
-import { Cluster } from './cluster.js';
+import { type CommandLeader, CommandPusher } from '../workers/command_pusher.js';
+import { HeartbeatHandler, type HeartbeatLeader } from '../workers/heartbeat_handler.js';
+import { Reconciler, type ReconciliationLeader } from '../workers/reconciler.js';
 import type { Election, Leadership } from './election.js';
 import { JobRecordLookup } from './job_record_lookup.js';
-import { maxJobViewAgeMs } from './lease_bounds.js';
 import { RecordWriter } from './record_writer.js';
 import { StateLoader } from './state_loader.js';
 import { StateRestorer } from './state_restorer.js';
@@ -47,29 +47,11 @@
   'reconciliation',
 ];
 
-/** What the leader's parts ask of it. */
-export interface LeaderState {
-  /** Whether no other node can lead at this moment. */
-  isLeaseValid(): boolean;
-  /** Whether the view of jobs is recent enough to renew workers' leases on. */
-  hasRecentJobView(): boolean;
-  /** Whether the view of jobs is recent enough to start tasks on. */
-  mayStartTasks(): boolean;
-  /** Whether what earlier leaders left has been read. */
-  isLoaded(): boolean;
-  /** Whether records are being written that a start may wait for. */
-  hasWritesInFlight(): boolean;
-  registerMachine(machine: Machine): void;
-  schedulePlanningRoundSoon(): void;
-  /** Jobs that workers report and that aren't known are looked up. */
-  lookUpSuspectedOrphans(): void;
-}
-
 /**
  * The holder of the lead; a new one is made for every term. It ties the parts together: reports and commands (workers/),
  * records (record_writer.ts), machines (machines/), and the rounds of the scheduler.
  */
-export class Leader implements LeaderState {
+export class Leader implements HeartbeatLeader, CommandLeader, ReconciliationLeader {
   private readonly cluster: Cluster;
   private readonly autoscaler: Autoscaler;
   private readonly recordWriter: RecordWriter;
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -4,9 +4,9 @@
 import type { MachineRegistry, RegistryPage } from '../machines/machine_registry.js';
 import type { Result, StateChange, StateStoreResponse, StoredEntry, VersionCondition } from '../messages.js';
 import { encodeJob, type JobState, jobKey, pageKey } from '../records.js';
+import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import { ABSENT_VERSION, type MonotonicTime, type Revision, type ZoneName } from '../types.js';
-import type { Cluster } from './cluster.js';
 import { type Leadership, leaderCondition } from './election.js';
 
 /** Results that nobody waits for are written this rarely, and more rarely still where writes are scarce. */
--- a/src/core/leadership/state_restorer.ts
+++ b/src/core/leadership/state_restorer.ts
@@ -3,8 +3,8 @@
 import type { MachineRegistry } from '../machines/machine_registry.js';
 import type { StoredEntry } from '../messages.js';
 import type { MachineRecord } from '../records.js';
+import type { Cluster } from '../state/cluster.js';
 import type { MachineId, MonotonicTime } from '../types.js';
-import type { Cluster } from './cluster.js';
 
 /** Fills a new leader's cluster with what earlier ones left in the store. */
 export class StateRestorer {
--- a/src/core/leadership/lease_bounds.ts
+++ b/src/core/lease_bounds.ts
@@ -1,4 +1,4 @@
-import type { Settings, Tuning } from '../settings.js';
+import type { Settings, Tuning } from './settings.js';
 
 /**
  * The times that keep cancelled tasks within the deployment's bound, reckoned from its settings (docs/rules.md, "How long a
--- a/src/core/machines/autoscaler.ts
+++ b/src/core/machines/autoscaler.ts
@@ -1,5 +1,5 @@
-import type { Cluster } from '../leadership/cluster.js';
 import type { RoundResult } from '../scheduler/round.js';
+import type { Cluster } from '../state/cluster.js';
 import type { MachineType, MachineTypeName, MonotonicTime } from '../types.js';
 import { GuaranteedCapacity } from './guaranteed_capacity.js';
 import type { Machine } from './machine.js';
--- a/src/core/machines/guaranteed_capacity.ts
+++ b/src/core/machines/guaranteed_capacity.ts
@@ -1,4 +1,4 @@
-import type { Cluster } from '../leadership/cluster.js';
+import type { Cluster } from '../state/cluster.js';
 import type { MachineType, MonotonicTime } from '../types.js';
 import type { CapacityPool } from './capacity_pool.js';
 import type { ScaleOut } from './scale_out.js';
--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -1,7 +1,7 @@
 import type { Placement } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
-import { workerLeaseExpiryMs } from '../leadership/lease_bounds.js';
+import { workerLeaseExpiryMs } from '../lease_bounds.js';
 import { moveReplica } from '../scheduler/service_placement.js';
+import type { Cluster } from '../state/cluster.js';
 import { addMilliseconds, type JobId, type MonotonicTime } from '../types.js';
 import type { Machine } from './machine.js';
 import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO, type StragglerEvidence } from './straggler_detector.js';
--- a/src/core/machines/scale_in.ts
+++ b/src/core/machines/scale_in.ts
@@ -1,4 +1,4 @@
-import type { Cluster } from '../leadership/cluster.js';
+import type { Cluster } from '../state/cluster.js';
 import type { MonotonicTime } from '../types.js';
 import { HEARTBEAT_OVERDUE_AFTER_PERIODS } from './agent_messages.js';
 import { CAPACITY_TOLERANCE, type Capacity } from './guaranteed_capacity.js';
--- a/src/core/machines/scale_out.ts
+++ b/src/core/machines/scale_out.ts
@@ -1,4 +1,4 @@
-import type { Cluster } from '../leadership/cluster.js';
+import type { Cluster } from '../state/cluster.js';
 import type { MachineId, MonotonicTime } from '../types.js';
 import { type CapacityPool, capacityPoolKey } from './capacity_pool.js';
 import { Machine } from './machine.js';
--- a/src/core/machines/scale_out_demand.ts
+++ b/src/core/machines/scale_out_demand.ts
@@ -1,8 +1,8 @@
-import type { Cluster } from '../leadership/cluster.js';
 import { countFitting, RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { PlanJob } from '../scheduler/plan_types.js';
 import type { RoundResult } from '../scheduler/round.js';
 import { type GpuDemand, gpuDemand, spareCapacityOfType } from '../scheduler/spare_capacity.js';
+import type { Cluster } from '../state/cluster.js';
 import type { MachineType, MachineTypeName, ZoneName } from '../types.js';
 import { type CapacityPool, capacityPoolKey } from './capacity_pool.js';
 import { pullSeconds } from './image_cache.js';
--- a/src/core/requests/submission_validation.ts
+++ b/src/core/requests/submission_validation.ts
@@ -1,4 +1,4 @@
-import { fitsTeamLimit } from '../scheduler/quotas.js';
+import { fitsTeamLimit } from '../state/quotas.js';
 import type { JobSpec, MachineType, MachineTypeName, TeamQuota, ZoneName } from '../types.js';
 
 /** The zones in which a task of the job fits a machine type that the job allows. */
--- a/src/core/scheduler/apply_plan.ts
+++ b/src/core/scheduler/apply_plan.ts
@@ -1,6 +1,6 @@
 import type { Job } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
+import type { Cluster } from '../state/cluster.js';
 import { canPlaceTask, placeTask } from './placement_constraints.js';
 import type { PlannedStart } from './plan_types.js';
 
--- a/src/core/scheduler/placement_constraints.ts
+++ b/src/core/scheduler/placement_constraints.ts
@@ -1,6 +1,6 @@
 import type { Job } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
+import type { Cluster } from '../state/cluster.js';
 import type { Attempt, MachineType, ZoneName } from '../types.js';
 
 /** What jobs allow and machines have room for: asked by the plan, by services and by all that moves work. */
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -1,8 +1,8 @@
 import type { Job, Placement } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
 import { capacityPoolKey } from '../machines/capacity_pool.js';
 import type { Machine } from '../machines/machine.js';
 import { expectedSpotDelaySeconds } from '../machines/spot_interruption_rate.js';
+import type { Cluster } from '../state/cluster.js';
 import type { JobId, MachineId, MachineTypeName, MonotonicTime, ZoneName } from '../types.js';
 import { machineShare } from './capacity_timeline.js';
 import { fitsTypesWithoutGpus, isFeasibleType, zoneAllowance } from './placement_constraints.js';
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -1,7 +1,7 @@
 import type { Job, Placement } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
 import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
+import type { Cluster } from '../state/cluster.js';
 import type { MonotonicTime, ZoneName } from '../types.js';
 import { isFeasibleMachine } from './placement_constraints.js';
 import { waitedSeconds } from './ranking.js';
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -1,6 +1,6 @@
 import type { Job } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
 import { pullSeconds } from '../machines/image_cache.js';
+import type { Cluster } from '../state/cluster.js';
 import type { TeamName } from '../types.js';
 import { isFeasibleType } from './placement_constraints.js';
 import { rankingScore, urgencyFactor } from './priority.js';
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -1,8 +1,8 @@
 import { xoroshiro128plus } from 'pure-rand';
 import type { Job } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
 import type { Tuning } from '../settings.js';
+import type { Cluster } from '../state/cluster.js';
 import type { ZoneName } from '../types.js';
 import { applyPlan } from './apply_plan.js';
 import { EvolutionarySearch } from './evolutionary_search.js';
--- a/src/core/scheduler/service_placement.ts
+++ b/src/core/scheduler/service_placement.ts
@@ -1,6 +1,6 @@
 import type { Job, Placement } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
+import type { Cluster } from '../state/cluster.js';
 import type { ZoneName } from '../types.js';
 import {
   canPlaceTask,
--- a/src/core/scheduler/spare_capacity.ts
+++ b/src/core/scheduler/spare_capacity.ts
@@ -1,6 +1,6 @@
-import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
 import { countFitting } from '../resource_amounts.js';
+import type { Cluster } from '../state/cluster.js';
 import type { MachineType, MachineTypeName, Resources } from '../types.js';
 
 /** Cores and memory beside GPUs. */
--- a/src/core/leadership/cluster.ts
+++ b/src/core/state/cluster.ts
@@ -1,4 +1,4 @@
-import type { Certainty, ZonesKeptSince } from '../../recovery/index.js';
+import type { ReconciledBy, StartZonesRecordedSince } from '../../recovery/index.js';
 import { Job, type Placement, type PlacementPhase } from '../jobs/job.js';
 import { RuntimeEstimator } from '../jobs/runtime_estimator.js';
 import { BootTimeEstimator } from '../machines/boot_time_estimator.js';
@@ -6,11 +6,11 @@
 import type { MachineTypes } from '../machines/machine_type_catalog.js';
 import { SpotInterruptionRate } from '../machines/spot_interruption_rate.js';
 import type { JobRecord } from '../records.js';
-import { Quotas } from '../scheduler/quotas.js';
 import type { StepContext } from '../step_context.js';
 import type { Attempt, ImageName, JobId, MachineId, MonotonicTime, Resources, Revision } from '../types.js';
-import { dropUnexpectedTasks } from '../workers/unexpected_tasks.js';
 import { PreviousTerms } from './previous_terms.js';
+import { Quotas } from './quotas.js';
+import { dropUnexpectedTasks } from './unexpected_tasks.js';
 
 const MAX_CANCELLED_BEFORE_RECORD = 10_000;
 /** Least spacing of placements of replicas, and how long one waits for more to place. */
@@ -54,7 +54,7 @@
   constructor(
     readonly context: StepContext,
     readonly term: number,
-    zonesKeptSince: ZonesKeptSince = null,
+    zonesKeptSince: StartZonesRecordedSince = null,
   ) {
     this.quotas = new Quotas(context.settings.teamQuotas);
     this.previousTerms = new PreviousTerms(this, zonesKeptSince);
@@ -278,7 +278,7 @@
   }
 
   /** Nothing of an earlier leader can be on the machine that isn't known here. */
-  markReconciled(machine: Machine, how: Certainty): void {
+  markReconciled(machine: Machine, how: ReconciledBy): void {
     machine.reconciled = true;
     this.previousTerms.onMachineReconciled(machine, how);
   }
--- a/src/core/leadership/previous_terms.ts
+++ b/src/core/state/previous_terms.ts
@@ -1,20 +1,20 @@
 import {
-  believedZones,
-  type Certainty,
-  type EarlierJob,
+  type PreviousTermJob,
+  type ReconciledBy,
   Recovery,
   type RecoverySummary,
+  type StartZonesRecordedSince,
   summaryFields,
-  type ZonesKeptSince,
+  trustedStartZones,
 } from '../../recovery/index.js';
 import type { Job } from '../jobs/job.js';
+import { workerLeaseExpiryMs } from '../lease_bounds.js';
 import type { Machine } from '../machines/machine.js';
 import { fitsWithStartZones } from '../records.js';
-import type { Quotas } from '../scheduler/quotas.js';
 import type { StepContext } from '../step_context.js';
 import type { JobId, ZoneName } from '../types.js';
 import type { Cluster } from './cluster.js';
-import { workerLeaseExpiryMs } from './lease_bounds.js';
+import type { Quotas } from './quotas.js';
 
 /** While machines that no record shows may run anything, limited teams get nothing new. */
 const UNKNOWN_CAPACITY = { cpus: Number.POSITIVE_INFINITY, gpus: Number.POSITIVE_INFINITY };
@@ -32,7 +32,7 @@
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly startZonesRecordedSince: ZonesKeptSince,
+    private readonly startZonesRecordedSince: StartZonesRecordedSince,
   ) {
     this.context = cluster.context;
     this.quotas = cluster.quotas;
@@ -51,7 +51,7 @@
 
   onJobAdded(job: Job, startZones: readonly ZoneName[] | null): void {
     this.recovery?.onRecorded(job.id);
-    job.restoreStartZones(believedZones(job.startTerm, startZones, this.startZonesRecordedSince));
+    job.restoreStartZones(trustedStartZones(job.startTerm, startZones, this.startZonesRecordedSince));
     if (this.isFromPreviousTerm(job) && job.state !== 'done') this.jobs.add(job);
   }
 
@@ -76,7 +76,7 @@
 
   // ---- what becomes certain
 
-  onMachineReconciled(machine: Machine, how: Certainty): void {
+  onMachineReconciled(machine: Machine, how: ReconciledBy): void {
     // What counts against teams' limits is reckoned anew before places are given; until then it is rather too much.
     if (this.recovery) this.recovery.onMachineReconciled(machine.id, how);
     else this.updateUnreconciledCount();
@@ -99,7 +99,7 @@
     this.quotas.exposure = this.quotas.hasLimits ? recovery.teamExposure(this.previousTermJobs(), monotonic) : null;
   }
 
-  private *previousTermJobs(): Iterable<EarlierJob> {
+  private *previousTermJobs(): Iterable<PreviousTermJob> {
     for (const job of this.jobs) {
       if (job.unaccountedCount === 0) this.jobs.delete(job);
       else yield toPreviousTermJob(job);
@@ -178,7 +178,7 @@
   }
 }
 
-function toPreviousTermJob(job: Job): EarlierJob {
+function toPreviousTermJob(job: Job): PreviousTermJob {
   const { id, team, allowedMachineTypes, zone, toleratesSpot, cpus, gpus } = job.spec;
   const { startTerm, startZones, unaccountedCount } = job;
   return {
--- a/src/core/workers/unexpected_tasks.ts
+++ b/src/core/state/unexpected_tasks.ts
@@ -1,5 +1,5 @@
-import type { Cluster } from '../leadership/cluster.js';
 import { type Machine, type TaskKey, taskKey, type UnexpectedTask } from '../machines/machine.js';
+import type { Cluster } from './cluster.js';
 
 /*
  * Tasks that a worker reports and that have no place on its machine: those of jobs that aren't known, and those found on two
--- a/src/core/workers/backlogged_heartbeats.ts
+++ b/src/core/workers/backlogged_heartbeats.ts
@@ -1,4 +1,4 @@
-import { ReportBacklog } from '../../recovery/index.js';
+import { HeartbeatBacklog } from '../../recovery/index.js';
 import type { Machine } from '../machines/machine.js';
 import type { HeartbeatResponse } from '../messages.js';
 import type { StepContext } from '../step_context.js';
@@ -28,13 +28,13 @@
 
 /** In the storm after a cold start lists are looked at in their turn, and leases are renewed whether or not it has come. */
 export class BackloggedHeartbeats {
-  private readonly backlog: ReportBacklog<BackloggedHeartbeat>;
+  private readonly backlog: HeartbeatBacklog<BackloggedHeartbeat>;
 
   constructor(
     private readonly context: StepContext,
     private readonly callbacks: BacklogCallbacks,
   ) {
-    this.backlog = new ReportBacklog(context.features.recovery.lists_per_window);
+    this.backlog = new HeartbeatBacklog(context.features.recovery.lists_per_window);
   }
 
   get size(): number {
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -1,7 +1,6 @@
 import type { Placement } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
-import type { LeaderState } from '../leadership/leader.js';
 import { type Machine, type StartKey, startKeyOf } from '../machines/machine.js';
+import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import type { AgentEpoch, Command, FencingToken } from '../types.js';
 import { stopCommands } from './commands.js';
@@ -12,6 +11,16 @@
 /** After a command without an answer the machine is left alone for so long. */
 const UNANSWERED_BACKOFF_MS = 5000;
 
+/** What pushed commands depend on at the leader. */
+export interface CommandLeader {
+  /** Whether no other controller can be the leader at this moment. */
+  isLeaseValid(): boolean;
+  /** Whether the view of jobs is recent enough to renew workers' leases on. */
+  hasRecentJobView(): boolean;
+  /** Whether the view of jobs is recent enough to start tasks on. */
+  mayStartTasks(): boolean;
+}
+
 /**
  * Sends stops to the workers at once, and starts of replicas; all other starts only ever go out in answers to reports. A
  * direct command can arrive late: a start sent this way counts as possibly there until the command is answered, the session
@@ -25,7 +34,7 @@
     private readonly cluster: Cluster,
     private readonly fencingToken: FencingToken,
     private readonly reconciler: Reconciler,
-    private readonly leader: LeaderState,
+    private readonly leader: CommandLeader,
   ) {
     this.context = cluster.context;
   }
--- a/src/core/workers/commands.ts
+++ b/src/core/workers/commands.ts
@@ -1,6 +1,6 @@
 import type { Placement } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
 import { type Machine, startKey } from '../machines/machine.js';
+import type { Cluster } from '../state/cluster.js';
 import type { Command } from '../types.js';
 import { mayAcknowledgeUnknownJob } from './recovered_tasks.js';
 
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -1,8 +1,7 @@
 import { LeaseRenewals } from '../../recovery/index.js';
-import type { Cluster } from '../leadership/cluster.js';
-import type { LeaderState } from '../leadership/leader.js';
 import { Machine } from '../machines/machine.js';
 import type { HeartbeatResponse } from '../messages.js';
+import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import type { Command, FencingToken, Heartbeat, MonotonicTime, SequenceNumber } from '../types.js';
 import { type BackloggedHeartbeat, BackloggedHeartbeats, type HeartbeatResponder } from './backlogged_heartbeats.js';
@@ -26,6 +25,24 @@
   readonly idle: boolean;
 }
 
+/** What heartbeats' responses depend on at the leader. */
+export interface HeartbeatLeader {
+  /** Whether no other controller can be the leader at this moment. */
+  isLeaseValid(): boolean;
+  /** Whether the view of jobs is recent enough to renew workers' leases on. */
+  hasRecentJobView(): boolean;
+  /** Whether the view of jobs is recent enough to start tasks on. */
+  mayStartTasks(): boolean;
+  /** Whether the state of previous terms has been read. */
+  isLoaded(): boolean;
+  /** Whether records are being written that a start may wait for. */
+  hasWritesInFlight(): boolean;
+  /** Puts the machine on record. */
+  registerMachine(machine: Machine): void;
+  /** Brings the next planning round forward. */
+  schedulePlanningRoundSoon(): void;
+}
+
 const UNAVAILABLE: HeartbeatResponse = { status: 503 };
 
 /** Takes in workers' reports, whichever node they reached, and answers them: at once, or when what they wait for is there. */
@@ -41,7 +58,7 @@
     private readonly cluster: Cluster,
     private readonly fencingToken: FencingToken,
     private readonly reconciler: Reconciler,
-    private readonly leader: LeaderState,
+    private readonly leader: HeartbeatLeader,
   ) {
     this.context = cluster.context;
     this.backlog = new BackloggedHeartbeats(this.context, {
--- a/src/core/workers/reconciler.ts
+++ b/src/core/workers/reconciler.ts
@@ -1,6 +1,5 @@
-import type { Cluster } from '../leadership/cluster.js';
-import type { LeaderState } from '../leadership/leader.js';
 import type { Machine } from '../machines/machine.js';
+import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import type { AgentEpoch, FencingToken, Heartbeat } from '../types.js';
 import { reconcileStatus, type StatusSource } from './status_reconciliation.js';
@@ -16,6 +15,14 @@
 /** The session of a worker whose session isn't known. */
 const FIRST_AGENT_EPOCH = 1n as AgentEpoch;
 
+/** What reconciliation sets off at the leader. */
+export interface ReconciliationLeader {
+  /** Brings the next planning round forward. */
+  schedulePlanningRoundSoon(): void;
+  /** Looks up the records of jobs that only workers know of. */
+  lookUpSuspectedOrphans(): void;
+}
+
 /**
  * Brings what is known of machines in line with what is on them. An empty direct command raises a worker's token, so that
  * nothing an earlier leader sent can still be carried out, and its answer is a list of tasks and a proof that the machine
@@ -30,7 +37,7 @@
   constructor(
     private readonly cluster: Cluster,
     private readonly fencingToken: FencingToken,
-    private readonly leader: LeaderState,
+    private readonly leader: ReconciliationLeader,
   ) {
     this.context = cluster.context;
   }
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -1,9 +1,9 @@
-import { type Classification, classify, type OtherPlace, type StoredJob } from '../../recovery/index.js';
+import { type Classification, classify, type OtherPlacement, type StoredJob } from '../../recovery/index.js';
 import type { Job, Placement } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
 import { type Machine, type StartKey, startKey, taskKey, type UnexpectedTask } from '../machines/machine.js';
+import type { Cluster } from '../state/cluster.js';
+import { addUnexpectedTask } from '../state/unexpected_tasks.js';
 import type { JobId, LiveTaskStatus, TaskStatus } from '../types.js';
-import { addUnexpectedTask } from './unexpected_tasks.js';
 
 /*
  * Carries out what `src/recovery` says of reported tasks that have no place on their machine as far as this leader knows. One
@@ -60,7 +60,7 @@
   return recovery === null || (recovery.isOrphan(job) && !cluster.unreadableJobIds.has(job));
 }
 
-function classifyTask(cluster: Cluster, task: TaskStatus, otherPlacement: OtherPlace | null): Classification {
+function classifyTask(cluster: Cluster, task: TaskStatus, otherPlacement: OtherPlacement | null): Classification {
   const exitReason = task.phase === 'exited' ? task.exitReason : null;
   return classify({ attempt: task.attempt, exitReason, job: storedJob(cluster, task), otherPlacement });
 }
@@ -85,7 +85,7 @@
   return null;
 }
 
-const toOtherPlacement = ({ machine, attempt }: Placement): OtherPlace => ({ machine: machine.id, attempt });
+const toOtherPlacement = ({ machine, attempt }: Placement): OtherPlacement => ({ machine: machine.id, attempt });
 
 function adopt(cluster: Cluster, machine: Machine, task: LiveTaskStatus): Placement | null {
   const job = cluster.jobs.get(task.job);
--- a/src/core/workers/start_checks.ts
+++ b/src/core/workers/start_checks.ts
@@ -1,6 +1,6 @@
 import type { Job, Placement } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
 import type { Machine } from '../machines/machine.js';
+import type { Cluster } from '../state/cluster.js';
 
 /** The last look before a start goes out: the job's first start and the machine are on record, and neither is in doubt. */
 export function mayStart(job: Job, machine: Machine): boolean {
--- a/src/core/workers/status_reconciliation.ts
+++ b/src/core/workers/status_reconciliation.ts
@@ -1,5 +1,4 @@
 import type { Placement } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
 import {
   type Machine,
   type StartKey,
@@ -9,10 +8,11 @@
   taskKey,
   type UnexpectedTask,
 } from '../machines/machine.js';
+import type { Cluster } from '../state/cluster.js';
+import { replaceUnexpectedTasks } from '../state/unexpected_tasks.js';
 import { addMilliseconds, type FencingToken, type Heartbeat, type LiveTaskStatus, type TaskStatus } from '../types.js';
 import { recoverLiveTask } from './recovered_tasks.js';
 import { reconcileExit } from './task_exits.js';
-import { replaceUnexpectedTasks } from './unexpected_tasks.js';
 
 /** Reports are sent one after the other; answers to direct commands overtake them. */
 export type StatusSource = 'report' | 'commandAnswer';
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -1,7 +1,7 @@
 import type { Job, Placement } from '../jobs/job.js';
-import type { Cluster } from '../leadership/cluster.js';
 import { type Machine, taskKey } from '../machines/machine.js';
 import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO } from '../machines/straggler_detector.js';
+import type { Cluster } from '../state/cluster.js';
 import type { MonotonicTime, TaskStatus } from '../types.js';
 import { isNewExit, recoverEndedTask } from './recovered_tasks.js';
 
--- a/src/recovery/index.ts
+++ b/src/recovery/index.ts
@@ -3,15 +3,15 @@
  * and only true disagreement is acted on. Decisions only; `src/core` carries them out. docs/design/cold-start.md.
  */
 
-export { HeartbeatBacklog as ReportBacklog } from './heartbeat_backlog.js';
+export { HeartbeatBacklog } from './heartbeat_backlog.js';
 export { LeaseRenewals } from './lease_renewals.js';
 export { Recovery, type RecoveryInit } from './recovery.js';
 export {
   encodeTerm,
-  nextTermRecord as nextTermValue,
-  type StartZonesRecordedSince as ZonesKeptSince,
-  type TermRecord as TermValue,
-  trustedStartZones as believedZones,
+  nextTermRecord,
+  type StartZonesRecordedSince,
+  type TermRecord,
+  trustedStartZones,
 } from './start_zones.js';
 export { type RecoverySummary, summaryFields } from './summary.js';
 export { classify } from './task_classification.js';
@@ -19,13 +19,13 @@
 export type {
   Classification,
   Orphan,
-  OtherPlacement as OtherPlace,
-  PreviousTermJob as EarlierJob,
-  ReconciledBy as Certainty,
-  ReportedTask as ListedTask,
+  OtherPlacement,
+  PreviousTermJob,
+  ReconciledBy,
+  ReportedTask,
   StoredJob,
   TaskAction,
   TaskClass,
-  UnreconciledMachine as UncertainMachine,
+  UnreconciledMachine,
 } from './types.js';
 export type { Capacity } from './unreconciled_machines.js';
--- a/test/recovery_properties.test.ts
+++ b/test/recovery_properties.test.ts
@@ -12,13 +12,13 @@
   ZoneName,
 } from '../src/core/types.js';
 import {
-  believedZones,
   classify,
-  type EarlierJob,
-  nextTermValue,
+  HeartbeatBacklog,
+  nextTermRecord,
+  type PreviousTermJob,
   Recovery,
-  ReportBacklog,
   type StoredJob,
+  trustedStartZones,
 } from '../src/recovery/index.js';
 import { loadOldVersions } from './sim/old_versions.js';
 import { parseScenarioText, runScenario } from './sim/scenario.js';
@@ -92,12 +92,12 @@
   }
 
   elect(keepsZones: boolean): void {
-    const value = nextTermValue(this.term, keepsZones);
+    const value = nextTermRecord(this.term, keepsZones);
     this.term = value;
     this.leaderTerm = value.n;
     this.zonesKeptSince = value.zones ?? null;
     for (const job of this.jobs) {
-      const believed = keepsZones ? believedZones(job.startTerm, job.recordedZones, this.zonesKeptSince) : null;
+      const believed = keepsZones ? trustedStartZones(job.startTerm, job.recordedZones, this.zonesKeptSince) : null;
       job.believedZones = believed && [...believed];
     }
   }
@@ -123,7 +123,7 @@
   }
 
   /** What the present leader knows of a job once these machines have told their lists. */
-  factsOf(job: number, listed: ReadonlySet<number>): EarlierJob {
+  factsOf(job: number, listed: ReadonlySet<number>): PreviousTermJob {
     const { startTerm, believedZones, machineByTask } = this.jobs[job] as JobState;
     const found = machineByTask.filter((place) => place !== null && listed.has(place)).length;
     const asks = { types: null, zone: null, spotOk: true, cpus: 1, gpus: 0 };
@@ -242,7 +242,7 @@
 test('lists take turns: no more than so many in a window, and the newest of each machine is looked at in the end', () => {
   const arrivals = fc.array(fc.record({ afterMs: fc.nat(20), machine: fc.nat(8) }), { maxLength: 200 });
   const property = fc.property(fc.integer({ min: 1, max: 5 }), arrivals, (perWindow, steps) => {
-    const backlog = new ReportBacklog<{ machine: number; number: number }>(perWindow);
+    const backlog = new HeartbeatBacklog<{ machine: number; number: number }>(perWindow);
     const looked: { at: number; machine: number; number: number }[] = [];
     const newest = new Map<number, number>();
     let now = 0;
