--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -154,29 +154,29 @@
       case 'timer':
         for (const timer of this.context.timers.takeDue(this.context.now.monotonic)) this.onTimer(timer);
         return;
-      case 'user':
+      case 'userRequest':
         this.onUserRequest(input.requestId, input.request);
         return;
-      case 'report':
+      case 'heartbeat':
         this.heartbeatRouter.onHeartbeat(input.requestId, input.heartbeat);
         return;
-      case 'storeReply':
+      case 'stateStoreReply':
         this.context.onStateStoreReply(input.callId, input.result);
         return;
       case 'cloudReply':
         this.context.onCloudReply(input.callId, input.result);
         return;
-      case 'workerReply':
+      case 'commandPushReply':
         this.context.onCommandPushReply(input.callId, input.result);
         return;
-      case 'peer':
+      case 'peerMessage':
         this.onPeerMessage(input.sender, input.message);
         return;
     }
   }
 
   private onUserRequest(req: RequestId, request: UserRequest): void {
-    const deadline = this.context.after(request.op === 'poll' ? STATUS_QUERY_TIMEOUT_MS : REQUEST_TIMEOUT_MS);
+    const deadline = this.context.after(request.op === 'query' ? STATUS_QUERY_TIMEOUT_MS : REQUEST_TIMEOUT_MS);
     this.requestHandler.handle(request, (answer) => this.context.respondToUser(req, answer, deadline));
   }
 
@@ -253,22 +253,22 @@
       case 'request':
         this.requestHandler.handle(
           message.request,
-          (response) => this.context.sendToPeer(from, { kind: 'requestAnswer', id: message.id, response }),
+          (response) => this.context.sendToPeer(from, { kind: 'requestResponse', id: message.id, response }),
           true,
         );
         return;
-      case 'requestAnswer':
+      case 'requestResponse':
         this.requestForwarding.onResponse(message.id, message.response);
         return;
-      case 'report': {
+      case 'heartbeat': {
         const { id, heartbeat } = message;
         const { machine } = heartbeat;
         this.heartbeatRouter.onForwardedHeartbeat(heartbeat, (response) =>
-          this.context.sendToPeer(from, { kind: 'reportAnswer', id, machine, response }),
+          this.context.sendToPeer(from, { kind: 'heartbeatResponse', id, machine, response }),
         );
         return;
       }
-      case 'reportAnswer':
+      case 'heartbeatResponse':
         this.heartbeatForwarding.onResponse(from, message.id, message.machine, message.response);
         return;
       case 'cancellation':
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -19,10 +19,10 @@
   | 'planned'
   /** A start went out: it may be on the machine until a newer report says otherwise. */
   | 'sent'
-  | 'fetching'
-  | 'waiting'
+  | 'pulling'
+  | 'gathering'
   | 'running'
-  | 'saving';
+  | 'checkpointing';
 
 /** A task that is, or may be, or is about to be on a machine. */
 export interface Placement {
@@ -253,7 +253,7 @@
 
   runningCount(): number {
     let count = 0;
-    for (const { phase } of this.placements.values()) if (phase === 'running' || phase === 'saving') count += 1;
+    for (const { phase } of this.placements.values()) if (phase === 'running' || phase === 'checkpointing') count += 1;
     return count;
   }
 
--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -228,7 +228,7 @@
       { put: LEADER_KEY, value: encodeLeader(this.ownLeaderRecord(candidacy)), lease: leaseId },
       { put: TERM_KEY, value: encodeTerm(term) },
     ];
-    this.context.callStateStore({ op: 'txn', conditions, changes }, ELECTION_PRIORITY, (result) => {
+    this.context.callStateStore({ op: 'compareAndSwap', conditions, changes }, ELECTION_PRIORITY, (result) => {
       if (result.ok && result.value.revision !== undefined) return this.becomeLeader(candidacy, result.value.revision);
       if (!result.ok && result.why === 'unknown') return this.confirmAcquisition(candidacy);
       this.revoke(leaseId);
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -178,7 +178,7 @@
     const { conditions, changes } = batch;
     this.writesInFlight += 1;
     this.context.callStateStore(
-      { op: 'txn', conditions, changes },
+      { op: 'compareAndSwap', conditions, changes },
       batch.isUrgent ? URGENT_PRIORITY : LAZY_PRIORITY,
       (result) => {
         this.writesInFlight -= 1;
--- a/src/core/machines/scale_in.ts
+++ b/src/core/machines/scale_in.ts
@@ -142,7 +142,7 @@
   private sendBatch(batch: readonly Machine[]): void {
     const { context } = this.cluster;
     this.requestsInFlight += 1;
-    context.callCloud({ op: 'delete', machines: batch.map(({ id }) => id) }, TERMINATION_PRIORITY, (result) => {
+    context.callCloud({ op: 'terminate', machines: batch.map(({ id }) => id) }, TERMINATION_PRIORITY, (result) => {
       this.requestsInFlight -= 1;
       for (const machine of batch) this.onTerminationAnswered(machine, result.ok);
       if (result.ok) context.timers.set('round', context.after(ROUND_AFTER_TERMINATION_MS));
--- a/src/core/machines/scale_out.ts
+++ b/src/core/machines/scale_out.ts
@@ -72,7 +72,7 @@
     const { pool, requestId, count, requestedAt } = rental;
     const { context } = this.cluster;
     const op = {
-      op: 'rent',
+      op: 'provision',
       idempotencyKey: requestId,
       machineType: pool.type.name,
       zone: pool.zone,
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -65,7 +65,11 @@
 export type StateStoreOperation =
   | { readonly op: 'get'; readonly key: string }
   | { readonly op: 'list'; readonly prefix: string; readonly after: string | null; readonly limit: number }
-  | { readonly op: 'txn'; readonly conditions: readonly VersionCondition[]; readonly changes: readonly StateChange[] }
+  | {
+      readonly op: 'compareAndSwap';
+      readonly conditions: readonly VersionCondition[];
+      readonly changes: readonly StateChange[];
+    }
   | { readonly op: 'grant'; readonly ttlMs: number }
   | { readonly op: 'renew'; readonly lease: LeaseId }
   | { readonly op: 'revoke'; readonly lease: LeaseId }
@@ -89,14 +93,14 @@
   | { readonly op: 'types' }
   | { readonly op: 'list'; readonly after: MachineId | null }
   | {
-      readonly op: 'rent';
+      readonly op: 'provision';
       readonly idempotencyKey: string;
       readonly machineType: MachineTypeName;
       readonly zone: ZoneName;
       readonly spot: boolean;
       readonly count: number;
     }
-  | { readonly op: 'delete'; readonly machines: readonly MachineId[] };
+  | { readonly op: 'terminate'; readonly machines: readonly MachineId[] };
 
 /** What the cloud answers: the fields that belong to the call. */
 export interface CloudResponse {
@@ -123,7 +127,7 @@
 /** What users ask; `spec` is null where the submission is malformed, and `problem` says why. */
 export type UserRequest =
   | { readonly op: 'submit'; readonly id: JobId; readonly spec: JobSpec | null; readonly problem: string }
-  | { readonly op: 'poll'; readonly id: JobId }
+  | { readonly op: 'query'; readonly id: JobId }
   | { readonly op: 'cancel'; readonly id: JobId };
 
 /** What users are told of a job. */
@@ -166,11 +170,11 @@
 export type PeerMessage =
   | { readonly kind: 'status'; readonly status: PeerStatus }
   | { readonly kind: 'request'; readonly id: number; readonly request: UserRequest }
-  | { readonly kind: 'requestAnswer'; readonly id: number; readonly response: UserResponse }
+  | { readonly kind: 'requestResponse'; readonly id: number; readonly response: UserResponse }
   /** A worker's report that reached a node that doesn't lead, passed on as it came; and the leader's answer to it. */
-  | { readonly kind: 'report'; readonly id: number; readonly heartbeat: Heartbeat }
+  | { readonly kind: 'heartbeat'; readonly id: number; readonly heartbeat: Heartbeat }
   | {
-      readonly kind: 'reportAnswer';
+      readonly kind: 'heartbeatResponse';
       readonly id: number;
       readonly machine: MachineId;
       readonly response: HeartbeatResponse;
@@ -188,12 +192,12 @@
 export type Input =
   | { readonly kind: 'start' }
   | { readonly kind: 'timer' }
-  | { readonly kind: 'user'; readonly requestId: RequestId; readonly request: UserRequest }
-  | { readonly kind: 'report'; readonly requestId: RequestId; readonly heartbeat: Heartbeat }
-  | { readonly kind: 'storeReply'; readonly callId: CallId; readonly result: Result<StateStoreResponse> }
+  | { readonly kind: 'userRequest'; readonly requestId: RequestId; readonly request: UserRequest }
+  | { readonly kind: 'heartbeat'; readonly requestId: RequestId; readonly heartbeat: Heartbeat }
+  | { readonly kind: 'stateStoreReply'; readonly callId: CallId; readonly result: Result<StateStoreResponse> }
   | { readonly kind: 'cloudReply'; readonly callId: CallId; readonly result: Result<CloudResponse> }
-  | { readonly kind: 'workerReply'; readonly callId: CallId; readonly result: Result<CommandPushResponse> }
-  | { readonly kind: 'peer'; readonly sender: ControllerName; readonly message: PeerMessage };
+  | { readonly kind: 'commandPushReply'; readonly callId: CallId; readonly result: Result<CommandPushResponse> }
+  | { readonly kind: 'peerMessage'; readonly sender: ControllerName; readonly message: PeerMessage };
 
 export type LogLevel = 'error' | 'info' | 'debug';
 
@@ -212,15 +216,19 @@
 
 /** What a step of the core asks the outside to carry out. */
 export type Output =
-  | ({ readonly kind: 'answerUser'; readonly requestId: RequestId; readonly response: UserResponse } & Expiring)
-  | ({ readonly kind: 'answerWorker'; readonly requestId: RequestId; readonly response: HeartbeatResponse } & Expiring)
+  | ({ readonly kind: 'userResponse'; readonly requestId: RequestId; readonly response: UserResponse } & Expiring)
+  | ({
+      readonly kind: 'heartbeatResponse';
+      readonly requestId: RequestId;
+      readonly response: HeartbeatResponse;
+    } & Expiring)
   | {
-      readonly kind: 'store';
+      readonly kind: 'stateStoreCall';
       readonly callId: CallId;
       readonly operation: StateStoreOperation;
       readonly timeoutMs: number;
     }
-  | ({ readonly kind: 'cloud'; readonly callId: CallId; readonly operation: CloudOperation } & Expiring)
-  | ({ readonly kind: 'worker'; readonly callId: CallId; readonly operation: CommandPush } & Expiring)
-  | ({ readonly kind: 'peer'; readonly recipient: ControllerName; readonly message: PeerMessage } & Expiring)
+  | ({ readonly kind: 'cloudCall'; readonly callId: CallId; readonly operation: CloudOperation } & Expiring)
+  | ({ readonly kind: 'commandPush'; readonly callId: CallId; readonly operation: CommandPush } & Expiring)
+  | ({ readonly kind: 'peerMessage'; readonly recipient: ControllerName; readonly message: PeerMessage } & Expiring)
   | { readonly kind: 'log'; readonly level: LogLevel; readonly event: string; readonly fields: LogFields };
--- a/src/core/requests/linearizable_reads.ts
+++ b/src/core/requests/linearizable_reads.ts
@@ -59,7 +59,7 @@
     this.inFlight += 1;
     const conditions = [...batch].map(([id, { job }]) => ({ key: jobKey(id), version: job.version }));
     this.context.callStateStore(
-      { op: 'txn', conditions, changes: [] },
+      { op: 'compareAndSwap', conditions, changes: [] },
       CONFIRM_PRIORITY,
       (result) => {
         this.inFlight -= 1;
--- a/src/core/requests/request_handler.ts
+++ b/src/core/requests/request_handler.ts
@@ -93,7 +93,7 @@
       case 'submit':
         this.submit(request.id, request.spec, refusal, reply);
         return;
-      case 'poll':
+      case 'query':
         this.linearizableReads.enqueue({ id: request.id, responseIfMissing: JOB_NOT_FOUND, ...reply });
         return;
       case 'cancel':
@@ -114,7 +114,7 @@
    */
   private forward(request: UserRequest, refusal: UserResponse | null, answer: Respond): boolean {
     if (refusal === null) return this.dependencies.forward(request, answer);
-    return this.dependencies.forward({ op: 'poll', id: request.id }, (found) =>
+    return this.dependencies.forward({ op: 'query', id: request.id }, (found) =>
       answer(found.status === 404 ? refusal : found),
     );
   }
@@ -158,7 +158,12 @@
       if (mayExist) this.reader.respond({ id, responseIfMissing: STATE_STORE_UNAVAILABLE, ...reply });
       else reply.onUnavailable();
     };
-    this.context.callStateStore({ op: 'txn', conditions, changes }, WRITE_PRIORITY, onResult, SUBMIT_OPTIONS);
+    this.context.callStateStore(
+      { op: 'compareAndSwap', conditions, changes },
+      WRITE_PRIORITY,
+      onResult,
+      SUBMIT_OPTIONS,
+    );
   }
 
   /** What a record may yet grow by: its first start, and the zones of all its starts. */
@@ -219,7 +224,12 @@
       if (result.why === 'refused' || tries >= MAX_CANCEL_ATTEMPTS) reply.onUnavailable();
       else this.cancel(id, reply, tries + 1);
     };
-    this.context.callStateStore({ op: 'txn', conditions, changes }, WRITE_PRIORITY, onResult, CANCEL_OPTIONS);
+    this.context.callStateStore(
+      { op: 'compareAndSwap', conditions, changes },
+      WRITE_PRIORITY,
+      onResult,
+      CANCEL_OPTIONS,
+    );
   }
 
   private respondCancelled(record: JobRecord, reply: Continuation): void {
--- a/src/core/scheduler/migration.ts
+++ b/src/core/scheduler/migration.ts
@@ -39,7 +39,7 @@
   const { image, imageGb } = job.spec;
   let longest = 0;
   for (const { phase, pendingStop, machine } of job.placements.values()) {
-    if (phase !== 'fetching' || pendingStop !== null) return 0;
+    if (phase !== 'pulling' || pendingStop !== null) return 0;
     longest = Math.max(longest, machine.images.remainingPullSeconds(image, imageGb, context.now.monotonic));
   }
   return longest;
--- a/src/core/step_context.ts
+++ b/src/core/step_context.ts
@@ -77,7 +77,7 @@
 
 const REFUSED = { ok: false, why: 'refused' } as const;
 
-const isWrite = (op: StateStoreOperation): boolean => op.op === 'txn' && op.changes.length > 0;
+const isWrite = (op: StateStoreOperation): boolean => op.op === 'compareAndSwap' && op.changes.length > 0;
 
 /**
  * What a step has in common for all parts of a node: the time, the outputs gathered so far, timers, and calls to outside
@@ -191,13 +191,13 @@
   ): void {
     const { timeoutMs = STORE_TIMEOUT_MS, maxQueueTimeMs = STORE_QUEUE_MS, failFast = false, onSend } = options;
     const queued: QueuedCall = {
-      writeTokens: operation.op === 'txn' ? operation.changes.length : 0,
+      writeTokens: operation.op === 'compareAndSwap' ? operation.changes.length : 0,
       expiresAt: this.after(maxQueueTimeMs),
       send: () => {
         const callId = this.nextCall();
         this.openStateStoreCalls.set(callId, { onResult, writes: isWrite(operation) });
         onSend?.(this.now.monotonic);
-        this.outputs.push({ kind: 'store', callId, operation, timeoutMs });
+        this.outputs.push({ kind: 'stateStoreCall', callId, operation, timeoutMs });
       },
       refuse: () => onResult(REFUSED),
     };
@@ -216,7 +216,7 @@
 
   /** What changes anything there goes out only while this node leads: the cloud has no token that would refuse it later. */
   private sendToCloud(operation: CloudOperation, onResult: OnResult<CloudResponse>): void {
-    const changes = operation.op === 'rent' || operation.op === 'delete';
+    const changes = operation.op === 'provision' || operation.op === 'terminate';
     if (changes && this.now.monotonic >= this.leadershipValidUntil) {
       onResult(REFUSED);
       return;
@@ -224,7 +224,9 @@
     const callId = this.nextCall();
     this.openCloudCalls.set(callId, onResult);
     this.outputs.push(
-      changes ? { kind: 'cloud', callId, operation, ...this.whileLeading() } : { kind: 'cloud', callId, operation },
+      changes
+        ? { kind: 'cloudCall', callId, operation, ...this.whileLeading() }
+        : { kind: 'cloudCall', callId, operation },
     );
   }
 
@@ -237,7 +239,7 @@
   pushCommands(operation: CommandPush, onResult: OnResult<CommandPushResponse>): void {
     const callId = this.nextCall();
     this.openCommandPushes.set(callId, onResult);
-    this.outputs.push({ kind: 'worker', callId, operation, ...this.whileLeading() });
+    this.outputs.push({ kind: 'commandPush', callId, operation, ...this.whileLeading() });
   }
 
   /** Direct calls without an answer so far: each holds a socket, and one to a silent machine for seconds. */
@@ -246,12 +248,12 @@
   }
 
   sendToPeer(recipient: ControllerName, message: PeerMessage): void {
-    this.outputs.push({ kind: 'peer', recipient, message, ...this.expiryOfMessage(message) });
+    this.outputs.push({ kind: 'peerMessage', recipient, message, ...this.expiryOfMessage(message) });
   }
 
   private expiryOfMessage(message: PeerMessage): { expiresAt: MonotonicTime } | null {
-    if (message.kind === 'requestAnswer') return this.whileFresh(message.response);
-    const renewsLease = message.kind === 'reportAnswer' && message.response.status === 200;
+    if (message.kind === 'requestResponse') return this.whileFresh(message.response);
+    const renewsLease = message.kind === 'heartbeatResponse' && message.response.status === 200;
     return renewsLease ? this.whileLeading() : null;
   }
 
@@ -259,7 +261,7 @@
   respondToUser(requestId: RequestId, response: UserResponse, deadline: MonotonicTime): void {
     const fresh = this.whileFresh(response);
     const expiresAt = fresh && (Math.min(fresh.expiresAt, deadline) as MonotonicTime);
-    this.outputs.push({ kind: 'answerUser', requestId, response, ...(expiresAt ? { expiresAt } : {}) });
+    this.outputs.push({ kind: 'userResponse', requestId, response, ...(expiresAt ? { expiresAt } : {}) });
   }
 
   /** What isn't final is true of the moment at which it was confirmed: another node may be cancelling the job. */
@@ -271,7 +273,7 @@
   respondToWorker(requestId: RequestId, response: HeartbeatResponse): void {
     // A node that doesn't lead hands on the leader's answer as it came.
     const renewsLease = response.status === 200 && this.leaderRole;
-    this.outputs.push({ kind: 'answerWorker', requestId, response, ...(renewsLease ? this.whileLeading() : {}) });
+    this.outputs.push({ kind: 'heartbeatResponse', requestId, response, ...(renewsLease ? this.whileLeading() : {}) });
   }
 
   private nextCall(): CallId {
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -81,8 +81,16 @@
   readonly zones: readonly ZoneName[];
 }
 
-export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-export type ExitReason = 'done' | 'stopped' | 'peers_gone' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
+export type TaskPhase = 'pulling' | 'gathering' | 'running' | 'checkpointing' | 'exited';
+export type ExitReason =
+  | 'done'
+  | 'stopped'
+  | 'gang_member_lost'
+  | 'gang_incomplete'
+  | 'error'
+  | 'no_capacity'
+  | 'busy'
+  | 'unknown';
 
 /** A task on a machine, as its worker reports it. */
 export interface TaskStatus {
@@ -121,7 +129,7 @@
       readonly attempt: Attempt;
       readonly gracePeriodSeconds: number;
     }
-  | { readonly op: 'forget'; readonly job: JobId; readonly index: number; readonly attempt: Attempt };
+  | { readonly op: 'acknowledge'; readonly job: JobId; readonly index: number; readonly attempt: Attempt };
 
 /** A machine in the cloud's list. */
 export interface CloudMachine {
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -71,7 +71,7 @@
     const { machinesWithPendingStops } = this.cluster;
     if (!machinesWithPendingStops.has(machine)) return [];
     const isDue = ({ phase, pendingStop }: Placement): boolean =>
-      phase !== 'saving' || pendingStop?.gracePeriodSeconds === 0;
+      phase !== 'checkpointing' || pendingStop?.gracePeriodSeconds === 0;
     const stops = this.cluster.isKnown(machine) ? stopCommands(machine, isDue) : [];
     if (stops.length === 0) machinesWithPendingStops.delete(machine);
     return stops;
--- a/src/core/workers/commands.ts
+++ b/src/core/workers/commands.ts
@@ -26,7 +26,7 @@
     if (machine.unconfirmedStarts.has(startKey(id, index, attempt))) continue;
     const job = cluster.jobs.get(id);
     const mayForget = job ? !isDone || job.isResultDurable(index) : mayAcknowledgeUnknownJob(cluster, id);
-    if (mayForget) commands.push({ op: 'forget', job: id, index, attempt });
+    if (mayForget) commands.push({ op: 'acknowledge', job: id, index, attempt });
   }
   return commands;
 }
--- a/src/core/workers/status_reconciliation.ts
+++ b/src/core/workers/status_reconciliation.ts
@@ -163,7 +163,7 @@
   const hasJustStarted = placement.phase === 'sent';
   if (hasJustStarted) machine.reachability.recordEffect();
   placement.phase = task.phase;
-  if (task.phase === 'fetching') machine.images.onPulling(job.spec, hasJustStarted, now);
+  if (task.phase === 'pulling') machine.images.onPulling(job.spec, hasJustStarted, now);
   else machine.images.onPresent(job.spec, now);
   if (task.phase !== 'running' || placement.runningSince !== null) return;
   placement.runningSince = now;
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -129,7 +129,7 @@
   const { context } = cluster;
   const { job, machine, runningSince } = placement;
   const { exitReason } = task;
-  if (exitReason === 'stopped' || exitReason === 'peers_gone') {
+  if (exitReason === 'stopped' || exitReason === 'gang_member_lost') {
     if (runningSince !== null) job.failureCount += 1;
     if (task.checkpointSaved) job.failureHistory.recordSuccess();
     return;
@@ -140,7 +140,7 @@
     reason: exitReason,
   });
   job.failureCount += 1;
-  if (exitReason === 'no_room' || exitReason === 'busy' || exitReason === 'unknown') {
+  if (exitReason === 'no_capacity' || exitReason === 'busy' || exitReason === 'unknown') {
     job.notBefore = context.after(REFUSED_START_PAUSE_MS);
     return;
   }
--- a/src/io/cloud/cloud_codec.ts
+++ b/src/io/cloud/cloud_codec.ts
@@ -20,7 +20,7 @@
       const after = call.after === null ? '' : `after=${encodeURIComponent(call.after)}&`;
       return { method: 'GET', path: `/hosts?${after}most=${LIST_PAGE_SIZE}` };
     }
-    case 'rent':
+    case 'provision':
       return {
         method: 'POST',
         path: '/hosts',
@@ -32,7 +32,7 @@
           count: call.count,
         },
       };
-    case 'delete':
+    case 'terminate':
       return { method: 'POST', path: '/hosts/delete', body: { perches: call.machines } };
   }
 }
@@ -75,7 +75,7 @@
       return 'refused';
     case 503: {
       const error = (body as { error?: unknown } | null)?.error;
-      return call.op === 'rent' && error === NO_CAPACITY ? 'no_capacity' : 'refused';
+      return call.op === 'provision' && error === NO_CAPACITY ? 'no_capacity' : 'refused';
     }
     case 400:
       return 'rejected';
@@ -95,9 +95,9 @@
       const machines = listField(fields, 'perches').map(decodeListedMachine);
       return { ok: true, value: { machines, more: fields.has_next === true } };
     }
-    case 'rent':
+    case 'provision':
       return { ok: true, value: { provisioned: listField(fields, 'perches') as MachineId[] } };
-    case 'delete':
+    case 'terminate':
       return { ok: true, value: {} };
   }
 }
--- a/src/io/controller_runtime.ts
+++ b/src/io/controller_runtime.ts
@@ -64,7 +64,7 @@
     this.peers = new PeerConnections(
       settings.controller,
       platform.peers,
-      (sender, message) => this.step({ kind: 'peer', sender, message }),
+      (sender, message) => this.step({ kind: 'peerMessage', sender, message }),
       log,
     );
     this.httpServer = this.createServer();
@@ -77,13 +77,13 @@
           new Promise((resolve) => {
             const requestId = ++this.lastRequestId;
             this.pendingUserRequests.set(requestId, resolve);
-            this.step({ kind: 'user', requestId, request });
+            this.step({ kind: 'userRequest', requestId, request });
           }),
         handleHeartbeat: (heartbeat) =>
           new Promise((resolve) => {
             const requestId = ++this.lastRequestId;
             this.pendingHeartbeats.set(requestId, resolve);
-            this.step({ kind: 'report', requestId, heartbeat });
+            this.step({ kind: 'heartbeat', requestId, heartbeat });
           }),
         isHealthy: () => this.controller.isHealthy(this.now().monotonic),
         onMalformedMessage: (what) => this.countMalformedMessage(what),
@@ -143,24 +143,24 @@
 
   private dispatch(output: Output): void {
     switch (output.kind) {
-      case 'answerUser':
+      case 'userResponse':
         this.pendingUserRequests.get(output.requestId)?.(output.response);
         this.pendingUserRequests.delete(output.requestId);
         break;
-      case 'answerWorker':
+      case 'heartbeatResponse':
         this.pendingHeartbeats.get(output.requestId)?.(output.response);
         this.pendingHeartbeats.delete(output.requestId);
         break;
-      case 'store':
+      case 'stateStoreCall':
         this.callStateStore(output);
         break;
-      case 'cloud':
+      case 'cloudCall':
         this.callCloud(output);
         break;
-      case 'worker':
+      case 'commandPush':
         this.callWorker(output);
         break;
-      case 'peer':
+      case 'peerMessage':
         this.peers.send(output.recipient, output.message);
         break;
       case 'log':
@@ -169,17 +169,17 @@
     }
   }
 
-  private callStateStore({ callId, operation, timeoutMs }: Extract<Output, { kind: 'store' }>): void {
+  private callStateStore({ callId, operation, timeoutMs }: Extract<Output, { kind: 'stateStoreCall' }>): void {
     const client = isWatch(operation) ? this.watchClient : this.stateStoreClient;
     client.send(encodeStateStoreRequest(operation), timeoutMs, (answer) => {
       const result = this.decodeResponse(answer, 'state service', ({ status, body }) =>
         decodeStateStoreResponse(operation, status, body),
       );
-      this.step({ kind: 'storeReply', callId, result });
+      this.step({ kind: 'stateStoreReply', callId, result });
     });
   }
 
-  private callCloud({ callId, operation }: Extract<Output, { kind: 'cloud' }>): void {
+  private callCloud({ callId, operation }: Extract<Output, { kind: 'cloudCall' }>): void {
     this.cloudClient.send(encodeCloudRequest(operation), CLOUD_TIMEOUT_MS, (answer) => {
       const result = this.decodeResponse(answer, 'cloud', ({ status, body }) =>
         decodeCloudResponse(operation, status, body),
@@ -188,13 +188,13 @@
     });
   }
 
-  private callWorker({ callId, operation }: Extract<Output, { kind: 'worker' }>): void {
+  private callWorker({ callId, operation }: Extract<Output, { kind: 'commandPush' }>): void {
     const request = { method: 'POST', path: COMMANDS_PATH, body: encodePushedCommands(operation) } as const;
     this.workerClients.clientFor(operation.address).send(request, WORKER_TIMEOUT_MS, (answer) => {
       const result = this.decodeResponse(answer, 'worker', ({ status, body }) =>
         decodePushedCommandsResponse(status, body),
       );
-      this.step({ kind: 'workerReply', callId, result });
+      this.step({ kind: 'commandPushReply', callId, result });
     });
   }
 
--- a/src/io/http/http_server.ts
+++ b/src/io/http/http_server.ts
@@ -101,7 +101,7 @@
     return userResponse(await handlers.handleUserRequest(request));
   });
 
-  app.get('/v2/runs/:id', (context) => onJob(context, (id) => ({ op: 'poll', id })));
+  app.get('/v2/runs/:id', (context) => onJob(context, (id) => ({ op: 'query', id })));
   app.post('/v2/runs/:id/withdraw', (context) => onJob(context, (id) => ({ op: 'cancel', id })));
 
   // One handler a path and method: a second that matches would send every report through hono's chain of handlers.
--- a/src/io/output_expiry.ts
+++ b/src/io/output_expiry.ts
@@ -19,23 +19,23 @@
   const isExpired = 'expiresAt' in output && output.expiresAt !== undefined && now >= output.expiresAt;
   if (!isExpired) return { output, reply: null };
   switch (output.kind) {
-    case 'answerUser':
+    case 'userResponse':
       return { output: { ...output, response: RETRY_LATER }, reply: null };
-    case 'answerWorker':
+    case 'heartbeatResponse':
       return { output: { ...output, response: { status: 503 } }, reply: null };
-    case 'peer':
+    case 'peerMessage':
       return { output: refusedPeerResponse(output), reply: null };
-    case 'worker':
-      return { output: null, reply: { kind: 'workerReply', callId: output.callId, result: REFUSED } };
-    case 'cloud':
+    case 'commandPush':
+      return { output: null, reply: { kind: 'commandPushReply', callId: output.callId, result: REFUSED } };
+    case 'cloudCall':
       return { output: null, reply: { kind: 'cloudReply', callId: output.callId, result: REFUSED } };
   }
 }
 
 /** The answer to what a peer passed on, as a refusal. */
-function refusedPeerResponse(output: Extract<Output, { kind: 'peer' }>): Output | null {
+function refusedPeerResponse(output: Extract<Output, { kind: 'peerMessage' }>): Output | null {
   const { message } = output;
-  if (message.kind === 'reportAnswer') return { ...output, message: { ...message, response: { status: 503 } } };
-  if (message.kind === 'requestAnswer') return { ...output, message: { ...message, response: RETRY_LATER } };
+  if (message.kind === 'heartbeatResponse') return { ...output, message: { ...message, response: { status: 503 } } };
+  if (message.kind === 'requestResponse') return { ...output, message: { ...message, response: RETRY_LATER } };
   return null;
 }
--- a/src/io/peers/payload_codec.ts
+++ b/src/io/peers/payload_codec.ts
@@ -25,21 +25,21 @@
  */
 const JOB_KINDS = ['array', 'gang', 'service'] as const;
 const PRIORITY_LEVELS = [0, 1, 2, 3] as const;
-const OPERATIONS = ['submit', 'poll', 'cancel'] as const;
+const OPERATIONS = ['submit', 'query', 'cancel'] as const;
 const JOB_STATUSES: readonly JobStatus[] = ['queued', 'running', 'done', 'cancelled'];
-const TASK_PHASES: readonly TaskPhase[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
+const TASK_PHASES: readonly TaskPhase[] = ['pulling', 'gathering', 'running', 'checkpointing', 'exited'];
 const EXIT_REASONS: readonly (ExitReason | null)[] = [
   null,
   'done',
   'stopped',
-  'peers_gone',
-  'alone',
+  'gang_member_lost',
+  'gang_incomplete',
   'error',
-  'no_room',
+  'no_capacity',
   'busy',
   'unknown',
 ];
-const COMMAND_KINDS: readonly Command['op'][] = ['start', 'stop', 'forget'];
+const COMMAND_KINDS: readonly Command['op'][] = ['start', 'stop', 'acknowledge'];
 
 /** Bits of the byte that holds a job's yes-or-no fields. */
 const SINGLE_ZONE_BIT = 1;
--- a/src/io/peers/peer_codec.ts
+++ b/src/io/peers/peer_codec.ts
@@ -37,9 +37,9 @@
   'hello',
   'status',
   'request',
-  'requestAnswer',
-  'report',
-  'reportAnswer',
+  'requestResponse',
+  'heartbeat',
+  'heartbeatResponse',
   'cancellation',
   'cancellationAck',
 ] as const;
@@ -87,13 +87,13 @@
     case 'request':
       writeUserRequest(writer, frame.request);
       return;
-    case 'requestAnswer':
+    case 'requestResponse':
       writeUserResponse(writer, frame.response);
       return;
-    case 'report':
+    case 'heartbeat':
       writeHeartbeat(writer, frame.heartbeat);
       return;
-    case 'reportAnswer':
+    case 'heartbeatResponse':
       writer.text(frame.machine);
       writeHeartbeatResponse(writer, frame.response);
       return;
@@ -121,14 +121,14 @@
       return { kind: 'status', status: readStatus(reader) };
     case 'request':
       return { kind: 'request', id: reader.float64(), request: readUserRequest(reader) };
-    case 'requestAnswer':
-      return { kind: 'requestAnswer', id: reader.float64(), response: readUserResponse(reader) };
-    case 'report':
-      return { kind: 'report', id: reader.float64(), heartbeat: readHeartbeat(reader) };
-    case 'reportAnswer': {
+    case 'requestResponse':
+      return { kind: 'requestResponse', id: reader.float64(), response: readUserResponse(reader) };
+    case 'heartbeat':
+      return { kind: 'heartbeat', id: reader.float64(), heartbeat: readHeartbeat(reader) };
+    case 'heartbeatResponse': {
       const id = reader.float64();
       const machine = reader.text() as MachineId;
-      return { kind: 'reportAnswer', id, machine, response: readHeartbeatResponse(reader) };
+      return { kind: 'heartbeatResponse', id, machine, response: readHeartbeatResponse(reader) };
     }
     case 'cancellation':
       return { kind: 'cancellation', id: reader.float64(), job: readJobId(reader) };
--- a/src/io/state_store/state_store_codec.ts
+++ b/src/io/state_store/state_store_codec.ts
@@ -26,7 +26,7 @@
       const after = call.after === null ? '' : `&after=${call.after}`;
       return { method: 'GET', path: `/kv?under=${call.prefix}${after}&most=${call.limit}` };
     }
-    case 'txn': {
+    case 'compareAndSwap': {
       const conditions = call.conditions.map(({ key, version }) => ({ k: key, feather: version }));
       // biome-ignore lint/suspicious/noThenProperty: the name of the field on the wire; nothing awaits this object.
       return { method: 'POST', path: '/multi', body: { if: conditions, then: call.changes.map(encodeChange) } };
@@ -91,7 +91,7 @@
         more: fields.has_next === true,
         revision: decodeRevision(fields),
       };
-    case 'txn':
+    case 'compareAndSwap':
       return { revision: decodeRevision(fields) };
     case 'grant':
       return { lease: uint64Field(fields, 'tether') as LeaseId };
--- a/src/io/workers/worker_codec.ts
+++ b/src/io/workers/worker_codec.ts
@@ -28,19 +28,19 @@
 
 /** Workers' reports, the answers to them, and direct commands, by the names that they have on the wire. */
 const TASK_PHASES: Readonly<Record<string, TaskPhase>> = {
-  pulling: 'fetching',
-  gathering: 'waiting',
+  pulling: 'pulling',
+  gathering: 'gathering',
   running: 'running',
-  flushing: 'saving',
+  flushing: 'checkpointing',
   exited: 'exited',
 };
 const EXIT_REASONS: Readonly<Record<string, ExitReason>> = {
   done: 'done',
   stopped: 'stopped',
-  mates_gone: 'peers_gone',
-  alone: 'alone',
+  mates_gone: 'gang_member_lost',
+  alone: 'gang_incomplete',
   error: 'error',
-  full: 'no_room',
+  full: 'no_capacity',
   in_use: 'busy',
   no_such: 'unknown',
 };
@@ -96,7 +96,7 @@
 function encodeCommand(command: Command): WireMap {
   const chick = `${command.job}/${command.index}`;
   if (command.op === 'start') return { call: 'run', chick, hop: command.attempt };
-  if (command.op === 'forget') return { call: 'reap', chick, hop: command.attempt };
+  if (command.op === 'acknowledge') return { call: 'reap', chick, hop: command.attempt };
   return { call: 'stop', chick, hop: command.attempt, settle_s: command.gracePeriodSeconds };
 }
 
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -96,7 +96,7 @@
   });
   const found = decodeStateStoreResponse(get, 200, { k: 'a/b', data: { x: 1 }, feather: 412, tether: 7 });
   assert.ok(found.ok && found.value.item?.version === 412n);
-  const txn = { op: 'txn', conditions: [], changes: [] } as const;
+  const txn = { op: 'compareAndSwap', conditions: [], changes: [] } as const;
   for (const [status, why] of [
     [503, 'refused'],
     [400, 'rejected'],
@@ -121,7 +121,7 @@
 });
 
 test('a cloud without capacity is not a cloud in trouble', () => {
-  const rent = { op: 'rent', idempotencyKey: 'r-1', machineType: 'g8', zone: 'a', spot: true, count: 1 } as never;
+  const rent = { op: 'provision', idempotencyKey: 'r-1', machineType: 'g8', zone: 'a', spot: true, count: 1 } as never;
   assert.deepEqual(decodeCloudResponse(rent, 503, { error: 'no capacity' }), { ok: false, why: 'no_capacity' });
   assert.deepEqual(decodeCloudResponse(rent, 503, { error: 'trouble' }), { ok: false, why: 'refused' });
 });
--- a/test/golden/http_cases.ts
+++ b/test/golden/http_cases.ts
@@ -28,7 +28,7 @@
   }
 
   report(heartbeat: Heartbeat): Promise<HeartbeatResponse> {
-    this.passedOn = hex(encodeFrame({ kind: 'report', id: 0, heartbeat }));
+    this.passedOn = hex(encodeFrame({ kind: 'heartbeat', id: 0, heartbeat }));
     return Promise.resolve(this.workerAnswer);
   }
 }
@@ -167,7 +167,7 @@
 const commands: readonly Command[] = [
   { op: 'start', job, index: 3, attempt: 5n as Attempt },
   { op: 'stop', job, index: 4, attempt: MAX as Attempt, gracePeriodSeconds: 2.5 },
-  { op: 'forget', job, index: 99_999, attempt: 7n as Attempt },
+  { op: 'acknowledge', job, index: 99_999, attempt: 7n as Attempt },
 ];
 const workerAnswers: readonly HeartbeatResponse[] = [
   { status: 200, fencingToken: 41n as FencingToken, commands: [] },
--- a/test/golden/leader_records.ts
+++ b/test/golden/leader_records.ts
@@ -34,7 +34,7 @@
       return { ok: true, value: { item: null, revision: at } };
     case 'grant':
       return { ok: true, value: { lease: ((1n << 53n) + 9n) as LeaseId } };
-    case 'txn':
+    case 'compareAndSwap':
       return { ok: true, value: { revision: revision(701) } };
     case 'list':
       return { ok: true, value: { items: [], more: false, revision: at } };
@@ -46,7 +46,7 @@
 const isElection = (op: StateStoreOperation): boolean =>
   op.op === 'grant' ||
   (op.op === 'get' && [LEADER_KEY, TERM_KEY].includes(op.key)) ||
-  (op.op === 'txn' && op.changes.some((change) => 'put' in change && change.put === LEADER_KEY));
+  (op.op === 'compareAndSwap' && op.changes.some((change) => 'put' in change && change.put === LEADER_KEY));
 
 /** The calls with which a node takes the lead, as they go out, with such a term on record. */
 export function leaderRecordsOf(term: unknown, keepsZones: boolean): readonly WrittenCall[] {
@@ -55,9 +55,13 @@
   let inputs: Input[] = [{ kind: 'start' }];
   for (let ms = 0; ms < ELECTION_MS; ms += STEP_MS) {
     const outputs = [...inputs, { kind: 'timer' } as const].flatMap((input) => node.step(at(ms), input));
-    const sent = outputs.filter((output) => output.kind === 'store');
+    const sent = outputs.filter((output) => output.kind === 'stateStoreCall');
     for (const { operation } of sent) if (isElection(operation)) calls.push(written(operation));
-    inputs = sent.map(({ callId, operation }) => ({ kind: 'storeReply', callId, result: answer(operation, term) }));
+    inputs = sent.map(({ callId, operation }) => ({
+      kind: 'stateStoreReply',
+      callId,
+      result: answer(operation, term),
+    }));
   }
   return calls;
 }
--- a/test/golden/peer_cases.ts
+++ b/test/golden/peer_cases.ts
@@ -36,7 +36,7 @@
 );
 
 const requestFrames: PeerFrame[] = [
-  { kind: 'request', id: 1, request: { op: 'poll', id: job } },
+  { kind: 'request', id: 1, request: { op: 'query', id: job } },
   { kind: 'request', id: 2 ** 50 + 1, request: { op: 'cancel', id: job } },
   { kind: 'request', id: 3, request: { op: 'submit', id: job, spec: null, problem: 'crew is not a text' } },
   ...Object.values(specs).map(
@@ -57,7 +57,7 @@
 const commands: Command[] = [
   { op: 'start', job, index: 3, attempt: 5n as Attempt },
   { op: 'stop', job, index: 4, attempt: ((1n << 64n) - 1n) as Attempt, gracePeriodSeconds: 2.5 },
-  { op: 'forget', job, index: 99_999, attempt: 7n as Attempt },
+  { op: 'acknowledge', job, index: 99_999, attempt: 7n as Attempt },
 ];
 const workerAnswers: HeartbeatResponse[] = [
   { status: 200, fencingToken: 41n as FencingToken, commands: [] },
@@ -71,10 +71,10 @@
   { kind: 'hello', node: 'perch-1' as ControllerName },
   ...statusFrames,
   ...requestFrames,
-  ...userAnswers.map((response, i): PeerFrame => ({ kind: 'requestAnswer', id: 20 + i, response })),
-  { kind: 'report', id: 40, heartbeat: fullReport },
-  { kind: 'report', id: 41, heartbeat: emptyReport },
-  ...workerAnswers.map((response, i): PeerFrame => ({ kind: 'reportAnswer', id: 50 + i, machine, response })),
+  ...userAnswers.map((response, i): PeerFrame => ({ kind: 'requestResponse', id: 20 + i, response })),
+  { kind: 'heartbeat', id: 40, heartbeat: fullReport },
+  { kind: 'heartbeat', id: 41, heartbeat: emptyReport },
+  ...workerAnswers.map((response, i): PeerFrame => ({ kind: 'heartbeatResponse', id: 50 + i, machine, response })),
   { kind: 'cancellation', id: 60, job: 'job-00007' as JobId },
   { kind: 'cancellationAck', id: 60 },
   ...sampleFrames,
--- a/test/golden/problem_cases.ts
+++ b/test/golden/problem_cases.ts
@@ -97,7 +97,7 @@
       check(name, submit(makeJobSpec('job-9', shape, options)));
     }
     check('malformed', { op: 'submit', id: 'job-9' as JobId, spec: null, problem: 'crew is not a text' });
-    check('asked for, not known', { op: 'poll', id: 'job-9' as JobId });
+    check('asked for, not known', { op: 'query', id: 'job-9' as JobId });
     check('called off, not known', { op: 'cancel', id: 'job-9' as JobId });
     check('taken', submit(plain));
     check('taken before', submit(plain));
@@ -114,7 +114,7 @@
     world.stateStore.outage(60_000);
     const check = (entry: string, request: UserRequest): void => golden.check(entry, entryOf(ask(world, 0, request)));
     check('outage: submission', submit(plain));
-    check('outage: question', { op: 'poll', id: plain.id });
+    check('outage: question', { op: 'query', id: plain.id });
     check('outage: calling off', { op: 'cancel', id: plain.id });
   });
 
@@ -142,16 +142,21 @@
     const machine = 'i-1' as MachineId;
     const recipient = 'perch-1' as ControllerName;
     const expired = (output: Output): Output | null => checkExpiry(output, 5 as MonotonicTime).output;
-    const user = expired({ kind: 'answerUser', requestId: 1, response, ...late });
-    assert.ok(user?.kind === 'answerUser');
+    const user = expired({ kind: 'userResponse', requestId: 1, response, ...late });
+    assert.ok(user?.kind === 'userResponse');
     golden.check('late answer', entryOf(user.response));
-    const passedOn = expired({ kind: 'peer', recipient, message: { kind: 'requestAnswer', id: 1, response }, ...late });
-    const report = { kind: 'reportAnswer', id: 2, machine, response: { status: 421, redirectTo: null } } as const;
+    const passedOn = expired({
+      kind: 'peerMessage',
+      recipient,
+      message: { kind: 'requestResponse', id: 1, response },
+      ...late,
+    });
+    const report = { kind: 'heartbeatResponse', id: 2, machine, response: { status: 421, redirectTo: null } } as const;
     for (const [entry, output] of [
       ['late answer of a peer', passedOn],
-      ['late answer of a peer to a report', expired({ kind: 'peer', recipient, message: report, ...late })],
+      ['late answer of a peer to a report', expired({ kind: 'peerMessage', recipient, message: report, ...late })],
     ] as const) {
-      assert.ok(output?.kind === 'peer');
+      assert.ok(output?.kind === 'peerMessage');
       golden.check(entry, hex(encodeFrame(output.message)));
     }
   });
--- a/test/golden/samples.ts
+++ b/test/golden/samples.ts
@@ -163,8 +163,17 @@
   },
 ];
 
-const phases: TaskPhase[] = ['fetching', 'waiting', 'running', 'saving'];
-const reasons: ExitReason[] = ['done', 'stopped', 'peers_gone', 'alone', 'error', 'no_room', 'busy', 'unknown'];
+const phases: TaskPhase[] = ['pulling', 'gathering', 'running', 'checkpointing'];
+const reasons: ExitReason[] = [
+  'done',
+  'stopped',
+  'gang_member_lost',
+  'gang_incomplete',
+  'error',
+  'no_capacity',
+  'busy',
+  'unknown',
+];
 
 function task(index: number, checkpointSaved: boolean, phase: TaskPhase, exitReason: ExitReason | null): TaskStatus {
   return {
--- a/test/golden/service_cases.ts
+++ b/test/golden/service_cases.ts
@@ -48,7 +48,7 @@
   'list from the start': { op: 'list', prefix: 'j/', after: null, limit: 100 },
   'list from a key on': { op: 'list', prefix: 'm/', after: 'm/3', limit: 7 },
   'transaction that compares only': {
-    op: 'txn',
+    op: 'compareAndSwap',
     conditions: [
       { key: 'leader', version: revision(MAX) },
       { key: 'j/job-17', version: revision(0) },
@@ -56,7 +56,7 @@
     changes: [],
   },
   'transaction with changes': {
-    op: 'txn',
+    op: 'compareAndSwap',
     conditions: [{ key: 'leader', version: revision(41) }],
     changes: [
       { put: 'a', value: { x: [1, null, true, 0.5] } },
@@ -178,15 +178,15 @@
   'list from the start': { op: 'list', after: null },
   'list from a machine on': { op: 'list', after: 'i/00 7' as MachineId },
   rent: {
-    op: 'rent',
+    op: 'provision',
     idempotencyKey: '0f3a-41-7',
     machineType: 'g8' as MachineTypeName,
     zone: 'a' as ZoneName,
     spot: true,
     count: 3,
   },
-  delete: { op: 'delete', machines: ['i-1', 'i-2'] as MachineId[] },
-  'delete nothing': { op: 'delete', machines: [] },
+  delete: { op: 'terminate', machines: ['i-1', 'i-2'] as MachineId[] },
+  'delete nothing': { op: 'terminate', machines: [] },
 };
 
 const wireType = {
@@ -290,7 +290,7 @@
     ];
     for (const [name, op] of Object.entries(cloudCalls)) {
       for (const [status, body, ofRent, ofOthers] of failures) {
-        const failure = op.op === 'rent' ? ofRent : ofOthers;
+        const failure = op.op === 'provision' ? ofRent : ofOthers;
         assert.deepEqual(decodeCloudResponse(op, status, body), failure, `${name} ${status}`);
       }
     }
@@ -316,7 +316,7 @@
     commands: [
       { op: 'start', job, index: 3, attempt: 5n as Attempt },
       { op: 'stop', job, index: 4, attempt: MAX as Attempt, gracePeriodSeconds: 2.5 },
-      { op: 'forget', job, index: 5, attempt: 7n as Attempt },
+      { op: 'acknowledge', job, index: 5, attempt: 7n as Attempt },
     ],
   },
 };
--- a/test/measure/cold_start.ts
+++ b/test/measure/cold_start.ts
@@ -133,7 +133,7 @@
   stepMicroseconds = 0;
   world.clock.runUntil(END_SECONDS * 1000);
   const { renewed, firstStartSeconds } = measured;
-  const orders = (['start', 'stop', 'forget', 'inquiry'] as const)
+  const orders = (['start', 'stop', 'acknowledge', 'inquiry'] as const)
     .map((kind) => world.commandCounts.count(kind))
     .join('/');
   const restarted = Math.max(0, restartCount(world));
--- a/test/recovery_properties.test.ts
+++ b/test/recovery_properties.test.ts
@@ -183,7 +183,16 @@
 
 // ---- what a task is
 
-const REASONS: ExitReason[] = ['done', 'stopped', 'peers_gone', 'alone', 'error', 'no_room', 'busy', 'unknown'];
+const REASONS: ExitReason[] = [
+  'done',
+  'stopped',
+  'gang_member_lost',
+  'gang_incomplete',
+  'error',
+  'no_capacity',
+  'busy',
+  'unknown',
+];
 const arbitraryExitReason = fc.constantFrom<ExitReason | null>(null, ...REASONS);
 const arbitraryAttempt = fc.bigInt({ min: 1n, max: 6n }).map((value) => value as Attempt);
 const arbitraryRecordedJob = fc.record({
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -25,7 +25,7 @@
       handleUserRequest: async (request): Promise<UserResponse> => {
         userRequests.push(request);
         if (request.op === 'submit' && request.spec === null) return { status: 400, problem: request.problem };
-        if (request.op === 'poll') return { status: 503, problem: 'busy', retryAfterSeconds: 1 };
+        if (request.op === 'query') return { status: 503, problem: 'busy', retryAfterSeconds: 1 };
         return { status: 201, id: request.id, jobStatus: 'queued', done: 0, running: 0 };
       },
       handleHeartbeat: async (report): Promise<HeartbeatResponse> => {
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -123,7 +123,7 @@
     return this.clock.randomBetween(0, 1) < trouble.neverBootsShare ? null : usual * trouble.factor;
   }
 
-  private provision(op: Extract<CloudOperation, { op: 'rent' }>): Result<CloudResponse> {
+  private provision(op: Extract<CloudOperation, { op: 'provision' }>): Result<CloudResponse> {
     const before = this.provisionedByRequest.get(op.idempotencyKey);
     if (before) return { ok: true, value: { provisioned: before } };
     const type = this.types.find(({ name }) => name === op.machineType);
@@ -147,9 +147,9 @@
         return { ok: true, value: { machineTypes: this.types.map((type) => ({ ...type })) } };
       case 'list':
         return this.staleList(op.after);
-      case 'rent':
+      case 'provision':
         return this.provision(op);
-      case 'delete':
+      case 'terminate':
         for (const id of op.machines) this.terminate(id);
         return { ok: true, value: {} };
     }
--- a/test/sim/controller_process.ts
+++ b/test/sim/controller_process.ts
@@ -161,16 +161,20 @@
     const { network } = world;
     world.trace?.add(world.clock.now, this.name, this.build, output);
     switch (output.kind) {
-      case 'answerUser':
-      case 'answerWorker': {
+      case 'userResponse':
+      case 'heartbeatResponse': {
         const wait = this.pendingReplies.get(output.requestId);
         this.pendingReplies.delete(output.requestId);
         wait?.(output.response as never);
         break;
       }
-      case 'store': {
+      case 'stateStoreCall': {
         const done = this.ifStillRunning((result: Result<StateStoreResponse> | null) =>
-          this.step({ kind: 'storeReply', callId: output.callId, result: result ?? { ok: false, why: 'unknown' } }),
+          this.step({
+            kind: 'stateStoreReply',
+            callId: output.callId,
+            result: result ?? { ok: false, why: 'unknown' },
+          }),
         );
         world.meters.onStoreCall(output.operation);
         network.request(
@@ -182,7 +186,7 @@
         );
         break;
       }
-      case 'cloud': {
+      case 'cloudCall': {
         const done = this.ifStillRunning((result: Parameters<Parameters<SimulatedCloud['serve']>[1]>[0] | null) =>
           this.step({ kind: 'cloudReply', callId: output.callId, result: result ?? { ok: false, why: 'unknown' } }),
         );
@@ -190,10 +194,10 @@
         network.request(this.name, 'cloud', 4000, (reply) => world.cloud.serve(output.operation, reply), done);
         break;
       }
-      case 'worker': {
+      case 'commandPush': {
         const carriedOut = this.ifStillRunning((value: CommandPushResponse | null) =>
           this.step({
-            kind: 'workerReply',
+            kind: 'commandPushReply',
             callId: output.callId,
             result: value ? { ok: true, value } : { ok: false, why: 'unknown' },
           }),
@@ -213,7 +217,7 @@
         );
         break;
       }
-      case 'peer': {
+      case 'peerMessage': {
         const to = world.controllers.find((node) => node.name === output.recipient);
         if (world.encodesPeerMessages) {
           const frame = this.build.encodeFrame(this.build.ownMessage(output.message));
@@ -238,7 +242,7 @@
   }
 
   receivePeerMessage(sender: ControllerName, message: PeerMessage): void {
-    this.step({ kind: 'peer', sender, message });
+    this.step({ kind: 'peerMessage', sender, message });
   }
 
   /** As the link does it: a frame that the build can't take ends the connection. */
@@ -261,13 +265,13 @@
     if (!this.controller) return;
     const requestId = ++this.lastRequestId;
     this.pendingReplies.set(requestId, reply as (answer: never) => void);
-    this.step({ kind: 'report', requestId, heartbeat });
+    this.step({ kind: 'heartbeat', requestId, heartbeat });
   }
 
   receiveUserRequest(request: UserRequest, reply: (answer: UserResponse) => void): void {
     if (!this.controller) return;
     const requestId = ++this.lastRequestId;
     this.pendingReplies.set(requestId, reply as (answer: never) => void);
-    this.step({ kind: 'user', requestId, request });
+    this.step({ kind: 'userRequest', requestId, request });
   }
 }
--- a/test/sim/invalid_requests.ts
+++ b/test/sim/invalid_requests.ts
@@ -54,6 +54,6 @@
       return;
     }
     default:
-      world.request({ op: 'poll', id });
+      world.request({ op: 'query', id });
   }
 }
--- a/test/sim/meters.ts
+++ b/test/sim/meters.ts
@@ -48,7 +48,7 @@
 
   onStoreCall(op: StateStoreOperation): void {
     this.storeCalls.add(this.clock.now, 1);
-    if (op.op === 'txn') this.storeChanges.add(this.clock.now, op.changes.length);
+    if (op.op === 'compareAndSwap') this.storeChanges.add(this.clock.now, op.changes.length);
   }
 
   onCloudCall(): void {
--- a/test/sim/old_names.ts
+++ b/test/sim/old_names.ts
@@ -9,99 +9,187 @@
  */
 
 type Names = Readonly<Record<string, string>>;
+
+/** The old name of each renamed field with its present one, and by old field the old words that it may hold. */
+interface Renaming {
+  readonly fields: Names;
+  readonly words?: Readonly<Record<string, Names>>;
+}
+
 type Plain = Readonly<Record<string, unknown>>;
 
-/** The old name of each field, and its present one. */
-const SPEC: Names = {
-  shape: 'kind',
-  rank: 'priorityLevel',
-  tasks: 'taskCount',
-  types: 'allowedMachineTypes',
-  memGb: 'memoryGb',
-  sameZone: 'singleZone',
-  spread: 'zoneSpread',
-  spotOk: 'toleratesSpot',
-  estimateS: 'estimatedRuntimeSeconds',
-  checkpointS: 'checkpointIntervalSeconds',
-  saveS: 'checkpointDurationSeconds',
-  deadlineS: 'deadlineSeconds',
-};
-const HEARTBEAT: Names = {
-  addr: 'address',
-  session: 'agentEpoch',
-  seq: 'sequence',
-  token: 'fencingToken',
-  noticeS: 'interruptionNoticeSeconds',
-};
-const TASK: Names = { reason: 'exitReason', saved: 'checkpointSaved' };
-const RESPONSE: Names = { token: 'fencingToken', reportTo: 'redirectTo', retryAfterS: 'retryAfterSeconds' };
-const COMMAND: Names = { graceS: 'gracePeriodSeconds' };
-const PUSH: Names = { addr: 'address', token: 'fencingToken', session: 'agentEpoch' };
-const STATUS: Names = {
-  leading: 'isLeader',
-  storeOk: 'stateStoreReachable',
-  workersHeardMs: 'sinceLastHeartbeatMs',
-  reportsPerS: 'heartbeatsPerSecond',
-  takesReports: 'prefersDirectHeartbeats',
-};
-const MACHINE_TYPE: Names = {
-  memGb: 'memoryGb',
-  cacheGb: 'imageCacheGb',
-  fetchGbPerS: 'imagePullGbPerSecond',
-  price: 'pricePerHour',
-  spotPrice: 'spotPricePerHour',
-  bootS: 'bootSeconds',
-};
-const CLOUD_MACHINE: Names = { addr: 'address', ageS: 'ageSeconds' };
-const CLOUD_RESPONSE: Names = { types: 'machineTypes', rented: 'provisioned' };
-const PROVISIONING: Names = { request: 'idempotencyKey', type: 'machineType' };
-const INPUT: Names = { req: 'requestId', call: 'callId', report: 'heartbeat', from: 'sender' };
-const OUTPUT: Names = {
-  req: 'requestId',
-  call: 'callId',
-  op: 'operation',
-  answer: 'response',
-  to: 'recipient',
-  text: 'event',
-  notAfter: 'expiresAt',
-};
-const MESSAGE: Names = { report: 'heartbeat', answer: 'response' };
-const SETTINGS: Names = {
-  node: 'controller',
-  nodes: 'controllerCount',
-  skewMs: 'clockSkewMs',
-  teams: 'teamQuotas',
-  store: 'stateStore',
-};
-const TEAM: Names = { cpus: 'guaranteedCpus', gpus: 'guaranteedGpus', cpusMax: 'cpuLimit', gpusMax: 'gpuLimit' };
-const OBJECTIVE: Names = { withinS: 'withinSeconds', times: 'deadlineFactor' };
-const LIMITS: Names = { connections: 'maxConnections' };
-const WORKERS: Names = {
-  reportMs: 'heartbeatIntervalMs',
-  gangWaitMs: 'gangBarrierTimeoutMs',
-  gangPeerMs: 'gangPeerTimeoutMs',
-  cancelMs: 'cancellationTimeoutMs',
-};
-const RATES: Names = {
-  rps: 'requestsPerSecond',
-  writeRps: 'writesPerSecond',
-  nextRps: 'announcedRequestsPerSecond',
-  nextWriteRps: 'announcedWritesPerSecond',
-  valueBytes: 'maxValueBytes',
-  txnOps: 'maxChangesPerTransaction',
-  listLagMs: 'listStalenessMs',
-};
-const MACHINE_RECORD: Names = { addr: 'address', fetchSpeed: 'imagePullSpeed' };
-const CLOCK: Names = { steady: 'monotonic', wall: 'wallClock' };
-
-const swapped = (names: Names): Names =>
+const SPEC: Renaming = {
+  fields: {
+    shape: 'kind',
+    rank: 'priorityLevel',
+    tasks: 'taskCount',
+    types: 'allowedMachineTypes',
+    memGb: 'memoryGb',
+    sameZone: 'singleZone',
+    spread: 'zoneSpread',
+    spotOk: 'toleratesSpot',
+    estimateS: 'estimatedRuntimeSeconds',
+    checkpointS: 'checkpointIntervalSeconds',
+    saveS: 'checkpointDurationSeconds',
+    deadlineS: 'deadlineSeconds',
+  },
+};
+const HEARTBEAT: Renaming = {
+  fields: {
+    addr: 'address',
+    session: 'agentEpoch',
+    seq: 'sequence',
+    token: 'fencingToken',
+    noticeS: 'interruptionNoticeSeconds',
+  },
+};
+const TASK: Renaming = {
+  fields: { reason: 'exitReason', saved: 'checkpointSaved' },
+  words: {
+    phase: { fetching: 'pulling', waiting: 'gathering', saving: 'checkpointing' },
+    reason: { peers_gone: 'gang_member_lost', alone: 'gang_incomplete', no_room: 'no_capacity' },
+  },
+};
+const RESPONSE: Renaming = {
+  fields: { token: 'fencingToken', reportTo: 'redirectTo', retryAfterS: 'retryAfterSeconds' },
+};
+const COMMAND: Renaming = {
+  fields: { graceS: 'gracePeriodSeconds' },
+  words: { op: { forget: 'acknowledge' } },
+};
+const PUSH: Renaming = {
+  fields: { addr: 'address', token: 'fencingToken', session: 'agentEpoch' },
+};
+const STATUS: Renaming = {
+  fields: {
+    leading: 'isLeader',
+    storeOk: 'stateStoreReachable',
+    workersHeardMs: 'sinceLastHeartbeatMs',
+    reportsPerS: 'heartbeatsPerSecond',
+    takesReports: 'prefersDirectHeartbeats',
+  },
+};
+const MACHINE_TYPE: Renaming = {
+  fields: {
+    memGb: 'memoryGb',
+    cacheGb: 'imageCacheGb',
+    fetchGbPerS: 'imagePullGbPerSecond',
+    price: 'pricePerHour',
+    spotPrice: 'spotPricePerHour',
+    bootS: 'bootSeconds',
+  },
+};
+const CLOUD_MACHINE: Renaming = {
+  fields: { addr: 'address', ageS: 'ageSeconds' },
+};
+const CLOUD_RESPONSE: Renaming = {
+  fields: { types: 'machineTypes', rented: 'provisioned' },
+};
+const CLOUD_CALL: Renaming = {
+  fields: { request: 'idempotencyKey', type: 'machineType' },
+  words: { op: { rent: 'provision', delete: 'terminate' } },
+};
+const INPUT: Renaming = {
+  fields: { req: 'requestId', call: 'callId', report: 'heartbeat', from: 'sender' },
+  words: {
+    kind: {
+      user: 'userRequest',
+      report: 'heartbeat',
+      storeReply: 'stateStoreReply',
+      workerReply: 'commandPushReply',
+      peer: 'peerMessage',
+    },
+  },
+};
+const OUTPUT: Renaming = {
+  fields: {
+    req: 'requestId',
+    call: 'callId',
+    op: 'operation',
+    answer: 'response',
+    to: 'recipient',
+    text: 'event',
+    notAfter: 'expiresAt',
+  },
+  words: {
+    kind: {
+      answerUser: 'userResponse',
+      answerWorker: 'heartbeatResponse',
+      store: 'stateStoreCall',
+      cloud: 'cloudCall',
+      worker: 'commandPush',
+      peer: 'peerMessage',
+    },
+  },
+};
+const MESSAGE: Renaming = {
+  fields: { report: 'heartbeat', answer: 'response' },
+  words: { kind: { requestAnswer: 'requestResponse', report: 'heartbeat', reportAnswer: 'heartbeatResponse' } },
+};
+const SETTINGS: Renaming = {
+  fields: {
+    node: 'controller',
+    nodes: 'controllerCount',
+    skewMs: 'clockSkewMs',
+    teams: 'teamQuotas',
+    store: 'stateStore',
+  },
+};
+const TEAM: Renaming = {
+  fields: { cpus: 'guaranteedCpus', gpus: 'guaranteedGpus', cpusMax: 'cpuLimit', gpusMax: 'gpuLimit' },
+};
+const OBJECTIVE: Renaming = {
+  fields: { withinS: 'withinSeconds', times: 'deadlineFactor' },
+};
+const LIMITS: Renaming = {
+  fields: { connections: 'maxConnections' },
+};
+const WORKERS: Renaming = {
+  fields: {
+    reportMs: 'heartbeatIntervalMs',
+    gangWaitMs: 'gangBarrierTimeoutMs',
+    gangPeerMs: 'gangPeerTimeoutMs',
+    cancelMs: 'cancellationTimeoutMs',
+  },
+};
+const RATES: Renaming = {
+  fields: {
+    rps: 'requestsPerSecond',
+    writeRps: 'writesPerSecond',
+    nextRps: 'announcedRequestsPerSecond',
+    nextWriteRps: 'announcedWritesPerSecond',
+    valueBytes: 'maxValueBytes',
+    txnOps: 'maxChangesPerTransaction',
+    listLagMs: 'listStalenessMs',
+  },
+};
+const MACHINE_RECORD: Renaming = {
+  fields: { addr: 'address', fetchSpeed: 'imagePullSpeed' },
+};
+const REQUEST: Renaming = { fields: {}, words: { op: { poll: 'query' } } };
+const STORE_CALL: Renaming = { fields: {}, words: { op: { txn: 'compareAndSwap' } } };
+const CLOCK: Renaming = {
+  fields: { steady: 'monotonic', wall: 'wallClock' },
+};
+
+const inverted = (names: Names): Names =>
   Object.fromEntries(Object.entries(names).map(([old, present]) => [present, old]));
 
-type Rename = (value: unknown, names: Names) => Plain;
+const swapped = ({ fields, words = {} }: Renaming): Renaming => ({
+  fields: inverted(fields),
+  words: Object.fromEntries(Object.entries(words).map(([key, names]) => [fields[key] ?? key, inverted(names)])),
+});
+
+type Rename = (value: unknown, names: Renaming) => Plain;
 
 /** Renames the fields of one object, none below it; each stays in its place. */
-const toPresent: Rename = (value, names) =>
-  Object.fromEntries(Object.entries(value as Plain).map(([key, field]) => [names[key] ?? key, field]));
+const toPresent: Rename = (value, { fields, words }) =>
+  Object.fromEntries(
+    Object.entries(value as Plain).map(([key, field]) => {
+      const word = typeof field === 'string' ? words?.[key]?.[field] : undefined;
+      return [fields[key] ?? key, word ?? field];
+    }),
+  );
 const toOld: Rename = (value, names) => toPresent(value, swapped(names));
 
 const each = (values: unknown, change: (value: unknown) => unknown): unknown => (values as unknown[]).map(change);
@@ -116,11 +204,11 @@
 const heartbeat = (value: unknown, rename: Rename): Plain =>
   changed(rename(value, HEARTBEAT), { tasks: (tasks) => each(tasks, (task) => rename(task, TASK)) });
 
-const withCommands = (value: unknown, names: Names, rename: Rename): Plain =>
+const withCommands = (value: unknown, names: Renaming, rename: Rename): Plain =>
   changed(rename(value, names), { commands: (commands) => each(commands, (command) => rename(command, COMMAND)) });
 
 const request = (value: unknown, rename: Rename): Plain =>
-  changed(value as object, { spec: (spec) => rename(spec, SPEC) });
+  changed(rename(value, REQUEST), { spec: (spec) => rename(spec, SPEC) });
 
 function message<T extends Plain>(value: T, rename: Rename): T {
   return changed(rename(value, MESSAGE), {
@@ -155,18 +243,18 @@
 export function oldInput(input: Input): unknown {
   const old = toOld(input, INPUT);
   switch (input.kind) {
-    case 'user':
+    case 'userRequest':
       return { ...old, request: request(input.request, toOld) };
-    case 'report':
+    case 'heartbeat':
       return { ...old, report: heartbeat(input.heartbeat, toOld) };
     case 'cloudReply':
       return { ...old, result: withValue(input.result, oldCloudResult) };
-    case 'workerReply':
+    case 'commandPushReply':
       return { ...old, result: withValue(input.result, oldPushResult) };
     case 'start':
     case 'timer':
-    case 'storeReply':
-    case 'peer':
+    case 'stateStoreReply':
+    case 'peerMessage':
       return old;
   }
 }
@@ -178,16 +266,17 @@
 ): Output {
   const output = toPresent(old, OUTPUT) as unknown as Output;
   switch (output.kind) {
-    case 'answerUser':
-    case 'answerWorker':
+    case 'userResponse':
+    case 'heartbeatResponse':
       return changed(output, { response: (answer) => withCommands(answer, RESPONSE, toPresent) }) as Output;
-    case 'cloud':
-      return changed(output, { operation: (call) => toPresent(call, PROVISIONING) }) as Output;
-    case 'worker':
+    case 'cloudCall':
+      return changed(output, { operation: (call) => toPresent(call, CLOUD_CALL) }) as Output;
+    case 'commandPush':
       return changed(output, { operation: (push) => withCommands(push, PUSH, toPresent) }) as Output;
-    case 'peer':
+    case 'peerMessage':
       return { ...output, message: changeMessage(output.message) };
-    case 'store':
+    case 'stateStoreCall':
+      return changed(output, { operation: (call) => toPresent(call, STORE_CALL) }) as Output;
     case 'log':
       return output;
   }
--- a/test/sim/old_versions.ts
+++ b/test/sim/old_versions.ts
@@ -86,7 +86,7 @@
 
 /** A frame as an old version names its parts: the bytes are the same. */
 export function oldFrame(build: Build, present: PeerFrame): unknown {
-  const frame = oldMessage(present) as OldFrame;
+  const frame = oldMessage(present) as unknown as OldFrame;
   if (build.names === 'names-2') return frame;
   if (frame.kind === 'status') {
     const { reportsPerS, acknowledgesCancellations, ...status } = frame.status;
@@ -154,7 +154,7 @@
 
 /** An output of a build with `names-1`, whose answers to users call the job's status otherwise. */
 function withJobStatus(output: Output): Output {
-  if (output.kind !== 'answerUser') return output;
+  if (output.kind !== 'userResponse') return output;
   const { mood, ...response } = output.response as UserResponse & { mood?: JobStatus };
   if (mood === undefined) return output;
   return { ...output, response: { ...response, jobStatus: mood } as UserResponse };
--- a/test/sim/recovery_events.ts
+++ b/test/sim/recovery_events.ts
@@ -1,6 +1,7 @@
 import { RangeSet } from '../../src/core/jobs/range_set.js';
 import { decodeJob, encodeJob, jobKey, pageKey } from '../../src/core/records.js';
 import type { Attempt, JobId, MachineId, WallClockTime } from '../../src/core/types.js';
+import type { CommandKind } from './command_counts.js';
 import { makeJobSpec, numberOption, readOptions } from './job_options.js';
 import type { SimulatedWorker } from './worker.js';
 import type { World } from './world.js';
@@ -71,11 +72,21 @@
 
 type ScenarioCheck = (world: World, words: string[]) => string | null;
 
+/** What scenarios call the commands to workers. */
+const COMMAND_OF_WORD: Readonly<Record<string, CommandKind>> = {
+  start: 'start',
+  stop: 'stop',
+  forget: 'acknowledge',
+  inquiry: 'inquiry',
+};
+
 /** What recovery is expected to have done. */
 export const recoveryChecks: Readonly<Record<string, ScenarioCheck>> = {
   /** expect orders KIND at-most|at-least N: since they were last counted anew */
   orders(world, [kind, bound, wanted]) {
-    const count = world.commandCounts.count(kind as Parameters<World['commandCounts']['count']>[0]);
+    const command = COMMAND_OF_WORD[kind ?? ''];
+    if (!command) return `no orders are called ${kind}`;
+    const count = world.commandCounts.count(command);
     const holds = bound === 'at-most' ? count <= Number(wanted) : count >= Number(wanted);
     return holds ? null : `${count} orders to ${kind}, not ${bound} ${wanted}`;
   },
--- a/test/sim/scenario_events.ts
+++ b/test/sim/scenario_events.ts
@@ -72,17 +72,17 @@
   'before-results': (op, after) => recordsResults(op) && !after,
 };
 const recordsResults = (op: StateStoreOperation): boolean =>
-  op.op === 'txn' && op.changes.some((change) => 'put' in change && hasResults(change.value));
+  op.op === 'compareAndSwap' && op.changes.some((change) => 'put' in change && hasResults(change.value));
 const hasResults = (value: unknown): boolean => ((value as { done?: unknown[] }).done?.length ?? 0) > 0;
 const takesLeadership = (op: StateStoreOperation): boolean =>
-  op.op === 'txn' && op.changes.some((change) => 'put' in change && change.put === 'leader');
+  op.op === 'compareAndSwap' && op.changes.some((change) => 'put' in change && change.put === 'leader');
 
 /** Outputs that only a leader may make. */
 const PAUSABLE_OUTPUTS: Readonly<Record<string, (output: Output) => boolean>> = {
-  return: (output) => output.kind === 'cloud' && output.operation.op === 'delete',
-  rent: (output) => output.kind === 'cloud' && output.operation.op === 'rent',
-  commands: (output) => output.kind === 'worker' && output.operation.commands.length > 0,
-  answers: (output) => output.kind === 'answerWorker' && output.response.status === 200,
+  return: (output) => output.kind === 'cloudCall' && output.operation.op === 'terminate',
+  rent: (output) => output.kind === 'cloudCall' && output.operation.op === 'provision',
+  commands: (output) => output.kind === 'commandPush' && output.operation.commands.length > 0,
+  answers: (output) => output.kind === 'heartbeatResponse' && output.response.status === 200,
 };
 
 export const events: Readonly<Record<string, ScenarioEvent>> = {
--- a/test/sim/state_store.ts
+++ b/test/sim/state_store.ts
@@ -15,7 +15,7 @@
   readonly keys: Set<string>;
 }
 
-type Transaction = Extract<StateStoreOperation, { op: 'txn' }>;
+type Transaction = Extract<StateStoreOperation, { op: 'compareAndSwap' }>;
 type Reply = (result: Result<StateStoreResponse>) => void;
 const failure = (why: 'refused' | 'conflict' | 'gone' | 'rejected'): Result<StateStoreResponse> => ({ ok: false, why });
 const success = (value: StateStoreResponse): Result<StateStoreResponse> => ({ ok: true, value });
@@ -101,7 +101,8 @@
   }
 
   private takeFromRateLimits(op: StateStoreOperation): boolean {
-    const within = this.callRate.tryTake(1) && (op.op !== 'txn' || this.writeRate.tryTake(op.changes.length));
+    const within =
+      this.callRate.tryTake(1) && (op.op !== 'compareAndSwap' || this.writeRate.tryTake(op.changes.length));
     if (!within) this.throttled += 1;
     return within;
   }
@@ -121,7 +122,7 @@
       if (this.isDown || this.refusedHosts.has(from)) return reply(failure('refused'));
       if (!this.takeFromRateLimits(op)) return reply({ ok: false, why: 'refused', throttled: true });
       if (this.jobReadsRefusedFor.has(from) && readsJobs(op)) return reply(failure('refused'));
-      if (this.delayedWriteShare > 0 && op.op === 'txn' && op.changes.length > 0) {
+      if (this.delayedWriteShare > 0 && op.op === 'compareAndSwap' && op.changes.length > 0) {
         if (this.clock.randomBetween(0, 1) < this.delayedWriteShare) {
           return this.clock.schedule(this.clock.randomBetween(2000, 12_000), () => this.applyDelayedWrite(op));
         }
@@ -196,7 +197,7 @@
         this.endLease(op.lease);
         reply(success({}));
         return;
-      case 'txn':
+      case 'compareAndSwap':
         reply(this.transact(from, op));
         return;
       case 'watch':
--- a/test/sim/task_execution.ts
+++ b/test/sim/task_execution.ts
@@ -6,8 +6,8 @@
 export function advanceTask(world: World, worker: SimulatedWorker, task: SimulatedTask, tickMs: number): void {
   const spec = world.invariants.specOf(task.job);
   if (!spec || task.phase === 'exited') return;
-  if (task.phase === 'fetching' && !finishImagePull(world, worker, task, spec)) return;
-  if (task.phase === 'saving') {
+  if (task.phase === 'pulling' && !finishImagePull(world, worker, task, spec)) return;
+  if (task.phase === 'checkpointing') {
     finishCheckpoint(world, worker, task);
     return;
   }
@@ -21,7 +21,7 @@
   if (clock.now < task.imagePulledAt) return false;
   worker.images.add(spec.image);
   invariants.onTaskStarted(task.job, task.index, worker.id, worker.type, worker.zone, worker.spot);
-  task.phase = spec.kind === 'gang' ? 'waiting' : 'running';
+  task.phase = spec.kind === 'gang' ? 'gathering' : 'running';
   task.gatheringSince = clock.now;
   worker.hasUnreportedChange = true;
   const hasResult = invariants.completedTasks.get(task.job)?.has(task.index) ?? false;
@@ -41,16 +41,17 @@
 function advanceGang(world: World, worker: SimulatedWorker, task: SimulatedTask, spec: JobSpec): boolean {
   const { clock, workerTiming } = world;
   const present = world.gangMembers(task.job, task.attempt).filter((member) => member.task.phase !== 'exited');
-  if (task.phase === 'waiting') {
-    const ready = present.filter(({ task: other }) => other.phase === 'waiting' || other.phase === 'running');
+  if (task.phase === 'gathering') {
+    const ready = present.filter(({ task: other }) => other.phase === 'gathering' || other.phase === 'running');
     if (ready.length === spec.taskCount) for (const member of ready) member.task.phase = 'running';
-    else if (clock.now - (task.gatheringSince ?? clock.now) > workerTiming.gangWaitMs) worker.exitTask(task, 'alone');
+    else if (clock.now - (task.gatheringSince ?? clock.now) > workerTiming.gangWaitMs)
+      worker.exitTask(task, 'gang_incomplete');
     return false;
   }
   if (present.length < spec.taskCount || present.some((member) => member.worker.isHung)) {
     task.gatheringSince ??= clock.now;
     task.savedAt ??= clock.now;
-    if (clock.now - task.savedAt > workerTiming.gangPeerMs) worker.exitTask(task, 'peers_gone');
+    if (clock.now - task.savedAt > workerTiming.gangPeerMs) worker.exitTask(task, 'gang_member_lost');
     return false;
   }
   task.savedAt = null;
--- a/test/sim/wire_trace.ts
+++ b/test/sim/wire_trace.ts
@@ -25,28 +25,28 @@
 /** Null for what doesn't leave the process. */
 function sentOutput(build: Build, output: Output): Sent | null {
   switch (output.kind) {
-    case 'answerUser': {
+    case 'userResponse': {
       const retryAfterS = 'retryAfterSeconds' in output.response ? (output.response.retryAfterSeconds ?? 0) : 0;
       const line = `${output.response.status} ${retryAfterS}`;
       return { to: 'user', line, body: encodeCbor(encodeUserResponse(output.response)) };
     }
-    case 'answerWorker':
+    case 'heartbeatResponse':
       return {
         to: 'worker',
         line: `${output.response.status}`,
         body: encodeCbor(encodeHeartbeatResponse(output.response)),
       };
-    case 'store':
+    case 'stateStoreCall':
       return sentCall('state', encodeStateStoreRequest(output.operation));
-    case 'cloud':
+    case 'cloudCall':
       return sentCall('cloud', encodeCloudRequest(output.operation));
-    case 'worker':
+    case 'commandPush':
       return sentCall(output.operation.address, {
         method: 'POST',
         path: COMMANDS_PATH,
         body: encodePushedCommands(output.operation),
       });
-    case 'peer':
+    case 'peerMessage':
       return { to: output.recipient, line: 'frame', body: build.encodeFrame(build.ownMessage(output.message)) };
     case 'log':
       return null;
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -97,7 +97,7 @@
   }
 
   private onTaskLeft(task: SimulatedTask): void {
-    if (task.phase !== 'fetching') this.world.invariants.onTaskEnded(task.job, task.index, this.id);
+    if (task.phase !== 'pulling') this.world.invariants.onTaskEnded(task.job, task.index, this.id);
   }
 
   exitTask(task: SimulatedTask, reason: ExitReason, saved = false): void {
@@ -256,7 +256,7 @@
     this.world.commandCounts.onCommand(command);
     const key = `${command.job}/${command.index}`;
     const task = this.tasks.get(key);
-    if (command.op === 'forget') {
+    if (command.op === 'acknowledge') {
       if (task && task.attempt === command.attempt && task.phase === 'exited') {
         this.tasks.delete(key);
         this.world.removeGangMember(this, task);
@@ -270,12 +270,12 @@
   private stopTask(task: SimulatedTask, graceS: number): void {
     const spec = this.world.invariants.specOf(task.job);
     if (!spec || task.phase === 'exited') return;
-    if (task.phase === 'saving') {
+    if (task.phase === 'checkpointing') {
       if (graceS === 0) this.exitTask(task, 'stopped');
       return;
     }
     if (task.phase === 'running' && spec.checkpointIntervalSeconds > 0 && graceS >= spec.checkpointDurationSeconds) {
-      task.phase = 'saving';
+      task.phase = 'checkpointing';
       task.savedAt = this.now + spec.checkpointDurationSeconds * 1000;
       this.hasUnreportedChange = true;
     } else this.exitTask(task, 'stopped');
@@ -287,7 +287,7 @@
       job,
       index,
       attempt,
-      phase: 'fetching',
+      phase: 'pulling',
       reason: null,
       saved: false,
       imagePulledAt: this.now,
@@ -311,7 +311,7 @@
     this.hasUnreportedChange = true;
     if (cpus > this.type.cpus || gpus > this.type.gpus) {
       task.phase = 'exited';
-      task.reason = 'no_room';
+      task.reason = 'no_capacity';
       return;
     }
     task.imagePulledAt =
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -297,7 +297,7 @@
     if (this.clock.now >= this.pollBurstsUntil || !spec) return;
     for (const node of this.controllers) {
       for (let look = 0; look < POLLS_PER_BURST; look++) {
-        const request: UserRequest = look === 0 ? { op: 'submit', id, spec, problem: '' } : { op: 'poll', id };
+        const request: UserRequest = look === 0 ? { op: 'submit', id, spec, problem: '' } : { op: 'query', id };
         this.clock.schedule(this.clock.randomBetween(0, POLL_BURST_MS), () =>
           this.sendUserRequestTo(node, request, (answer, givenAt) => {
             if (answer) this.invariants.onResponse(id, answer, givenAt);
@@ -332,7 +332,7 @@
 
   private poll(id: JobId): void {
     this.clock.schedule(this.clock.randomBetween(4000, 6000), () => {
-      this.sendUserRequest({ op: 'poll', id }, (answer, _, givenAt) => {
+      this.sendUserRequest({ op: 'query', id }, (answer, _, givenAt) => {
         if (answer) this.invariants.onResponse(id, answer, givenAt);
         if (!answer || !('jobStatus' in answer)) this.invariants.onNoResponse(id);
         const job = this.jobs.get(id);
@@ -341,7 +341,7 @@
         if (job?.isSettled)
           this.clock.schedule(10_000, () =>
             this.sendUserRequest(
-              { op: 'poll', id },
+              { op: 'query', id },
               (later, __, laterGivenAt) => later && this.invariants.onResponse(id, later, laterGivenAt),
             ),
           );
@@ -372,7 +372,7 @@
   }
 
   pollUntracked(id: JobId, seen: (answer: UserResponse | null) => void): void {
-    this.sendUserRequest({ op: 'poll', id }, (answer) => {
+    this.sendUserRequest({ op: 'query', id }, (answer) => {
       if (answer) this.invariants.onResponse(id, answer);
       seen(answer);
     });
--- a/test/support/sample_messages.ts
+++ b/test/support/sample_messages.ts
@@ -85,16 +85,24 @@
       problem: '',
     },
   },
-  { kind: 'request', id: 9, request: { op: 'poll', id: jobSpec.id } as UserRequest },
-  { kind: 'requestAnswer', id: 7, response: { status: 201, id: jobSpec.id, jobStatus: 'queued', done: 0, running: 0 } },
-  { kind: 'requestAnswer', id: 8, response: { status: 503, problem: 'später', retryAfterSeconds: 1 } as UserResponse },
-  { kind: 'requestAnswer', id: 9, response: { status: 404, problem: 'no such job' } },
+  { kind: 'request', id: 9, request: { op: 'query', id: jobSpec.id } as UserRequest },
+  {
+    kind: 'requestResponse',
+    id: 7,
+    response: { status: 201, id: jobSpec.id, jobStatus: 'queued', done: 0, running: 0 },
+  },
+  {
+    kind: 'requestResponse',
+    id: 8,
+    response: { status: 503, problem: 'später', retryAfterSeconds: 1 } as UserResponse,
+  },
+  { kind: 'requestResponse', id: 9, response: { status: 404, problem: 'no such job' } },
 ];
 
 peerFrames.push(
-  { kind: 'report', id: 2 ** 50 + 1, heartbeat: decodeHeartbeat(wireHeartbeat) },
+  { kind: 'heartbeat', id: 2 ** 50 + 1, heartbeat: decodeHeartbeat(wireHeartbeat) },
   {
-    kind: 'report',
+    kind: 'heartbeat',
     id: 11,
     heartbeat: {
       ...decodeHeartbeat({ ...wireHeartbeat, chicks: [] }),
@@ -107,16 +115,16 @@
           index: 99_999,
           attempt: (1n << 60n) as Attempt,
           phase: 'exited',
-          exitReason: 'alone',
+          exitReason: 'gang_incomplete',
           checkpointSaved: true,
         },
       ],
     },
   },
-  { kind: 'reportAnswer', id: 11, machine: 'i-1' as MachineId, response: { status: 503 } },
-  { kind: 'reportAnswer', id: 12, machine: 'i-1' as MachineId, response: { status: 421, redirectTo: null } },
+  { kind: 'heartbeatResponse', id: 11, machine: 'i-1' as MachineId, response: { status: 503 } },
+  { kind: 'heartbeatResponse', id: 12, machine: 'i-1' as MachineId, response: { status: 421, redirectTo: null } },
   {
-    kind: 'reportAnswer',
+    kind: 'heartbeatResponse',
     id: 13,
     machine: 'i-1' as MachineId,
     response: {
@@ -125,7 +133,7 @@
       commands: [
         { op: 'start', job: jobSpec.id, index: 3, attempt: 5n as Attempt },
         { op: 'stop', job: jobSpec.id, index: 4, attempt: 6n as Attempt, gracePeriodSeconds: 2.5 },
-        { op: 'forget', job: jobSpec.id, index: 5, attempt: 7n as Attempt },
+        { op: 'acknowledge', job: jobSpec.id, index: 5, attempt: 7n as Attempt },
       ],
     },
   },
