--- a/test/support/fake_worker.ts
+++ b/test/support/fake_worker.ts
@@ -144,18 +144,14 @@
   private makeHeartbeat(): Fields {
     this.sequence += 1;
     const place = { breed: 'c8', grove: this.options.zone, loaners: false };
-    const numbers = {
-      agentEpoch: this.agentEpoch,
-      sequence: this.sequence,
-      highestFencingToken: this.highestFencingToken,
-    };
+    const order = { roost: this.agentEpoch, chirp: this.sequence, crest: this.highestFencingToken };
     const chicks = [...this.tasks.values()].map(({ name, attempt, phase, exitReason }) => ({
       chick: name,
       hop: attempt,
       mood: phase,
       cause: exitReason,
     }));
-    return { perch: this.id, listenAddress: this.listenAddress, ...place, ...numbers, warning_s: null, chicks };
+    return { perch: this.id, addr: this.listenAddress, ...place, ...order, warning_s: null, chicks };
   }
 
   private async sendHeartbeats(): Promise<void> {
