--- a/src/core/state/unexpected_tasks.ts
+++ b/src/core/state/unexpected_tasks.ts
@@ -1,43 +1,64 @@
+/**
+ * Keeps account of unexpected tasks: those that a worker reports and that have no placement on its machine, as their job
+ * isn't known or as they were found on two machines at once. While one is there its machine gets no new work, and the same
+ * task is started nowhere.
+ */
+
 import { type Machine, type TaskKey, taskKey, type UnexpectedTask } from '../machines/machine.js';
-import type { Cluster } from './cluster.js';
+import type { JobSpec, MachineType } from '../types.js';
 
-/*
- * Tasks that a worker reports and that have no place on its machine: those of jobs that aren't known, and those found on two
- * machines at once. While one is there its machine gets nothing new, and the same task is started nowhere.
- */
+/** What changes with the unexpected tasks of a machine. */
+export interface UnexpectedTaskAccounting {
+  readonly quotas: {
+    /** Counts a task for or against its team's usage. */
+    recordUsage(spec: JobSpec, change: 1 | -1): void;
+    /** Counts a machine for or against those that may run anybody's tasks. */
+    addUnattributed(type: MachineType, change: 1 | -1): void;
+  };
+  /** Queues the stops of the machine's tasks to be pushed. */
+  scheduleStopCommands(machine: Machine): void;
+}
 
 const unexpectedTaskKey = ({ job, index }: UnexpectedTask): TaskKey => taskKey(job, index);
 
-/** The strays that a new list shows, instead of those of the one before. */
-export function replaceUnexpectedTasks(cluster: Cluster, machine: Machine, strays: readonly UnexpectedTask[]): void {
-  if (strays.length === 0 && machine.unexpectedTasks.size === 0) return;
+/** Replaces the unexpected tasks of the machine by those that its newest status shows. */
+export function replaceUnexpectedTasks(
+  accounting: UnexpectedTaskAccounting,
+  machine: Machine,
+  tasks: readonly UnexpectedTask[],
+): void {
+  if (tasks.length === 0 && machine.unexpectedTasks.size === 0) return;
   const before = machine.unexpectedTasks;
-  machine.unexpectedTasks = new Map(strays.map((stray) => [unexpectedTaskKey(stray), stray]));
-  for (const stray of machine.unexpectedTasks.values()) countUnexpectedTask(cluster, stray, 1);
-  for (const stray of before.values()) countUnexpectedTask(cluster, stray, -1);
+  machine.unexpectedTasks = new Map(tasks.map((task) => [unexpectedTaskKey(task), task]));
+  for (const task of machine.unexpectedTasks.values()) countUnexpectedTask(accounting, task, 1);
+  for (const task of before.values()) countUnexpectedTask(accounting, task, -1);
   const change = Number(hasUnknownJob(machine.unexpectedTasks)) - Number(hasUnknownJob(before));
-  if (change !== 0) cluster.quotas.addUnattributed(machine.type, change > 0 ? 1 : -1);
-  if (strays.some(({ shouldStop }) => shouldStop)) cluster.scheduleStopCommands(machine);
+  if (change !== 0) accounting.quotas.addUnattributed(machine.type, change > 0 ? 1 : -1);
+  if (tasks.some(({ shouldStop }) => shouldStop)) accounting.scheduleStopCommands(machine);
 }
 
 /** Whether tasks of jobs that aren't known are among them. */
-function hasUnknownJob(strays: ReadonlyMap<TaskKey, UnexpectedTask>): boolean {
-  for (const { knownJob } of strays.values()) if (!knownJob) return true;
+function hasUnknownJob(tasks: ReadonlyMap<TaskKey, UnexpectedTask>): boolean {
+  for (const { knownJob } of tasks.values()) if (!knownJob) return true;
   return false;
 }
 
-/** The machine is gone, or its tasks are. */
-export function dropUnexpectedTasks(cluster: Cluster, machine: Machine): void {
-  replaceUnexpectedTasks(cluster, machine, []);
+/** Forgets the unexpected tasks of a machine that is gone, or whose tasks are. */
+export function dropUnexpectedTasks(accounting: UnexpectedTaskAccounting, machine: Machine): void {
+  replaceUnexpectedTasks(accounting, machine, []);
 }
 
-/** A place turned out to be left over from an earlier start: its task is stopped, and it counts until it is gone. */
-export function addUnexpectedTask(cluster: Cluster, machine: Machine, stray: UnexpectedTask): void {
-  replaceUnexpectedTasks(cluster, machine, [...machine.unexpectedTasks.values(), stray]);
+/** Adds a task whose placement turned out to be left over from an earlier start: it counts until it is gone. */
+export function addUnexpectedTask(accounting: UnexpectedTaskAccounting, machine: Machine, task: UnexpectedTask): void {
+  replaceUnexpectedTasks(accounting, machine, [...machine.unexpectedTasks.values(), task]);
 }
 
-/** Strays of known jobs count against their team's limit, and keep the same task from being started again. */
-function countUnexpectedTask({ quotas }: Cluster, { knownJob, index }: UnexpectedTask, change: 1 | -1): void {
+/** Unexpected tasks of known jobs count against their team's limit, and keep the same task from being started again. */
+function countUnexpectedTask(
+  { quotas }: UnexpectedTaskAccounting,
+  { knownJob, index }: UnexpectedTask,
+  change: 1 | -1,
+): void {
   if (!knownJob) return;
   quotas.recordUsage(knownJob.spec, change);
   const onMachines = (knownJob.unexpectedTasks.get(index) ?? 0) + change;
--- a/src/core/workers/heartbeat_router.ts
+++ b/src/core/workers/heartbeat_router.ts
@@ -1,10 +1,9 @@
-import type { Election } from '../leadership/election.js';
-import type { Leader } from '../leadership/leader.js';
 import type { HeartbeatResponse, RequestId } from '../messages.js';
 import type { HeartbeatForwarding } from '../peers/heartbeat_forwarding.js';
 import type { Peer, PeerTable } from '../peers/peer_table.js';
 import type { StepContext } from '../step_context.js';
 import type { ControllerName, Heartbeat, MachineId, MonotonicTime } from '../types.js';
+import type { HeartbeatResponder } from './backlogged_heartbeats.js';
 
 /** A leader sends workers to other nodes down to this part of their mean load. */
 const LEADER_HEARTBEAT_SHARE = 0.4;
@@ -22,6 +21,24 @@
 const RATE_WINDOW_SECONDS = 0.9;
 const RATE_SMOOTHING = 0.5;
 
+/** What this controller knows of the election. */
+export interface LeadershipView {
+  /** When this controller last became leader, on the monotonic clock. */
+  readonly electedAt: MonotonicTime;
+  /** Whether this controller holds the leader lease at this moment. */
+  isLeaseValid(): boolean;
+  /** Whether the leader that `leaderName` names is known to lead now, and not only the last one heard of. */
+  isLeaderKnown(): boolean;
+  /** The leader as far as this controller knows; null where it knows none. */
+  leaderName(): ControllerName | null;
+}
+
+/** The leader, where this controller is it. */
+export interface HeartbeatReceiver {
+  readonly machineCount: number;
+  onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void;
+}
+
 /**
  * Decides who takes a worker's report: the leader, by itself or through this node, or another node that the worker is sent
  * to. Any node takes reports, as a leader's own sockets are too dear for all of them.
@@ -39,10 +56,10 @@
 
   constructor(
     private readonly context: StepContext,
-    private readonly election: Election,
+    private readonly election: LeadershipView,
     private readonly peers: PeerTable,
     private readonly forwarding: HeartbeatForwarding,
-    private readonly currentLeader: () => Leader | null,
+    private readonly currentLeader: () => HeartbeatReceiver | null,
   ) {
     this.countedSince = context.now.monotonic;
   }
