--- a/src/core/machines/autoscaler.ts
+++ b/src/core/machines/autoscaler.ts
@@ -42,7 +42,7 @@
     );
     this.machineList = new MachineList(
       cluster,
-      (machine) => this.scaleIn.requestTermination(machine, 'failed'),
+      (machine) => this.scaleIn.requestTermination(machine, 'stopped'),
       () => this.scaleIn.sendTerminations(),
     );
     this.spotObservedAt = cluster.context.now.monotonic;
@@ -70,9 +70,7 @@
   }
 
   private recordInterruption(machine: Machine): void {
-    if (!machine.spot || machine.interruptionRecorded) return;
-    machine.interruptionRecorded = true;
-    this.cluster.spotInterruptions.recordInterruption();
+    if (machine.spot && machine.cordon.countInterruption()) this.cluster.spotInterruptions.recordInterruption();
   }
 
   private observeSpotMachines(): void {
@@ -81,7 +79,7 @@
     for (const machine of this.cluster.machines.values()) {
       if (!machine.spot || machine.phase !== 'up') continue;
       machines += 1;
-      if (machine.interruptionAt !== null) this.recordInterruption(machine);
+      if (machine.cordon.interruptionAt !== null) this.recordInterruption(machine);
     }
     const seconds = Math.min(MAX_OBSERVED_SECONDS, (now - this.spotObservedAt) / 1000);
     this.spotObservedAt = now;
--- a/src/core/machines/guaranteed_capacity.ts
+++ b/src/core/machines/guaranteed_capacity.ts
@@ -40,7 +40,7 @@
       missing.gpus -= type.gpus * count;
     };
     for (const machine of this.cluster.machines.values()) {
-      const isUsable = machine.drainReason === null && !machine.terminationInFlight;
+      const isUsable = !machine.cordon.isDraining && !machine.lifecycle.isTerminating;
       if (isUsable && !this.cluster.isBootOverdue(machine)) subtract(machine.type, 1);
     }
     for (const { pool, count } of this.scaleOut.pendingRequests()) subtract(pool.type, count);
--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -79,8 +79,8 @@
 
   private recordOverdueBoots(now: MonotonicTime): void {
     for (const machine of this.cluster.machines.values()) {
-      if (machine.phase !== 'booting' || machine.bootOverdueRecorded || !this.cluster.isBootOverdue(machine)) continue;
-      machine.bootOverdueRecorded = true;
+      if (machine.phase !== 'booting' || !this.cluster.isBootOverdue(machine)) continue;
+      if (!machine.lifecycle.recordBootOverdue()) continue;
       this.cluster.bootTimeEstimator.recordOverdue(machine.type, machine.zone, now);
     }
   }
@@ -88,9 +88,9 @@
   private drainFaultyMachines(): void {
     const { context, machines } = this.cluster;
     for (const machine of machines.values()) {
-      if (!machine.taskFailures.hasFailures || machine.drainReason !== null) continue;
+      if (!machine.taskFailures.hasFailures || machine.cordon.isDraining) continue;
       if (!machine.taskFailures.isMachineAtFault(context.tuning.machines.error_limit, context.now.monotonic)) continue;
-      machine.drainReason = 'fails its tasks';
+      machine.cordon.drain('task failures');
       context.log('info', 'machine fails what it starts: taking it out of use', { machine: machine.id });
     }
   }
@@ -107,7 +107,7 @@
     });
     this.cluster.releaseEverything(machine);
     machine.messages.expireEpoch();
-    machine.unconfirmedStarts.clear();
+    machine.commandChannel.clearUnconfirmedStarts();
     this.cluster.markReconciled(machine, 'leaseEnded');
     this.scheduleRoundSoon();
   }
@@ -128,9 +128,9 @@
   private drainOneStraggler(now: MonotonicTime): void {
     if (now < this.nextStragglerDrainAt) return;
     for (const machine of this.cluster.machines.values()) {
-      if (machine.phase !== 'up' || machine.drainReason !== null || machine.terminationInFlight) continue;
+      if (machine.phase !== 'up' || machine.cordon.isDraining || machine.lifecycle.isTerminating) continue;
       if (!machine.stragglerDetector.isStraggler(this.overrunEvidence(machine, now))) continue;
-      machine.drainReason = 'slow';
+      machine.cordon.drain('straggler');
       const allowance = Math.max(1, this.cluster.machines.size / MACHINES_PER_STRAGGLER_DRAIN);
       this.nextStragglerDrainAt = addMilliseconds(now, STRAGGLER_DRAIN_INTERVAL_MS / allowance);
       this.cluster.context.log('info', 'machine is much slower than others: taking it out of use', {
@@ -171,7 +171,7 @@
   /** Work on a machine about to go is saved where that helps; what would end in time is left alone. */
   private evictFromLeavingMachines(now: MonotonicTime): void {
     for (const machine of this.cluster.machines.values()) {
-      if (machine.interruptionAt === null && machine.drainReason === null) continue;
+      if (!machine.cordon.isLeaving) continue;
       for (const placement of [...machine.placements.values()]) {
         if (placement.pendingStop === null) this.evictFromLeavingMachine(placement, now);
       }
@@ -185,8 +185,9 @@
   }
 
   private finishesInTime({ job, machine, phase, runningSince }: Placement, now: MonotonicTime): boolean {
-    if (phase !== 'running' || machine.drainReason === 'slow') return false;
-    const leftS = machine.interruptionAt === null ? DRAIN_SECONDS : (machine.interruptionAt - now) / 1000;
+    const { drainReason, interruptionAt } = machine.cordon;
+    if (phase !== 'running' || drainReason === 'straggler') return false;
+    const leftS = interruptionAt === null ? DRAIN_SECONDS : (interruptionAt - now) / 1000;
     const expectedS = this.cluster.runtimeEstimator.expectedSeconds(job.spec);
     const remainingS = runningSince === null ? expectedS + TASK_START_SECONDS : expectedS - (now - runningSince) / 1000;
     return remainingS < leftS * FINISH_IN_TIME_SHARE;
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,4 +1,5 @@
 import type { Job, Placement } from '../jobs/job.js';
+import { type StartKey, type TaskKey, taskKey } from '../jobs/task_keys.js';
 import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type {
   Attempt,
@@ -11,19 +12,14 @@
   ZoneName,
 } from '../types.js';
 import { AgentMessages } from './agent_messages.js';
+import { CommandChannel } from './command_channel.js';
+import { Cordon } from './cordon.js';
 import { ImageCache } from './image_cache.js';
+import { Lifecycle, type MachinePhase } from './lifecycle.js';
 import { Reachability } from './reachability.js';
 import { StragglerDetector } from './straggler_detector.js';
 import { TaskFailures } from './task_failures.js';
 
-export type TaskKey = string;
-export const taskKey = (job: JobId, index: number): TaskKey => `${job}/${index}`;
-
-/** Names one start: a task and its attempt. */
-export type StartKey = string;
-export const startKey = (job: JobId, index: number, attempt: Attempt): StartKey => `${job}/${index}/${attempt}`;
-export const startKeyOf = ({ job, index, attempt }: Placement): StartKey => startKey(job.id, index, attempt);
-
 /** A task that a report shows as ended. */
 export interface ExitedTask {
   readonly job: JobId;
@@ -44,18 +40,6 @@
   readonly knownJob: Job | null;
 }
 
-/** Why a machine gets no new work and is returned once it is empty. */
-export type DrainReason =
-  | 'idle'
-  | 'silent'
-  | 'failed'
-  | 'slow'
-  | 'never came up'
-  | 'fails its tasks'
-  | 'taken by the cloud'
-  | 'does not answer commands'
-  | 'a start may still arrive there';
-
 export interface MachineInit {
   readonly id: MachineId;
   readonly type: MachineType;
@@ -63,7 +47,7 @@
   readonly spot: boolean;
   readonly address: string;
   readonly reconciled: boolean;
-  readonly phase: 'booting' | 'up';
+  readonly phase: MachinePhase;
   /** What this leader rented itself can't be a late copy of something gone. A list may well show what is (listed-but-gone.txt). */
   readonly provisionedByThisLeader?: boolean;
   readonly now: MonotonicTime;
@@ -75,10 +59,11 @@
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  address: string;
-  phase: 'booting' | 'up';
-  /** On record in the store: before that, no command goes to it. */
-  registered = false;
+  private currentAddress: string;
+  /** Where it is between its provisioning and its termination. */
+  readonly lifecycle: Lifecycle;
+  /** Whether it is kept from new work, and why. */
+  readonly cordon = new Cordon();
   /** False while it may hold tasks of an earlier leader that are not known here: its own list has yet to come. */
   reconciled: boolean;
 
@@ -87,29 +72,12 @@
   /** Whether what is sent to it arrives. */
   readonly reachability: Reachability;
 
-  provisionedAt: MonotonicTime;
-  /** Rented by this leader: when it comes up tells how long boots take. */
-  readonly provisionedByThisLeader: boolean;
-  /** It was noted that it did not come up in time. */
-  bootOverdueRecorded = false;
+  /** Commands that are pushed to it. */
+  readonly commandChannel = new CommandChannel();
   idleSince: MonotonicTime;
-  /** When the cloud takes it away, if it has given notice. */
-  interruptionAt: MonotonicTime | null = null;
-  drainReason: DrainReason | null = null;
   /** Failures since a task last did well here; after each it gets nothing new for a moment. */
   readonly taskFailures = new TaskFailures();
-  quarantinedUntil = 0 as MonotonicTime;
   readonly stragglerDetector = new StragglerDetector();
-  terminationInFlight = false;
-  /** A deletion was asked for, whose outcome may be unknown. */
-  terminationRequested = false;
-  interruptionRecorded = false;
-
-  commandInFlight = false;
-  /** It left a direct command without an answer: no other before this time. */
-  nextCommandAt = 0 as MonotonicTime;
-  /** Starts sent by direct commands that were not answered: they may arrive as long as the session lasts. */
-  readonly unconfirmedStarts = new Set<StartKey>();
 
   /** Kept for a moment for a job that is on its way here. */
   private reservation: { readonly job: JobId; readonly until: MonotonicTime } | null = null;
@@ -130,14 +98,13 @@
     this.type = init.type;
     this.zone = init.zone;
     this.spot = init.spot;
-    this.address = init.address;
-    this.phase = init.phase;
+    this.currentAddress = init.address;
+    const isProvisionedByThisLeader = init.provisionedByThisLeader ?? false;
+    this.lifecycle = new Lifecycle(init.phase, now, isProvisionedByThisLeader);
     this.reconciled = init.reconciled;
-    this.provisionedByThisLeader = init.provisionedByThisLeader ?? false;
     this.messages = new AgentMessages(now);
-    this.reachability = new Reachability(this.provisionedByThisLeader);
+    this.reachability = new Reachability(isProvisionedByThisLeader);
     this.images = new ImageCache(init.type);
-    this.provisionedAt = now;
     this.idleSince = now;
   }
 
@@ -145,6 +112,21 @@
     return this.type.name;
   }
 
+  /** Whether it is booting or up. */
+  get phase(): MachinePhase {
+    return this.lifecycle.phase;
+  }
+
+  /** Where its agent takes commands; empty until it is known. */
+  get address(): string {
+    return this.currentAddress;
+  }
+
+  /** Takes over the agent's address; an empty one tells nothing. */
+  learnAddress(address: string): void {
+    if (address !== '') this.currentAddress = address;
+  }
+
   /**
    * Whether new work may be given to it. One whose reports don't come may never take what it is given, and its lease ends
    * whatever it answers to direct commands (no-reports-machine.txt, property): those don't count here.
@@ -155,27 +137,15 @@
       !this.messages.isHeartbeatOverdue(now, reportMs) &&
       this.reconciled &&
       this.reachability.isUsable &&
-      this.drainReason === null &&
       this.unexpectedTasks.size === 0 &&
-      this.interruptionAt === null &&
-      !this.terminationInFlight &&
-      this.quarantinedUntil <= now
+      !this.lifecycle.isTerminating &&
+      !this.cordon.isCordoned(now)
     );
   }
 
-  /** Whether it was rented by an earlier leader and has yet to report to this one. */
-  get isInheritedUnreported(): boolean {
-    return this.phase === 'booting' && this.registered && !this.provisionedByThisLeader;
-  }
-
   /** Whether it is on its way and will take work. */
   isProvisioning(): boolean {
-    return this.phase === 'booting' && !this.terminationInFlight && this.drainReason === null;
-  }
-
-  /** Seconds since it was rented. */
-  ageSeconds(now: MonotonicTime): number {
-    return (now - this.provisionedAt) / 1000;
+    return this.phase === 'booting' && !this.lifecycle.isTerminating && !this.cordon.isDraining;
   }
 
   hasFreeCapacityFor(task: Resources): boolean {
--- a/src/core/machines/machine_list.ts
+++ b/src/core/machines/machine_list.ts
@@ -54,17 +54,17 @@
   private apply(listed: CloudMachine): void {
     const machine = this.cluster.machines.get(listed.id) ?? this.addUnknown(listed);
     if (!machine) return;
-    if (listed.address && !machine.address) machine.address = listed.address;
+    if (machine.address === '') machine.learnAddress(listed.address);
     const rentedAt = (this.cluster.context.now.monotonic - listed.ageSeconds * 1000) as MonotonicTime;
-    if (rentedAt < machine.provisionedAt) machine.provisionedAt = rentedAt;
-    if (listed.phase === 'running' && machine.isInheritedUnreported) this.onListedRunning(machine);
-    if (listed.phase === 'failed' && !machine.terminationInFlight) this.handleStopped(machine);
+    machine.lifecycle.recordProvisionedAt(rentedAt);
+    if (listed.phase === 'running' && machine.lifecycle.isInheritedUnreported) this.onListedRunning(machine);
+    if (listed.phase === 'failed' && !machine.lifecycle.isTerminating) this.handleStopped(machine);
   }
 
   /** An earlier leader's machine that is up and hasn't been heard by this one: from now on its silence counts. */
   private onListedRunning(machine: Machine): void {
     const now = this.cluster.context.now.monotonic;
-    machine.phase = 'up';
+    machine.lifecycle.markUp();
     machine.messages.expectHeartbeats(now);
   }
 
--- a/src/core/machines/machine_registry.ts
+++ b/src/core/machines/machine_registry.ts
@@ -97,7 +97,7 @@
 
   /** Puts a machine that was read from a page back on it. */
   restore(machine: Machine, key: string): void {
-    machine.registered = true;
+    machine.lifecycle.markRegistered();
     const page = this.pages.get(pageNumber(key));
     if (!page) return;
     page.machines.add(machine);
@@ -134,7 +134,7 @@
     const staying = [...page.machines];
     while (staying.length > 1 && !this.fits(staying)) {
       const machine = staying.pop() as Machine;
-      if (machine.registered) {
+      if (machine.lifecycle.isRegistered) {
         page.departing.set(machine, this.assignPage(machine, page));
       } else {
         page.machines.delete(machine);
@@ -178,7 +178,7 @@
   // ---- machines
 
   add(machine: Machine): void {
-    if (!machine.registered && !this.pageOf.has(machine.id)) this.assignPage(machine, null).urgent = true;
+    if (!machine.lifecycle.isRegistered && !this.pageOf.has(machine.id)) this.assignPage(machine, null).urgent = true;
   }
 
   remove(id: MachineId): void {
@@ -250,7 +250,7 @@
   /** A page is on record as it was with these machines: those that came from other pages may leave them. */
   onPageStored(page: RegistryPage, machines: readonly Machine[], version: Revision): void {
     if (version > page.version) page.version = version;
-    for (const machine of machines) if (page.machines.has(machine)) machine.registered = true;
+    for (const machine of machines) if (page.machines.has(machine)) machine.lifecycle.markRegistered();
     for (const from of this.pages.values()) {
       if (from.departing.size === 0) continue;
       for (const machine of machines) if (from.departing.get(machine) === page) this.finishDeparture(from, machine);
--- a/src/core/machines/scale_in.ts
+++ b/src/core/machines/scale_in.ts
@@ -1,8 +1,10 @@
+import { startKey, startKeyOf } from '../jobs/task_keys.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MonotonicTime } from '../types.js';
 import { HEARTBEAT_OVERDUE_AFTER_PERIODS } from './agent_messages.js';
+import type { DrainReason } from './cordon.js';
 import { CAPACITY_TOLERANCE, type Capacity } from './guaranteed_capacity.js';
-import { type DrainReason, type Machine, startKey, startKeyOf } from './machine.js';
+import type { Machine } from './machine.js';
 
 /** What the cloud takes in one request, and how many requests are under way at once. */
 const TERMINATION_BATCH_SIZE = 100;
@@ -47,7 +49,7 @@
   run(leadingSince: MonotonicTime, missing: Capacity): void {
     const overview = this.overview(leadingSince);
     for (const machine of [...this.cluster.machines.values()]) {
-      if (machine.terminationInFlight) continue;
+      if (machine.lifecycle.isTerminating) continue;
       const reason = this.terminationReason(machine, overview) ?? this.idleReason(machine, missing);
       if (reason !== null) this.requestTermination(machine, reason);
     }
@@ -75,29 +77,30 @@
   }
 
   private terminationReason(machine: Machine, overview: FleetOverview): DrainReason | null {
-    const { isEmpty } = machine;
-    if (machine.drainReason !== null) return isEmpty || machine.terminationRequested ? machine.drainReason : null;
-    if (machine.interruptionAt !== null && isEmpty) return 'taken by the cloud';
-    if (machine.phase === 'booting') return this.hasBootTimedOut(machine, overview.now) ? 'never came up' : null;
+    const { cordon, isEmpty, lifecycle } = machine;
+    if (cordon.isDraining) return isEmpty || lifecycle.wasTerminationRequested ? cordon.drainReason : null;
+    if (cordon.interruptionAt !== null && isEmpty) return 'spot interruption';
+    if (machine.phase === 'booting') return this.hasBootTimedOut(machine, overview.now) ? 'boot timeout' : null;
     const silence = overview.mayJudgeHeartbeats ? overdueHeartbeatReason(machine, overview) : null;
     if (silence !== null) return silence;
     if (holdsOnlyUnconfirmedStarts(machine) && overview.now - machine.messages.lastContactAt < overview.leaseMs) {
-      return 'a start may still arrive there';
+      return 'unconfirmed start';
     }
-    return overview.mayJudgeHeartbeats && isLongUnresponsive(machine, overview) ? 'does not answer commands' : null;
+    return overview.mayJudgeHeartbeats && isLongUnresponsive(machine, overview) ? 'unresponsive' : null;
   }
 
   private hasBootTimedOut(machine: Machine, now: MonotonicTime): boolean {
     const { type, zone } = machine;
     const { bootTimeEstimator, context } = this.cluster;
     const factor =
-      context.tuning.machines.boot_give_up * bootTimeEstimator.timeoutFactor(type, zone, machine.provisionedAt, now);
-    return machine.ageSeconds(now) > Math.max(MIN_BOOT_TIMEOUT_SECONDS, type.bootSeconds * factor);
+      context.tuning.machines.boot_give_up *
+      bootTimeEstimator.timeoutFactor(type, zone, machine.lifecycle.provisionedAt, now);
+    return machine.lifecycle.ageSeconds(now) > Math.max(MIN_BOOT_TIMEOUT_SECONDS, type.bootSeconds * factor);
   }
 
   /** Where the machine stands idle and no guarantee needs it; takes it off what is to spare. */
   private idleReason(machine: Machine, missing: Capacity): DrainReason | null {
-    if (machine.drainReason !== null || machine.phase === 'booting') return null;
+    if (machine.cordon.isDraining || machine.phase === 'booting') return null;
     if (!machine.isEmpty || holdsUnstoredResults(machine) || !this.isIdle(machine)) return null;
     const { cpus, gpus } = machine.type;
     const neededForGuarantees = missing.gpus >= CAPACITY_TOLERANCE - gpus || missing.cpus >= CAPACITY_TOLERANCE - cpus;
@@ -111,25 +114,29 @@
     const now = this.cluster.context.now.monotonic;
     // Made empty on purpose, for a job that is on its way here.
     if (machine.reservedFor(now) !== null) return false;
-    if (machine.ageSeconds(now) < MIN_CHARGED_SECONDS) return false;
+    if (machine.lifecycle.ageSeconds(now) < MIN_CHARGED_SECONDS) return false;
     const idleSince = Math.max(machine.idleSince, machine.messages.firstHeartbeatAt ?? machine.idleSince);
     return (now - idleSince) / 1000 >= this.cluster.context.tuning.machines.idle_return_s;
   }
 
   /** Marks a machine to be returned; `send` does it. */
   requestTermination(machine: Machine, reason: DrainReason): void {
-    if (machine.terminationInFlight) return;
-    machine.terminationInFlight = true;
-    machine.terminationRequested = true;
-    if (reason === 'silent' || reason === 'failed') this.onLost(machine);
-    machine.drainReason ??= reason;
-    if (reason === 'never came up') this.recordAbandonedBoot(machine);
+    if (machine.lifecycle.isTerminating) return;
+    machine.lifecycle.beginTermination();
+    if (reason === 'heartbeat overdue' || reason === 'stopped') this.onLost(machine);
+    machine.cordon.drain(reason);
+    if (reason === 'boot timeout') this.recordAbandonedBoot(machine);
     this.cluster.context.log('info', 'returning machine', { machine: machine.id, type: machine.typeName, why: reason });
     this.queue.push(machine);
   }
 
-  private recordAbandonedBoot({ type, zone, provisionedAt }: Machine): void {
-    this.cluster.bootTimeEstimator.recordAbandoned(type, zone, provisionedAt, this.cluster.context.now.monotonic);
+  private recordAbandonedBoot({ type, zone, lifecycle }: Machine): void {
+    this.cluster.bootTimeEstimator.recordAbandoned(
+      type,
+      zone,
+      lifecycle.provisionedAt,
+      this.cluster.context.now.monotonic,
+    );
   }
 
   /** Returns what was marked, as many to a request as the cloud takes. */
@@ -153,7 +160,7 @@
   private onTerminationAnswered(machine: Machine, deleted: boolean): void {
     if (!this.cluster.isKnown(machine)) return;
     if (!deleted) {
-      machine.terminationInFlight = false;
+      machine.lifecycle.failTermination();
       return;
     }
     this.cluster.removeMachine(machine);
@@ -168,12 +175,12 @@
 ): DrainReason | null {
   const silentMs = now - machine.messages.lastContactAt;
   const missesReports = silentMs > HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs;
-  if (machine.spot && machine.interruptionAt !== null && missesReports) return 'taken by the cloud';
+  if (machine.spot && machine.cordon.interruptionAt !== null && missesReports) return 'spot interruption';
   // Deleting it proves it empty sooner than its lease would.
-  if (machine.spot && silentMs > SPOT_LOST_AFTER_PERIODS * heartbeatIntervalMs) return 'silent';
+  if (machine.spot && silentMs > SPOT_LOST_AFTER_PERIODS * heartbeatIntervalMs) return 'heartbeat overdue';
   // Users of a service wait until it is proven that the replica is gone.
-  if (fewOverdue && missesReports && machine.hasReplica()) return 'silent';
-  return silentMs > leaseMs + GIVE_UP_AFTER_LEASE_MS ? 'silent' : null;
+  if (fewOverdue && missesReports && machine.hasReplica()) return 'heartbeat overdue';
+  return silentMs > leaseMs + GIVE_UP_AFTER_LEASE_MS ? 'heartbeat overdue' : null;
 }
 
 function isLongUnresponsive(machine: Machine, { now, leaseMs }: FleetOverview): boolean {
@@ -183,14 +190,17 @@
 
 /** Whether results are there that aren't on record; ends kept only against a late start go with the machine. */
 const holdsUnstoredResults = (machine: Machine): boolean =>
-  machine.exitedTasks.some(({ job, index, attempt }) => !machine.unconfirmedStarts.has(startKey(job, index, attempt)));
+  machine.exitedTasks.some(
+    ({ job, index, attempt }) => !machine.commandChannel.isUnconfirmed(startKey(job, index, attempt)),
+  );
 
 /** Nothing is there but starts of replicas that are no longer needed, whose direct commands were never answered. */
 function holdsOnlyUnconfirmedStarts(machine: Machine): boolean {
-  if (machine.unconfirmedStarts.size === 0 || machine.commandInFlight) return false;
+  const { commandChannel } = machine;
+  if (!commandChannel.hasUnconfirmedStarts || commandChannel.isBusy) return false;
   for (const placement of machine.placements.values()) {
     const unwanted = placement.phase === 'sent' && placement.pendingStop !== null;
-    if (!unwanted || !machine.unconfirmedStarts.has(startKeyOf(placement))) return false;
+    if (!unwanted || !commandChannel.isUnconfirmed(startKeyOf(placement))) return false;
   }
   return machine.placements.size > 0;
 }
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -228,7 +228,7 @@
 
 /** When a machine that was rented but hasn't reported is expected, in seconds from now. */
 function remainingBootSeconds({ bootTimeEstimator }: Cluster, machine: Machine, now: MonotonicTime): number {
-  return bootTimeEstimator.remainingSeconds(machine.type, machine.zone, machine.ageSeconds(now), now);
+  return bootTimeEstimator.remainingSeconds(machine.type, machine.zone, machine.lifecycle.ageSeconds(now), now);
 }
 
 function largestCachedImageShare(cluster: Cluster, machine: Machine): number {
--- a/src/core/state/cluster.ts
+++ b/src/core/state/cluster.ts
@@ -1,8 +1,9 @@
 import type { ReconciledBy, StartZonesRecordedSince } from '../../recovery/index.js';
 import { Job, type Placement, type PlacementPhase } from '../jobs/job.js';
 import { RuntimeEstimator } from '../jobs/runtime_estimator.js';
+import { taskKey } from '../jobs/task_keys.js';
 import { BootTimeEstimator } from '../machines/boot_time_estimator.js';
-import { type Machine, taskKey } from '../machines/machine.js';
+import type { Machine } from '../machines/machine.js';
 import type { MachineTypes } from '../machines/machine_type_catalog.js';
 import { SpotInterruptionRate } from '../machines/spot_interruption_rate.js';
 import type { JobRecord } from '../records.js';
@@ -261,7 +262,7 @@
   isBootOverdue(machine: Machine): boolean {
     const now = this.context.now.monotonic;
     const { phase, type, zone } = machine;
-    return phase === 'booting' && this.bootTimeEstimator.isOverdue(type, zone, machine.ageSeconds(now), now);
+    return phase === 'booting' && this.bootTimeEstimator.isOverdue(type, zone, machine.lifecycle.ageSeconds(now), now);
   }
 
   /** Whether the machine is on its way, and may be counted on. */
--- a/src/core/state/unexpected_tasks.ts
+++ b/src/core/state/unexpected_tasks.ts
@@ -4,7 +4,8 @@
  * task is started nowhere.
  */
 
-import { type Machine, type TaskKey, taskKey, type UnexpectedTask } from '../machines/machine.js';
+import { type TaskKey, taskKey } from '../jobs/task_keys.js';
+import type { Machine, UnexpectedTask } from '../machines/machine.js';
 import type { JobSpec, MachineType } from '../types.js';
 
 /** What changes with the unexpected tasks of a machine. */
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -1,5 +1,6 @@
 import type { Placement } from '../jobs/job.js';
-import { type Machine, type StartKey, startKeyOf } from '../machines/machine.js';
+import { type StartKey, startKeyOf } from '../jobs/task_keys.js';
+import type { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import type { AgentEpoch, Command, FencingToken } from '../types.js';
@@ -62,8 +63,8 @@
   }
 
   private canPush(machine: Machine): boolean {
-    if (!machine.reconciled || !machine.address || machine.terminationInFlight) return false;
-    return !machine.commandInFlight && machine.nextCommandAt <= this.context.now.monotonic;
+    if (!machine.reconciled || !machine.address || machine.lifecycle.isTerminating) return false;
+    return machine.commandChannel.isReady(this.context.now.monotonic);
   }
 
   /** Stops that the machine has yet to carry out. Without any it is not looked at again. */
@@ -103,7 +104,6 @@
     this.cluster.previousTerms.onTaskStarted();
     placement.phase = 'sent';
     placement.sentInResponseTo = null;
-    placement.machine.unconfirmedStarts.add(startKeyOf(placement));
     return { op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt };
   }
 
@@ -113,13 +113,13 @@
     commands: readonly Command[],
     starts: readonly StartKey[],
   ): void {
-    machine.commandInFlight = true;
+    machine.commandChannel.begin(starts);
     this.context.pushCommands(
       { address: machine.address, fencingToken: this.fencingToken, agentEpoch, commands },
       (result) => {
-        machine.commandInFlight = false;
-        if (result.ok) for (const start of starts) machine.unconfirmedStarts.delete(start);
-        else machine.nextCommandAt = this.context.after(UNANSWERED_BACKOFF_MS);
+        machine.commandChannel.end();
+        if (result.ok) machine.commandChannel.confirmStarts(starts);
+        else machine.commandChannel.pause(this.context.after(UNANSWERED_BACKOFF_MS));
         if (this.stopped || !result.ok || result.value.heartbeat.machine !== machine.id) return;
         if (!this.cluster.isKnown(machine)) return;
         this.reconciler.reconcile(machine, result.value.heartbeat, 'commandAnswer');
--- a/src/core/workers/commands.ts
+++ b/src/core/workers/commands.ts
@@ -1,5 +1,6 @@
 import type { Placement } from '../jobs/job.js';
-import { type Machine, startKey } from '../machines/machine.js';
+import { startKey } from '../jobs/task_keys.js';
+import type { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { Command } from '../types.js';
 import { mayAcknowledgeUnknownJob } from './recovered_tasks.js';
@@ -23,7 +24,7 @@
   const commands: Command[] = [];
   for (const { job: id, index, attempt, isDone } of machine.exitedTasks) {
     // Once forgotten, a start of the same attempt that is still on its way would run it again.
-    if (machine.unconfirmedStarts.has(startKey(id, index, attempt))) continue;
+    if (machine.commandChannel.isUnconfirmed(startKey(id, index, attempt))) continue;
     const job = cluster.jobs.get(id);
     const mayForget = job ? !isDone || job.isResultDurable(index) : mayAcknowledgeUnknownJob(cluster, id);
     if (mayForget) commands.push({ op: 'acknowledge', job: id, index, attempt });
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -112,7 +112,7 @@
     }
     this.countIgnoredResponse(machine, heartbeat);
     const isFirst = this.recordHeartbeat(machine, heartbeat);
-    if (!machine.registered) this.leader.registerMachine(machine);
+    if (!machine.lifecycle.isRegistered) this.leader.registerMachine(machine);
     const list: BackloggedHeartbeat = {
       machine,
       heartbeat,
@@ -202,24 +202,29 @@
   private recordHeartbeat(machine: Machine, report: Heartbeat): boolean {
     const { monotonic } = this.context.now;
     const isFirst = machine.messages.recordHeartbeat(monotonic);
-    if (report.address) machine.address = report.address;
+    machine.learnAddress(report.address);
     if (machine.phase === 'booting') this.onMachineUp(machine);
     if (isFirst) machine.idleSince = monotonic;
     return isFirst;
   }
 
   private onMachineUp(machine: Machine): void {
-    machine.phase = 'up';
+    machine.lifecycle.markUp();
     const { monotonic } = this.context.now;
-    if (machine.provisionedByThisLeader) {
-      this.cluster.bootTimeEstimator.recordBoot(machine.type, machine.zone, machine.ageSeconds(monotonic), monotonic);
+    if (machine.lifecycle.isProvisionedByThisLeader) {
+      this.cluster.bootTimeEstimator.recordBoot(
+        machine.type,
+        machine.zone,
+        machine.lifecycle.ageSeconds(monotonic),
+        monotonic,
+      );
     }
     this.context.log('info', 'machine is up', {
       machine: machine.id,
       type: machine.typeName,
       zone: machine.zone,
       spot: machine.spot,
-      afterS: Math.round(machine.ageSeconds(monotonic)),
+      afterS: Math.round(machine.lifecycle.ageSeconds(monotonic)),
     });
   }
 
@@ -246,7 +251,7 @@
    */
   private mayDeferIdle(machine: Machine, report: Heartbeat): boolean {
     const hasNothing = machine.isEmpty && machine.exitedTasks.length === 0;
-    return hasNothing && report.fencingToken === this.fencingToken && machine.drainReason === null;
+    return hasNothing && report.fencingToken === this.fencingToken && !machine.cordon.isDraining;
   }
 
   private idleDeferralMs(): number {
@@ -259,7 +264,7 @@
   }
 
   private awaitsDurableRecords(machine: Machine): boolean {
-    if (!machine.registered) return true;
+    if (!machine.lifecycle.isRegistered) return true;
     for (const { phase, job } of machine.placements.values()) {
       if (phase === 'planned' && !job.isStartDurable(machine.zone)) return true;
     }
--- a/src/core/workers/reconciler.ts
+++ b/src/core/workers/reconciler.ts
@@ -74,11 +74,11 @@
   }
 
   private requestStatus(machine: Machine, agentEpoch: AgentEpoch, tries: number, done: () => void): void {
-    machine.commandInFlight = true;
+    machine.commandChannel.begin();
     this.context.pushCommands(
       { address: machine.address, fencingToken: this.fencingToken, agentEpoch, commands: [] },
       (result) => {
-        machine.commandInFlight = false;
+        machine.commandChannel.end();
         if (this.stopped || !this.cluster.isKnown(machine)) return done();
         if (!result.ok || result.value.heartbeat.machine !== machine.id) return done();
         const { executed, heartbeat } = result.value;
@@ -95,7 +95,7 @@
     const now = this.context.now.monotonic;
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase !== 'up' || !machine.reachability.isProbeDue(now) || !this.needsProbe(machine)) continue;
-      if (machine.commandInFlight || !machine.address || machine.terminationInFlight) continue;
+      if (machine.commandChannel.isBusy || !machine.address || machine.lifecycle.isTerminating) continue;
       if (this.context.openCommandPushCount >= MAX_PUSHES_IN_FLIGHT) return;
       machine.reachability.recordProbe(this.context.after(PROBE_INTERVAL_MS));
       this.requestStatus(machine, machine.messages.agentEpoch ?? FIRST_AGENT_EPOCH, MAX_STATUS_REQUEST_TRIES, () => {});
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -1,6 +1,7 @@
 import { type Classification, classify, type OtherPlacement, type StoredJob } from '../../recovery/index.js';
 import type { Job, Placement } from '../jobs/job.js';
-import { type Machine, type StartKey, startKey, taskKey, type UnexpectedTask } from '../machines/machine.js';
+import { type StartKey, startKey, taskKey } from '../jobs/task_keys.js';
+import type { Machine, UnexpectedTask } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import { addUnexpectedTask } from '../state/unexpected_tasks.js';
 import type { JobId, LiveTaskStatus, TaskStatus } from '../types.js';
--- a/src/core/workers/start_checks.ts
+++ b/src/core/workers/start_checks.ts
@@ -9,7 +9,7 @@
     job.durableState === 'accepted' &&
     job.isStartDurable(machine.zone) &&
     !job.gangBroken &&
-    machine.registered &&
+    machine.lifecycle.isRegistered &&
     !machine.reachability.isUnresponsive
   );
 }
--- a/src/core/workers/status_reconciliation.ts
+++ b/src/core/workers/status_reconciliation.ts
@@ -1,13 +1,6 @@
 import type { Placement } from '../jobs/job.js';
-import {
-  type Machine,
-  type StartKey,
-  startKey,
-  startKeyOf,
-  type TaskKey,
-  taskKey,
-  type UnexpectedTask,
-} from '../machines/machine.js';
+import { type StartKey, startKey, startKeyOf, type TaskKey, taskKey } from '../jobs/task_keys.js';
+import type { Machine, UnexpectedTask } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import { replaceUnexpectedTasks } from '../state/unexpected_tasks.js';
 import { addMilliseconds, type FencingToken, type Heartbeat, type LiveTaskStatus, type TaskStatus } from '../types.js';
@@ -34,7 +27,10 @@
   if (!machine.messages.isNewer(report)) return false;
   // Without our token the list may be older than a command of an earlier leader that is still on its way.
   // And what nobody has listed may be long gone: a late copy of its list must not bring back tasks that ended.
-  if (report.fencingToken !== token && (machine.registered || !machine.reconciled || !machine.reachability.isConfirmed))
+  if (
+    report.fencingToken !== token &&
+    (machine.lifecycle.isRegistered || !machine.reconciled || !machine.reachability.isConfirmed)
+  )
     return false;
   const newSession = applyAgentEpoch(cluster, machine, report);
   const becameReconciled = !machine.reconciled;
@@ -60,7 +56,7 @@
     tasks: machine.placements.size,
   });
   cluster.releaseEverything(machine);
-  machine.unconfirmedStarts.clear();
+  machine.commandChannel.clearUnconfirmedStarts();
   machine.images.dropAbandonedPulls(() => false);
 }
 
@@ -71,13 +67,13 @@
   { interruptionNoticeSeconds }: Heartbeat,
 ): boolean {
   if (interruptionNoticeSeconds === null) return false;
-  const isFirst = machine.interruptionAt === null;
+  const interruptionAt = addMilliseconds(cluster.context.now.monotonic, interruptionNoticeSeconds * 1000);
+  const isFirst = machine.cordon.recordInterruptionNotice(interruptionAt);
   if (isFirst)
     cluster.context.log('info', 'the cloud will take the machine', {
       machine: machine.id,
       inS: interruptionNoticeSeconds,
     });
-  machine.interruptionAt = addMilliseconds(cluster.context.now.monotonic, interruptionNoticeSeconds * 1000);
   return isFirst;
 }
 
@@ -141,7 +137,7 @@
 function isStartDropped(placement: Placement, report: Heartbeat, source: StatusSource): boolean {
   const { sentInResponseTo, machine } = placement;
   if (source !== 'report' || sentInResponseTo === null || report.sequence <= sentInResponseTo) return false;
-  return !machine.unconfirmedStarts.has(startKeyOf(placement));
+  return !machine.commandChannel.isUnconfirmed(startKeyOf(placement));
 }
 
 /** The start goes out again, unless the task is not to run any more. Returns whether room came free. */
@@ -181,7 +177,7 @@
   if (known?.attempt === task.attempt) return known;
   if (known) {
     // Ours may still come by a direct command; it is refused for as long as the older one is there, and the worker says so.
-    if (machine.unconfirmedStarts.has(startKeyOf(known))) return null;
+    if (machine.commandChannel.isUnconfirmed(startKeyOf(known))) return null;
     // An older attempt is still there: ours can't have been started.
     cluster.release(known);
   }
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -1,5 +1,6 @@
 import type { Job, Placement } from '../jobs/job.js';
-import { type Machine, taskKey } from '../machines/machine.js';
+import { taskKey } from '../jobs/task_keys.js';
+import type { Machine } from '../machines/machine.js';
 import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO } from '../machines/straggler_detector.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MonotonicTime, TaskStatus } from '../types.js';
@@ -160,5 +161,5 @@
 /** Whether the machine is at fault is judged once it is known how the job does elsewhere (health_checks.ts). */
 function recordMachineError({ context }: Cluster, machine: Machine, job: Job): void {
   machine.taskFailures.record(job.failureHistory, context.now.monotonic);
-  machine.quarantinedUntil = context.after(machine.taskFailures.quarantineMs);
+  machine.cordon.quarantine(context.after(machine.taskFailures.quarantineMs));
 }
--- a/test/core/machines/machine.test.ts
+++ b/test/core/machines/machine.test.ts
@@ -12,11 +12,11 @@
     assert.equal(reported.isSchedulable(now, 2000), true);
     // What we rented ourselves can't be a late copy of something gone.
     const rented = makeMachine('i-2', '', 'booting', now, true);
-    rented.phase = 'up';
+    rented.lifecycle.markUp();
     assert.equal(rented.isSchedulable(now, 2000), true);
     // A list is late: what it shows as booting may be gone as well.
     const listed = makeMachine('i-3', '', 'booting', now, false);
-    listed.phase = 'up';
+    listed.lifecycle.markUp();
     assert.equal(listed.isSchedulable(now, 2000), false);
   });
 });
--- a/test/core/machines/machine_registry.test.ts
+++ b/test/core/machines/machine_registry.test.ts
@@ -20,7 +20,7 @@
     );
     const restored = makeMachine('i-1', 'i-1', 'up', 0 as MonotonicTime, false);
     registry.restore(restored, 'm/0');
-    assert.equal(restored.registered, true);
+    assert.equal(restored.lifecycle.isRegistered, true);
     registry.add(restored);
     registry.add(makeMachine('i-2', 'i-2', 'up', 0 as MonotonicTime, false));
     const due = registry.duePages(0 as MonotonicTime, true);
