--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -158,7 +158,7 @@
   }
 
   schedulePlanningRoundSoon(): void {
-    this.cluster.scheduleServicePlacement();
+    this.cluster.servicePlacements.request();
     const { spacing_ms, spacing_per_machine_ms, spacing_per_step_ms } = this.context.tuning.scheduler;
     const costMs = spacing_per_machine_ms * this.machineCount + spacing_per_step_ms * this.lastPlanningRoundSteps;
     const earliest = this.lastPlanningRoundAt + spacing_ms + costMs;
@@ -236,7 +236,7 @@
   /** Replicas that wait are given places at once, and their starts go out directly. */
   placeServices(): void {
     if (!this.isLeaseValid() || !this.loaded) return;
-    this.cluster.lastServicePlacementAt = this.context.now.monotonic;
+    this.cluster.servicePlacements.onPlacement();
     if (placeServices(this.cluster) === 0) return;
     this.recordWriter.flush();
     this.commandSender.pushDueCommands();
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -137,9 +137,9 @@
   private dueJobs(now: MonotonicTime, hasSpareWrites: boolean): Job[] {
     const due: Job[] = [];
     const lazyMs = hasSpareWrites ? LAZY_WRITE_INTERVAL_MS : SCARCE_WRITES_INTERVAL_FACTOR * LAZY_WRITE_INTERVAL_MS;
-    for (const job of this.cluster.activeJobs) {
+    for (const job of this.cluster.jobs.active) {
       const need = job.writeUrgency;
-      if (need === 'no') this.cluster.deactivateIfSettled(job);
+      if (need === 'no') this.cluster.jobs.deactivateIfSettled(job);
       else if (!job.writeInFlight && (need === 'now' || now - job.lastWriteAt >= lazyMs)) due.push(job);
     }
     return due.sort((a, b) => Number(b.writeUrgency === 'now') - Number(a.writeUrgency === 'now'));
@@ -208,7 +208,7 @@
       job.onStartZonesStored(startZones);
       job.durableDoneTasks = RangeSet.from(doneTasks);
     }
-    this.cluster.deactivateIfSettled(job);
+    this.cluster.jobs.deactivateIfSettled(job);
     if (job.writeUrgency === 'now') this.scheduleFlush();
   }
 
--- a/src/core/leadership/state_restorer.ts
+++ b/src/core/leadership/state_restorer.ts
@@ -19,7 +19,7 @@
   /** `pages`: the registry's. */
   restore(pages: readonly StoredEntry[]): void {
     const { context, previousTerms, machines } = this.cluster;
-    this.cluster.unreadableJobIds = this.jobCache.unreadableJobs;
+    this.cluster.jobs.setUnreadable(this.jobCache.unreadableJobs);
     for (const job of this.jobCache.all()) this.cluster.applyJobRecord(job.record, job.version);
     for (const item of pages) this.restorePage(item);
     this.registry.splitOversizedPages();
@@ -39,7 +39,7 @@
   }
 
   private restoreMachine(record: MachineRecord, key: string): void {
-    const { context, previousTerms, machines, machineTypes, imageSizesGb } = this.cluster;
+    const { context, previousTerms, machines, machineTypes, images } = this.cluster;
     if (machines.has(record.id)) {
       this.registry.rewriteWithoutDuplicates(key);
       return;
@@ -57,9 +57,9 @@
     // now, so that it counts as unreconciled all the same.
     const phase = address === '' ? 'booting' : 'up';
     const machine = new Machine({ id, type, zone, spot, address, reconciled: false, phase, now });
-    machine.images.restore(record.images, record.imagePullSpeed, imageSizesGb, now);
+    machine.images.restore(record.images, record.imagePullSpeed, images.sizesGb, now);
     if (previousTerms.recovery) machine.messages.restoreLeaseRenewal(this.lastLeaseRenewalAt(id));
-    machines.set(id, machine);
+    machines.add(machine);
     this.registry.restore(machine, key);
     previousTerms.onMachineRestored(machine);
   }
--- a/src/core/machines/guaranteed_capacity.ts
+++ b/src/core/machines/guaranteed_capacity.ts
@@ -28,7 +28,7 @@
   }
 
   noteActiveWork(): void {
-    if (this.cluster.activeJobs.size > 0) this.lastWorkAt = this.cluster.context.now.monotonic;
+    if (this.cluster.jobs.active.size > 0) this.lastWorkAt = this.cluster.context.now.monotonic;
   }
 
   /** What the guarantees ask for beyond what is there; negative: to spare; minus infinity where none is given. */
@@ -41,7 +41,7 @@
     };
     for (const machine of this.cluster.machines.values()) {
       const isUsable = !machine.cordon.isDraining && !machine.lifecycle.isTerminating;
-      if (isUsable && !this.cluster.isBootOverdue(machine)) subtract(machine.type, 1);
+      if (isUsable && !this.cluster.machines.isBootOverdue(machine)) subtract(machine.type, 1);
     }
     for (const { pool, count } of this.scaleOut.pendingRequests()) subtract(pool.type, count);
     return {
--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -43,7 +43,7 @@
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase === 'booting' && machine.reconciled) continue;
       if (machine.phase === 'up' && machine.messages.isHeartbeatOverdue(now, settings.workers.heartbeatIntervalMs))
-        this.cluster.releasePlanned(machine);
+        this.cluster.placements.releasePlanned(machine);
       const mayHoldTasks = !machine.reconciled || !machine.isEmpty;
       if (mayHoldTasks && now - machine.messages.leaseRenewedAt > leaseExpiryMs) this.onLeaseExpired(machine);
     }
@@ -57,17 +57,17 @@
     const { previousTerms } = this.cluster;
     const unreconciled = previousTerms.updateUnreconciled();
     if (unreconciled > 0 && previousTerms.recovery === null) return;
-    for (const job of this.cluster.activeJobs) {
+    for (const job of this.cluster.jobs.active) {
       const { size } = job.placements;
       const isIncomplete = job.isGang && size > 0 && size < job.spec.taskCount;
       if (!isIncomplete || job.state !== 'accepted' || previousTerms.mayRunUnseen(job)) continue;
-      this.cluster.breakGang(job);
+      this.cluster.placements.breakGang(job);
     }
   }
 
   /** A job that has failed is cleared by a task that runs for much longer than it took the others to fail. */
   private recordHealthyTasks(now: MonotonicTime): void {
-    for (const { failureHistory, placements } of this.cluster.activeJobs) {
+    for (const { failureHistory, placements } of this.cluster.jobs.active) {
       if (!failureHistory.hasFailed || failureHistory.hasSucceeded) continue;
       for (const { phase, runningSince } of placements.values()) {
         const doesWell =
@@ -79,7 +79,7 @@
 
   private recordOverdueBoots(now: MonotonicTime): void {
     for (const machine of this.cluster.machines.values()) {
-      if (machine.phase !== 'booting' || !this.cluster.isBootOverdue(machine)) continue;
+      if (machine.phase !== 'booting' || !this.cluster.machines.isBootOverdue(machine)) continue;
       if (!machine.lifecycle.recordBootOverdue()) continue;
       this.cluster.bootTimeEstimator.recordOverdue(machine.type, machine.zone, now);
     }
@@ -105,7 +105,7 @@
       tasks: machine.placements.size,
       reconciled: machine.reconciled,
     });
-    this.cluster.releaseEverything(machine);
+    this.cluster.clearMachine(machine);
     machine.messages.expireEpoch();
     machine.commandChannel.clearUnconfirmedStarts();
     this.cluster.markReconciled(machine, 'leaseEnded');
@@ -179,9 +179,9 @@
   }
 
   private evictFromLeavingMachine(placement: Placement, now: MonotonicTime): void {
-    if (placement.phase === 'planned') this.cluster.release(placement);
+    if (placement.phase === 'planned') this.cluster.placements.release(placement);
     else if (placement.job.isService) moveReplica(this.cluster, placement);
-    else if (!this.finishesInTime(placement, now)) this.cluster.evictWithCheckpoint(placement);
+    else if (!this.finishesInTime(placement, now)) this.cluster.placements.evictWithCheckpoint(placement);
   }
 
   private finishesInTime({ job, machine, phase, runningSince }: Placement, now: MonotonicTime): boolean {
--- a/src/core/machines/machine_list.ts
+++ b/src/core/machines/machine_list.ts
@@ -71,10 +71,10 @@
   /** Rented by an earlier leader, or by a request carried out late: taken into use like any other. */
   private addUnknown({ id, type: typeName, zone, spot, address, phase }: CloudMachine): Machine | null {
     const type = this.cluster.machineTypes.get(typeName);
-    if (!type || this.cluster.removedMachines.has(id)) return null;
+    if (!type || this.cluster.machines.wasRemoved(id)) return null;
     const now = this.cluster.context.now.monotonic;
     const machine = new Machine({ id, type, zone, spot, address, reconciled: true, phase: 'booting', now });
-    this.cluster.machines.set(id, machine);
+    this.cluster.machines.add(machine);
     this.cluster.previousTerms.recovery?.onUnregisteredMachine();
     this.cluster.context.log('info', 'machine found in the list', { machine: id, phase });
     return machine;
@@ -83,7 +83,7 @@
   /** A failed machine has stopped by itself: nothing is on it any more. */
   private handleStopped(machine: Machine): void {
     this.cluster.context.log('info', 'machine failed', { machine: machine.id, tasks: machine.placements.size });
-    this.cluster.releaseEverything(machine);
+    this.cluster.clearMachine(machine);
     this.cluster.markReconciled(machine, 'gone');
     this.onMachineStopped(machine);
   }
--- a/src/core/machines/scale_in.ts
+++ b/src/core/machines/scale_in.ts
@@ -158,7 +158,7 @@
   }
 
   private onTerminationAnswered(machine: Machine, deleted: boolean): void {
-    if (!this.cluster.isKnown(machine)) return;
+    if (!this.cluster.machines.isCurrent(machine)) return;
     if (!deleted) {
       machine.lifecycle.failTermination();
       return;
--- a/src/core/machines/scale_out.ts
+++ b/src/core/machines/scale_out.ts
@@ -94,7 +94,7 @@
     else this.backoffs.delete(capacityPoolKey(pool));
     this.cluster.context.log('info', 'rented', { type: type.name, zone, spot, asked: count, got: ids.length });
     for (const id of ids) {
-      if (this.cluster.machines.has(id) || this.cluster.removedMachines.has(id)) continue;
+      if (this.cluster.machines.has(id) || this.cluster.machines.wasRemoved(id)) continue;
       const known = {
         id,
         type,
@@ -106,7 +106,7 @@
         provisionedByThisLeader: true,
       } as const;
       const machine = new Machine({ ...known, now: requestedAt });
-      this.cluster.machines.set(id, machine);
+      this.cluster.machines.add(machine);
       this.register(machine);
     }
   }
--- a/src/core/machines/scale_out_demand.ts
+++ b/src/core/machines/scale_out_demand.ts
@@ -113,7 +113,7 @@
     const used = new Set(this.round.capacityPlan.starts.map((start) => start.machineIndex));
     const unused = new Map<MachineTypeName, number>();
     this.round.machines.forEach((machine, slot) => {
-      if (!this.cluster.isExpected(machine) || used.has(slot)) return;
+      if (!this.cluster.machines.isExpected(machine) || used.has(slot)) return;
       unused.set(machine.typeName, (unused.get(machine.typeName) ?? 0) + 1);
     });
     return unused;
--- a/src/core/scheduler/apply_plan.ts
+++ b/src/core/scheduler/apply_plan.ts
@@ -61,7 +61,7 @@
     const machine = machines[slot] as Machine;
     for (let task = 0; task < tasks; task++) {
       if (!canPlaceTask(cluster, job, machine)) {
-        cluster.breakGang(job);
+        cluster.placements.breakGang(job);
         return 0;
       }
       placeTask(cluster, job, index, machine, attempt);
--- a/src/core/scheduler/migration.ts
+++ b/src/core/scheduler/migration.ts
@@ -16,14 +16,14 @@
  */
 export function migrateToCachedImages(cluster: Cluster): void {
   const { context } = cluster;
-  for (const job of cluster.activeJobs) {
+  for (const job of cluster.jobs.active) {
     if (!mayMigrate(job) || remainingPullSeconds(cluster, job) < MIN_GAIN_SECONDS) continue;
     const targets = machinesWithImage(cluster, job);
     if (!targets) continue;
     job.migrationCount += 1;
     for (const machine of targets) machine.reserve(job.id, context.after(RESERVATION_MS));
     context.log('debug', 'moving to where the image is', { job: job.id, to: targets.map(({ id }) => id) });
-    cluster.breakGang(job);
+    cluster.placements.breakGang(job);
   }
 }
 
--- a/src/core/scheduler/placement_constraints.ts
+++ b/src/core/scheduler/placement_constraints.ts
@@ -63,7 +63,7 @@
 
 /** Gives the task its place: its start goes out once the job's first start is on record. */
 export function placeTask(cluster: Cluster, job: Job, index: number, machine: Machine, attempt: Attempt): void {
-  cluster.place(job, index, machine, attempt, 'planned');
+  cluster.placements.add({ job, index, machine, attempt, phase: 'planned' });
   if (job.startTerm === 0)
     job.recordFirstStart(cluster.term, machine.zone, cluster.previousTerms.recordsStartZones(job));
   job.startZones?.add(machine.zone);
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -234,7 +234,7 @@
 function largestCachedImageShare(cluster: Cluster, machine: Machine): number {
   let largest = 0;
   for (const image of machine.images.presentImages()) {
-    const user = cluster.largestTaskByImage.get(image);
+    const user = cluster.images.largestTasks.get(image);
     if (user) largest = Math.max(largest, machineShare(user, machine.type));
   }
   return largest;
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -57,7 +57,7 @@
 /** Stops what is in the way on a machine, and keeps the room for the job. */
 export function evictFor(cluster: Cluster, job: Job, { machine, victims }: EvictionOption): void {
   machine.reserve(job.id, cluster.context.after(RESERVATION_MS));
-  for (const victim of victims) cluster.evict(victim, 0);
+  for (const victim of victims) cluster.placements.evict(victim, 0);
 }
 
 function mayPreempt(cluster: Cluster, job: Job): boolean {
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -52,7 +52,7 @@
 /** Whether teams' unfinished work fits their guarantees: then it need not wait for others. */
 function teamsWithinGuarantee(cluster: Cluster): Set<TeamName> {
   const demands = new Map<TeamName, { cpus: number; gpus: number }>();
-  for (const { spec, state, doneTasks } of cluster.activeJobs) {
+  for (const { spec, state, doneTasks } of cluster.jobs.active) {
     if (state !== 'accepted') continue;
     const demand = demands.get(spec.team) ?? { cpus: 0, gpus: 0 };
     const unfinished = spec.taskCount - doneTasks.count;
@@ -142,7 +142,7 @@
   /** Teams whose limit is kept free for an overdue gang: small work would fill it as fast as it comes free. */
   const heldTeams = new Set<TeamName>();
   const ranked: RankedJob[] = [];
-  for (const job of cluster.activeJobs) {
+  for (const job of cluster.jobs.active) {
     if (!mayStartNow(cluster, job)) continue;
     const waiting = tasksWithinLimit(cluster, job);
     if (waiting > 0) ranked.push(rankJob(cluster, job, waiting, guaranteed));
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -136,7 +136,9 @@
   const waiting = waitingServices(cluster);
   if (waiting.length === 0) return plan;
   const unplacedTasks = new Map(plan.unplacedTasks);
-  const coming = [...cluster.machines.values()].filter((machine) => cluster.isExpected(machine)).map(capacityOf);
+  const coming = [...cluster.machines.values()]
+    .filter((machine) => cluster.machines.isExpected(machine))
+    .map(capacityOf);
   for (const job of waiting) {
     const tasks = replicasWithoutCapacity(
       coming,
--- a/src/core/scheduler/service_placement.ts
+++ b/src/core/scheduler/service_placement.ts
@@ -39,7 +39,7 @@
 /** Services with replicas that wait for a place, those of higher priority first, then those that came first. */
 export function waitingServices(cluster: Cluster): Job[] {
   const now = cluster.context.now.monotonic;
-  const waiting = [...cluster.services].filter(
+  const waiting = [...cluster.jobs.services].filter(
     (job) => job.notBefore <= now && cluster.previousTerms.startableTasks(job) > 0,
   );
   return waiting.sort(
@@ -54,7 +54,7 @@
  * Returns how many replicas have got a place.
  */
 export function placeServices(cluster: Cluster): number {
-  if (!cluster.hasPendingReplicas()) return 0;
+  if (!cluster.jobs.hasPendingReplicas()) return 0;
   cluster.previousTerms.updateUnreconciled();
   let placed = 0;
   let stoppedFor = 0;
@@ -78,7 +78,7 @@
     const machine = bestFitMachine(cluster, job, zoneRoom, mayTake);
     if (!machine) break;
     placeTask(cluster, job, index, machine, cluster.nextAttempt());
-    cluster.machinesWithPendingStarts.add(machine);
+    cluster.pendingCommands.machinesWithStarts.add(machine);
     machine.endReservation(job.id);
     useZoneAllowance(zoneRoom, machine.zone, job);
     placed += 1;
@@ -223,5 +223,5 @@
   if (!to || (job.spec.singleZone && to.zone !== from.zone)) return;
   to.reserve(job.id, cluster.context.after(RESERVATION_MS));
   cluster.context.log('info', 'moving a replica', { job: job.id, from: from.id, to: to.id });
-  cluster.stop(placement, 0);
+  cluster.placements.stop(placement, 0);
 }
--- a/src/core/scheduler/spare_capacity.ts
+++ b/src/core/scheduler/spare_capacity.ts
@@ -25,7 +25,7 @@
 
 function gpuTaskSizes(cluster: Cluster): Resources[] {
   const shapes = new Map<string, Resources>();
-  for (const { spec, state } of cluster.activeJobs) {
+  for (const { spec, state } of cluster.jobs.active) {
     if (spec.gpus <= 0 || state !== 'accepted') continue;
     const key = `${spec.gpus}|${spec.cpus}|${spec.memoryGb}`;
     if (!shapes.has(key)) shapes.set(key, spec);
--- a/src/core/state/previous_terms.ts
+++ b/src/core/state/previous_terms.ts
@@ -13,36 +13,42 @@
 import { fitsWithStartZones } from '../records.js';
 import type { StepContext } from '../step_context.js';
 import type { JobId, ZoneName } from '../types.js';
-import type { Cluster } from './cluster.js';
+import type { MachineTable } from './machine_table.js';
 import type { Quotas } from './quotas.js';
 
 /** While machines that no record shows may run anything, limited teams get nothing new. */
 const UNKNOWN_CAPACITY = { cpus: Number.POSITIVE_INFINITY, gpus: Number.POSITIVE_INFINITY };
 
+/** What a leader's knowledge of previous terms depends on. */
+export interface PreviousTermsInit {
+  /** The term of this leader. */
+  readonly term: number;
+  readonly quotas: Quotas;
+  readonly machines: MachineTable;
+  /** Since which term every leader has put start zones on record; null: this one doesn't. */
+  readonly startZonesRecordedSince: StartZonesRecordedSince;
+}
+
 /** What a leader knows of the work of earlier ones: which jobs must wait, and what counts against teams' limits meanwhile. */
 export class PreviousTerms {
   /** Null where the feature is off: then every job begun earlier waits until all machines have told their lists. */
   readonly recovery: Recovery | null;
-  private readonly context: StepContext;
-  private readonly quotas: Quotas;
-  /** Jobs begun in earlier terms of which tasks may be anywhere. */
+  /** Jobs begun in previous terms of which tasks may be anywhere. */
   private readonly jobs = new Set<Job>();
   private unreconciledCount = 0;
   private recordsToLookUp: JobId[] = [];
 
   constructor(
-    private readonly cluster: Cluster,
-    private readonly startZonesRecordedSince: StartZonesRecordedSince,
+    private readonly context: StepContext,
+    private readonly init: PreviousTermsInit,
   ) {
-    this.context = cluster.context;
-    this.quotas = cluster.quotas;
-    const init = { term: cluster.term, now: this.context.now.monotonic };
-    this.recovery = this.context.features.recovery.enabled ? new Recovery(init) : null;
+    const recoveryInit = { term: init.term, now: context.now.monotonic };
+    this.recovery = context.features.recovery.enabled ? new Recovery(recoveryInit) : null;
   }
 
   /** Whether the zones in which the job is started go on record: asked as it is started for the first time. */
   recordsStartZones(job: Job): boolean {
-    if (this.startZonesRecordedSince === null) return false;
+    if (this.init.startZonesRecordedSince === null) return false;
     const { zones, stateStore } = this.context.settings;
     return fitsWithStartZones(job, zones, stateStore.maxValueBytes);
   }
@@ -51,12 +57,12 @@
 
   onJobAdded(job: Job, startZones: readonly ZoneName[] | null): void {
     this.recovery?.onRecorded(job.id);
-    job.restoreStartZones(trustedStartZones(job.startTerm, startZones, this.startZonesRecordedSince));
+    job.restoreStartZones(trustedStartZones(job.startTerm, startZones, this.init.startZonesRecordedSince));
     if (this.isFromPreviousTerm(job) && job.state !== 'done') this.jobs.add(job);
   }
 
   private isFromPreviousTerm({ startTerm }: Job): boolean {
-    return startTerm > 0 && startTerm < this.cluster.term;
+    return startTerm > 0 && startTerm < this.init.term;
   }
 
   onMachineRestored({ id, type, zone, spot }: Machine): void {
@@ -95,8 +101,10 @@
     this.unreconciledCount = recovery.unreconciledMachines;
     if (before === 0 && this.unreconciledCount === 0 && recovery.isFinished) return;
     const { monotonic } = this.context.now;
-    this.quotas.unreconciledCapacity = recovery.unreconciledCapacity(monotonic) ?? UNKNOWN_CAPACITY;
-    this.quotas.exposure = this.quotas.hasLimits ? recovery.teamExposure(this.previousTermJobs(), monotonic) : null;
+    this.init.quotas.unreconciledCapacity = recovery.unreconciledCapacity(monotonic) ?? UNKNOWN_CAPACITY;
+    this.init.quotas.exposure = this.init.quotas.hasLimits
+      ? recovery.teamExposure(this.previousTermJobs(), monotonic)
+      : null;
   }
 
   private *previousTermJobs(): Iterable<PreviousTermJob> {
@@ -110,14 +118,14 @@
     let count = 0;
     let cpus = 0;
     let gpus = 0;
-    for (const { reconciled, type } of this.cluster.machines.values()) {
+    for (const { reconciled, type } of this.init.machines.values()) {
       if (reconciled) continue;
       count += 1;
       cpus += type.cpus;
       gpus += type.gpus;
     }
     this.unreconciledCount = count;
-    this.quotas.unreconciledCapacity = { cpus, gpus };
+    this.init.quotas.unreconciledCapacity = { cpus, gpus };
   }
 
   /** Notes whether tasks of a job may run unseen, and returns how many of it may be given places now. */
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -47,9 +47,9 @@
   /** Sends what is due, and looks again as long as something is left. */
   pushDueCommands(): void {
     if (!this.leader.isLeaseValid()) return;
-    const { machinesWithPendingStops, machinesWithPendingStarts } = this.cluster;
+    const { machinesWithStops, machinesWithStarts } = this.cluster.pendingCommands;
     let anyLeft = false;
-    for (const machine of new Set([...machinesWithPendingStops, ...machinesWithPendingStarts])) {
+    for (const machine of new Set([...machinesWithStops, ...machinesWithStarts])) {
       const stops = this.dueStops(machine);
       const planned = this.plannedReplicas(machine);
       if (stops.length === 0 && planned.length === 0) continue;
@@ -69,22 +69,22 @@
 
   /** Stops that the machine has yet to carry out. Without any it is not looked at again. */
   private dueStops(machine: Machine): Command[] {
-    const { machinesWithPendingStops } = this.cluster;
-    if (!machinesWithPendingStops.has(machine)) return [];
+    const { machinesWithStops } = this.cluster.pendingCommands;
+    if (!machinesWithStops.has(machine)) return [];
     const isDue = ({ phase, pendingStop }: Placement): boolean =>
       phase !== 'checkpointing' || pendingStop?.gracePeriodSeconds === 0;
-    const stops = this.cluster.isKnown(machine) ? stopCommands(machine, isDue) : [];
-    if (stops.length === 0) machinesWithPendingStops.delete(machine);
+    const stops = this.cluster.machines.isCurrent(machine) ? stopCommands(machine, isDue) : [];
+    if (stops.length === 0) machinesWithStops.delete(machine);
     return stops;
   }
 
   /** Replicas that have a place there and are yet to be started. Without any the machine is not looked at again. */
   private plannedReplicas(machine: Machine): Placement[] {
-    const { machinesWithPendingStarts } = this.cluster;
-    if (!machinesWithPendingStarts.has(machine)) return [];
-    const placements = this.cluster.isKnown(machine) ? [...machine.placements.values()] : [];
+    const { machinesWithStarts } = this.cluster.pendingCommands;
+    if (!machinesWithStarts.has(machine)) return [];
+    const placements = this.cluster.machines.isCurrent(machine) ? [...machine.placements.values()] : [];
     const planned = placements.filter(({ job, phase }) => job.isService && phase === 'planned');
-    if (planned.length === 0) machinesWithPendingStarts.delete(machine);
+    if (planned.length === 0) machinesWithStarts.delete(machine);
     return planned;
   }
 
@@ -121,7 +121,7 @@
         if (result.ok) machine.commandChannel.confirmStarts(starts);
         else machine.commandChannel.pause(this.context.after(UNANSWERED_BACKOFF_MS));
         if (this.stopped || !result.ok || result.value.heartbeat.machine !== machine.id) return;
-        if (!this.cluster.isKnown(machine)) return;
+        if (!this.cluster.machines.isCurrent(machine)) return;
         this.reconciler.reconcile(machine, result.value.heartbeat, 'commandAnswer');
         if (result.value.executed) this.reconciler.onReachable(machine);
       },
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -93,7 +93,7 @@
       respond(this.emptyResponse);
       return;
     }
-    if (this.cluster.removedMachines.has(heartbeat.machine)) {
+    if (this.cluster.machines.wasRemoved(heartbeat.machine)) {
       respond(UNAVAILABLE);
       return;
     }
@@ -149,7 +149,7 @@
   }
 
   private processBacklogged(list: BackloggedHeartbeat): void {
-    if (this.mayRenewLeases() && this.cluster.isKnown(list.machine)) this.processStatus(list);
+    if (this.mayRenewLeases() && this.cluster.machines.isCurrent(list.machine)) this.processStatus(list);
     else list.respond?.(UNAVAILABLE);
   }
 
@@ -237,7 +237,7 @@
     if (!type) return null;
     const now = this.context.now.monotonic;
     const machine = new Machine({ id, type, zone, spot, address, reconciled: true, phase: 'up', now });
-    this.cluster.machines.set(id, machine);
+    this.cluster.machines.add(machine);
     this.cluster.previousTerms.recovery?.onUnregisteredMachine();
     this.context.log('info', 'report of a machine that was not listed', { machine: id });
     return machine;
@@ -313,7 +313,7 @@
 
   /** Notes that a start goes out; returns false where it must not. */
   private markSent(machine: Machine, command: Command, seq: SequenceNumber): boolean {
-    const placement = this.cluster.findPlacement(machine, command.job, command.index);
+    const placement = this.cluster.placements.find(machine, command.job, command.index);
     if (!placement || !mayStart(placement.job, machine)) return false;
     if (placement.job.isGang && placement.phase === 'planned' && !isGangStartDue(this.cluster, placement)) return false;
     placement.phase = 'sent';
--- a/src/core/workers/reconciler.ts
+++ b/src/core/workers/reconciler.ts
@@ -64,7 +64,8 @@
     while (this.inFlight < MAX_CONCURRENT_STATUS_REQUESTS) {
       const machine = this.pending.shift();
       if (!machine) return;
-      if (machine.reconciled || !this.cluster.isKnown(machine) || this.heartbeatWillSuffice(machine)) continue;
+      if (machine.reconciled || !this.cluster.machines.isCurrent(machine) || this.heartbeatWillSuffice(machine))
+        continue;
       this.inFlight += 1;
       this.requestStatus(machine, FIRST_AGENT_EPOCH, MAX_STATUS_REQUEST_TRIES, () => {
         this.inFlight -= 1;
@@ -79,7 +80,7 @@
       { address: machine.address, fencingToken: this.fencingToken, agentEpoch, commands: [] },
       (result) => {
         machine.commandChannel.end();
-        if (this.stopped || !this.cluster.isKnown(machine)) return done();
+        if (this.stopped || !this.cluster.machines.isCurrent(machine)) return done();
         if (!result.ok || result.value.heartbeat.machine !== machine.id) return done();
         const { executed, heartbeat } = result.value;
         this.reconcile(machine, heartbeat, 'commandAnswer');
@@ -132,7 +133,7 @@
   private markUnresponsive(machine: Machine): void {
     machine.reachability.markUnresponsive(this.context.now.monotonic, this.context.after(PROBE_INTERVAL_MS));
     this.context.log('info', 'machine reports but does not react to answers: unresponsive', { machine: machine.id });
-    this.cluster.releasePlanned(machine);
+    this.cluster.placements.releasePlanned(machine);
     this.leader.schedulePlanningRoundSoon();
   }
 }
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -3,7 +3,6 @@
 import { type StartKey, startKey, taskKey } from '../jobs/task_keys.js';
 import type { Machine, UnexpectedTask } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
-import { addUnexpectedTask } from '../state/unexpected_tasks.js';
 import type { JobId, LiveTaskStatus, TaskStatus } from '../types.js';
 
 /*
@@ -27,7 +26,7 @@
       return adopt(cluster, machine, task);
     case 'adoptAndStop': {
       const placement = adopt(cluster, machine, task);
-      if (placement) cluster.stop(placement, 0);
+      if (placement) cluster.placements.stop(placement, 0);
       return placement;
     }
     case 'adoptAndStopOther':
@@ -58,7 +57,7 @@
 /** Whether a worker may drop an ended task of a job that isn't known: only once it is certain that nobody recorded it. */
 export function mayAcknowledgeUnknownJob(cluster: Cluster, job: JobId): boolean {
   const { recovery } = cluster.previousTerms;
-  return recovery === null || (recovery.isOrphan(job) && !cluster.unreadableJobIds.has(job));
+  return recovery === null || (recovery.isOrphan(job) && !cluster.jobs.isUnreadable(job));
 }
 
 function classifyTask(cluster: Cluster, task: TaskStatus, otherPlacement: OtherPlacement | null): Classification {
@@ -73,7 +72,7 @@
     const taskDone = (phase === 'exited' || !job.isGang) && job.isDone(index);
     return { kind: 'recorded', cancelled: job.state === 'cancelled', taskDone, isService: job.isService };
   }
-  if (cluster.unreadableJobIds.has(id)) return { kind: 'unreadable' };
+  if (cluster.jobs.isUnreadable(id)) return { kind: 'unreadable' };
   return { kind: cluster.previousTerms.recovery?.isOrphan(id) ? 'absent' : 'unread' };
 }
 
@@ -82,7 +81,7 @@
   const placement = job.placements.get(index);
   if (!placement) return null;
   if (placement.phase !== 'planned') return placement;
-  cluster.release(placement);
+  cluster.placements.release(placement);
   return null;
 }
 
@@ -90,13 +89,15 @@
 
 function adopt(cluster: Cluster, machine: Machine, task: LiveTaskStatus): Placement | null {
   const job = cluster.jobs.get(task.job);
-  return job ? cluster.place(job, task.index, machine, task.attempt, task.phase) : null;
+  return job
+    ? cluster.placements.add({ job, index: task.index, machine, attempt: task.attempt, phase: task.phase })
+    : null;
 }
 
 function displace(cluster: Cluster, placement: Placement): void {
   const { job, index, attempt, machine } = placement;
-  cluster.detach(placement);
-  addUnexpectedTask(cluster, machine, { job: job.id, index, attempt, shouldStop: true, knownJob: job });
+  cluster.placements.detach(placement);
+  cluster.unexpectedTasks.add(machine, { job: job.id, index, attempt, shouldStop: true, knownJob: job });
 }
 
 const toUnexpectedTask = (
--- a/src/core/workers/status_reconciliation.ts
+++ b/src/core/workers/status_reconciliation.ts
@@ -2,7 +2,6 @@
 import { type StartKey, startKey, startKeyOf, type TaskKey, taskKey } from '../jobs/task_keys.js';
 import type { Machine, UnexpectedTask } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
-import { replaceUnexpectedTasks } from '../state/unexpected_tasks.js';
 import { addMilliseconds, type FencingToken, type Heartbeat, type LiveTaskStatus, type TaskStatus } from '../types.js';
 import { recoverLiveTask } from './recovered_tasks.js';
 import { reconcileExit } from './task_exits.js';
@@ -55,7 +54,7 @@
     session: report.agentEpoch,
     tasks: machine.placements.size,
   });
-  cluster.releaseEverything(machine);
+  cluster.clearMachine(machine);
   machine.commandChannel.clearUnconfirmedStarts();
   machine.images.dropAbandonedPulls(() => false);
 }
@@ -92,7 +91,7 @@
       freed = true;
     }
   }
-  replaceUnexpectedTasks(cluster, machine, strays);
+  cluster.unexpectedTasks.replace(machine, strays);
   return reconcileAbsentTasks(cluster, machine, live, report, source) || freed;
 }
 
@@ -118,7 +117,7 @@
     if (live.has(key) || placement.phase === 'planned') continue;
     if (placement.phase !== 'sent') {
       cluster.context.log('info', 'task is no longer on its machine', { task: key, machine: machine.id });
-      cluster.release(placement);
+      cluster.placements.release(placement);
       freed = true;
     } else if (isStartDropped(placement, report, source)) {
       startDropped = true;
@@ -146,7 +145,7 @@
   placement.phase = 'planned';
   placement.sentInResponseTo = null;
   const unwanted = pendingStop !== null || job.gangBroken || job.state !== 'accepted';
-  if (unwanted) cluster.release(placement);
+  if (unwanted) cluster.placements.release(placement);
   return unwanted;
 }
 
@@ -173,13 +172,13 @@
   task: LiveTaskStatus,
   strays: UnexpectedTask[],
 ): Placement | null {
-  const known = cluster.findPlacement(machine, task.job, task.index);
+  const known = cluster.placements.find(machine, task.job, task.index);
   if (known?.attempt === task.attempt) return known;
   if (known) {
     // Ours may still come by a direct command; it is refused for as long as the older one is there, and the worker says so.
     if (machine.commandChannel.isUnconfirmed(startKeyOf(known))) return null;
     // An older attempt is still there: ours can't have been started.
-    cluster.release(known);
+    cluster.placements.release(known);
   }
   if (cluster.previousTerms.recovery) return recoverLiveTask(cluster, machine, task, strays);
   return placeWithoutRecovery(cluster, machine, task);
@@ -197,10 +196,16 @@
     });
     return null;
   }
-  if (elsewhere) cluster.release(elsewhere);
-  const placement = cluster.place(job, task.index, machine, task.attempt, task.phase);
+  if (elsewhere) cluster.placements.release(elsewhere);
+  const placement = cluster.placements.add({
+    job,
+    index: task.index,
+    machine,
+    attempt: task.attempt,
+    phase: task.phase,
+  });
   const unwanted = job.state === 'cancelled' || (!job.isGang && job.isDone(task.index));
-  if (unwanted) cluster.stop(placement, 0);
+  if (unwanted) cluster.placements.stop(placement, 0);
   return placement;
 }
 
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -26,7 +26,7 @@
   const { index, attempt } = task;
   const hasResult = task.exitReason === 'done' && !job?.isService;
   machine.exitedTasks.push({ job: task.job, index, attempt, isDone: hasResult });
-  const found = cluster.findPlacement(machine, task.job, index);
+  const found = cluster.placements.find(machine, task.job, index);
   const placement = found?.attempt === attempt ? found : null;
   if (!placement && cluster.previousTerms.recovery) recordMissedExit(cluster, machine, task);
   if (!job) return false;
@@ -34,7 +34,7 @@
   if (!placement) return false;
   if (job.isService) recordReplicaExit(cluster, placement, task);
   else if (!hasResult) recordFailure(cluster, placement, task);
-  cluster.release(placement);
+  cluster.placements.release(placement);
   return true;
 }
 
@@ -100,7 +100,7 @@
   const pausedUntil = job.notBefore;
   if (task.exitReason !== 'done') recordFailure(cluster, placement, task);
   job.notBefore = Math.max(pausedUntil, job.notBefore) as MonotonicTime;
-  cluster.scheduleServicePlacement(job.notBefore);
+  cluster.servicePlacements.request(job.notBefore);
 }
 
 function recordShortRun({ context }: Cluster, placement: Placement): void {
@@ -155,7 +155,7 @@
 function pauseFaultyJob(cluster: Cluster, job: Job): void {
   const { failureHistory } = job;
   job.notBefore = cluster.context.after(failureHistory.backoffMs);
-  for (const other of [...job.placements.values()]) if (other.phase === 'planned') cluster.release(other);
+  for (const other of [...job.placements.values()]) if (other.phase === 'planned') cluster.placements.release(other);
 }
 
 /** Whether the machine is at fault is judged once it is known how the job does elsewhere (health_checks.ts). */
