--- a/src/core/jobs/job_cache.ts
+++ b/src/core/jobs/job_cache.ts
@@ -1,6 +1,6 @@
 import { type PrefixRead, readPrefix } from '../calls/state_store_reads.js';
 import { CLOCK_DRIFT, maxJobViewAgeMs } from '../lease_bounds.js';
-import type { Result, StateStoreResponse, StoredEntry, WatchEvent } from '../messages.js';
+import type { StateStoreResponse, StateStoreResult, StoredEntry, WatchEvent } from '../messages.js';
 import { decodeJob, JOB_PREFIX, type JobRecord } from '../records.js';
 import type { StepContext } from '../step_context.js';
 import { addMilliseconds, type JobId, type MonotonicTime, type Revision } from '../types.js';
@@ -122,10 +122,10 @@
     this.watchInFlight = true;
     const waitMs = this.isLeader ? this.leaderWatchMs : FOLLOWER_WATCH_MS;
     let sentAt = this.context.now.monotonic;
-    const onResult = (result: Result<StateStoreResponse>): void => {
+    const onResult = (result: StateStoreResult): void => {
       this.watchInFlight = false;
       if (result.ok) this.onWatchAnswered(result.value, sentAt, waitMs);
-      else this.onWatchFailed(result.why === 'gone');
+      else this.onWatchFailed(result.error.code === 'gone');
     };
     this.context.callStateStore({ op: 'watch', prefix: JOB_PREFIX, after, waitMs }, 1, onResult, {
       timeoutMs: waitMs + WATCH_GRACE_MS,
--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -1,6 +1,6 @@
 import { encodeTerm, nextTermRecord, type StartZonesRecordedSince, type TermRecord } from '../../recovery/index.js';
 import { CLOCK_DRIFT, leaderLeaseMs } from '../lease_bounds.js';
-import type { Result, StateChange, StateStoreResponse, StoredEntry, VersionCondition } from '../messages.js';
+import type { StateChange, StateStoreResult, StoredEntry, VersionCondition } from '../messages.js';
 import { decodeLeader, encodeLeader, LEADER_KEY, type LeaderRecord, TERM_KEY } from '../records.js';
 import type { StepContext } from '../step_context.js';
 import {
@@ -170,9 +170,9 @@
   }
 
   private watchLeaderKey(): void {
-    const onResult = (result: Result<StateStoreResponse>): void => {
+    const onResult = (result: StateStoreResult): void => {
       if (!result.ok) {
-        this.retryAfter(result.why === 'gone' ? IMMEDIATE_RETRY_MS : RETRY_MS);
+        this.retryAfter(result.error.code === 'gone' ? IMMEDIATE_RETRY_MS : RETRY_MS);
         return;
       }
       if (result.value.revision !== undefined) this.observedRevision = result.value.revision;
@@ -203,7 +203,7 @@
 
   private campaign(term: TermRecord, termVersion: Revision): void {
     let grantSentAt = this.context.now.monotonic;
-    const onResult = (result: Result<StateStoreResponse>): void => {
+    const onResult = (result: StateStoreResult): void => {
       const leaseId = result.ok ? result.value.lease : undefined;
       if (leaseId === undefined) {
         this.retryAfter(RETRY_MS);
@@ -230,7 +230,7 @@
     ];
     this.context.callStateStore({ op: 'compareAndSwap', conditions, changes }, ELECTION_PRIORITY, (result) => {
       if (result.ok && result.value.revision !== undefined) return this.becomeLeader(candidacy, result.value.revision);
-      if (!result.ok && result.why === 'unknown') return this.confirmAcquisition(candidacy);
+      if (!result.ok && result.error.code === 'outcomeUnknown') return this.confirmAcquisition(candidacy);
       this.revoke(leaseId);
       this.retryAfter(SHORT_RETRY_MS);
     });
@@ -290,7 +290,7 @@
     if (!held || this.isRenewalInFlight) return;
     this.isRenewalInFlight = true;
     let sentAt = this.context.now.monotonic;
-    const onResult = (result: Result<StateStoreResponse>): void => {
+    const onResult = (result: StateStoreResult): void => {
       this.isRenewalInFlight = false;
       if (this.leadership === held) this.onRenewal(held, result, sentAt);
     };
@@ -302,7 +302,7 @@
     });
   }
 
-  private onRenewal(held: Leadership, result: Result<StateStoreResponse>, sentAt: MonotonicTime): void {
+  private onRenewal(held: Leadership, result: StateStoreResult, sentAt: MonotonicTime): void {
     if (result.ok) {
       const hadLapsed = !this.isLeaseValid();
       this.extendValidity(sentAt);
@@ -310,7 +310,7 @@
       this.scheduleRenewal(this.ttlMs / RENEWALS_PER_LEASE);
       return;
     }
-    if (result.why !== 'gone' && result.why !== 'rejected') {
+    if (result.error.code !== 'gone' && result.error.code !== 'invalidRequest') {
       this.scheduleRenewal(RENEWAL_RETRY_MS);
       return;
     }
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -2,7 +2,13 @@
 import { RangeSet } from '../jobs/range_set.js';
 import type { Machine } from '../machines/machine.js';
 import type { MachineRegistry, RegistryPage } from '../machines/machine_registry.js';
-import type { Result, StateChange, StateStoreResponse, StoredEntry, VersionCondition } from '../messages.js';
+import {
+  type StateChange,
+  type StateStoreResult,
+  type StoredEntry,
+  type VersionCondition,
+  wasNotExecuted,
+} from '../messages.js';
 import { encodeJob, type JobState, jobKey, pageKey } from '../records.js';
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
@@ -212,15 +218,15 @@
     if (job.writeUrgency === 'now') this.scheduleFlush();
   }
 
-  private onBatchFailed(batch: WriteBatch, result: Result<StateStoreResponse>): void {
+  private onBatchFailed(batch: WriteBatch, result: StateStoreResult): void {
     // Only what was refused has certainly not been carried out.
-    const outcomeUnknown = result.ok || result.why !== 'refused';
+    const outcomeUnknown = result.ok || !wasNotExecuted(result.error);
     for (const { page } of batch.pages) {
       page.urgent = true;
       page.versionUnknown = outcomeUnknown;
     }
     if (outcomeUnknown) for (const { job } of batch.jobs) this.rereadJob(job);
-    if (!result.ok && result.why === 'rejected') this.reduceWriteSize(batch);
+    if (!result.ok && result.error.code === 'invalidRequest') this.reduceWriteSize(batch);
     this.rescheduleFlush(WRITE_RETRY_MS);
   }
 
--- a/src/core/machines/scale_out.ts
+++ b/src/core/machines/scale_out.ts
@@ -81,9 +81,10 @@
     } as const;
     context.callCloud(op, PROVISION_PRIORITY, (result) => {
       if (result.ok) return this.onProvisioned(rental, result.value.provisioned ?? []);
-      if (result.why === 'unknown' && context.now.monotonic - requestedAt < RETRY_WINDOW_MS) return this.send(rental);
+      if (result.error.code === 'outcomeUnknown' && context.now.monotonic - requestedAt < RETRY_WINDOW_MS)
+        return this.send(rental);
       this.pending.delete(requestId);
-      if (result.why === 'no_capacity') this.backOff(pool);
+      if (result.error.code === 'noCapacity') this.backOff(pool);
     });
   }
 
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -16,27 +16,53 @@
   ZoneName,
 } from './types.js';
 
-/** Why a call to an outside service brought no result. */
-export type CallFailure =
-  /** Answered that it was not executed (429, 503). */
-  | 'refused'
-  /** No answer: it may have been executed, or still be. */
-  | 'unknown'
-  /** The thing named no longer exists (a lease that ended, a watch too far back). */
-  | 'gone'
-  /** The conditions of a transaction did not hold. */
-  | 'conflict'
-  /** The cloud has no such machine to rent. */
-  | 'no_capacity'
-  /** The service called the request malformed. */
-  | 'rejected';
-
-/** What a call to an outside service brought. */
-export type Result<T> =
-  | { readonly ok: true; readonly value: T }
-  /** `keys`: of a conflict, those that did not have the version asked for. */
-  /** `throttled`: it was refused for coming too often. */
-  | { readonly ok: false; readonly why: CallFailure; readonly keys?: readonly string[]; readonly throttled?: boolean };
+/** The call was not executed: the service refused it, or it was never sent. */
+export interface NotExecuted {
+  /** `throttled`: refused for coming too often (429). `unavailable`: refused for any other reason (503), or given up here. */
+  readonly code: 'throttled' | 'unavailable';
+}
+
+/** No response that could be read: the call may have been executed, or may still be. */
+export interface OutcomeUnknown {
+  readonly code: 'outcomeUnknown';
+}
+
+/** The service called the request malformed. */
+export interface InvalidRequest {
+  readonly code: 'invalidRequest';
+}
+
+/** Why a call to the state store brought no response. */
+export type StateStoreError =
+  | NotExecuted
+  | OutcomeUnknown
+  | InvalidRequest
+  /** What the call names no longer exists: a lease that expired, a watch from a revision too far back. */
+  | { readonly code: 'gone' }
+  /** Conditions of a compare-and-swap did not hold; `keys`: those that did not have the version asked for. */
+  | { readonly code: 'conflict'; readonly keys: readonly string[] };
+
+/** Why a call to the cloud brought no response. */
+export type CloudError =
+  | NotExecuted
+  | OutcomeUnknown
+  | InvalidRequest
+  /** It has no machine of this type in this zone to provision. */
+  | { readonly code: 'noCapacity' };
+
+/** Why commands pushed to a worker brought no response. */
+export type CommandPushError = NotExecuted | OutcomeUnknown | InvalidRequest;
+
+/** Whether the service certainly did not execute the call. */
+export const wasNotExecuted = ({ code }: StateStoreError | CloudError): boolean =>
+  code === 'throttled' || code === 'unavailable';
+
+/** What a call to an outside service brought: its response, or why there is none. */
+export type Result<T, E> = { readonly ok: true; readonly value: T } | { readonly ok: false; readonly error: E };
+
+export type StateStoreResult = Result<StateStoreResponse, StateStoreError>;
+export type CloudResult = Result<CloudResponse, CloudError>;
+export type CommandPushResult = Result<CommandPushResponse, CommandPushError>;
 
 /** A value of the state service, with the revision of its last change. */
 export interface StoredEntry {
@@ -86,7 +112,9 @@
   readonly events?: readonly WatchEvent[];
 }
 
-export type OnStateStoreResult = (result: Result<StateStoreResponse>) => void;
+export type OnStateStoreResult = (result: StateStoreResult) => void;
+export type OnCloudResult = (result: CloudResult) => void;
+export type OnCommandPushResult = (result: CommandPushResult) => void;
 
 /** Calls to the cloud. */
 export type CloudOperation =
@@ -194,9 +222,9 @@
   | { readonly kind: 'timer' }
   | { readonly kind: 'userRequest'; readonly requestId: RequestId; readonly request: UserRequest }
   | { readonly kind: 'heartbeat'; readonly requestId: RequestId; readonly heartbeat: Heartbeat }
-  | { readonly kind: 'stateStoreReply'; readonly callId: CallId; readonly result: Result<StateStoreResponse> }
-  | { readonly kind: 'cloudReply'; readonly callId: CallId; readonly result: Result<CloudResponse> }
-  | { readonly kind: 'commandPushReply'; readonly callId: CallId; readonly result: Result<CommandPushResponse> }
+  | { readonly kind: 'stateStoreReply'; readonly callId: CallId; readonly result: StateStoreResult }
+  | { readonly kind: 'cloudReply'; readonly callId: CallId; readonly result: CloudResult }
+  | { readonly kind: 'commandPushReply'; readonly callId: CallId; readonly result: CommandPushResult }
   | { readonly kind: 'peerMessage'; readonly sender: ControllerName; readonly message: PeerMessage };
 
 export type LogLevel = 'error' | 'info' | 'debug';
--- a/src/core/requests/linearizable_reads.ts
+++ b/src/core/requests/linearizable_reads.ts
@@ -1,5 +1,5 @@
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
-import type { Result, StateStoreResponse } from '../messages.js';
+import type { StateStoreResult } from '../messages.js';
 import { JOB_PREFIX, jobKey } from '../records.js';
 import type { StepContext } from '../step_context.js';
 import type { JobId } from '../types.js';
@@ -88,20 +88,31 @@
     return batch;
   }
 
-  private onResult(batch: ReadonlyMap<JobId, BatchedJob>, result: Result<StateStoreResponse>): void {
-    const conflict = !result.ok && result.why === 'conflict';
-    const changedKeys = new Set(conflict ? (result.keys ?? []) : []);
+  private onResult(batch: ReadonlyMap<JobId, BatchedJob>, result: StateStoreResult): void {
+    if (result.ok) {
+      this.respondConfirmed(batch);
+    } else if (result.error.code === 'conflict') {
+      this.resolveConflict(batch, new Set(result.error.keys));
+    } else {
+      for (const { queries } of batch.values()) for (const query of queries) query.onUnavailable();
+    }
+  }
+
+  private respondConfirmed(batch: ReadonlyMap<JobId, BatchedJob>): void {
+    for (const { job, queries } of batch.values()) {
+      for (const query of queries) query.respond(this.reader.statusResponse(job.record));
+    }
+  }
+
+  private resolveConflict(batch: ReadonlyMap<JobId, BatchedJob>, changedKeys: ReadonlySet<string>): void {
     // A conflict that names nothing that was asked for confirms nothing.
     const namesAny = [...changedKeys].some((key) => batch.has(key.slice(JOB_PREFIX.length) as JobId));
-    for (const [id, { job, queries }] of batch) {
+    for (const [id, { queries }] of batch) {
       const mayHaveChanged = !namesAny || changedKeys.has(jobKey(id));
-      const settle = (question: StatusQuery): void => {
-        if (result.ok) question.respond(this.reader.statusResponse(job.record));
-        else if (!conflict) question.onUnavailable();
-        else if (mayHaveChanged) this.reader.respond(question);
-        else this.enqueue(question);
-      };
-      queries.forEach(settle);
+      for (const query of queries) {
+        if (mayHaveChanged) this.reader.respond(query);
+        else this.enqueue(query);
+      }
     }
   }
 }
--- a/src/core/requests/request_handler.ts
+++ b/src/core/requests/request_handler.ts
@@ -1,7 +1,13 @@
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
 import { RangeSet } from '../jobs/range_set.js';
 import type { MachineTypes } from '../machines/machine_type_catalog.js';
-import type { OnStateStoreResult, StateChange, UserRequest, UserResponse } from '../messages.js';
+import {
+  type OnStateStoreResult,
+  type StateChange,
+  type UserRequest,
+  type UserResponse,
+  wasNotExecuted,
+} from '../messages.js';
 import { encodeJob, type JobRecord, jobKey } from '../records.js';
 import type { StepContext } from '../step_context.js';
 import { ABSENT_VERSION, type JobId, type JobSpec } from '../types.js';
@@ -154,7 +160,7 @@
       }
       // Another submission was first, or this one may have been written: a read tells. If it shows nothing, the user asks
       // again.
-      const mayExist = result.why === 'conflict' || result.why === 'unknown';
+      const mayExist = result.error.code === 'conflict' || result.error.code === 'outcomeUnknown';
       if (mayExist) this.reader.respond({ id, responseIfMissing: STATE_STORE_UNAVAILABLE, ...reply });
       else reply.onUnavailable();
     };
@@ -221,7 +227,7 @@
         return this.respondCancelled(cancelled, reply);
       }
       // Somebody wrote in between, or the outcome is unknown: looked at again.
-      if (result.why === 'refused' || tries >= MAX_CANCEL_ATTEMPTS) reply.onUnavailable();
+      if (wasNotExecuted(result.error) || tries >= MAX_CANCEL_ATTEMPTS) reply.onUnavailable();
       else this.cancel(id, reply, tries + 1);
     };
     this.context.callStateStore(
--- a/src/core/step_context.ts
+++ b/src/core/step_context.ts
@@ -1,22 +1,25 @@
 import { type CallPriority, CallQueue, type QueuedCall } from './calls/call_queue.js';
 import { TokenBucket } from './calls/token_bucket.js';
 import { ALL_OFF, type Features } from './features.js';
-import type {
-  CallId,
-  CloudOperation,
-  CloudResponse,
-  CommandPush,
-  CommandPushResponse,
-  HeartbeatResponse,
-  LogFields,
-  LogLevel,
-  Output,
-  PeerMessage,
-  RequestId,
-  Result,
-  StateStoreOperation,
-  StateStoreResponse,
-  UserResponse,
+import {
+  type CallId,
+  type CloudOperation,
+  type CloudResult,
+  type CommandPush,
+  type CommandPushResult,
+  type HeartbeatResponse,
+  type LogFields,
+  type LogLevel,
+  type OnCloudResult,
+  type OnCommandPushResult,
+  type OnStateStoreResult,
+  type Output,
+  type PeerMessage,
+  type RequestId,
+  type StateStoreOperation,
+  type StateStoreResult,
+  type UserResponse,
+  wasNotExecuted,
 } from './messages.js';
 import type { Settings, Tuning } from './settings.js';
 import { Timers } from './timers.js';
@@ -42,8 +45,6 @@
   | 'storeQueue'
   | 'cloudQueue';
 
-type OnResult<T> = (result: Result<T>) => void;
-
 /** How a call to an outside service may wait. */
 export interface CallOptions {
   /** For an answer, once it is sent. */
@@ -57,7 +58,7 @@
 }
 
 interface OpenStateStoreCall {
-  readonly onResult: OnResult<StateStoreResponse>;
+  readonly onResult: OnStateStoreResult;
   readonly writes: boolean;
 }
 
@@ -75,7 +76,7 @@
 /** With less of the burst left than this, writes that can wait should. */
 const SPARE_WRITES_LEVEL = 0.5;
 
-const REFUSED = { ok: false, why: 'refused' } as const;
+const NOT_SENT = { ok: false, error: { code: 'unavailable' } } as const;
 
 const isWrite = (op: StateStoreOperation): boolean => op.op === 'compareAndSwap' && op.changes.length > 0;
 
@@ -97,8 +98,8 @@
   private usesAnnouncedRates = false;
   private lastCall: CallId = 0;
   private readonly openStateStoreCalls = new Map<CallId, OpenStateStoreCall>();
-  private readonly openCloudCalls = new Map<CallId, OnResult<CloudResponse>>();
-  private readonly openCommandPushes = new Map<CallId, OnResult<CommandPushResponse>>();
+  private readonly openCloudCalls = new Map<CallId, OnCloudResult>();
+  private readonly openCommandPushes = new Map<CallId, OnCommandPushResult>();
   private readonly stateStoreRequestTokens: TokenBucket;
   private readonly stateStoreWriteTokens: TokenBucket;
   private readonly stateStoreQueue: CallQueue;
@@ -186,7 +187,7 @@
   callStateStore(
     operation: StateStoreOperation,
     priority: CallPriority,
-    onResult: OnResult<StateStoreResponse>,
+    onResult: OnStateStoreResult,
     options: CallOptions = {},
   ): void {
     const { timeoutMs = STORE_TIMEOUT_MS, maxQueueTimeMs = STORE_QUEUE_MS, failFast = false, onSend } = options;
@@ -199,26 +200,26 @@
         onSend?.(this.now.monotonic);
         this.outputs.push({ kind: 'stateStoreCall', callId, operation, timeoutMs });
       },
-      refuse: () => onResult(REFUSED),
+      refuse: () => onResult(NOT_SENT),
     };
     if (failFast) this.stateStoreQueue.addOrRefuse(priority, queued, this.now.monotonic);
     else this.stateStoreQueue.add(priority, queued);
   }
 
-  callCloud(op: CloudOperation, priority: CallPriority, onResult: OnResult<CloudResponse>): void {
+  callCloud(op: CloudOperation, priority: CallPriority, onResult: OnCloudResult): void {
     this.cloudQueue.add(priority, {
       writeTokens: 0,
       expiresAt: this.after(CLOUD_QUEUE_MS),
       send: () => this.sendToCloud(op, onResult),
-      refuse: () => onResult(REFUSED),
+      refuse: () => onResult(NOT_SENT),
     });
   }
 
   /** What changes anything there goes out only while this node leads: the cloud has no token that would refuse it later. */
-  private sendToCloud(operation: CloudOperation, onResult: OnResult<CloudResponse>): void {
+  private sendToCloud(operation: CloudOperation, onResult: OnCloudResult): void {
     const changes = operation.op === 'provision' || operation.op === 'terminate';
     if (changes && this.now.monotonic >= this.leadershipValidUntil) {
-      onResult(REFUSED);
+      onResult(NOT_SENT);
       return;
     }
     const callId = this.nextCall();
@@ -236,7 +237,7 @@
   }
 
   /** A direct call to a worker: it is sent at once. */
-  pushCommands(operation: CommandPush, onResult: OnResult<CommandPushResponse>): void {
+  pushCommands(operation: CommandPush, onResult: OnCommandPushResult): void {
     const callId = this.nextCall();
     this.openCommandPushes.set(callId, onResult);
     this.outputs.push({ kind: 'commandPush', callId, operation, ...this.whileLeading() });
@@ -281,22 +282,22 @@
     return this.lastCall;
   }
 
-  onStateStoreReply(call: CallId, result: Result<StateStoreResponse>): void {
+  onStateStoreReply(call: CallId, result: StateStoreResult): void {
     const sent = this.openStateStoreCalls.get(call);
     if (!sent) return;
     this.openStateStoreCalls.delete(call);
-    if (!result.ok && result.throttled) this.onThrottled(sent.writes);
+    if (!result.ok && result.error.code === 'throttled') this.onThrottled(sent.writes);
     this.trackStateStoreHealth(result);
     sent.onResult(result);
   }
 
-  private trackStateStoreHealth(result: Result<StateStoreResponse>): void {
-    if (result.ok || (result.why !== 'refused' && result.why !== 'unknown')) {
+  private trackStateStoreHealth(result: StateStoreResult): void {
+    if (result.ok || (!wasNotExecuted(result.error) && result.error.code !== 'outcomeUnknown')) {
       this.stateStoreFailingSince = null;
       return;
     }
     this.stateStoreFailingSince ??= this.now.monotonic;
-    if (result.why === 'refused') this.stateStoreQueue.pause(this.after(REFUSED_PAUSE_MS));
+    if (wasNotExecuted(result.error)) this.stateStoreQueue.pause(this.after(REFUSED_PAUSE_MS));
   }
 
   /**
@@ -317,13 +318,13 @@
     this.setIsLeader(this.leaderRole);
   }
 
-  onCloudReply(call: CallId, result: Result<CloudResponse>): void {
+  onCloudReply(call: CallId, result: CloudResult): void {
     const onResult = this.openCloudCalls.get(call);
     this.openCloudCalls.delete(call);
     onResult?.(result);
   }
 
-  onCommandPushReply(call: CallId, result: Result<CommandPushResponse>): void {
+  onCommandPushReply(call: CallId, result: CommandPushResult): void {
     const onResult = this.openCommandPushes.get(call);
     this.openCommandPushes.delete(call);
     onResult?.(result);
--- a/src/io/cloud/cloud_codec.ts
+++ b/src/io/cloud/cloud_codec.ts
@@ -1,4 +1,4 @@
-import type { CallFailure, CloudOperation, CloudResponse, Result } from '../../core/messages.js';
+import type { CloudError, CloudOperation, CloudResult } from '../../core/messages.js';
 import type { CloudMachine, MachineId, MachineType, MachineTypeName, ZoneName } from '../../core/types.js';
 import type { HttpRequest } from '../http/http_request.js';
 import { amountField, booleanField, enumField, expectMap, listField, textField } from '../wire/fields.js';
@@ -67,26 +67,26 @@
 }
 
 /** Why a call with this status brought no result; null: it did. */
-function failureOfStatus(call: CloudOperation, status: number, body: unknown): CallFailure | null {
+function errorOfStatus(call: CloudOperation, status: number, body: unknown): CloudError | null {
   switch (status) {
     case 200:
       return null;
     case 429:
-      return 'refused';
+      return { code: 'throttled' };
     case 503: {
       const error = (body as { error?: unknown } | null)?.error;
-      return call.op === 'provision' && error === NO_CAPACITY ? 'no_capacity' : 'refused';
+      return { code: call.op === 'provision' && error === NO_CAPACITY ? 'noCapacity' : 'unavailable' };
     }
     case 400:
-      return 'rejected';
+      return { code: 'invalidRequest' };
     default:
-      return 'unknown';
+      return { code: 'outcomeUnknown' };
   }
 }
 
-export function decodeCloudResponse(call: CloudOperation, status: number, body: unknown): Result<CloudResponse> {
-  const failure = failureOfStatus(call, status, body);
-  if (failure) return { ok: false, why: failure };
+export function decodeCloudResponse(call: CloudOperation, status: number, body: unknown): CloudResult {
+  const error = errorOfStatus(call, status, body);
+  if (error) return { ok: false, error };
   const fields = expectMap(body, 'answer');
   switch (call.op) {
     case 'types':
--- a/src/io/controller_runtime.ts
+++ b/src/io/controller_runtime.ts
@@ -6,6 +6,7 @@
 import type {
   HeartbeatResponse,
   Input,
+  OutcomeUnknown,
   Output,
   RequestId,
   Result,
@@ -199,17 +200,17 @@
   }
 
   /** What an answer says; one that is missing or malformed leaves it unknown whether the call was carried out. */
-  private decodeResponse<T>(
+  private decodeResponse<T, E>(
     answer: HttpResponse | null,
     from: string,
-    decode: (answer: HttpResponse) => Result<T>,
-  ): Result<T> {
-    if (!answer) return { ok: false, why: 'unknown' };
+    decode: (answer: HttpResponse) => Result<T, E>,
+  ): Result<T, E | OutcomeUnknown> {
+    if (!answer) return { ok: false, error: { code: 'outcomeUnknown' } };
     try {
       return decode(answer);
     } catch (error) {
       this.countMalformedMessage(`${from}: ${(error as Error).message}`);
-      return { ok: false, why: 'unknown' };
+      return { ok: false, error: { code: 'outcomeUnknown' } };
     }
   }
 }
--- a/src/io/output_expiry.ts
+++ b/src/io/output_expiry.ts
@@ -1,7 +1,7 @@
 import type { Input, Output, UserResponse } from '../core/messages.js';
 import type { MonotonicTime } from '../core/types.js';
 
-const REFUSED = { ok: false, why: 'refused' } as const;
+const REFUSED = { ok: false, error: { code: 'unavailable' } } as const;
 
 const RETRY_LATER: UserResponse = { status: 503, problem: 'the answer came too late to be true', retryAfterSeconds: 1 };
 
--- a/src/io/state_store/state_store_codec.ts
+++ b/src/io/state_store/state_store_codec.ts
@@ -1,8 +1,8 @@
 import type {
-  Result,
   StateChange,
   StateStoreOperation,
   StateStoreResponse,
+  StateStoreResult,
   StoredEntry,
   WatchEvent,
 } from '../../core/messages.js';
@@ -62,22 +62,22 @@
 }
 
 /** Null where the status says that the call was carried out. */
-function decodeFailure(status: number, body: unknown): Result<StateStoreResponse> | null {
+function decodeFailure(status: number, body: unknown): StateStoreResult | null {
   if (status >= 200 && status <= 299) return null;
   switch (status) {
     case 429:
-      return { ok: false, why: 'refused', throttled: true };
+      return { ok: false, error: { code: 'throttled' } };
     case 503:
-      return { ok: false, why: 'refused' };
+      return { ok: false, error: { code: 'unavailable' } };
     case 400:
-      return { ok: false, why: 'rejected' };
+      return { ok: false, error: { code: 'invalidRequest' } };
     case 409:
-      return { ok: false, why: 'conflict', keys: conflictingKeys(body) };
+      return { ok: false, error: { code: 'conflict', keys: conflictingKeys(body) } };
     case 404:
     case 410:
-      return { ok: false, why: 'gone' };
+      return { ok: false, error: { code: 'gone' } };
     default:
-      return { ok: false, why: 'unknown' };
+      return { ok: false, error: { code: 'outcomeUnknown' } };
   }
 }
 
@@ -104,11 +104,7 @@
 }
 
 /** What the answer to a call to the state service says. */
-export function decodeStateStoreResponse(
-  call: StateStoreOperation,
-  status: number,
-  body: unknown,
-): Result<StateStoreResponse> {
+export function decodeStateStoreResponse(call: StateStoreOperation, status: number, body: unknown): StateStoreResult {
   if (status === 404 && call.op === 'get') {
     return { ok: true, value: { item: null, revision: decodeRevision(expectMap(body, 'answer')) } };
   }
--- a/src/io/workers/worker_codec.ts
+++ b/src/io/workers/worker_codec.ts
@@ -1,4 +1,4 @@
-import type { CommandPush, CommandPushResponse, HeartbeatResponse, Result } from '../../core/messages.js';
+import type { CommandPush, CommandPushResult, HeartbeatResponse } from '../../core/messages.js';
 import type {
   AgentEpoch,
   Attempt,
@@ -111,7 +111,7 @@
 }
 
 /** The answer to direct commands: the worker's report, whether or not it executed them. */
-export function decodePushedCommandsResponse(status: number, body: unknown): Result<CommandPushResponse> {
-  if (status !== 200 && status !== 409) return { ok: false, why: 'rejected' };
+export function decodePushedCommandsResponse(status: number, body: unknown): CommandPushResult {
+  if (status !== 200 && status !== 409) return { ok: false, error: { code: 'invalidRequest' } };
   return { ok: true, value: { executed: status === 200, heartbeat: decodeHeartbeat(body) } };
 }
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -97,22 +97,21 @@
   const found = decodeStateStoreResponse(get, 200, { k: 'a/b', data: { x: 1 }, feather: 412, tether: 7 });
   assert.ok(found.ok && found.value.item?.version === 412n);
   const txn = { op: 'compareAndSwap', conditions: [], changes: [] } as const;
-  for (const [status, why] of [
-    [503, 'refused'],
-    [400, 'rejected'],
-    [500, 'unknown'],
+  for (const [status, code] of [
+    [503, 'unavailable'],
+    [400, 'invalidRequest'],
+    [500, 'outcomeUnknown'],
   ] as const) {
-    assert.deepEqual(decodeStateStoreResponse(txn, status, null), { ok: false, why });
+    assert.deepEqual(decodeStateStoreResponse(txn, status, null), { ok: false, error: { code } });
   }
-  assert.deepEqual(decodeStateStoreResponse(txn, 429, null), { ok: false, why: 'refused', throttled: true });
+  assert.deepEqual(decodeStateStoreResponse(txn, 429, null), { ok: false, error: { code: 'throttled' } });
   assert.deepEqual(decodeStateStoreResponse(txn, 409, { failed: ['j/1', 7], molt: 3 }), {
     ok: false,
-    why: 'conflict',
-    keys: ['j/1'],
+    error: { code: 'conflict', keys: ['j/1'] },
   });
   assert.deepEqual(decodeStateStoreResponse({ op: 'renew', lease: 7n as never }, 404, null), {
     ok: false,
-    why: 'gone',
+    error: { code: 'gone' },
   });
   assert.deepEqual(
     encodeStateStoreRequest({ op: 'watch', prefix: 'j/', after: revision(431), waitMs: 100 }).path,
@@ -122,8 +121,11 @@
 
 test('a cloud without capacity is not a cloud in trouble', () => {
   const rent = { op: 'provision', idempotencyKey: 'r-1', machineType: 'g8', zone: 'a', spot: true, count: 1 } as never;
-  assert.deepEqual(decodeCloudResponse(rent, 503, { error: 'no capacity' }), { ok: false, why: 'no_capacity' });
-  assert.deepEqual(decodeCloudResponse(rent, 503, { error: 'trouble' }), { ok: false, why: 'refused' });
+  assert.deepEqual(decodeCloudResponse(rent, 503, { error: 'no capacity' }), {
+    ok: false,
+    error: { code: 'noCapacity' },
+  });
+  assert.deepEqual(decodeCloudResponse(rent, 503, { error: 'trouble' }), { ok: false, error: { code: 'unavailable' } });
 });
 
 test('peer frames come back as they went, however the stream is cut', () => {
--- a/test/golden/leader_records.ts
+++ b/test/golden/leader_records.ts
@@ -1,5 +1,5 @@
 import { Controller } from '../../src/core/controller.js';
-import type { Input, Result, StateStoreOperation, StateStoreResponse } from '../../src/core/messages.js';
+import type { Input, StateStoreOperation, StateStoreResult } from '../../src/core/messages.js';
 import { LEADER_KEY, TERM_KEY } from '../../src/core/records.js';
 import {
   type ClockReading,
@@ -24,7 +24,7 @@
 const STEP_MS = 20;
 
 /** The state service as a candidate finds it: nobody leads. */
-function answer(op: StateStoreOperation, term: unknown): Result<StateStoreResponse> {
+function answer(op: StateStoreOperation, term: unknown): StateStoreResult {
   const at = revision(700);
   switch (op.op) {
     case 'get':
@@ -39,7 +39,7 @@
     case 'list':
       return { ok: true, value: { items: [], more: false, revision: at } };
     default:
-      return { ok: false, why: 'refused' };
+      return { ok: false, error: { code: 'unavailable' } };
   }
 }
 
--- a/test/golden/service_cases.ts
+++ b/test/golden/service_cases.ts
@@ -3,11 +3,12 @@
 import type {
   CloudOperation,
   CloudResponse,
+  CloudResult,
   CommandPush,
-  CommandPushResponse,
-  Result,
+  CommandPushResult,
   StateStoreOperation,
   StateStoreResponse,
+  StateStoreResult,
 } from '../../src/core/messages.js';
 import {
   type AgentEpoch,
@@ -143,17 +144,16 @@
     const conflict = { failed: ['j/1', 7, 'leader'], molt: 3 };
     assert.deepEqual(decodeStateStoreResponse(callNamed('transaction with changes'), 409, received(conflict)), {
       ok: false,
-      why: 'conflict',
-      keys: ['j/1', 'leader'],
+      error: { code: 'conflict', keys: ['j/1', 'leader'] },
     });
-    const failures: readonly (readonly [number, Result<StateStoreResponse>])[] = [
-      [400, { ok: false, why: 'rejected' }],
-      [404, { ok: false, why: 'gone' }],
-      [409, { ok: false, why: 'conflict', keys: [] }],
-      [410, { ok: false, why: 'gone' }],
-      [429, { ok: false, why: 'refused', throttled: true }],
-      [500, { ok: false, why: 'unknown' }],
-      [503, { ok: false, why: 'refused' }],
+    const failures: readonly (readonly [number, StateStoreResult])[] = [
+      [400, { ok: false, error: { code: 'invalidRequest' } }],
+      [404, { ok: false, error: { code: 'gone' } }],
+      [409, { ok: false, error: { code: 'conflict', keys: [] } }],
+      [410, { ok: false, error: { code: 'gone' } }],
+      [429, { ok: false, error: { code: 'throttled' } }],
+      [500, { ok: false, error: { code: 'outcomeUnknown' } }],
+      [503, { ok: false, error: { code: 'unavailable' } }],
     ];
     for (const [name, op] of Object.entries(storeCalls)) {
       for (const [status, failure] of failures) {
@@ -280,13 +280,13 @@
       assert.deepEqual(decodeCloudResponse(callNamed(name), 200, received(body)), { ok: true, value });
     }
     const full = received({ error: 'no capacity' });
-    const failures: readonly (readonly [number, unknown, Result<CloudResponse>, Result<CloudResponse>])[] = [
-      [400, null, { ok: false, why: 'rejected' }, { ok: false, why: 'rejected' }],
-      [404, null, { ok: false, why: 'unknown' }, { ok: false, why: 'unknown' }],
-      [429, null, { ok: false, why: 'refused' }, { ok: false, why: 'refused' }],
-      [500, null, { ok: false, why: 'unknown' }, { ok: false, why: 'unknown' }],
-      [503, null, { ok: false, why: 'refused' }, { ok: false, why: 'refused' }],
-      [503, full, { ok: false, why: 'no_capacity' }, { ok: false, why: 'refused' }],
+    const failures: readonly (readonly [number, unknown, CloudResult, CloudResult])[] = [
+      [400, null, { ok: false, error: { code: 'invalidRequest' } }, { ok: false, error: { code: 'invalidRequest' } }],
+      [404, null, { ok: false, error: { code: 'outcomeUnknown' } }, { ok: false, error: { code: 'outcomeUnknown' } }],
+      [429, null, { ok: false, error: { code: 'throttled' } }, { ok: false, error: { code: 'throttled' } }],
+      [500, null, { ok: false, error: { code: 'outcomeUnknown' } }, { ok: false, error: { code: 'outcomeUnknown' } }],
+      [503, null, { ok: false, error: { code: 'unavailable' } }, { ok: false, error: { code: 'unavailable' } }],
+      [503, full, { ok: false, error: { code: 'noCapacity' } }, { ok: false, error: { code: 'unavailable' } }],
     ];
     for (const [name, op] of Object.entries(cloudCalls)) {
       for (const [status, body, ofRent, ofOthers] of failures) {
@@ -334,12 +334,12 @@
   test('golden: answers of workers are read as they were', () => {
     const body = received(wireReport);
     const values = [200, 409].map((status) => decodePushedCommandsResponse(status, body));
-    const [executed, notExecuted] = values as [Result<CommandPushResponse>, Result<CommandPushResponse>];
+    const [executed, notExecuted] = values as [CommandPushResult, CommandPushResult];
     assert.ok(executed.ok && executed.value.executed);
     assert.ok(notExecuted.ok && !notExecuted.value.executed);
     assert.deepEqual(executed.value.heartbeat, notExecuted.value.heartbeat);
     for (const status of [201, 400, 404, 421, 429, 500, 503]) {
-      assert.deepEqual(decodePushedCommandsResponse(status, body), { ok: false, why: 'rejected' });
+      assert.deepEqual(decodePushedCommandsResponse(status, body), { ok: false, error: { code: 'invalidRequest' } });
     }
     golden.check(
       'malformed answer',
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -1,4 +1,4 @@
-import type { CloudOperation, CloudResponse, Result } from '../../src/core/messages.js';
+import type { CloudOperation, CloudResult } from '../../src/core/messages.js';
 import type { CloudMachine, MachineId, MachineType, ZoneName } from '../../src/core/types.js';
 import type { Clock } from './clock.js';
 
@@ -92,12 +92,12 @@
     this.events.onGone(id);
   }
 
-  serve(op: CloudOperation, reply: (result: Result<CloudResponse>) => void): void {
+  serve(op: CloudOperation, reply: (result: CloudResult) => void): void {
     this.clock.schedule(this.clock.randomBetween(50, 250), () => reply(this.execute(op)));
   }
 
   /** The list as it was some time ago. */
-  private staleList(after: MachineId | null): Result<CloudResponse> {
+  private staleList(after: MachineId | null): CloudResult {
     const lag = this.clock.randomBetween(0.2, 2) * this.listLagMs;
     let list: CloudMachine[] = [];
     for (const entry of this.listHistory) if (entry.at <= this.clock.now - lag) list = entry.currentList;
@@ -123,12 +123,12 @@
     return this.clock.randomBetween(0, 1) < trouble.neverBootsShare ? null : usual * trouble.factor;
   }
 
-  private provision(op: Extract<CloudOperation, { op: 'provision' }>): Result<CloudResponse> {
+  private provision(op: Extract<CloudOperation, { op: 'provision' }>): CloudResult {
     const before = this.provisionedByRequest.get(op.idempotencyKey);
     if (before) return { ok: true, value: { provisioned: before } };
     const type = this.types.find(({ name }) => name === op.machineType);
     const free = this.capacity - this.machines.size;
-    if (!type || free <= 0) return { ok: false, why: 'no_capacity' };
+    if (!type || free <= 0) return { ok: false, error: { code: 'noCapacity' } };
     const ids: MachineId[] = [];
     for (let i = 0; i < Math.min(free, op.count); i++) {
       const never = this.neverBootCount > 0;
@@ -140,8 +140,8 @@
     return { ok: true, value: { provisioned: ids } };
   }
 
-  private execute(op: CloudOperation): Result<CloudResponse> {
-    if (this.isDown) return { ok: false, why: 'refused' };
+  private execute(op: CloudOperation): CloudResult {
+    if (this.isDown) return { ok: false, error: { code: 'unavailable' } };
     switch (op.op) {
       case 'types':
         return { ok: true, value: { machineTypes: this.types.map((type) => ({ ...type })) } };
--- a/test/sim/controller_process.ts
+++ b/test/sim/controller_process.ts
@@ -4,8 +4,7 @@
   Input,
   Output,
   PeerMessage,
-  Result,
-  StateStoreResponse,
+  StateStoreResult,
   UserRequest,
   UserResponse,
 } from '../../src/core/messages.js';
@@ -169,11 +168,11 @@
         break;
       }
       case 'stateStoreCall': {
-        const done = this.ifStillRunning((result: Result<StateStoreResponse> | null) =>
+        const done = this.ifStillRunning((result: StateStoreResult | null) =>
           this.step({
             kind: 'stateStoreReply',
             callId: output.callId,
-            result: result ?? { ok: false, why: 'unknown' },
+            result: result ?? { ok: false, error: { code: 'outcomeUnknown' } },
           }),
         );
         world.meters.onStoreCall(output.operation);
@@ -188,7 +187,11 @@
       }
       case 'cloudCall': {
         const done = this.ifStillRunning((result: Parameters<Parameters<SimulatedCloud['serve']>[1]>[0] | null) =>
-          this.step({ kind: 'cloudReply', callId: output.callId, result: result ?? { ok: false, why: 'unknown' } }),
+          this.step({
+            kind: 'cloudReply',
+            callId: output.callId,
+            result: result ?? { ok: false, error: { code: 'outcomeUnknown' } },
+          }),
         );
         world.meters.onCloudCall();
         network.request(this.name, 'cloud', 4000, (reply) => world.cloud.serve(output.operation, reply), done);
@@ -199,7 +202,7 @@
           this.step({
             kind: 'commandPushReply',
             callId: output.callId,
-            result: value ? { ok: true, value } : { ok: false, why: 'unknown' },
+            result: value ? { ok: true, value } : { ok: false, error: { code: 'outcomeUnknown' } },
           }),
         );
         world.meters.addOpenCommands(1);
--- a/test/sim/old_names.ts
+++ b/test/sim/old_names.ts
@@ -1,4 +1,11 @@
-import type { Input, Output, PeerMessage } from '../../src/core/messages.js';
+import type {
+  CloudResult,
+  CommandPushResult,
+  Input,
+  Output,
+  PeerMessage,
+  StateStoreResult,
+} from '../../src/core/messages.js';
 import type { JobRecord, MachineRecord } from '../../src/core/records.js';
 import type { Settings } from '../../src/core/settings.js';
 import type { ClockReading } from '../../src/core/types.js';
@@ -226,18 +233,38 @@
 /** A message of an old build, with its present names. */
 export const presentMessage = (old: PeerMessage): PeerMessage => message(old, toPresent);
 
-function oldCloudResult(value: unknown): unknown {
+function oldCloudResponse(value: unknown): unknown {
   return changed(toOld(value, CLOUD_RESPONSE), {
     types: (types) => each(types, (type) => toOld(type, MACHINE_TYPE)),
     machines: (machines) => each(machines, (machine) => toOld(machine, CLOUD_MACHINE)),
   });
 }
 
-const oldPushResult = (value: unknown): unknown =>
+const oldPushResponse = (value: unknown): unknown =>
   changed(toOld(value, INPUT), { report: (report) => heartbeat(report, toOld) });
 
-const withValue = (result: unknown, change: (value: unknown) => unknown): unknown =>
-  changed(result as object, { value: change });
+const OLD_FAILURES: Readonly<Record<string, string>> = {
+  throttled: 'refused',
+  unavailable: 'refused',
+  outcomeUnknown: 'unknown',
+  noCapacity: 'no_capacity',
+  invalidRequest: 'rejected',
+};
+
+/** A result with its old names; `change`: what becomes of its value. */
+function oldResult(
+  result: StateStoreResult | CloudResult | CommandPushResult,
+  change: (value: unknown) => unknown,
+): Plain {
+  if (result.ok) return { ok: true, value: change(result.value) };
+  const { code, ...details } = result.error;
+  return {
+    ok: false,
+    why: OLD_FAILURES[code] ?? code,
+    ...details,
+    ...(code === 'throttled' ? { throttled: true } : {}),
+  };
+}
 
 /** An input as the core of an old build takes it; messages of peers come from its own codec and stay. */
 export function oldInput(input: Input): unknown {
@@ -247,13 +274,14 @@
       return { ...old, request: request(input.request, toOld) };
     case 'heartbeat':
       return { ...old, report: heartbeat(input.heartbeat, toOld) };
+    case 'stateStoreReply':
+      return { ...old, result: oldResult(input.result, (value) => value) };
     case 'cloudReply':
-      return { ...old, result: withValue(input.result, oldCloudResult) };
+      return { ...old, result: oldResult(input.result, oldCloudResponse) };
     case 'commandPushReply':
-      return { ...old, result: withValue(input.result, oldPushResult) };
+      return { ...old, result: oldResult(input.result, oldPushResponse) };
     case 'start':
     case 'timer':
-    case 'stateStoreReply':
     case 'peerMessage':
       return old;
   }
--- a/test/sim/state_store.ts
+++ b/test/sim/state_store.ts
@@ -1,7 +1,7 @@
 import type {
-  Result,
   StateStoreOperation,
   StateStoreResponse,
+  StateStoreResult,
   StoredEntry,
   WatchEvent,
 } from '../../src/core/messages.js';
@@ -16,9 +16,9 @@
 }
 
 type Transaction = Extract<StateStoreOperation, { op: 'compareAndSwap' }>;
-type Reply = (result: Result<StateStoreResponse>) => void;
-const failure = (why: 'refused' | 'conflict' | 'gone' | 'rejected'): Result<StateStoreResponse> => ({ ok: false, why });
-const success = (value: StateStoreResponse): Result<StateStoreResponse> => ({ ok: true, value });
+type Reply = (result: StateStoreResult) => void;
+const failure = (code: 'unavailable' | 'gone' | 'invalidRequest'): StateStoreResult => ({ ok: false, error: { code } });
+const success = (value: StateStoreResponse): StateStoreResult => ({ ok: true, value });
 
 const readsJobs = (op: StateStoreOperation): boolean =>
   ((op.op === 'watch' || op.op === 'list') && op.prefix === 'j/') || (op.op === 'get' && op.key.startsWith('j/'));
@@ -119,9 +119,9 @@
   serve(from: string, op: StateStoreOperation, reply: Reply): void {
     const latency = this.clock.randomBetween(1, 6) * this.latencyFactor;
     this.clock.schedule(latency, () => {
-      if (this.isDown || this.refusedHosts.has(from)) return reply(failure('refused'));
-      if (!this.takeFromRateLimits(op)) return reply({ ok: false, why: 'refused', throttled: true });
-      if (this.jobReadsRefusedFor.has(from) && readsJobs(op)) return reply(failure('refused'));
+      if (this.isDown || this.refusedHosts.has(from)) return reply(failure('unavailable'));
+      if (!this.takeFromRateLimits(op)) return reply({ ok: false, error: { code: 'throttled' } });
+      if (this.jobReadsRefusedFor.has(from) && readsJobs(op)) return reply(failure('unavailable'));
       if (this.delayedWriteShare > 0 && op.op === 'compareAndSwap' && op.changes.length > 0) {
         if (this.clock.randomBetween(0, 1) < this.delayedWriteShare) {
           return this.clock.schedule(this.clock.randomBetween(2000, 12_000), () => this.applyDelayedWrite(op));
@@ -210,19 +210,19 @@
     if (!this.isDown) this.expireLeases();
   }
 
-  private transact(from: string, op: Transaction): Result<StateStoreResponse> {
+  private transact(from: string, op: Transaction): StateStoreResult {
     const tooMany = op.changes.length > this.limits.txnOps || op.conditions.length > 4 * this.limits.txnOps;
     const bytes = op.changes.map((change) => ('put' in change ? JSON.stringify(change.value).length : 0));
     const longest = Math.max(0, ...bytes);
     if (tooMany || longest > this.limits.valueBytes) {
       this.onOversizedTransaction(from);
-      return failure('rejected');
+      return failure('invalidRequest');
     }
     const leases = op.changes.map((change) => ('put' in change ? change.lease : undefined));
-    if (leases.some((lease) => lease !== undefined && !this.leases.has(lease))) return failure('rejected');
+    if (leases.some((lease) => lease !== undefined && !this.leases.has(lease))) return failure('invalidRequest');
     this.largestValueLength = Math.max(this.largestValueLength, longest);
     const failed = op.conditions.filter(({ key, version }) => (this.items.get(key)?.item.version ?? 0n) !== version);
-    if (failed.length > 0) return { ok: false, why: 'conflict', keys: failed.map(({ key }) => key) };
+    if (failed.length > 0) return { ok: false, error: { code: 'conflict', keys: failed.map(({ key }) => key) } };
     if (op.changes.length > 0) this.applyChanges(op);
     return success({ revision: revision(this.currentRevision) });
   }
