--- a/test/golden/golden_file.ts
+++ b/test/golden/golden_file.ts
@@ -45,7 +45,9 @@
   private finish(): void {
     if (!isWriting) return;
     if (process.env.CI) throw new Error('golden files are never written in CI');
-    writeFileSync(pathOf(this.name), `${JSON.stringify(Object.fromEntries(this.seen), null, 1)}\n`);
+    // One entry a line: a difference shows which entries changed.
+    const lines = [...this.seen].map(([entry, made]) => `${JSON.stringify(entry)}: ${JSON.stringify(made)}`);
+    writeFileSync(pathOf(this.name), `{\n${lines.join(',\n')}\n}\n`);
     console.error(`!!!! WRITE_GOLDEN: ${pathOf(this.name)} WAS WRITTEN ANEW: nothing was compared !!!!`);
   }
 }
