--- a/src/core/machines/agent_messages.ts
+++ b/src/core/machines/agent_messages.ts
@@ -86,11 +86,6 @@
     return agentEpoch > this.epoch || (agentEpoch === this.epoch && sequence > this.sequence);
   }
 
-  /** Whether the message is the newest whose status was processed. */
-  isLatest({ agentEpoch, sequence }: MessageOrder): boolean {
-    return this.epoch === agentEpoch && this.sequence === sequence;
-  }
-
   /**
    * Whether a heartbeat is a copy, or came too late: one heartbeat is in flight at a time and numbers rise, so whatever is
    * not newer than the last has been answered before.
--- a/src/core/workers/backlogged_heartbeats.ts
+++ b/src/core/workers/backlogged_heartbeats.ts
@@ -1,32 +1,32 @@
+/** Puts heartbeats in line where more have come at once than can be reconciled, as in the storm after a cold start. */
 import { HeartbeatBacklog } from '../../recovery/index.js';
 import type { Machine } from '../machines/machine.js';
 import type { HeartbeatResponse } from '../messages.js';
 import type { StepContext } from '../step_context.js';
 import type { Heartbeat, MonotonicTime } from '../types.js';
+import { type HeartbeatResponder, UNAVAILABLE } from './heartbeat_response.js';
 
-export type HeartbeatResponder = (answer: HeartbeatResponse) => void;
-
-/** A report whose list of tasks has yet to be looked at. */
+/** A heartbeat that was recorded, and has yet to be reconciled. */
 export interface BackloggedHeartbeat {
   readonly machine: Machine;
   readonly heartbeat: Heartbeat;
-  /** Whether it is the machine's first report to this leader. */
+  /** Whether it is the machine's first heartbeat to this leader. */
   readonly isFirst: boolean;
-  /** The report is answered by then, whether or not its list has been looked at. */
+  /** The response is sent by then, whether or not the heartbeat has been reconciled. */
   readonly deadline: MonotonicTime;
-  /** Null: it has been answered, and only the list is left to be looked at. */
+  /** Null once the response was sent, and only the reconciliation is left. */
   respond: HeartbeatResponder | null;
 }
 
+/** What the backlog asks of the heartbeat handler. */
 export interface BacklogCallbacks {
-  process(list: BackloggedHeartbeat): void;
-  /** What a report is answered whose list has to wait for longer. */
+  /** Reconciles a heartbeat whose turn has come, and responds to it unless that was done. */
+  process(backlogged: BackloggedHeartbeat): void;
+  /** Returns the response to a heartbeat whose deadline comes before its turn. */
   leaseRenewal(): HeartbeatResponse;
 }
 
-const UNAVAILABLE: HeartbeatResponse = { status: 503 };
-
-/** In the storm after a cold start lists are looked at in their turn, and leases are renewed whether or not it has come. */
+/** Heartbeats are reconciled in their turn, the newest of each machine; leases are renewed whether or not it has come. */
 export class BackloggedHeartbeats {
   private readonly backlog: HeartbeatBacklog<BackloggedHeartbeat>;
 
@@ -37,35 +37,37 @@
     this.backlog = new HeartbeatBacklog(context.features.recovery.lists_per_window);
   }
 
+  /** How many heartbeats wait. */
   get size(): number {
     return this.backlog.size;
   }
 
-  /** Returns whether the list has to wait; otherwise it is to be looked at now. */
-  mustWait(list: BackloggedHeartbeat): boolean {
-    const { machine, heartbeat } = list;
+  /** Returns whether the heartbeat was put in line; otherwise it is its turn now. */
+  mustWait(backlogged: BackloggedHeartbeat): boolean {
+    const { machine, heartbeat } = backlogged;
     const replaced = this.backlog.remove(machine.id);
     replaced?.respond?.(UNAVAILABLE);
     if (this.backlog.admit(this.context.now.monotonic)) return false;
-    this.backlog.add(machine.id, list);
+    this.backlog.add(machine.id, backlogged);
     machine.messages.recordHeartbeatSequence(heartbeat.sequence);
     this.context.timers.setIfUnset('reportBacklog', this.backlog.nextDueAt() ?? this.context.now.monotonic);
     return true;
   }
 
-  /** Looks at lists whose turn it is, and answers those that have waited for long. */
+  /** Processes the heartbeats whose turn it is, and renews the leases of those whose deadline has come. */
   onTimer(): void {
     const now = this.context.now.monotonic;
-    for (const list of this.backlog.takeDue(now)) this.callbacks.process(list);
-    for (const list of this.backlog.pending()) {
-      if (list.deadline > now) break;
-      list.respond?.(this.callbacks.leaseRenewal());
-      list.respond = null;
+    for (const backlogged of this.backlog.takeDue(now)) this.callbacks.process(backlogged);
+    for (const backlogged of this.backlog.pending()) {
+      if (backlogged.deadline > now) break;
+      backlogged.respond?.(this.callbacks.leaseRenewal());
+      backlogged.respond = null;
     }
     const next = this.backlog.nextDueAt();
     if (next !== null) this.context.timers.set('reportBacklog', next);
   }
 
+  /** Answers all that wait with 503. */
   stop(): void {
     for (const { respond } of this.backlog.pending()) respond?.(UNAVAILABLE);
   }
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -4,7 +4,7 @@
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import type { AgentEpoch, Command, FencingToken } from '../types.js';
-import { stopCommands } from './commands.js';
+import { recordStartSent, stopCommands } from './commands.js';
 import { MAX_PUSHES_IN_FLIGHT, type Reconciler } from './reconciler.js';
 import { mayStart } from './start_checks.js';
 
@@ -101,10 +101,7 @@
   }
 
   private startCommand(placement: Placement): Command {
-    this.cluster.previousTerms.onTaskStarted();
-    placement.phase = 'sent';
-    placement.sentInResponseTo = null;
-    return { op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt };
+    return recordStartSent(this.cluster, placement, null);
   }
 
   private sendCommands(
@@ -122,7 +119,7 @@
         else machine.commandChannel.pause(this.context.after(UNANSWERED_BACKOFF_MS));
         if (this.stopped || !result.ok || result.value.heartbeat.machine !== machine.id) return;
         if (!this.cluster.machines.isCurrent(machine)) return;
-        this.reconciler.reconcile(machine, result.value.heartbeat, 'commandAnswer');
+        this.reconciler.reconcile(machine, result.value.heartbeat, 'commandResponse');
         if (result.value.executed) this.reconciler.onReachable(machine);
       },
     );
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -1,29 +1,25 @@
+/**
+ * The way of one heartbeat through the leader, from top to bottom: it is admitted, recorded, put in line where too many have
+ * come at once, reconciled with what is known, and responded to.
+ */
 import { LeaseRenewals } from '../../recovery/index.js';
 import { Machine } from '../machines/machine.js';
 import type { HeartbeatResponse } from '../messages.js';
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
-import type { Command, FencingToken, Heartbeat, MonotonicTime, SequenceNumber } from '../types.js';
-import { type BackloggedHeartbeat, BackloggedHeartbeats, type HeartbeatResponder } from './backlogged_heartbeats.js';
-import { compileCommands } from './commands.js';
+import type { FencingToken, Heartbeat } from '../types.js';
+import { type BackloggedHeartbeat, BackloggedHeartbeats } from './backlogged_heartbeats.js';
+import { responseCommands } from './commands.js';
+import { DeferredResponses, type PendingResponse } from './deferred_responses.js';
+import { type HeartbeatResponder, leaseRenewal, UNAVAILABLE } from './heartbeat_response.js';
 import type { Reconciler } from './reconciler.js';
-import { isGangStartDue, mayStart } from './start_checks.js';
 
-/** A report is held for so long at most for records and rounds that its answer waits for. */
+/** A response waits at most so long for records and planning rounds. */
 const MAX_DEFERRAL_MS = 600;
-/** Workers drop an answer that comes after 4 s: the report of an empty machine is held for well less. */
-const IDLE_DEFERRAL_SHARE = 0.8;
+/** Workers drop a response that comes after 4 s: the heartbeat of an idle machine waits for well less. */
 const MAX_IDLE_DEFERRAL_MS = 2500;
-const IMMINENT_ROUND_MS = 20;
-
-interface DeferredResponse {
-  readonly reply: HeartbeatResponder;
-  readonly machine: Machine;
-  readonly seq: SequenceNumber;
-  readonly until: MonotonicTime;
-  /** Kept back only in case work comes up: the machine is empty. */
-  readonly idle: boolean;
-}
+/** The same as a part of the heartbeat interval. */
+const IDLE_DEFERRAL_SHARE = 0.8;
 
 /** What heartbeats' responses depend on at the leader. */
 export interface HeartbeatLeader {
@@ -43,15 +39,24 @@
   schedulePlanningRoundSoon(): void;
 }
 
-const UNAVAILABLE: HeartbeatResponse = { status: 503 };
+/** Whether a heartbeat counts. */
+type Admission =
+  /** It doesn't: it renews no lease and is no sign of life. */
+  | { readonly kind: 'refused' }
+  /** There is nothing to reconcile it with, but the lease is renewed. */
+  | { readonly kind: 'renewedOnly' }
+  | { readonly kind: 'admitted'; readonly machine: Machine };
 
-/** Takes in workers' reports, whichever node they reached, and answers them: at once, or when what they wait for is there. */
+const REFUSED: Admission = { kind: 'refused' };
+const RENEWED_ONLY: Admission = { kind: 'renewedOnly' };
+
+/** Processes workers' heartbeats, whichever controller they reached, and responds to each exactly once. */
 export class HeartbeatHandler {
+  /** When leases were last renewed before it was known which machines there are. */
+  readonly renewalsWhileLoading = new LeaseRenewals();
   private readonly context: StepContext;
-  private deferred: DeferredResponse[] = [];
+  private readonly deferredResponses: DeferredResponses;
   private readonly backlog: BackloggedHeartbeats;
-  /** When reports were last answered before it was known which machines there are. */
-  readonly renewalsWhileLoading = new LeaseRenewals();
   private duplicates = 0;
 
   constructor(
@@ -61,148 +66,124 @@
     private readonly leader: HeartbeatLeader,
   ) {
     this.context = cluster.context;
+    this.deferredResponses = new DeferredResponses(this.context, {
+      awaitsWrites: (machine) => leader.hasWritesInFlight() && awaitsDurableRecords(machine),
+      send: (response) => this.sendResponse(response),
+    });
     this.backlog = new BackloggedHeartbeats(this.context, {
-      process: (list) => this.processBacklogged(list),
-      leaseRenewal: () => (this.mayRenewLeases() ? this.emptyResponse : UNAVAILABLE),
+      process: (backlogged) => this.processBacklogged(backlogged),
+      leaseRenewal: () => (this.mayRenewLeases() ? leaseRenewal(this.fencingToken) : UNAVAILABLE),
     });
   }
 
+  /** Answers all that wait with 503: another controller leads from now on. */
   stop(): void {
-    for (const { reply } of this.deferred) reply(UNAVAILABLE);
-    this.deferred = [];
+    this.deferredResponses.stop();
     this.backlog.stop();
   }
 
-  /** Whether answers may renew workers' leases. */
-  private mayRenewLeases(): boolean {
-    return this.leader.isLeaseValid() && this.leader.hasRecentJobView();
+  /** Takes a heartbeat; `respond` is called now or later, within the time that workers wait. */
+  onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void {
+    const admission = this.admit(heartbeat);
+    switch (admission.kind) {
+      case 'refused':
+        respond(UNAVAILABLE);
+        return;
+      case 'renewedOnly':
+        respond(leaseRenewal(this.fencingToken));
+        return;
+      case 'admitted':
+        this.recordAndReconcile(admission.machine, heartbeat, respond);
+    }
   }
 
-  /** Renews the lease and says nothing else. */
-  private get emptyResponse(): HeartbeatResponse {
-    return { status: 200, fencingToken: this.fencingToken, commands: [] };
+  /** Reconciles the heartbeats in the backlog whose turn has come. */
+  processBacklog(): void {
+    this.backlog.onTimer();
   }
 
-  onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void {
-    if (!this.mayRenewLeases() || heartbeat.fencingToken > this.fencingToken) {
-      respond(UNAVAILABLE);
-      return;
-    }
+  /** Sends the deferred responses that have nothing left to wait for. */
+  releaseDeferred(): void {
+    this.deferredResponses.release();
+  }
+
+  // ---- admitted
+
+  private admit(heartbeat: Heartbeat): Admission {
+    if (!this.mayRenewLeases() || heartbeat.fencingToken > this.fencingToken) return REFUSED;
     if (!this.leader.isLoaded()) {
       this.renewalsWhileLoading.record(heartbeat.machine, this.context.now.monotonic);
-      respond(this.emptyResponse);
-      return;
-    }
-    if (this.cluster.machines.wasRemoved(heartbeat.machine)) {
-      respond(UNAVAILABLE);
-      return;
-    }
-    const machine = this.cluster.machines.get(heartbeat.machine) ?? this.addUnlistedMachine(heartbeat);
-    if (!machine) {
-      respond(this.emptyResponse);
-      return;
+      return RENEWED_ONLY;
     }
+    if (this.cluster.machines.wasRemoved(heartbeat.machine)) return REFUSED;
+    const machine = this.cluster.machines.get(heartbeat.machine) ?? this.addUnregisteredMachine(heartbeat);
+    if (!machine) return RENEWED_ONLY;
     if (machine.messages.isDuplicateHeartbeat(heartbeat)) {
-      this.dropDuplicate(machine, heartbeat, respond);
-      return;
-    }
-    if (this.ignoresResponses(machine, heartbeat)) {
-      respond(UNAVAILABLE);
-      return;
+      this.recordDuplicate(machine, heartbeat);
+      return REFUSED;
     }
-    this.countIgnoredResponse(machine, heartbeat);
-    const isFirst = this.recordHeartbeat(machine, heartbeat);
-    if (!machine.lifecycle.isRegistered) this.leader.registerMachine(machine);
-    const list: BackloggedHeartbeat = {
-      machine,
-      heartbeat,
-      respond,
-      isFirst,
-      deadline: this.context.after(MAX_DEFERRAL_MS),
-    };
-    if (this.mustJoinBacklog(list)) return;
-    this.processStatus(list);
-  }
-
-  /** Takes in the list of tasks that came with a report, and answers the report, or holds the answer back. */
-  private processStatus({ machine, heartbeat, respond, isFirst }: BackloggedHeartbeat): void {
-    const newer = machine.messages.isNewer(heartbeat);
-    const freed = this.reconciler.reconcile(machine, heartbeat, 'report');
-    machine.messages.recordHeartbeatSequence(heartbeat.sequence);
-    if (respond === null) return;
-    const taken = newer && machine.messages.isLatest(heartbeat);
-    if (taken) this.respondOrDefer(machine, heartbeat, respond, freed || isFirst);
-    else respond(this.emptyResponse);
-  }
-
-  /** Once everything is certain, no list has to wait for its turn. */
-  private mustJoinBacklog(list: BackloggedHeartbeat): boolean {
-    const { recovery } = this.cluster.previousTerms;
-    if (!recovery || recovery.isFinished || list.heartbeat.fencingToken !== this.fencingToken) return false;
-    const waits = this.backlog.mustWait(list);
-    recovery.recordBacklogLength(this.backlog.size);
-    return waits;
-  }
-
-  processBacklog(): void {
-    this.backlog.onTimer();
+    // A machine that may be long gone, and goes on to show an old token, is not answered any more.
+    if (this.hasStaleToken(heartbeat) && machine.reachability.recordStaleToken()) return REFUSED;
+    return { kind: 'admitted', machine };
   }
 
-  private processBacklogged(list: BackloggedHeartbeat): void {
-    if (this.mayRenewLeases() && this.cluster.machines.isCurrent(list.machine)) this.processStatus(list);
-    else list.respond?.(UNAVAILABLE);
+  /** Whether responses may renew workers' leases. */
+  private mayRenewLeases(): boolean {
+    return this.leader.isLeaseValid() && this.leader.hasRecentJobView();
   }
 
-  private respondOrDefer(machine: Machine, report: Heartbeat, reply: HeartbeatResponder, roomCameFree: boolean): void {
-    const held = { reply, machine, seq: report.sequence, until: this.context.after(MAX_DEFERRAL_MS), idle: false };
-    if (roomCameFree) {
-      // Planned at once, so that the answer already carries what starts in the room.
-      this.leader.schedulePlanningRoundSoon();
-      this.defer(held);
-    } else if (this.awaitsDurableRecords(machine)) {
-      this.defer(held);
-    } else if (this.mayDeferIdle(machine, report)) {
-      this.defer({ ...held, until: this.context.after(this.idleDeferralMs()), idle: true });
-    } else {
-      this.sendResponse(held);
-    }
+  /**
+   * Adds a machine that is not on record, so that nobody has ever sent it a command and it can hold no task of ours; null
+   * where its type is unknown. The heartbeat may be a late copy from a machine that is long gone: it gets no work before it
+   * has shown that this controller's responses reach it.
+   */
+  private addUnregisteredMachine({ machine: id, type: typeName, zone, spot, address }: Heartbeat): Machine | null {
+    const type = this.cluster.machineTypes.get(typeName);
+    if (!type) return null;
+    const now = this.context.now.monotonic;
+    const machine = new Machine({ id, type, zone, spot, address, reconciled: true, phase: 'up', now });
+    this.cluster.machines.add(machine);
+    this.cluster.previousTerms.recovery?.onUnregisteredMachine();
+    this.context.log('info', 'heartbeat from unregistered machine', { machine: id });
+    return machine;
   }
 
-  /** Nobody waits for the answer to a duplicate; it is no sign of life and moves no lease. */
-  private dropDuplicate(machine: Machine, report: Heartbeat, reply: HeartbeatResponder): void {
+  /** Nobody waits for the response to a duplicate; it is no sign of life and renews no lease. */
+  private recordDuplicate(machine: Machine, { sequence }: Heartbeat): void {
     this.duplicates += 1;
-    this.context.log('debug', 'duplicate of a report', {
-      machine: machine.id,
-      seq: report.sequence,
-      duplicates: this.duplicates,
-    });
-    reply(UNAVAILABLE);
+    this.context.log('debug', 'duplicate heartbeat', { machine: machine.id, sequence, duplicates: this.duplicates });
   }
 
-  private hasStaleToken(report: Heartbeat): boolean {
-    return report.fencingToken < this.fencingToken;
+  private hasStaleToken(heartbeat: Heartbeat): boolean {
+    return heartbeat.fencingToken < this.fencingToken;
   }
 
-  /** A machine that may be long gone, and goes on to show an old token, is not answered any more. */
-  private ignoresResponses(machine: Machine, report: Heartbeat): boolean {
-    return this.hasStaleToken(report) && machine.reachability.recordStaleToken();
+  // ---- recorded
+
+  private recordAndReconcile(machine: Machine, heartbeat: Heartbeat, respond: HeartbeatResponder): void {
+    this.recordIgnoredResponse(machine, heartbeat);
+    const isFirst = this.recordContact(machine, heartbeat);
+    if (!machine.lifecycle.isRegistered) this.leader.registerMachine(machine);
+    const deadline = this.context.after(MAX_DEFERRAL_MS);
+    const pending: BackloggedHeartbeat = { machine, heartbeat, respond, isFirst, deadline };
+    if (!this.mustJoinBacklog(pending)) this.reconcileAndRespond(pending);
   }
 
-  /** Signs that the last answers have not arrived: an old token after one, or a lease that ran out all the same. */
-  private countIgnoredResponse(machine: Machine, report: Heartbeat): void {
+  /** Signs that the last responses have not arrived: an old token after one, or a lease that expired all the same. */
+  private recordIgnoredResponse(machine: Machine, heartbeat: Heartbeat): void {
     const { messages, reachability } = machine;
     if (messages.firstHeartbeatAt === null) return;
     const sinceRenewalMs = this.context.now.monotonic - messages.leaseRenewedAt;
-    const answeredLately = sinceRenewalMs < this.context.settings.workers.leaseMs / 2;
-    if (messages.beginsNewEpoch(report) && answeredLately) reachability.recordLostResponses();
-    else if (this.hasStaleToken(report)) reachability.recordIgnoredResponse();
+    const wasRenewedLately = sinceRenewalMs < this.context.settings.workers.leaseMs / 2;
+    if (messages.beginsNewEpoch(heartbeat) && wasRenewedLately) reachability.recordLostResponses();
+    else if (this.hasStaleToken(heartbeat)) reachability.recordIgnoredResponse();
   }
 
-  /** Returns whether it is the machine's first report to this leader. */
-  private recordHeartbeat(machine: Machine, report: Heartbeat): boolean {
+  /** Returns whether it is the machine's first heartbeat to this leader. */
+  private recordContact(machine: Machine, heartbeat: Heartbeat): boolean {
     const { monotonic } = this.context.now;
     const isFirst = machine.messages.recordHeartbeat(monotonic);
-    machine.learnAddress(report.address);
+    machine.learnAddress(heartbeat.address);
     if (machine.phase === 'booting') this.onMachineUp(machine);
     if (isFirst) machine.idleSince = monotonic;
     return isFirst;
@@ -210,115 +191,102 @@
 
   private onMachineUp(machine: Machine): void {
     machine.lifecycle.markUp();
+    const { type, zone, spot } = machine;
     const { monotonic } = this.context.now;
+    const ageSeconds = machine.lifecycle.ageSeconds(monotonic);
     if (machine.lifecycle.isProvisionedByThisLeader) {
-      this.cluster.bootTimeEstimator.recordBoot(
-        machine.type,
-        machine.zone,
-        machine.lifecycle.ageSeconds(monotonic),
-        monotonic,
-      );
+      this.cluster.bootTimeEstimator.recordBoot(type, zone, ageSeconds, monotonic);
     }
-    this.context.log('info', 'machine is up', {
+    this.context.log('info', 'machine up', {
       machine: machine.id,
-      type: machine.typeName,
-      zone: machine.zone,
-      spot: machine.spot,
-      afterS: Math.round(machine.lifecycle.ageSeconds(monotonic)),
+      type: type.name,
+      zone,
+      spot,
+      ageSeconds: Math.round(ageSeconds),
     });
   }
 
-  /**
-   * Not in the registry, so nobody has ever sent it a command: its list can hold nothing of ours. But the report may be a
-   * late copy from a machine that is long gone: it gets no work before it has shown that it hears this node.
-   */
-  private addUnlistedMachine({ machine: id, type: typeName, zone, spot, address }: Heartbeat): Machine | null {
-    const type = this.cluster.machineTypes.get(typeName);
-    if (!type) return null;
-    const now = this.context.now.monotonic;
-    const machine = new Machine({ id, type, zone, spot, address, reconciled: true, phase: 'up', now });
-    this.cluster.machines.add(machine);
-    this.cluster.previousTerms.recovery?.onUnregisteredMachine();
-    this.context.log('info', 'report of a machine that was not listed', { machine: id });
-    return machine;
+  // ---- put in line
+
+  /** Whether the heartbeat waits in the backlog. Once everything is certain, none has to wait for its turn. */
+  private mustJoinBacklog(pending: BackloggedHeartbeat): boolean {
+    const { recovery } = this.cluster.previousTerms;
+    if (!recovery || recovery.isFinished || pending.heartbeat.fencingToken !== this.fencingToken) return false;
+    const waits = this.backlog.mustWait(pending);
+    recovery.recordBacklogLength(this.backlog.size);
+    return waits;
   }
 
-  // ---- answers
+  private processBacklogged(backlogged: BackloggedHeartbeat): void {
+    if (this.mayRenewLeases() && this.cluster.machines.isCurrent(backlogged.machine))
+      this.reconcileAndRespond(backlogged);
+    else backlogged.respond?.(UNAVAILABLE);
+  }
 
-  /**
-   * An empty machine's report is answered late on purpose: work that comes up meanwhile starts at once instead of with
-   * its next report. Nothing can change on an empty machine that the delay would hide, except a notice.
-   */
-  private mayDeferIdle(machine: Machine, report: Heartbeat): boolean {
-    const hasNothing = machine.isEmpty && machine.exitedTasks.length === 0;
-    return hasNothing && report.fencingToken === this.fencingToken && !machine.cordon.isDraining;
+  // ---- reconciled
+
+  private reconcileAndRespond({ machine, heartbeat, respond, isFirst }: BackloggedHeartbeat): void {
+    const outcome = this.reconciler.reconcile(machine, heartbeat, 'heartbeat');
+    machine.messages.recordHeartbeatSequence(heartbeat.sequence);
+    if (respond === null) return;
+    const response: PendingResponse = { respond, machine, sequence: heartbeat.sequence };
+    switch (outcome.kind) {
+      case 'ignored':
+        respond(leaseRenewal(this.fencingToken));
+        return;
+      case 'applied':
+        if (outcome.planning === 'due' || isFirst) this.respondAfterPlanning(response);
+        else this.respondOrDefer(response, heartbeat);
+    }
   }
 
-  private idleDeferralMs(): number {
-    return Math.min(MAX_IDLE_DEFERRAL_MS, this.context.settings.workers.heartbeatIntervalMs * IDLE_DEFERRAL_SHARE);
+  // ---- responded to
+
+  /** Plans at once, so that the response already carries what starts in the free capacity. */
+  private respondAfterPlanning(response: PendingResponse): void {
+    this.leader.schedulePlanningRoundSoon();
+    this.deferredResponses.defer(response, 'startsPending', MAX_DEFERRAL_MS);
   }
 
-  private defer(report: DeferredResponse): void {
-    this.deferred.push(report);
-    this.context.timers.bringForward('heldReports', report.until);
+  private respondOrDefer(response: PendingResponse, heartbeat: Heartbeat): void {
+    const { machine } = response;
+    if (awaitsDurableRecords(machine)) this.deferredResponses.defer(response, 'startsPending', MAX_DEFERRAL_MS);
+    else if (this.isIdle(machine, heartbeat))
+      this.deferredResponses.defer(response, 'machineIdle', this.idleDeferralMs());
+    else this.sendResponse(response);
   }
 
-  private awaitsDurableRecords(machine: Machine): boolean {
-    if (!machine.lifecycle.isRegistered) return true;
-    for (const { phase, job } of machine.placements.values()) {
-      if (phase === 'planned' && !job.isStartDurable(machine.zone)) return true;
-    }
-    return false;
+  /**
+   * Whether the response waits for work on purpose: what comes up meanwhile starts at once instead of with the next heartbeat.
+   * Nothing can change on an empty machine that the delay would hide, except an interruption notice.
+   */
+  private isIdle(machine: Machine, heartbeat: Heartbeat): boolean {
+    const hasNothing = machine.isEmpty && machine.exitedTasks.length === 0;
+    return hasNothing && heartbeat.fencingToken === this.fencingToken && !machine.cordon.isDraining;
   }
 
-  /** Answers held reports that have nothing left to wait for. */
-  releaseDeferred(): void {
-    if (this.deferred.length === 0) return;
-    const roundSoonMs = this.context.tuning.scheduler.spacing_ms + IMMINENT_ROUND_MS;
-    const isRoundSoon = this.context.timers.isDueBy('round', this.context.after(roundSoonMs));
-    const kept: DeferredResponse[] = [];
-    let next: MonotonicTime | null = null;
-    for (const report of this.deferred) {
-      if (!this.mustStayDeferred(report, isRoundSoon)) {
-        this.sendResponse(report);
-        continue;
-      }
-      kept.push(report);
-      if (next === null || report.until < next) next = report.until;
-    }
-    this.deferred = kept;
-    if (next !== null) this.context.timers.set('heldReports', next);
+  private idleDeferralMs(): number {
+    return Math.min(MAX_IDLE_DEFERRAL_MS, this.context.settings.workers.heartbeatIntervalMs * IDLE_DEFERRAL_SHARE);
   }
 
-  private mustStayDeferred({ until, idle, machine }: DeferredResponse, isRoundSoon: boolean): boolean {
-    if (until <= this.context.now.monotonic) return false;
-    if (idle && machine.placements.size === 0) return true;
-    if (isRoundSoon && !idle) return true;
-    return this.leader.hasWritesInFlight() && this.awaitsDurableRecords(machine);
+  private sendResponse({ respond, machine, sequence }: PendingResponse): void {
+    respond(this.mayRenewLeases() ? this.responseWithCommands(machine, sequence) : UNAVAILABLE);
   }
 
-  private sendResponse({ reply, machine, seq }: DeferredResponse): void {
-    if (!this.mayRenewLeases()) {
-      reply(UNAVAILABLE);
-      return;
-    }
-    const all = machine.reconciled ? compileCommands(this.cluster, machine) : [];
-    const mayStartTasks = this.leader.mayStartTasks() && machine.messages.latestSequence === seq;
-    const commands = all.filter((command) => {
-      if (command.op !== 'start') return true;
-      return mayStartTasks && this.markSent(machine, command, seq);
-    });
-    reply({ status: 200, fencingToken: this.fencingToken, commands });
+  private responseWithCommands(machine: Machine, sequence: PendingResponse['sequence']): HeartbeatResponse {
+    if (!machine.reconciled) return leaseRenewal(this.fencingToken);
+    // A newer status has been processed meanwhile: what it says of starts is not known to the one who waits for this.
+    const mayStartTasks = this.leader.mayStartTasks() && machine.messages.latestSequence === sequence;
+    const commands = responseCommands(this.cluster, machine, mayStartTasks ? sequence : null);
+    return { status: 200, fencingToken: this.fencingToken, commands };
   }
+}
 
-  /** Notes that a start goes out; returns false where it must not. */
-  private markSent(machine: Machine, command: Command, seq: SequenceNumber): boolean {
-    const placement = this.cluster.placements.find(machine, command.job, command.index);
-    if (!placement || !mayStart(placement.job, machine)) return false;
-    if (placement.job.isGang && placement.phase === 'planned' && !isGangStartDue(this.cluster, placement)) return false;
-    placement.phase = 'sent';
-    placement.sentInResponseTo = seq;
-    this.cluster.previousTerms.onTaskStarted();
-    return true;
+/** Whether the machine or the first start of a task that it is to run is not on record yet. */
+function awaitsDurableRecords(machine: Machine): boolean {
+  if (!machine.lifecycle.isRegistered) return true;
+  for (const { phase, job } of machine.placements.values()) {
+    if (phase === 'planned' && !job.isStartDurable(machine.zone)) return true;
   }
+  return false;
 }
--- a/src/core/workers/heartbeat_router.ts
+++ b/src/core/workers/heartbeat_router.ts
@@ -3,7 +3,7 @@
 import type { Peer, PeerTable } from '../peers/peer_table.js';
 import type { StepContext } from '../step_context.js';
 import type { ControllerName, Heartbeat, MachineId, MonotonicTime } from '../types.js';
-import type { HeartbeatResponder } from './backlogged_heartbeats.js';
+import type { HeartbeatResponder } from './heartbeat_response.js';
 
 /** A leader sends workers to other nodes down to this part of their mean load. */
 const LEADER_HEARTBEAT_SHARE = 0.4;
--- a/src/core/workers/reconciler.ts
+++ b/src/core/workers/reconciler.ts
@@ -2,7 +2,7 @@
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import type { AgentEpoch, FencingToken, Heartbeat } from '../types.js';
-import { reconcileStatus, type StatusSource } from './status_reconciliation.js';
+import { reconcileStatus, type StatusOutcome, type StatusSource } from './status_reconciliation.js';
 
 const MAX_CONCURRENT_STATUS_REQUESTS = 24;
 /** When many machines fall silent together, calls to them must not take all sockets, nor keep the others from theirs. */
@@ -83,7 +83,7 @@
         if (this.stopped || !this.cluster.machines.isCurrent(machine)) return done();
         if (!result.ok || result.value.heartbeat.machine !== machine.id) return done();
         const { executed, heartbeat } = result.value;
-        this.reconcile(machine, heartbeat, 'commandAnswer');
+        this.reconcile(machine, heartbeat, 'commandResponse');
         if (!executed && tries > 1) return this.requestStatus(machine, heartbeat.agentEpoch, tries - 1, done);
         if (executed) this.onReachable(machine);
         done();
@@ -110,29 +110,29 @@
     return this.context.now.monotonic - machine.messages.lastContactAt >= overdueMs && machine.hasReplica();
   }
 
-  /** Takes in a list of tasks, from a report or from the answer to a direct command. Returns whether room came free. */
-  reconcile(machine: Machine, report: Heartbeat, source: StatusSource): boolean {
-    if (report.fencingToken === this.fencingToken && machine.messages.highestFencingToken < this.fencingToken)
-      this.onReachable(machine);
-    const freed = reconcileStatus(this.cluster, machine, report, this.fencingToken, source);
-    if (source === 'commandAnswer') machine.messages.recordCommandResponse(this.context.now.monotonic);
-    if (freed) this.leader.schedulePlanningRoundSoon();
+  /** Applies a status of a machine, from a heartbeat or from the response to a pushed command, and sets off what follows. */
+  reconcile(machine: Machine, status: Heartbeat, source: StatusSource): StatusOutcome {
+    const showsNewToken = machine.messages.highestFencingToken < this.fencingToken;
+    if (showsNewToken && status.fencingToken === this.fencingToken) this.onReachable(machine);
+    const outcome = reconcileStatus(this.cluster, machine, status, this.fencingToken, source);
+    if (source === 'commandResponse') machine.messages.recordCommandResponse(this.context.now.monotonic);
+    if (outcome.kind === 'applied' && outcome.planning === 'due') this.leader.schedulePlanningRoundSoon();
     this.leader.lookUpSuspectedOrphans();
     if (machine.reachability.shouldMarkUnresponsive) this.markUnresponsive(machine);
-    return freed;
+    return outcome;
   }
 
   /** Something sent has reached the machine. */
   onReachable(machine: Machine): void {
     if (!machine.reachability.confirm()) return;
-    this.context.log('info', 'machine answers commands again', { machine: machine.id });
+    this.context.log('info', 'machine reachable again', { machine: machine.id });
     this.leader.schedulePlanningRoundSoon();
   }
 
   /** What is sent doesn't reach it, whatever is heard of it: no new work, until an answer to a command proves otherwise. */
   private markUnresponsive(machine: Machine): void {
     machine.reachability.markUnresponsive(this.context.now.monotonic, this.context.after(PROBE_INTERVAL_MS));
-    this.context.log('info', 'machine reports but does not react to answers: unresponsive', { machine: machine.id });
+    this.context.log('info', 'machine unresponsive', { machine: machine.id });
     this.cluster.placements.releasePlanned(machine);
     this.leader.schedulePlanningRoundSoon();
   }
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -1,21 +1,20 @@
+/**
+ * Carries out what `src/recovery` says of reported tasks that have no placement on their machine as far as this leader knows.
+ * A task that has its placement there agrees with what is known, and never gets here.
+ */
 import { type Classification, classify, type OtherPlacement, type StoredJob } from '../../recovery/index.js';
 import type { Job, Placement } from '../jobs/job.js';
-import { type StartKey, startKey, taskKey } from '../jobs/task_keys.js';
+import { startKey, taskKey } from '../jobs/task_keys.js';
 import type { Machine, UnexpectedTask } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { JobId, LiveTaskStatus, TaskStatus } from '../types.js';
 
-/*
- * Carries out what `src/recovery` says of reported tasks that have no place on their machine as far as this leader knows. One
- * that has its place there agrees with what is known, and never gets here.
- */
-
-/** A live task: returns its place, or null and notes it among `strays` where it gets none. */
+/** Returns the placement of a live task; null where it gets none and is added to `unexpected`. */
 export function recoverLiveTask(
   cluster: Cluster,
   machine: Machine,
   task: LiveTaskStatus,
-  strays: UnexpectedTask[],
+  unexpected: UnexpectedTask[],
 ): Placement | null {
   const job = cluster.jobs.get(task.job) ?? null;
   const elsewhere = job && findPlacementElsewhere(cluster, job, task.index);
@@ -35,26 +34,44 @@
       return adopt(cluster, machine, task);
     case 'stop':
       if (job) logDuplicateTask(cluster, machine, task, elsewhere);
-      strays.push(toUnexpectedTask(task, job, true));
+      unexpected.push(toUnexpectedTask(task, job, true));
       return null;
     case 'readRecord':
       cluster.previousTerms.suspectOrphan(task.job, machine);
-      strays.push(toUnexpectedTask(task, job, false));
+      unexpected.push(toUnexpectedTask(task, job, false));
       return null;
     default:
-      strays.push(toUnexpectedTask(task, job, false));
+      unexpected.push(toUnexpectedTask(task, job, false));
       return null;
   }
 }
 
-/** An ended task without a place: what it says is counted once, whoever started it. */
-export function recoverEndedTask(cluster: Cluster, machine: Machine, task: TaskStatus): Classification {
+/**
+ * Without the recovery feature: returns the placement of a live task, made here; null where its job isn't known, or where
+ * another machine reported the task first, which keeps it.
+ */
+export function placeReportedTask(cluster: Cluster, machine: Machine, task: LiveTaskStatus): Placement | null {
+  const job = cluster.jobs.get(task.job);
+  if (!job) return null;
+  const elsewhere = findPlacementElsewhere(cluster, job, task.index);
+  if (elsewhere) {
+    logDuplicateTask(cluster, machine, task, elsewhere);
+    return null;
+  }
+  const placement = place(cluster, machine, job, task);
+  const isUnwanted = job.state === 'cancelled' || (!job.isGang && job.isDone(task.index));
+  if (isUnwanted) cluster.placements.stop(placement, 0);
+  return placement;
+}
+
+/** Returns what an exited task without a placement is, whoever started it. */
+export function recoverExitedTask(cluster: Cluster, machine: Machine, task: TaskStatus): Classification {
   const classification = classifyTask(cluster, task, null);
   if (classification.action === 'readRecord') cluster.previousTerms.suspectOrphan(task.job, machine);
   return classification;
 }
 
-/** Whether a worker may drop an ended task of a job that isn't known: only once it is certain that nobody recorded it. */
+/** Whether the exit of a task of an unknown job may be acknowledged: only once it is certain that nobody recorded the job. */
 export function mayAcknowledgeUnknownJob(cluster: Cluster, job: JobId): boolean {
   const { recovery } = cluster.previousTerms;
   return recovery === null || (recovery.isOrphan(job) && !cluster.jobs.isUnreadable(job));
@@ -76,7 +93,7 @@
   return { kind: cluster.previousTerms.recovery?.isOrphan(id) ? 'absent' : 'unread' };
 }
 
-/** The task's place on another machine; one that was only planned is given up. */
+/** Returns the task's placement on another machine, or null; one that was only planned is released. */
 function findPlacementElsewhere(cluster: Cluster, job: Job, index: number): Placement | null {
   const placement = job.placements.get(index);
   if (!placement) return null;
@@ -89,9 +106,11 @@
 
 function adopt(cluster: Cluster, machine: Machine, task: LiveTaskStatus): Placement | null {
   const job = cluster.jobs.get(task.job);
-  return job
-    ? cluster.placements.add({ job, index: task.index, machine, attempt: task.attempt, phase: task.phase })
-    : null;
+  return job ? place(cluster, machine, job, task) : null;
+}
+
+function place(cluster: Cluster, machine: Machine, job: Job, { index, attempt, phase }: LiveTaskStatus): Placement {
+  return cluster.placements.add({ job, index, machine, attempt, phase });
 }
 
 function displace(cluster: Cluster, placement: Placement): void {
@@ -112,7 +131,7 @@
   knownJob,
 });
 
-/** Lists repeat what doesn't change: a stray is counted with the first list that shows it as what it is. */
+/** Statuses repeat what doesn't change: a task is counted with the first that shows it as what it is. */
 function countIfNew(
   { previousTerms }: Cluster,
   machine: Machine,
@@ -134,8 +153,7 @@
   });
 }
 
-/** Whether an end without a place is news; workers repeat it until they are told to forget it. */
+/** Whether an exit is news; workers repeat it until it is acknowledged. */
 export function isNewExit(machine: Machine, { job, index, attempt }: TaskStatus): boolean {
-  const key: StartKey = startKey(job, index, attempt);
-  return !machine.previousExits.has(key);
+  return !machine.previousExits.has(startKey(job, index, attempt));
 }
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -1,15 +1,17 @@
+/** Takes in that tasks ended: results, failures of jobs and machines, restarts of replicas, and run times. */
 import type { Job, Placement } from '../jobs/job.js';
 import { taskKey } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
 import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO } from '../machines/straggler_detector.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MonotonicTime, TaskStatus } from '../types.js';
-import { isNewExit, recoverEndedTask } from './recovered_tasks.js';
+import { isNewExit, recoverExitedTask } from './recovered_tasks.js';
 
+/** Results that come within this time are written together. */
 const RESULT_FLUSH_DELAY_MS = 30;
 /** A replica that ran for so long has shown that its service and its machine are well. */
 const STABLE_RUN_MS = 30_000;
-/** So many short runs are followed by no pause; then it doubles with each. */
+/** So many short runs are followed by no pause; then the pause doubles with each. */
 const SHORT_RUNS_WITHOUT_PAUSE = 2;
 const FIRST_RESTART_PAUSE_MS = 500;
 const MAX_RESTART_DOUBLINGS = 6;
@@ -17,11 +19,14 @@
 /** After a start that the worker refused. */
 const REFUSED_START_PAUSE_MS = 1000;
 
-/** Where a task was that has ended, and since when. */
+/** The job and machine of a task that has exited, and since when it was there. */
 type EndedRun = Pick<Placement, 'job' | 'machine' | 'since' | 'runningSince'>;
 
-/** Takes in that a task ended. Returns whether room came free. */
-export function reconcileExit(cluster: Cluster, machine: Machine, task: TaskStatus): boolean {
+/** What an exit changed: whether the task had a placement on its machine, which is free now. */
+export type ExitOutcome = 'placementReleased' | 'noPlacement';
+
+/** Takes in an exited task of a status. Workers repeat it until it is acknowledged: what was counted is not counted again. */
+export function reconcileExit(cluster: Cluster, machine: Machine, task: TaskStatus): ExitOutcome {
   const job = cluster.jobs.get(task.job);
   const { index, attempt } = task;
   const hasResult = task.exitReason === 'done' && !job?.isService;
@@ -29,18 +34,18 @@
   const found = cluster.placements.find(machine, task.job, index);
   const placement = found?.attempt === attempt ? found : null;
   if (!placement && cluster.previousTerms.recovery) recordMissedExit(cluster, machine, task);
-  if (!job) return false;
+  if (!job) return 'noPlacement';
   if (hasResult) recordResult(cluster, machine, job, task, placement);
-  if (!placement) return false;
+  if (!placement) return 'noPlacement';
   if (job.isService) recordReplicaExit(cluster, placement, task);
   else if (!hasResult) recordFailure(cluster, placement, task);
   cluster.placements.release(placement);
-  return true;
+  return 'placementReleased';
 }
 
-/** A task that ended while nobody watched, or that nobody knows of. What failed counts once, as it would have then. */
+/** A task that exited while no leader watched, or whose job is unknown. A failure counts once, as it would have then. */
 function recordMissedExit(cluster: Cluster, machine: Machine, task: TaskStatus): void {
-  const { taskClass, action } = recoverEndedTask(cluster, machine, task);
+  const { taskClass, action } = recoverExitedTask(cluster, machine, task);
   if (!isNewExit(machine, task)) return;
   cluster.previousTerms.recovery?.countTask(taskClass);
   const job = cluster.jobs.get(task.job);
@@ -135,10 +140,10 @@
     if (task.checkpointSaved) job.failureHistory.recordSuccess();
     return;
   }
-  context.log('info', 'task ended early', {
+  context.log('info', 'task exited early', {
     task: taskKey(task.job, task.index),
     machine: machine.id,
-    reason: exitReason,
+    exitReason,
   });
   job.failureCount += 1;
   if (exitReason === 'no_capacity' || exitReason === 'busy' || exitReason === 'unknown') {
