--- /dev/null
+++ b/src/core/leadership/candidacy.ts
@@ -0,0 +1,125 @@
+/** One try to become the leader: reads the term, requests a lease, and acquires the leader key on it. */
+import { encodeTerm, nextTermRecord, type TermRecord } from '../../recovery/index.js';
+import type { StateChange, StateStoreResult, VersionCondition } from '../messages.js';
+import { decodeLeader, encodeLeader, LEADER_KEY, type LeaderRecord, TERM_KEY } from '../records.js';
+import type { StepContext } from '../step_context.js';
+import { ABSENT_VERSION, type FencingToken, type LeaseId, type MonotonicTime, type Revision } from '../types.js';
+import type { Leadership } from './leadership.js';
+
+/** Calls of the election are not throttled (calls/call_queue.ts). */
+export const ELECTION_PRIORITY = 0;
+
+/** The leader key was acquired. */
+export interface ElectionWon {
+  readonly kind: 'won';
+  readonly leadership: Leadership;
+  readonly record: LeaderRecord;
+  /** When the lease was asked for: it began no earlier. */
+  readonly grantSentAt: MonotonicTime;
+}
+
+/** How a candidacy ended. */
+export type CandidacyOutcome =
+  | ElectionWon
+  /** The state store didn't answer, or granted no lease. */
+  | { readonly kind: 'unavailable' }
+  /** Another controller was faster, or the transaction was refused. */
+  | { readonly kind: 'lost' }
+  /** The outcome of the transaction was unknown, and the key is not this candidate's. */
+  | { readonly kind: 'notConfirmed' };
+
+/** A lease that was granted to the candidate. */
+interface GrantedLease {
+  readonly term: TermRecord;
+  readonly leaseId: LeaseId;
+  readonly grantSentAt: MonotonicTime;
+}
+
+/** What a candidacy depends on. */
+export interface CandidacyInit {
+  /** Names this process among those of the controller. */
+  readonly incarnation: string;
+  readonly leaseDurationMs: number;
+}
+
+/** Runs once; `onOutcome` is called exactly once unless the state store never answers. */
+export class Candidacy {
+  constructor(
+    private readonly context: StepContext,
+    private readonly init: CandidacyInit,
+    private readonly onOutcome: (outcome: CandidacyOutcome) => void,
+  ) {}
+
+  start(): void {
+    this.context.callStateStore({ op: 'get', key: TERM_KEY }, ELECTION_PRIORITY, (result) => {
+      if (!result.ok) return this.onOutcome({ kind: 'unavailable' });
+      const item = result.value.item ?? null;
+      const { enabled, record_zones } = this.context.features.recovery;
+      const term = nextTermRecord(item?.value, enabled && record_zones);
+      this.requestLease(term, item ? item.version : ABSENT_VERSION);
+    });
+  }
+
+  private requestLease(term: TermRecord, termVersion: Revision): void {
+    let grantSentAt = this.context.now.monotonic;
+    const onResult = (result: StateStoreResult): void => {
+      const leaseId = result.ok ? result.value.lease : undefined;
+      if (leaseId === undefined) this.onOutcome({ kind: 'unavailable' });
+      else this.acquireLeaderKey({ term, leaseId, grantSentAt }, termVersion);
+    };
+    this.context.callStateStore({ op: 'grant', ttlMs: this.init.leaseDurationMs }, ELECTION_PRIORITY, onResult, {
+      onSend: (at) => {
+        grantSentAt = at;
+      },
+    });
+  }
+
+  private acquireLeaderKey(lease: GrantedLease, termVersion: Revision): void {
+    const { term, leaseId } = lease;
+    const conditions: VersionCondition[] = [
+      { key: LEADER_KEY, version: ABSENT_VERSION },
+      { key: TERM_KEY, version: termVersion },
+    ];
+    const changes: StateChange[] = [
+      { put: LEADER_KEY, value: encodeLeader(this.leaderRecord(lease)), lease: leaseId },
+      { put: TERM_KEY, value: encodeTerm(term) },
+    ];
+    this.context.callStateStore({ op: 'compareAndSwap', conditions, changes }, ELECTION_PRIORITY, (result) => {
+      if (result.ok && result.value.revision !== undefined) this.win(lease, result.value.revision);
+      else if (!result.ok && result.error.code === 'outcomeUnknown') this.confirmAcquisition(lease);
+      else this.giveUp(leaseId, { kind: 'lost' });
+    });
+  }
+
+  /** The transaction may have been carried out: the key itself tells. */
+  private confirmAcquisition(lease: GrantedLease): void {
+    this.context.callStateStore({ op: 'get', key: LEADER_KEY }, ELECTION_PRIORITY, (result) => {
+      const item = result.ok ? (result.value.item ?? null) : null;
+      const holder = item ? decodeLeader(item.value) : null;
+      const isOwn = holder?.lease === String(lease.leaseId) && holder.incarnation === this.init.incarnation;
+      if (item && isOwn) this.win(lease, item.version);
+      else this.giveUp(lease.leaseId, { kind: 'notConfirmed' });
+    });
+  }
+
+  private win(lease: GrantedLease, acquiredAt: Revision): void {
+    const { term, leaseId, grantSentAt } = lease;
+    const leadership: Leadership = {
+      fencingToken: acquiredAt as bigint as FencingToken,
+      term: term.n,
+      leaseId,
+      startZonesRecordedSince: term.zones ?? null,
+    };
+    this.onOutcome({ kind: 'won', leadership, record: this.leaderRecord(lease), grantSentAt });
+  }
+
+  private giveUp(lease: LeaseId, outcome: CandidacyOutcome): void {
+    this.context.callStateStore({ op: 'revoke', lease }, ELECTION_PRIORITY, () => {});
+    this.onOutcome(outcome);
+  }
+
+  private leaderRecord({ term, leaseId }: GrantedLease): LeaderRecord {
+    const { controller } = this.context.settings;
+    return { node: controller, incarnation: this.init.incarnation, lease: String(leaseId), term: term.n };
+  }
+}
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -19,8 +19,9 @@
 import { HeartbeatHandler, type HeartbeatLeader } from '../workers/heartbeat_handler.js';
 import type { HeartbeatResponder } from '../workers/heartbeat_response.js';
 import { Reconciler, type ReconciliationLeader } from '../workers/reconciler.js';
-import type { Election, Leadership } from './election.js';
+import type { Election } from './election.js';
 import { JobRecordLookup } from './job_record_lookup.js';
+import type { Leadership } from './leadership.js';
 import { RecordWriter } from './record_writer.js';
 import { StateLoader } from './state_loader.js';
 import { StateRestorer } from './state_restorer.js';
@@ -263,7 +264,7 @@
     this.context.timers.set('healthChecks', this.context.after(HEALTH_CHECK_INTERVAL_MS));
     if (!this.isLeaseValid()) return;
     if (!this.hasRecentJobView()) {
-      this.election.stepDown('what is known of jobs is too old');
+      this.election.stepDown('view of jobs too old');
       return;
     }
     if (!this.loaded) return;
@@ -285,7 +286,7 @@
     }
     this.unreachableSince ??= now;
     if (now - this.unreachableSince < this.context.tuning.leadership.resign_after_ms) return;
-    this.election.stepDown('machines report but hear nothing from this node');
+    this.election.stepDown('responses do not reach machines');
   }
 
   /** Counts for display, where this node knows them. */
--- /dev/null
+++ b/src/core/leadership/leader_lease.ts
@@ -0,0 +1,106 @@
+/** The lease of the leader key while this controller holds it: until when it is valid, and its renewals. */
+import { CLOCK_DRIFT } from '../lease_bounds.js';
+import type { StateStoreResult } from '../messages.js';
+import type { StepContext } from '../step_context.js';
+import { addMilliseconds, type MonotonicTime } from '../types.js';
+import { ELECTION_PRIORITY, type ElectionWon } from './candidacy.js';
+import type { Leadership } from './leadership.js';
+
+const RENEWALS_PER_LEASE = 4;
+const RENEWAL_RETRY_MS = 200;
+const MAX_RENEWAL_TIMEOUT_MS = 1500;
+const RENEWAL_TIMEOUT_SHARE = 1 / 3;
+
+/** What a renewal brought. */
+type RenewalOutcome = 'renewed' | 'unanswered' | 'expired';
+
+/**
+ * Validity runs from when the last successful renewal was *sent*, on this controller's clock, less drift and margin, and
+ * callers ask for it at the moment of use: timers are late on a starved core.
+ */
+export class LeaderLease {
+  readonly leadership: Leadership;
+  private isReleased = false;
+
+  /** `onExpired`: the state store says that the lease is no more. */
+  constructor(
+    private readonly context: StepContext,
+    won: ElectionWon,
+    private readonly durationMs: number,
+    private readonly onExpired: () => void,
+  ) {
+    this.leadership = won.leadership;
+    this.extendValidity(won.grantSentAt);
+  }
+
+  /** Returns whether no other controller can be the leader at this moment. */
+  isValid(): boolean {
+    return !this.isReleased && this.context.now.monotonic < this.context.leadershipValidUntil;
+  }
+
+  /** Begins to renew the lease. */
+  start(): void {
+    this.scheduleRenewal(this.durationMs / RENEWALS_PER_LEASE);
+  }
+
+  /** Ends validity and renewals at once. The lease itself stays with the state store until it expires or is revoked. */
+  release(): void {
+    this.isReleased = true;
+    this.context.leadershipValidUntil = 0 as MonotonicTime;
+    this.context.timers.clear('renew');
+  }
+
+  /** Sends a renewal. Does nothing once the lease was released. */
+  renew(): void {
+    if (this.isReleased) return;
+    let sentAt = this.context.now.monotonic;
+    const onResult = (result: StateStoreResult): void => {
+      if (!this.isReleased) this.onRenewal(outcomeOf(result), sentAt);
+    };
+    const renewal = { op: 'renew', lease: this.leadership.leaseId } as const;
+    this.context.callStateStore(renewal, ELECTION_PRIORITY, onResult, {
+      timeoutMs: Math.min(MAX_RENEWAL_TIMEOUT_MS, this.durationMs * RENEWAL_TIMEOUT_SHARE),
+      onSend: (at) => {
+        sentAt = at;
+      },
+    });
+  }
+
+  private onRenewal(outcome: RenewalOutcome, sentAt: MonotonicTime): void {
+    switch (outcome) {
+      case 'renewed':
+        this.onRenewed(sentAt);
+        return;
+      case 'unanswered':
+        this.scheduleRenewal(RENEWAL_RETRY_MS);
+        return;
+      case 'expired':
+        this.onExpired();
+        return;
+    }
+  }
+
+  private onRenewed(sentAt: MonotonicTime): void {
+    const hadLapsed = !this.isValid();
+    this.extendValidity(sentAt);
+    const { fencingToken } = this.leadership;
+    if (hadLapsed) this.context.log('info', 'leadership resumed after gap in renewals', { fencingToken });
+    this.start();
+  }
+
+  private extendValidity(sentAt: MonotonicTime): void {
+    const validMs = this.durationMs * (1 - CLOCK_DRIFT) - this.context.tuning.leadership.margin_ms;
+    const until = addMilliseconds(sentAt, validMs);
+    if (until > this.context.leadershipValidUntil) this.context.leadershipValidUntil = until;
+  }
+
+  private scheduleRenewal(afterMs: number): void {
+    this.context.timers.set('renew', this.context.after(afterMs));
+  }
+}
+
+function outcomeOf(result: StateStoreResult): RenewalOutcome {
+  if (result.ok) return 'renewed';
+  const { code } = result.error;
+  return code === 'gone' || code === 'invalidRequest' ? 'expired' : 'unanswered';
+}
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -13,7 +13,7 @@
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import { ABSENT_VERSION, type MonotonicTime, type Revision, type ZoneName } from '../types.js';
-import { type Leadership, leaderCondition } from './election.js';
+import { type Leadership, leaderCondition } from './leadership.js';
 
 /** Results that nobody waits for are written this rarely, and more rarely still where writes are scarce. */
 const LAZY_WRITE_INTERVAL_MS = 4000;
--- a/src/core/peers/status_exchange.ts
+++ b/src/core/peers/status_exchange.ts
@@ -43,7 +43,7 @@
       // A peer that has just come back heard its workers without us; now it passes their reports on.
       if (monotonic - peer.reachableSince < limitMs) continue;
       if (this.peers.isReachable(peer) && sinceLastHeartbeatMs >= 0 && sinceLastHeartbeatMs < limitMs / 2) {
-        this.election.stepDown('workers reach a peer but not this node');
+        this.election.stepDown('isolated from workers');
         return;
       }
     }
