--- a/test/core/jobs/runtime_estimator.test.ts
+++ b/test/core/jobs/runtime_estimator.test.ts
@@ -6,7 +6,7 @@
 describe('RuntimeEstimator', () => {
   test('follows the observed runtimes of a class, cautiously while there are few', () => {
     const estimates = new RuntimeEstimator();
-    const spec = makeJobSpec('job-1', 'array', { estimate: '10' });
+    const spec = makeJobSpec('job-1', 'array', { estimatedRuntime: '10' });
     assert.equal(estimates.expectedSeconds(spec), 10);
     estimates.observe(spec, 40);
     const once = estimates.expectedSeconds(spec);
--- a/test/core/scheduler/gang_reservation.test.ts
+++ b/test/core/scheduler/gang_reservation.test.ts
@@ -8,8 +8,8 @@
 import { StepContext } from '../../../src/core/step_context.js';
 import type { ClockReading, JobId, MonotonicTime, WallClockTime } from '../../../src/core/types.js';
 import { revision } from '../../../src/core/types.js';
+import { CURRENT_BUILD } from '../../sim/build.js';
 import { makeJobSpec } from '../../sim/job_options.js';
-import { tuning } from '../../sim/scenario.js';
 import { makeMachine } from '../../support/machine_fixtures.js';
 
 describe('gang reservation', () => {
@@ -25,7 +25,7 @@
     };
     const cloud = { requestsPerSecond: 5, listStalenessMs: 0 };
     const settings = { controllerCount: 1, teamQuotas: [], stateStore, cloud } as unknown as Settings;
-    const cluster = new Cluster(new StepContext(settings, tuning, now), 1);
+    const cluster = new Cluster(new StepContext(settings, CURRENT_BUILD.tuning, now), 1);
     const gang = (id: string, waitedS: number): Job => {
       const spec = { ...makeJobSpec(id, 'gang', { tasks: '2', gpus: '4' }) };
       const submittedAt = (now.wallClock - waitedS * 1000) as WallClockTime;
--- a/test/core/scheduler/priority.test.ts
+++ b/test/core/scheduler/priority.test.ts
@@ -5,15 +5,15 @@
 
 describe('ranking score', () => {
   test('weighs a priority level as four times the size, at the same wait', () => {
-    const low = makeJobSpec('job-1', 'array', { cpus: '1', estimate: '10', rank: '0' });
-    const high = makeJobSpec('job-2', 'array', { cpus: '3', estimate: '10', rank: '1' });
+    const low = makeJobSpec('job-1', 'array', { cpus: '1', estimatedRuntime: '10', priorityLevel: '0' });
+    const high = makeJobSpec('job-2', 'array', { cpus: '3', estimatedRuntime: '10', priorityLevel: '1' });
     assert.ok(rankingScore(high, 1, 10, 100, 4) < rankingScore(low, 1, 10, 100, 4));
     assert.ok(rankingScore(high, 1, 10, 0, 4) > rankingScore(low, 1, 10, 0, 4));
   });
 
   test('puts small and short jobs first, until waiting makes up for size', () => {
-    const small = makeJobSpec('job-1', 'array', { cpus: '1', estimate: '10' });
-    const large = makeJobSpec('job-2', 'gang', { gpus: '4', estimate: '100' });
+    const small = makeJobSpec('job-1', 'array', { cpus: '1', estimatedRuntime: '10' });
+    const large = makeJobSpec('job-2', 'gang', { gpus: '4', estimatedRuntime: '100' });
     assert.ok(rankingScore(small, 1, 10, 0, 2) < rankingScore(large, 2, 100, 0, 2));
     assert.ok(rankingScore(small, 1, 10, 0, 2) > rankingScore(large, 2, 100, 600, 2));
   });
--- a/test/golden/leader_records.ts
+++ b/test/golden/leader_records.ts
@@ -12,7 +12,7 @@
 import { encodeStateStoreRequest } from '../../src/io/state_store/state_store_codec.js';
 import { encodeCbor } from '../../src/io/wire/cbor.js';
 import { CURRENT_BUILD } from '../sim/build.js';
-import { makeSettings } from '../sim/world.js';
+import { makeSettings } from '../sim/deployment.js';
 import { cborEntry, type Golden } from './golden_file.js';
 
 interface WrittenCall {
--- a/test/golden/problem_cases.ts
+++ b/test/golden/problem_cases.ts
@@ -17,9 +17,10 @@
 import { encodeFrame } from '../../src/io/peers/peer_codec.js';
 import { encodeUserResponse } from '../../src/io/users/user_codec.js';
 import { encodeCbor } from '../../src/io/wire/cbor.js';
+import { CURRENT_BUILD } from '../sim/build.js';
+import { LIMITS } from '../sim/deployment.js';
 import { type JobOptions, makeJobSpec } from '../sim/job_options.js';
-import { tuning } from '../sim/scenario.js';
-import { LIMITS, World } from '../sim/world.js';
+import { World } from '../sim/world.js';
 import { cborEntry, type Golden, GoldenFile, hex } from './golden_file.js';
 
 const zones = ['a', 'b'] as ZoneName[];
@@ -46,8 +47,8 @@
     },
   ];
   const teams = [teamOf('crew', 0, 0), teamOf('tight', 2, 0)];
-  const limits = { ...LIMITS, valueBytes: 1024 };
-  return new World({ seed: 3, controllers, zones, teams, types, capacity: 2, tuning, limits });
+  const limits = { ...LIMITS, maxValueBytes: 1024 };
+  return new World({ seed: 3, controllers, zones, teams, types, capacity: 2, tuning: CURRENT_BUILD.tuning, limits });
 }
 
 const entryOf = (answer: UserResponse | null): Golden =>
@@ -73,14 +74,14 @@
 const refusedOptions: Readonly<Record<string, readonly [JobSpec['kind'], JobOptions]>> = {
   'team not known': ['array', { team: 'nobody' }],
   'more processors than any machine': ['array', { cpus: '9' }],
-  'more memory than any machine': ['array', { mem: '33' }],
+  'more memory than any machine': ['array', { memoryGb: '33' }],
   'graphics processors that no machine has': ['array', { gpus: '1' }],
-  'type not known': ['array', { types: 'nosuch' }],
+  'type not known': ['array', { machineTypes: 'nosuch' }],
   'zone not known': ['array', { zone: 'c' }],
   'beyond the limit of its team': ['array', { team: 'tight', cpus: '3' }],
   'whole beyond the limit of its team': ['gang', { team: 'tight', cpus: '1', tasks: '3' }],
-  'together and apart': ['gang', { tasks: '2', sameZone: 'yes', spread: 'yes' }],
-  'apart in one zone': ['service', { tasks: '2', zone: 'a', spread: 'yes' }],
+  'together and apart': ['gang', { tasks: '2', singleZone: 'yes', zoneSpread: 'yes' }],
+  'apart in one zone': ['service', { tasks: '2', zone: 'a', zoneSpread: 'yes' }],
   'longer than a value': ['array', { class: 'x'.repeat(700) }],
 };
 
--- a/test/measure/cold_start.ts
+++ b/test/measure/cold_start.ts
@@ -2,10 +2,11 @@
 import type { JobId, MachineId, MachineTypeName, TeamName, ZoneName } from '../../src/core/types.js';
 import { type Build, CURRENT_BUILD, FEATURES_OFF } from '../sim/build.js';
 import { ControllerProcess } from '../sim/controller_process.js';
-import { makeJobSpec } from '../sim/job_options.js';
+import { LIMITS } from '../sim/deployment.js';
+import { type JobOptions, makeJobSpec } from '../sim/job_options.js';
 import { loadOldVersions } from '../sim/old_versions.js';
-import { events } from '../sim/scenario_events.js';
-import { LIMITS, World } from '../sim/world.js';
+import { crashControllers } from '../sim/scenario/events/controllers.js';
+import { World } from '../sim/world.js';
 
 /*
  * Measures a cold start on stand-ins: all controllers end at once and are back 5 s later, while one machine in a hundred
@@ -50,7 +51,15 @@
 }
 
 function makeWorld(workers: number, build: Build, oldVersions: ReadonlyMap<string, Build>): World {
-  const limits = { ...LIMITS, rps: 500, writeRps: 50, cloudRps: 8, reportMs: 2500, leaseMs: 15_250, cancelMs: 40_250 };
+  const limits = {
+    ...LIMITS,
+    requestsPerSecond: 500,
+    writesPerSecond: 50,
+    cloudRequestsPerSecond: 8,
+    heartbeatIntervalMs: 2500,
+    leaseMs: 15_250,
+    cancellationTimeoutMs: 40_250,
+  };
   const { tuning } = CURRENT_BUILD;
   const sizes = { seed: 7, controllers: 5, capacity: workers, zones: ZONES, teams: TEAMS, types: TYPES };
   const world = new World({ ...sizes, tuning, limits, builds: [build], oldVersions });
@@ -66,10 +75,10 @@
   const tasks = Math.ceil((workers * TASKS_PER_MACHINE * 2) / jobs);
   for (let i = 0; i < jobs; i++) {
     const runS = SHORTEST_RUN_SECONDS + RUN_STEP_SECONDS * (i % RUN_LENGTHS);
-    const options: Record<string, string> = { tasks: String(tasks), estimate: String(runS) };
-    if (i % 2 === 0) options.sameZone = 'yes';
+    const options: JobOptions = { tasks: String(tasks), estimatedRuntime: String(runS) };
+    if (i % 2 === 0) options.singleZone = 'yes';
     world.clock.schedule(2000 + i * 5, () =>
-      world.submit(makeJobSpec(`job-${100 + i}`, 'array', options), runS * 1000),
+      world.users.submit(makeJobSpec(`job-${100 + i}`, 'array', options), runS * 1000),
     );
   }
 }
@@ -95,7 +104,7 @@
     ledAt ??= world.clock.now;
     const sinceMs = world.clock.now - ledAt;
     for (const id of waiting) {
-      if ((world.workers.get(id)?.token ?? 0n) !== (leader.version as bigint)) continue;
+      if ((world.workers.get(id)?.highestFencingToken ?? 0n) !== (leader.version as bigint)) continue;
       renewed.recordValue(sinceMs);
       waiting.delete(id);
     }
@@ -126,7 +135,7 @@
   world.clock.runUntil(CRASH_SECONDS * 1000 - 1);
   const leasesBefore = world.expiredLeases;
   const lost = new Set([...world.workers.keys()].slice(0, vanish ? Math.ceil(workers * VANISHING_SHARE) : 0));
-  events.crash?.(world, ['all', String(RESTART_SECONDS)]);
+  crashControllers(world, 'all', String(RESTART_SECONDS));
   for (const id of lost) world.cloud.interrupt(id);
   world.commandCounts.reset();
   const measured = watchRecovery(world, lost);
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -2,12 +2,13 @@
 import { test } from 'node:test';
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand';
 import type { ImageName, JobId, MachineId, MachineTypeName, TeamName, TeamQuota, ZoneName } from '../src/core/types.js';
-import type { Build } from './sim/build.js';
-import { makeJobSpec } from './sim/job_options.js';
+import { type Build, CURRENT_BUILD } from './sim/build.js';
+import { LIMITS } from './sim/deployment.js';
+import { type JobOptions, makeJobSpec } from './sim/job_options.js';
 import { loadOldVersions } from './sim/old_versions.js';
-import { tuning } from './sim/scenario.js';
-import { events } from './sim/scenario_events.js';
-import { LIMITS, World } from './sim/world.js';
+import { upgradeControllers } from './sim/scenario/events/controllers.js';
+import { events } from './sim/scenario/events/index.js';
+import { World } from './sim/world.js';
 
 const FAULTS_SECONDS = 260;
 const QUIET_SECONDS = 420;
@@ -59,7 +60,7 @@
     teams,
     types: machineTypes,
     capacity: 14,
-    tuning,
+    tuning: CURRENT_BUILD.tuning,
     limits,
   };
   // On every fourth day nodes begin with old versions, drawn for each, and are replaced in some order while troubles come.
@@ -101,7 +102,7 @@
   const order = [...world.controllers].sort(() => clock.randomBetween(-1, 1));
   let at = clock.randomBetween(5, 40);
   for (const node of order) {
-    clock.schedule(at * 1000, () => events.upgrade?.(world, [node.name, String(clock.randomBetween(0.2, 6))]));
+    clock.schedule(at * 1000, () => upgradeControllers(world, node.name, String(clock.randomBetween(0.2, 6)), 0));
     at += clock.randomBetween(1, 25);
   }
 }
@@ -117,69 +118,77 @@
   const { clock } = world;
   const gang = clock.randomBetween(0, 1) < 0.35;
   const gpu = clock.randomBetween(0, 1) < 0.5;
-  const options: Record<string, string> = {
+  const options: JobOptions = {
     tasks: String(gang ? clock.pickRandom([1, 2, 3]) : clock.pickRandom([1, 4, 9, 25])),
-    run: String(clock.pickRandom([3, 8, 20])),
-    estimate: String(clock.pickRandom([2, 8, 30])),
+    runtime: String(clock.pickRandom([3, 8, 20])),
+    estimatedRuntime: String(clock.pickRandom([2, 8, 30])),
     cpus: String(clock.pickRandom([1, 2, 4])),
     gpus: gpu ? '1' : '0',
     team: clock.pickRandom(['red', 'blue']),
-    checkpoint: clock.pickRandom(['0', '5']),
-    rank: clock.pickRandom(['0', '1', '2']),
+    checkpointInterval: clock.pickRandom(['0', '5']),
+    priorityLevel: clock.pickRandom(['0', '1', '2']),
   };
-  if (clock.randomBetween(0, 1) < 0.6) options.spot = 'yes';
-  if (clock.randomBetween(0, 1) < 0.3) options.sameZone = 'yes';
-  else if (clock.randomBetween(0, 1) < 0.2) options.spread = 'yes';
-  if (clock.randomBetween(0, 1) < 0.2) options.zone = options.spread ? '' : clock.pickRandom(zones);
+  if (clock.randomBetween(0, 1) < 0.6) options.toleratesSpot = 'yes';
+  if (clock.randomBetween(0, 1) < 0.3) options.singleZone = 'yes';
+  else if (clock.randomBetween(0, 1) < 0.2) options.zoneSpread = 'yes';
+  if (clock.randomBetween(0, 1) < 0.2) options.zone = options.zoneSpread ? '' : clock.pickRandom(zones);
   if (!options.zone) delete options.zone;
   const spec = {
     ...makeJobSpec(`job-${100 + i}`, gang ? 'gang' : 'array', options),
     image: `img-${i % 4}` as ImageName,
   };
-  clock.schedule(atS * 1000, () => world.submit(spec, Number(options.run) * 1000));
+  clock.schedule(atS * 1000, () => world.users.submit(spec, Number(options.runtime) * 1000));
   if (clock.randomBetween(0, 1) < 0.2)
-    clock.schedule((atS + clock.randomBetween(0, 20)) * 1000, () => world.cancel(spec.id));
+    clock.schedule((atS + clock.randomBetween(0, 20)) * 1000, () => world.users.cancel(spec.id));
 }
 
 /** A job that fails wherever it runs, until its user calls it off. */
 function addFaultyJob(world: World, i: number, atS: number): void {
   const { clock } = world;
   const gang = clock.randomBetween(0, 1) < 0.5;
-  const options: Record<string, string> = {
+  const options: JobOptions = {
     class: 'faulty',
     tasks: String(gang ? clock.pickRandom([1, 2, 3]) : clock.pickRandom([1, 10, 30])),
     cpus: clock.pickRandom(['1', '4']),
     gpus: clock.pickRandom(['0', '1']),
-    rank: clock.pickRandom(['0', '2']),
+    priorityLevel: clock.pickRandom(['0', '2']),
     team: clock.pickRandom(['red', 'blue']),
-    spot: 'yes',
+    toleratesSpot: 'yes',
   };
   const spec = makeJobSpec(`job-${300 + i}`, gang ? 'gang' : 'array', options);
   world.faultyJobs.add(spec.id);
-  clock.schedule(atS * 1000, () => world.submit(spec, 10_000));
-  clock.schedule((FAULTS_SECONDS + clock.randomBetween(5, 60)) * 1000, () => world.cancel(spec.id));
+  clock.schedule(atS * 1000, () => world.users.submit(spec, 10_000));
+  clock.schedule((FAULTS_SECONDS + clock.randomBetween(5, 60)) * 1000, () => world.users.cancel(spec.id));
 }
 
 /** A guest's array of very many small tasks. */
 function addHugeArray(world: World, atS: number): void {
-  const options = { class: 'huge', tasks: '2500', cpus: '0.1', estimate: '3', team: 'blue', spot: 'yes', rank: '0' };
+  const options = {
+    class: 'huge',
+    tasks: '2500',
+    cpus: '0.1',
+    estimatedRuntime: '3',
+    team: 'blue',
+    toleratesSpot: 'yes',
+    priorityLevel: '0',
+  };
   const spec = makeJobSpec('job-400', 'array', options);
-  world.clock.schedule(atS * 1000, () => world.submit(spec, 3000));
+  world.clock.schedule(atS * 1000, () => world.users.submit(spec, 3000));
 }
 
 function addService(world: World, i: number, atS: number): void {
   const { clock } = world;
-  const options: Record<string, string> = {
+  const options: JobOptions = {
     class: 'service',
     tasks: String(clock.pickRandom([1, 2, 4])),
     cpus: '1',
     team: clock.pickRandom(['red', 'blue']),
-    rank: clock.pickRandom(['1', '3']),
-    estimate: '0',
+    priorityLevel: clock.pickRandom(['1', '3']),
+    estimatedRuntime: '0',
   };
-  if (clock.randomBetween(0, 1) < 0.4) options.spread = 'yes';
+  if (clock.randomBetween(0, 1) < 0.4) options.zoneSpread = 'yes';
   const spec = { ...makeJobSpec(`job-${200 + i}`, 'service', options), image: `img-${i % 4}` as ImageName };
-  clock.schedule(atS * 1000, () => world.submit(spec, 1e9));
+  clock.schedule(atS * 1000, () => world.users.submit(spec, 1e9));
   clock.schedule((FAULTS_SECONDS + 150) * 1000, () => {
     // One that an outage kept from being accepted is owed nothing.
     if (world.invariants.cancellationRequested.has(spec.id) || !world.invariants.isAccepted(spec.id)) return;
@@ -187,7 +196,7 @@
       ...(availabilityAtEnd.get(world) ?? []),
       `${spec.id} ${world.availability.latest(spec.id)}`,
     ]);
-    world.cancel(spec.id);
+    world.users.cancel(spec.id);
   });
 }
 
@@ -198,60 +207,72 @@
   const { clock } = world;
   const node = clock.pickRandom(['perch-0', 'perch-1', 'perch-2', 'perch-4', 'leader', 'leader']);
   const secs = (low: number, high: number): string => String(clock.randomBetween(low, high));
-  const mode = clock.pickRandom(['drop', 'hold']);
+  const mode = clock.pickRandom(['drop', 'delay']);
   const machine = (): string => clock.pickRandom([...world.workers.keys(), 'none' as MachineId]);
   const choices: [string, () => string[]][] = [
     ['crash', () => [node, secs(0.1, 6)]],
     ['crash', () => ['all', secs(0.1, 6)]],
-    ['outage', () => [secs(1, 25)]],
-    ['refuse', () => [node, secs(3, 30)]],
-    ['cut', () => [node, clock.pickRandom(['state', 'workers', 'cloud', '*', 'users', 'perch-0']), secs(2, 30), mode]],
-    ['cut', () => [node, 'control', secs(2, 30), clock.pickRandom(['drop', 'hold', 'refuse'])]],
-    ['one-way', () => [machine(), secs(5, 40)]],
-    ['one-way-from', () => [node, secs(5, 30)]],
-    ['duplicate-reports', () => [secs(5, 60)]],
+    ['store-outage', () => [secs(1, 25)]],
+    ['store-refuse', () => [node, secs(3, 30)]],
+    [
+      'partition',
+      () => [node, clock.pickRandom(['state-store', 'workers', 'cloud', '*', 'users', 'perch-0']), secs(2, 30), mode],
+    ],
+    ['partition', () => [node, 'control-plane', secs(2, 30), clock.pickRandom(['drop', 'delay', 'refuse'])]],
+    ['machine-inbound-loss', () => [machine(), secs(5, 40)]],
+    ['controller-outbound-loss', () => [node, secs(5, 30)]],
+    ['duplicate-heartbeats', () => [secs(5, 60)]],
     ['crash', () => [node, secs(0.02, 0.4)]],
     ['crash', () => ['followers', secs(0.02, 0.4)]],
     [
       'crash-at',
-      () => [clock.pickRandom(['before-grant', 'after-grant', 'before-take', 'after-take']), '2', secs(0.02, 0.4)],
+      () => [
+        clock.pickRandom(['before-grant', 'after-grant', 'before-acquire', 'after-acquire']),
+        '2',
+        secs(0.02, 0.4),
+      ],
     ],
-    ['freeze', () => [node, secs(1, 30)]],
-    ['freeze', () => ['all', secs(1, 20)]],
-    ['cut', () => [machine(), '*', secs(2, 30), mode]],
+    ['pause', () => [node, secs(1, 30)]],
+    ['pause', () => ['all', secs(1, 20)]],
+    ['partition', () => [machine(), '*', secs(2, 30), mode]],
     ['hang', () => [machine(), secs(2, 30)]],
     ['fail-tasks', () => [machine()]],
-    ['slow', () => [machine(), '4']],
-    ['notice', () => [machine(), secs(4, 12)]],
-    ['take', () => [machine()]],
-    ['fail', () => [machine()]],
+    ['slow-machine', () => [machine(), '4']],
+    ['interruption-notice', () => [machine(), secs(4, 12)]],
+    ['interrupt', () => [machine()]],
+    ['fail-machine', () => [machine()]],
     ['cloud-outage', () => [secs(3, 20)]],
-    ['freeze', () => [node, secs(30, 80)]],
-    ['freeze', () => [node, clock.pickRandom(['3.6', '4.4', '13.6', '14.6'])]],
-    ['pause-sending', () => [node, secs(2, 40), clock.pickRandom(['return', 'rent', 'commands', 'answers'])]],
-    ['cut', () => [node, clock.pickRandom(['state', 'workers', 'control', '*']), secs(60, 95), mode]],
-    ['refuse', () => [node, secs(60, 95)]],
-    ['boot-trouble', () => [clock.pickRandom(['0.04', '4']), clock.pickRandom(['0', '0.5', '1']), secs(20, 80)]],
-    ['boot-trouble', () => ['1', '1', secs(20, 80), clock.pickRandom(zones)]],
+    ['pause', () => [node, secs(30, 80)]],
+    ['pause', () => [node, clock.pickRandom(['3.6', '4.4', '13.6', '14.6'])]],
+    [
+      'pause-before-sending',
+      () => [node, secs(2, 40), clock.pickRandom(['terminate', 'provision', 'commands', 'responses'])],
+    ],
+    ['partition', () => [node, clock.pickRandom(['state-store', 'workers', 'control-plane', '*']), secs(60, 95), mode]],
+    ['store-refuse', () => [node, secs(60, 95)]],
+    ['boot-fault', () => [clock.pickRandom(['0.04', '4']), clock.pickRandom(['0', '0.5', '1']), secs(20, 80)]],
+    ['boot-fault', () => ['1', '1', secs(20, 80), clock.pickRandom(zones)]],
     ['never-boot', () => ['1']],
-    ['no-reports', () => [machine(), secs(5, 40)]],
-    ['no-reports', () => ['all', secs(5, 40)]],
-    ['hold-reports', () => [clock.pickRandom([machine(), 'all']), secs(2, 25)]],
+    ['lose-heartbeats', () => [machine(), secs(5, 40)]],
+    ['lose-heartbeats', () => ['all', secs(5, 40)]],
+    ['delay-heartbeats', () => [clock.pickRandom([machine(), 'all']), secs(2, 25)]],
     [
-      'slow-links',
+      'add-latency',
       () => [clock.pickRandom([machine(), node, 'all']), String(clock.pickRandom([300, 2000, 6000])), secs(5, 40)],
     ],
-    ['slow-state', () => [String(clock.pickRandom([20, 100, 400])), secs(5, 40)]],
-    ['late-writes', () => [String(clock.pickRandom([0.1, 0.5, 0.9])), secs(5, 30)]],
+    ['slow-store', () => [String(clock.pickRandom([20, 100, 400])), secs(5, 40)]],
+    ['delay-writes', () => [String(clock.pickRandom([0.1, 0.5, 0.9])), secs(5, 30)]],
     ['flap', () => ['10', secs(2, 12), secs(0.1, 4)]],
-    ['cancel-now', () => ['4', clock.pickRandom(['', secs(5, 30)])]],
-    ['cancel-at-end', () => ['0.5', secs(20, 60)]],
+    ['cancel-running', () => ['4', clock.pickRandom(['', secs(5, 30)])]],
+    ['cancel-on-completion', () => ['0.5', secs(20, 60)]],
     ['invalid-requests', () => [secs(10, 60)]],
-    ['close-looks', () => [secs(20, 80)]],
+    ['poll-bursts', () => [secs(20, 80)]],
     ['refusal-then-outage', () => [secs(0.5, 3), secs(20, 60)]],
   ];
   const [name, words] = clock.pickRandom(choices);
-  clock.schedule(atS * 1000, () => events[name]?.(world, words()));
+  const event = events[name];
+  assert.ok(event, `no event ${name}`);
+  clock.schedule(atS * 1000, () => event(world, words()));
 }
 
 const oldVersions = await loadOldVersions();
--- a/test/recovery_properties.test.ts
+++ b/test/recovery_properties.test.ts
@@ -21,7 +21,8 @@
   trustedStartZones,
 } from '../src/recovery/index.js';
 import { loadOldVersions } from './sim/old_versions.js';
-import { parseScenarioText, runScenario } from './sim/scenario.js';
+import { parseScenarioText } from './sim/scenario/parser.js';
+import { runScenario } from './sim/scenario/runner.js';
 
 /*
  * Properties of recovery. Seeds are fixed; FC_SEED, FC_PATH and FC_RUNS choose others, and a failure prints the line with
@@ -290,10 +291,10 @@
 
 const MACHINE_LINES = 'versions present\nzones a b\nmachines 2 c8 a\nmachines 2 c8 b\ncapacity 4\n';
 const JOB_LINES = [
-  'at 2 submit job-1 array tasks=20 run=25',
-  'at 3 submit job-2 gang tasks=3 cpus=2 run=30 checkpoint=5',
-  'at 4 submit job-3 array tasks=12 run=8 spread',
-  'at 5 submit job-4 service tasks=2 cpus=1 run=1000 estimate=0',
+  'at 2 submit job-1 array tasks=20 runtime=25',
+  'at 3 submit job-2 gang tasks=3 cpus=2 runtime=30 checkpointInterval=5',
+  'at 4 submit job-3 array tasks=12 runtime=8 zoneSpread',
+  'at 5 submit job-4 service tasks=2 cpus=1 runtime=1000 estimatedRuntime=0',
 ];
 const END_LINES = ['at 200 cancel job-4', 'until 330'];
 
@@ -308,21 +309,21 @@
 const fault = fc.oneof(
   coldStart,
   scenarioLine(constantWord('crash leader'), halfSeconds(0.5, 6)),
-  scenarioLine(constantWord('crash-at'), fc.constantFrom('before-take', 'after-take'), constantWord('2 0.2')),
+  scenarioLine(constantWord('crash-at'), fc.constantFrom('before-acquire', 'after-acquire'), constantWord('2 0.2')),
   scenarioLine(
-    constantWord('cut'),
+    constantWord('partition'),
     machineName,
     constantWord('*'),
     halfSeconds(2, 25),
-    fc.constantFrom('hold', 'drop'),
+    fc.constantFrom('delay', 'drop'),
   ),
-  scenarioLine(constantWord('take'), machineName),
+  scenarioLine(constantWord('interrupt'), machineName),
   scenarioLine(constantWord('hang'), machineName, halfSeconds(1, 20)),
-  scenarioLine(constantWord('duplicate-reports'), halfSeconds(5, 40)),
-  scenarioLine(constantWord('hold-reports'), machineName, halfSeconds(2, 20)),
-  scenarioLine(constantWord('late-writes 0.3'), halfSeconds(2, 15)),
-  scenarioLine(constantWord('outage'), halfSeconds(1, 15)),
-  scenarioLine(constantWord('refuse leader'), halfSeconds(2, 15)),
+  scenarioLine(constantWord('duplicate-heartbeats'), halfSeconds(5, 40)),
+  scenarioLine(constantWord('delay-heartbeats'), machineName, halfSeconds(2, 20)),
+  scenarioLine(constantWord('delay-writes 0.3'), halfSeconds(2, 15)),
+  scenarioLine(constantWord('store-outage'), halfSeconds(1, 15)),
+  scenarioLine(constantWord('store-refuse leader'), halfSeconds(2, 15)),
   scenarioLine(constantWord('cancel'), fc.constantFrom('job-1', 'job-2', 'job-3')),
   scenarioLine(constantWord('downgrade perch-1 latest'), halfSeconds(0.5, 3)),
 );
--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -5,7 +5,8 @@
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { loadOldVersions } from './sim/old_versions.js';
-import { parseScenario, runScenario, usesOldVersions } from './sim/scenario.js';
+import { parseScenario } from './sim/scenario/parser.js';
+import { runScenario, usesOldVersions } from './sim/scenario/runner.js';
 
 const scenarioDirectory = fileURLToPath(new URL('../../../test/scenarios/', import.meta.url));
 const nameFilter = process.env.SCENARIO;
--- a/test/sim/controller_process.ts
+++ b/test/sim/controller_process.ts
@@ -1,4 +1,5 @@
 import type {
+  CloudResult,
   CommandPushResponse,
   HeartbeatResponse,
   Input,
@@ -21,9 +22,16 @@
 import type { FrameSplitter, PeerFrame } from '../../src/io/peers/peer_codec.js';
 import type { RecoverySummary } from '../../src/recovery/index.js';
 import { type Build, isCurrent, type SimulatedController } from './build.js';
-import type { SimulatedCloud } from './cloud.js';
+import { STATE_STORE_HOST } from './network.js';
 import type { World } from './world.js';
 
+type OutputOf<Kind extends Output['kind']> = Extract<Output, { readonly kind: Kind }>;
+
+const CLOUD_TIMEOUT_MS = 4000;
+const PUSH_TIMEOUT_MS = 2500;
+/** What a call without a response comes to. */
+const NO_RESPONSE = { ok: false, error: { code: 'outcomeUnknown' } } as const;
+
 /** A controller process as the world runs it: killed without a word, started again with nothing. */
 export class ControllerProcess {
   private controller: SimulatedController | null = null;
@@ -157,89 +165,93 @@
 
   private perform(output: Output): void {
     const { world } = this;
-    const { network } = world;
     world.trace?.add(world.clock.now, this.name, this.build, output);
     switch (output.kind) {
       case 'userResponse':
-      case 'heartbeatResponse': {
-        const wait = this.pendingReplies.get(output.requestId);
-        this.pendingReplies.delete(output.requestId);
-        wait?.(output.response as never);
+      case 'heartbeatResponse':
+        this.reply(output);
         break;
-      }
-      case 'stateStoreCall': {
-        const done = this.ifStillRunning((result: StateStoreResult | null) =>
-          this.step({
-            kind: 'stateStoreReply',
-            callId: output.callId,
-            result: result ?? { ok: false, error: { code: 'outcomeUnknown' } },
-          }),
-        );
-        world.meters.onStoreCall(output.operation);
-        network.request(
-          this.name,
-          'state',
-          output.timeoutMs,
-          (reply) => world.stateStore.serve(this.name, output.operation, reply),
-          done,
-        );
+      case 'stateStoreCall':
+        this.callStateStore(output);
         break;
-      }
-      case 'cloudCall': {
-        const done = this.ifStillRunning((result: Parameters<Parameters<SimulatedCloud['serve']>[1]>[0] | null) =>
-          this.step({
-            kind: 'cloudReply',
-            callId: output.callId,
-            result: result ?? { ok: false, error: { code: 'outcomeUnknown' } },
-          }),
-        );
-        world.meters.onCloudCall();
-        network.request(this.name, 'cloud', 4000, (reply) => world.cloud.serve(output.operation, reply), done);
+      case 'cloudCall':
+        this.callCloud(output);
         break;
-      }
-      case 'commandPush': {
-        const carriedOut = this.ifStillRunning((value: CommandPushResponse | null) =>
-          this.step({
-            kind: 'commandPushReply',
-            callId: output.callId,
-            result: value ? { ok: true, value } : { ok: false, error: { code: 'outcomeUnknown' } },
-          }),
-        );
-        world.meters.addOpenCommands(1);
-        const done = (value: CommandPushResponse | null): void => {
-          world.meters.addOpenCommands(-1);
-          carriedOut(value);
-        };
-        const worker = world.workers.get(output.operation.address as MachineId);
-        network.request(
-          this.name,
-          output.operation.address,
-          2500,
-          (reply) => worker?.receivePushedCommands(output.operation, reply),
-          done,
-        );
+      case 'commandPush':
+        this.pushCommands(output);
         break;
-      }
-      case 'peerMessage': {
-        const to = world.controllers.find((node) => node.name === output.recipient);
-        if (world.encodesPeerMessages) {
-          const frame = this.build.encodeFrame(this.build.ownMessage(output.message));
-          network.send(this.name, output.recipient, () => to?.receivePeerBytes(this.name, frame));
-          break;
-        }
-        world.meters.onPeerMessage(output.message);
-        network.send(this.name, output.recipient, () => to?.receivePeerMessage(this.name, output.message));
+      case 'peerMessage':
+        this.sendToPeer(output);
         break;
-      }
       case 'log':
-        world.meters.onLogEvent(output);
-        if (world.verbose)
-          console.error((world.clock.now / 1000).toFixed(2), this.name, output.level, output.event, output.fields);
-        if (output.level === 'error') world.errors.push(`${output.event} ${JSON.stringify(output.fields)}`);
+        this.log(output);
         break;
     }
   }
 
+  private reply({ requestId, response }: OutputOf<'userResponse' | 'heartbeatResponse'>): void {
+    const reply = this.pendingReplies.get(requestId);
+    this.pendingReplies.delete(requestId);
+    reply?.(response as never);
+  }
+
+  private callStateStore({ callId, operation, timeoutMs }: OutputOf<'stateStoreCall'>): void {
+    const { world } = this;
+    const done = this.ifStillRunning((result: StateStoreResult | null) =>
+      this.step({ kind: 'stateStoreReply', callId, result: result ?? NO_RESPONSE }),
+    );
+    world.meters.onStoreCall(operation);
+    const serve = (reply: (result: StateStoreResult) => void): void =>
+      world.stateStore.serve(this.name, operation, reply);
+    world.network.request(this.name, STATE_STORE_HOST, timeoutMs, serve, done);
+  }
+
+  private callCloud({ callId, operation }: OutputOf<'cloudCall'>): void {
+    const { world } = this;
+    const done = this.ifStillRunning((result: CloudResult | null) =>
+      this.step({ kind: 'cloudReply', callId, result: result ?? NO_RESPONSE }),
+    );
+    world.meters.onCloudCall();
+    const serve = (reply: (result: CloudResult) => void): void => world.cloud.serve(operation, reply);
+    world.network.request(this.name, 'cloud', CLOUD_TIMEOUT_MS, serve, done);
+  }
+
+  private pushCommands({ callId, operation }: OutputOf<'commandPush'>): void {
+    const { world } = this;
+    const onResponse = this.ifStillRunning((value: CommandPushResponse | null) =>
+      this.step({ kind: 'commandPushReply', callId, result: value ? { ok: true, value } : NO_RESPONSE }),
+    );
+    world.meters.addOpenCommands(1);
+    const done = (value: CommandPushResponse | null): void => {
+      world.meters.addOpenCommands(-1);
+      onResponse(value);
+    };
+    const worker = world.workers.get(operation.address as MachineId);
+    const serve = (reply: (value: CommandPushResponse) => void): void =>
+      worker?.receivePushedCommands(operation, reply);
+    world.network.request(this.name, operation.address, PUSH_TIMEOUT_MS, serve, done);
+  }
+
+  private sendToPeer({ recipient, message }: OutputOf<'peerMessage'>): void {
+    const { world } = this;
+    const peer = world.controllers.find(({ name }) => name === recipient);
+    if (world.encodesPeerMessages) {
+      const frame = this.build.encodeFrame(this.build.ownMessage(message));
+      world.network.send(this.name, recipient, () => peer?.receivePeerBytes(this.name, frame));
+      return;
+    }
+    world.meters.onPeerMessage(message);
+    world.network.send(this.name, recipient, () => peer?.receivePeerMessage(this.name, message));
+  }
+
+  private log(output: OutputOf<'log'>): void {
+    const { world } = this;
+    const { level, event, fields } = output;
+    world.meters.onLogEvent(output);
+    if (world.verbose) console.error((world.clock.now / 1000).toFixed(2), this.name, level, event, fields);
+    if (level === 'error') world.errors.push(`${event} ${JSON.stringify(fields)}`);
+  }
+
   recoverySummary(): RecoverySummary | null {
     return this.controller?.recoverySummary?.() ?? null;
   }
--- /dev/null
+++ b/test/sim/deployment.ts
@@ -0,0 +1,98 @@
+import type { Settings } from '../../src/core/settings.js';
+import type { ControllerName, TeamQuota, ZoneName } from '../../src/core/types.js';
+import type { Build } from './build.js';
+
+/* What the operators of a simulated deployment allow, and the settings that follow for each controller. */
+
+/** How long the members of a gang wait for each other to start. */
+export const GANG_BARRIER_TIMEOUT_MS = 40_000;
+/** How long the members of a gang do without one of them. */
+export const GANG_PEER_TIMEOUT_MS = 5000;
+/** The cloud's list of machines is as old as that, up to twice. */
+export const LIST_STALENESS_MS = 3000;
+
+/** What a deployment allows and asks, as its settings say it. */
+export interface Limits {
+  readonly requestsPerSecond: number;
+  readonly writesPerSecond: number;
+  /** Announced for later; 0: no other. */
+  readonly announcedRequestsPerSecond: number;
+  readonly announcedWritesPerSecond: number;
+  readonly announcedMaxValueBytes: number;
+  readonly announcedMaxChangesPerTransaction: number;
+  readonly maxValueBytes: number;
+  readonly maxChangesPerTransaction: number;
+  readonly cloudRequestsPerSecond: number;
+  readonly heartbeatIntervalMs: number;
+  readonly leaseMs: number;
+  readonly cancellationTimeoutMs: number;
+  readonly cpuShare: number;
+}
+
+export const LIMITS: Limits = {
+  requestsPerSecond: 200,
+  writesPerSecond: 20,
+  announcedRequestsPerSecond: 0,
+  announcedWritesPerSecond: 0,
+  announcedMaxValueBytes: 0,
+  announcedMaxChangesPerTransaction: 0,
+  maxValueBytes: 8192,
+  maxChangesPerTransaction: 8,
+  cloudRequestsPerSecond: 5,
+  heartbeatIntervalMs: 2000,
+  leaseMs: 14_000,
+  cancellationTimeoutMs: 39_000,
+  cpuShare: 0.3,
+};
+
+/** What a deployment's settings depend on, beside its controllers. */
+export interface DeploymentOptions {
+  readonly zones: readonly ZoneName[];
+  readonly teams: readonly TeamQuota[];
+  readonly limits?: Limits;
+}
+
+/** The settings of controller `name`, one of `names`, as its build reads them. */
+export function makeSettings(
+  name: ControllerName,
+  names: readonly ControllerName[],
+  options: DeploymentOptions,
+  build: Build,
+): Settings {
+  const zone = options.zones[0] as ZoneName;
+  const limits = options.limits ?? LIMITS;
+  const { maxValueBytes, maxChangesPerTransaction } = limits;
+  const announcedBytes = limits.announcedMaxValueBytes || maxValueBytes;
+  const announcedChanges = limits.announcedMaxChangesPerTransaction || maxChangesPerTransaction;
+  // Builds before it know nothing of limits announced for later.
+  const readsAnnounced = build.readsAnnouncedLimits;
+  return {
+    controller: name,
+    zone,
+    peers: names.filter((peer) => peer !== name).map((peer) => ({ name: peer, zone })),
+    controllerCount: names.length,
+    zones: options.zones,
+    clockSkewMs: 25,
+    teamQuotas: options.teams,
+    objectives: [],
+    workers: {
+      heartbeatIntervalMs: limits.heartbeatIntervalMs,
+      leaseMs: limits.leaseMs,
+      gangBarrierTimeoutMs: GANG_BARRIER_TIMEOUT_MS,
+      gangPeerTimeoutMs: GANG_PEER_TIMEOUT_MS,
+      cancellationTimeoutMs: limits.cancellationTimeoutMs,
+    },
+    stateStore: {
+      requestsPerSecond: limits.requestsPerSecond,
+      writesPerSecond: limits.writesPerSecond,
+      announcedRequestsPerSecond: limits.announcedRequestsPerSecond || limits.requestsPerSecond,
+      announcedWritesPerSecond: limits.announcedWritesPerSecond || limits.writesPerSecond,
+      maxValueBytes: readsAnnounced ? Math.min(maxValueBytes, announcedBytes) : maxValueBytes,
+      maxChangesPerTransaction: readsAnnounced
+        ? Math.min(maxChangesPerTransaction, announcedChanges)
+        : maxChangesPerTransaction,
+    },
+    cloud: { requestsPerSecond: limits.cloudRequestsPerSecond, listStalenessMs: LIST_STALENESS_MS },
+    limits: { cpuShare: limits.cpuShare, maxConnections: 2000 },
+  };
+}
--- a/test/sim/invalid_requests.ts
+++ b/test/sim/invalid_requests.ts
@@ -20,19 +20,19 @@
   const impossible = (shape: JobSpec['kind'], options: JobOptions, excused?: (asked: Build) => boolean): void => {
     const spec = makeJobSpec(id, shape, options);
     invariants.infeasibleJobs.add(id);
-    world.request({ op: 'submit', id, spec, problem: '' }, excused);
+    world.users.request({ op: 'submit', id, spec, problem: '' }, excused);
   };
   switch (turn % 8) {
     case 0:
       impossible('array', { cpus: '1000' });
       return;
     case 1:
-      impossible('array', { types: 'nosuch' });
+      impossible('array', { machineTypes: 'nosuch' });
       return;
     case 2:
       impossible(
         'gang',
-        { tasks: '3', sameZone: 'yes', spread: 'yes', team: world.options.teams[0]?.name ?? '' },
+        { tasks: '3', singleZone: 'yes', zoneSpread: 'yes', team: world.options.teams[0]?.name ?? '' },
         (asked) => mayAcceptSplitGangs(world, asked),
       );
       return;
@@ -41,19 +41,19 @@
       return;
     case 4:
       invariants.infeasibleJobs.add(id);
-      world.request({ op: 'submit', id, spec: null, problem: 'plumage is not a text' });
+      world.users.request({ op: 'submit', id, spec: null, problem: 'plumage is not a text' });
       return;
     case 5: {
       const spec = all.length > 0 ? clock.pickRandom(all) : undefined;
-      if (spec) world.request({ op: 'submit', id: spec.id, spec, problem: '' });
+      if (spec) world.users.request({ op: 'submit', id: spec.id, spec, problem: '' });
       return;
     }
     case 6: {
       const done = all.filter((spec) => invariants.finalStateOf(spec.id) === 'done');
-      if (done.length > 0) world.request({ op: 'cancel', id: clock.pickRandom(done).id });
+      if (done.length > 0) world.users.request({ op: 'cancel', id: clock.pickRandom(done).id });
       return;
     }
     default:
-      world.request({ op: 'query', id });
+      world.users.request({ op: 'query', id });
   }
 }
--- a/test/sim/job_options.ts
+++ b/test/sim/job_options.ts
@@ -8,42 +8,79 @@
   ZoneName,
 } from '../../src/core/types.js';
 
-export type JobOptions = Record<string, string>;
+/** The options of a job in a scenario; docs/scenarios.md says what each means. */
+export const JOB_OPTIONS = [
+  'class',
+  'team',
+  'priorityLevel',
+  'tasks',
+  'cpus',
+  'gpus',
+  'memoryGb',
+  'image',
+  'imageGb',
+  'machineTypes',
+  'zone',
+  'singleZone',
+  'zoneSpread',
+  'toleratesSpot',
+  'runtime',
+  'estimatedRuntime',
+  'checkpointInterval',
+  'checkpointDuration',
+  'faulty',
+] as const;
+export type JobOptions = { [Name in (typeof JOB_OPTIONS)[number]]?: string };
 
-export function readOptions(words: readonly string[]): JobOptions {
-  const out: JobOptions = {};
+/** Words of the form `key=value`, or `key` for `key=yes`. */
+export function readOptions(words: readonly string[]): Record<string, string> {
+  const options: Record<string, string> = {};
   for (const word of words) {
     const [key, value] = word.split('=');
-    if (key !== undefined) out[key] = value ?? 'yes';
+    if (key !== undefined) options[key] = value ?? 'yes';
   }
-  return out;
+  return options;
 }
 
-/** A number among the options, or another where it isn't given. */
-export const numberOption = (options: JobOptions, key: string, defaultValue: number): number =>
-  options[key] === undefined ? defaultValue : Number(options[key]);
+/** The options of a job; throws where one isn't known. */
+export function readJobOptions(words: readonly string[]): JobOptions {
+  const options = readOptions(words);
+  const names: readonly string[] = JOB_OPTIONS;
+  const unknown = Object.keys(options).find((name) => !names.includes(name));
+  if (unknown !== undefined) throw new Error(`no option ${unknown} of a job`);
+  return options;
+}
+
+/** A number among the options, or the default where it isn't given. */
+export const numberOption = (
+  options: Readonly<Record<string, string | undefined>>,
+  key: string,
+  defaultValue: number,
+): number => (options[key] === undefined ? defaultValue : Number(options[key]));
 
+/** A job as a user describes it: one small task of ten seconds, unless the options say otherwise. */
 export function makeJobSpec(id: string, kind: JobSpec['kind'], options: JobOptions): JobSpec {
   return {
     id: id as JobId,
     jobClass: options.class ?? 'test',
     team: (options.team ?? 'crew') as TeamName,
     kind,
-    priorityLevel: numberOption(options, 'rank', 1) as PriorityLevel,
+    priorityLevel: numberOption(options, 'priorityLevel', 1) as PriorityLevel,
     taskCount: numberOption(options, 'tasks', 1),
     cpus: numberOption(options, 'cpus', 1),
     gpus: numberOption(options, 'gpus', 0),
-    memoryGb: numberOption(options, 'mem', 1),
+    memoryGb: numberOption(options, 'memoryGb', 1),
     image: (options.image ?? 'img-1') as ImageName,
     imageGb: numberOption(options, 'imageGb', 1),
-    allowedMachineTypes: options.types === undefined ? null : (options.types.split(',') as MachineTypeName[]),
+    allowedMachineTypes:
+      options.machineTypes === undefined ? null : (options.machineTypes.split(',') as MachineTypeName[]),
     zone: (options.zone ?? null) as ZoneName | null,
-    singleZone: options.sameZone !== undefined,
-    zoneSpread: options.spread !== undefined,
-    toleratesSpot: options.spot !== undefined,
-    estimatedRuntimeSeconds: numberOption(options, 'estimate', numberOption(options, 'run', 10)),
-    checkpointIntervalSeconds: numberOption(options, 'checkpoint', 0),
-    checkpointDurationSeconds: numberOption(options, 'save', 1),
+    singleZone: options.singleZone !== undefined,
+    zoneSpread: options.zoneSpread !== undefined,
+    toleratesSpot: options.toleratesSpot !== undefined,
+    estimatedRuntimeSeconds: numberOption(options, 'estimatedRuntime', numberOption(options, 'runtime', 10)),
+    checkpointIntervalSeconds: numberOption(options, 'checkpointInterval', 0),
+    checkpointDurationSeconds: numberOption(options, 'checkpointDuration', 1),
     deadlineSeconds: null,
   };
 }
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -1,6 +1,10 @@
 import type { Clock } from './clock.js';
 
-type PartitionMode = 'drop' | 'hold';
+/** The host name of the state store. */
+export const STATE_STORE_HOST = 'state-store';
+
+/** What becomes of messages meanwhile: lost, or delivered when it is over. */
+type PartitionMode = 'drop' | 'delay';
 
 interface Partition {
   readonly host: string;
@@ -42,7 +46,7 @@
   send(from: string, to: string, deliver: () => void): void {
     for (const cut of this.partitions) {
       if (!isPartitioned(cut, to, from) && (cut.oneWay || !isPartitioned(cut, from, to))) continue;
-      if (cut.mode === 'hold') cut.held.push(deliver);
+      if (cut.mode === 'delay') cut.held.push(deliver);
       return;
     }
     const slowest = Math.max(this.addedLatencyMs.get(from) ?? 0, this.addedLatencyMs.get(to) ?? 0);
--- /dev/null
+++ b/test/sim/scenario/checks/index.ts
@@ -0,0 +1,15 @@
+import type { CheckTable } from './check.js';
+import { controllerChecks } from './controllers.js';
+import { jobChecks } from './jobs.js';
+import { machineChecks } from './machines.js';
+import { recoveryChecks } from './recovery.js';
+import { serviceChecks } from './services.js';
+
+/** All checks that a scenario can expect, by name. */
+export const checks: CheckTable = {
+  ...jobChecks,
+  ...serviceChecks,
+  ...machineChecks,
+  ...controllerChecks,
+  ...recoveryChecks,
+};
--- /dev/null
+++ b/test/sim/scenario/events/recovery.ts
@@ -0,0 +1,71 @@
+import { RangeSet } from '../../../../src/core/jobs/range_set.js';
+import { encodeJob, jobKey, pageKey } from '../../../../src/core/records.js';
+import type { Attempt, JobId, MachineId, WallClockTime } from '../../../../src/core/types.js';
+import { makeJobSpec, numberOption, readJobOptions } from '../../job_options.js';
+import type { SimulatedWorker } from '../../worker.js';
+import type { World } from '../../world.js';
+import type { EventTable } from './targets.js';
+
+/** A value as a later release might write it. */
+const FUTURE_VALUE = { v: 99, of: 'a later release' };
+const MAX_VALUE_BYTES = 8192;
+
+/** Values that were replaced, to be put back. */
+const replacedValues = new WeakMap<World, Map<string, unknown>>();
+
+function corrupt(world: World, key: string): void {
+  const values = replacedValues.get(world) ?? new Map<string, unknown>();
+  replacedValues.set(world, values);
+  values.set(key, world.stateStore.item(key)?.value);
+  world.registryCheck.corruptedKeys.add(key);
+  world.stateStore.overwrite(key, FUTURE_VALUE);
+}
+
+/** A machine that doesn't hold the task yet. */
+function workerWithout(world: World, id: string | undefined, index: string | undefined): SimulatedWorker | undefined {
+  return [...world.workers.values()].find((worker) => !worker.tasks.has(`${id}/${index}`));
+}
+
+/** What sets stored records and the tasks on workers at odds. */
+export const recoveryEvents: EventTable = {
+  /** count-commands: what workers are told is counted from now on */
+  'count-commands'(world) {
+    world.commandCounts.reset();
+  },
+  /** inject-task MACHINE|other JOB INDEX ATTEMPT [OPTION ...]: a task is there that no controller of this world started */
+  'inject-task'(world, [machine, id, index, attempt, ...rest]) {
+    const worker = machine === 'other' ? workerWithout(world, id, index) : world.workers.get(machine as MachineId);
+    if (!worker) throw new Error(`no machine ${machine}`);
+    const job = id as JobId;
+    const options = readJobOptions(rest);
+    if (!world.invariants.specOf(job)) world.invariants.injectedJobs.set(job, makeJobSpec(job, 'array', options));
+    worker.executor.inject(job, Number(index), BigInt(attempt ?? '1') as Attempt);
+    world.progress.setInjectedRunMs(job, numberOption(options, 'runtime', 10) * 1000);
+  },
+  /** record-job JOB: the record of an injected job turns up, as its submission applied late would write it */
+  'record-job'(world, [id]) {
+    const spec = world.invariants.injectedJobs.get(id as JobId);
+    if (!spec) throw new Error(`${id} was not injected`);
+    world.users.follow(spec, world.progress.runMs(spec.id));
+    const record = { spec, submittedAt: world.clock.now as WallClockTime, state: 'accepted', startTerm: 1 } as const;
+    const value = encodeJob({ ...record, startZone: null, startZones: null, done: new RangeSet() }, MAX_VALUE_BYTES);
+    world.stateStore.overwrite(jobKey(spec.id), value);
+  },
+  /** corrupt-job JOB: its record becomes one that this version can't read */
+  'corrupt-job'(world, [id]) {
+    corrupt(world, jobKey(id as JobId));
+  },
+  /** corrupt-page N: that page of the machine registry becomes one that this version can't read */
+  'corrupt-page'(world, [index]) {
+    corrupt(world, pageKey(Number(index)));
+  },
+  /** restore-corrupted: corrupted values are as they were; it is an error if anybody has written them since */
+  'restore-corrupted'(world) {
+    for (const [key, value] of replacedValues.get(world) ?? []) {
+      const isUntouched = JSON.stringify(world.stateStore.item(key)?.value) === JSON.stringify(FUTURE_VALUE);
+      world.registryCheck.corruptedKeys.delete(key);
+      if (isUntouched) world.stateStore.overwrite(key, value);
+      else world.errors.push(`${key} was written over`);
+    }
+  },
+};
--- /dev/null
+++ b/test/sim/scenario/events/targets.ts
@@ -0,0 +1,49 @@
+import type { ControllerProcess } from '../../controller_process.js';
+import type { SimulatedWorker } from '../../worker.js';
+import type { World } from '../../world.js';
+
+/* What the words of an event refer to: controllers, workers, and how long a fault lasts. */
+
+/** Carries out an event now; `words` are those after its name. */
+export type ScenarioEvent = (world: World, words: string[]) => void;
+/** Events by their names in a scenario. */
+export type EventTable = Readonly<Record<string, ScenarioEvent>>;
+
+/** `all`, `leader` (the first one where there is none), `followers`, or the controller of that name. */
+export function controllersNamed(world: World, which: string | undefined): ControllerProcess[] {
+  if (which === 'all') return world.controllers.slice();
+  if (which === 'leader') return [world.leader() ?? world.controllers[0]].filter((found) => found !== undefined);
+  if (which === 'followers') return world.controllers.filter((controller) => controller !== world.leader());
+  return world.controllers.filter((controller) => controller.name === which);
+}
+
+/** `all`, `zone:ZONE`, `busy` (one with tasks), `some:N` (spread over all), or the worker of that machine. */
+export function workersNamed(world: World, which: string | undefined): SimulatedWorker[] {
+  const all = [...world.workers.values()];
+  if (which === 'all') return all;
+  if (which?.startsWith('zone:')) return all.filter((worker) => worker.zone === which.slice('zone:'.length));
+  if (which === 'busy') return all.filter((worker) => worker.tasks.size > 0).slice(0, 1);
+  if (which?.startsWith('some:')) return someOf(world, all, Number(which.slice('some:'.length)));
+  return all.filter((worker) => worker.id === which);
+}
+
+function someOf(world: World, all: readonly SimulatedWorker[], count: number): SimulatedWorker[] {
+  const step = Math.max(1, Math.floor(all.length / count));
+  const from = Math.floor(world.clock.randomBetween(0, step));
+  return all.filter((_, i) => i % step === from % step).slice(0, count);
+}
+
+/** The controllers and machines that a word names, as hosts of the network. */
+export function hostsNamed(world: World, which: string | undefined): string[] {
+  return [
+    ...controllersNamed(world, which).map((controller) => controller.name as string),
+    ...workersNamed(world, which).map((worker) => worker.id as string),
+  ];
+}
+
+/** Notes until when a fault lasts, so that the invariants know when all is quiet; returns its milliseconds. */
+export function noteFault(world: World, seconds: string | undefined): number {
+  const ms = Number(seconds) * 1000;
+  world.invariants.faultsUntil = Math.max(world.invariants.faultsUntil, world.clock.now + ms);
+  return ms;
+}
--- a/test/sim/state_store.ts
+++ b/test/sim/state_store.ts
@@ -55,7 +55,7 @@
 
   constructor(
     private readonly clock: Clock,
-    private limits: { txnOps: number; valueBytes: number },
+    private limits: { maxChangesPerTransaction: number; maxValueBytes: number },
   ) {
     this.callRate = new RateLimiter(clock, Number.POSITIVE_INFINITY);
     this.writeRate = this.callRate;
@@ -94,10 +94,15 @@
   }
 
   /** Lowers what it takes, as the real one does without notice. */
-  lowerLimits(limits: { txnOps: number; valueBytes: number; rps: number; writeRps: number }): void {
+  lowerLimits(limits: {
+    maxChangesPerTransaction: number;
+    maxValueBytes: number;
+    requestsPerSecond: number;
+    writesPerSecond: number;
+  }): void {
     this.limits = limits;
-    this.callRate = new RateLimiter(this.clock, limits.rps);
-    this.writeRate = new RateLimiter(this.clock, limits.writeRps);
+    this.callRate = new RateLimiter(this.clock, limits.requestsPerSecond);
+    this.writeRate = new RateLimiter(this.clock, limits.writesPerSecond);
   }
 
   private takeFromRateLimits(op: StateStoreOperation): boolean {
@@ -211,10 +216,12 @@
   }
 
   private transact(from: string, op: Transaction): StateStoreResult {
-    const tooMany = op.changes.length > this.limits.txnOps || op.conditions.length > 4 * this.limits.txnOps;
+    const tooMany =
+      op.changes.length > this.limits.maxChangesPerTransaction ||
+      op.conditions.length > 4 * this.limits.maxChangesPerTransaction;
     const bytes = op.changes.map((change) => ('put' in change ? JSON.stringify(change.value).length : 0));
     const longest = Math.max(0, ...bytes);
-    if (tooMany || longest > this.limits.valueBytes) {
+    if (tooMany || longest > this.limits.maxValueBytes) {
       this.onOversizedTransaction(from);
       return failure('invalidRequest');
     }
--- a/test/sim/task_execution.ts
+++ b/test/sim/task_execution.ts
@@ -1,5 +1,6 @@
 import type { JobSpec } from '../../src/core/types.js';
-import type { SimulatedTask, SimulatedWorker } from './worker.js';
+import type { SimulatedTask } from './task_executor.js';
+import type { SimulatedWorker } from './worker.js';
 import type { World } from './world.js';
 
 /** Carries a task on by one tick: its fetch, its gang, its work and its checkpoints, as the protocol says. */
@@ -26,35 +27,36 @@
   worker.hasUnreportedChange = true;
   const hasResult = invariants.completedTasks.get(task.job)?.has(task.index) ?? false;
   const fails = worker.failsTasks || world.faultyJobs.has(task.job);
-  if (hasResult) worker.exitTask(task, 'done');
-  else if (fails) worker.exitTask(task, 'error');
+  if (hasResult) worker.executor.exit(task, 'done');
+  else if (fails) worker.executor.exit(task, 'error');
   return !hasResult && !fails;
 }
 
 function finishCheckpoint(world: World, worker: SimulatedWorker, task: SimulatedTask): void {
-  if (task.savedAt === null || world.clock.now < task.savedAt) return;
-  world.saveCheckpoint(task.job, task.index, task.progressMs);
-  worker.exitTask(task, 'stopped', true);
+  if (task.checkpointWrittenAt === null || world.clock.now < task.checkpointWrittenAt) return;
+  world.progress.saveCheckpoint(task.job, task.index, task.progressMs);
+  worker.executor.exit(task, 'stopped', true);
 }
 
 /** Returns whether the whole gang is there and runs; a task that waits or misses the others for too long ends. */
 function advanceGang(world: World, worker: SimulatedWorker, task: SimulatedTask, spec: JobSpec): boolean {
   const { clock, workerTiming } = world;
-  const present = world.gangMembers(task.job, task.attempt).filter((member) => member.task.phase !== 'exited');
+  const present = world.gangs.members(task.job, task.attempt).filter((member) => member.task.phase !== 'exited');
   if (task.phase === 'gathering') {
     const ready = present.filter(({ task: other }) => other.phase === 'gathering' || other.phase === 'running');
     if (ready.length === spec.taskCount) for (const member of ready) member.task.phase = 'running';
-    else if (clock.now - (task.gatheringSince ?? clock.now) > workerTiming.gangWaitMs)
-      worker.exitTask(task, 'gang_incomplete');
+    else if (clock.now - (task.gatheringSince ?? clock.now) > workerTiming.gangBarrierTimeoutMs)
+      worker.executor.exit(task, 'gang_incomplete');
     return false;
   }
   if (present.length < spec.taskCount || present.some((member) => member.worker.isHung)) {
     task.gatheringSince ??= clock.now;
-    task.savedAt ??= clock.now;
-    if (clock.now - task.savedAt > workerTiming.gangPeerMs) worker.exitTask(task, 'gang_member_lost');
+    task.membersMissingSince ??= clock.now;
+    if (clock.now - task.membersMissingSince > workerTiming.gangPeerTimeoutMs)
+      worker.executor.exit(task, 'gang_member_lost');
     return false;
   }
-  task.savedAt = null;
+  task.membersMissingSince = null;
   return true;
 }
 
@@ -63,14 +65,14 @@
   task.progressMs += tickMs * worker.speed;
   const checkpointMs = spec.checkpointIntervalSeconds * 1000;
   if (checkpointMs > 0 && Math.floor(before / checkpointMs) < Math.floor(task.progressMs / checkpointMs)) {
-    world.saveCheckpoint(task.job, task.index, Math.floor(task.progressMs / checkpointMs) * checkpointMs);
+    world.progress.saveCheckpoint(task.job, task.index, Math.floor(task.progressMs / checkpointMs) * checkpointMs);
   }
-  if (task.progressMs < world.runMs(task.job)) return;
+  if (task.progressMs < world.progress.runMs(task.job)) return;
   if (spec.kind !== 'gang') {
-    worker.exitTask(task, 'done');
+    worker.executor.exit(task, 'done');
     return;
   }
-  for (const member of world.gangMembers(task.job, task.attempt)) {
-    if (member.task.phase === 'running') member.worker.exitTask(member.task, 'done');
+  for (const member of world.gangs.members(task.job, task.attempt)) {
+    if (member.task.phase === 'running') member.worker.executor.exit(member.task, 'done');
   }
 }
