--- a/src/io/controller_runtime.ts
+++ b/src/io/controller_runtime.ts
@@ -1,53 +1,53 @@
+/** Sockets, timers and clocks round one controller. */
 import { randomBytes } from 'node:crypto';
 import type { Server } from 'node:http';
 import type { PlatformSettings } from '../config/platform.js';
 import { Controller } from '../core/controller.js';
 import type { Features } from '../core/features.js';
-import type {
-  HeartbeatResponse,
-  Input,
-  OutcomeUnknown,
-  Output,
-  RequestId,
-  Result,
-  StateStoreOperation,
-  UserResponse,
-} from '../core/messages.js';
+import type { HeartbeatResponse, Input, Output, RequestId, UserResponse } from '../core/messages.js';
 import type { Tuning } from '../core/settings.js';
 import type { ClockReading, MonotonicTime, WallClockTime } from '../core/types.js';
 import { parseHostPort } from './address.js';
-import { decodeCloudResponse, encodeCloudRequest } from './cloud/cloud_codec.js';
-import { HttpClient, type HttpResponse } from './http/http_client.js';
-import { createHttpServer } from './http/http_server.js';
+import { CloudClient } from './cloud/cloud_client.js';
+import { createHttpServer, type RequestHandlers } from './http/http_server.js';
 import type { Log } from './log.js';
+import { MalformedMessages } from './malformed_messages.js';
 import { checkExpiry } from './output_expiry.js';
+import type { OnPeerMessage } from './peers/inbound_connection.js';
 import { PeerConnections } from './peers/peer_connections.js';
-import { decodeStateStoreResponse, encodeStateStoreRequest } from './state_store/state_store_codec.js';
-import { WorkerClients } from './workers/worker_clients.js';
-import { COMMANDS_PATH, decodePushedCommandsResponse, encodePushedCommands } from './workers/worker_codec.js';
-
-const CLOUD_TIMEOUT_MS = 4000;
-const WORKER_TIMEOUT_MS = 2500;
-const STATE_STORE_SOCKETS = 24;
-const WATCH_SOCKETS = 4;
-const CLOUD_SOCKETS = 4;
+import { PendingRequests } from './pending_requests.js';
+import { StateStoreClient } from './state_store/state_store_client.js';
+import { CommandPushClient } from './workers/command_push_client.js';
+
+const SEED_BYTES = 4;
 const INCARNATION_BYTES = 8;
 
-/** Sockets and timers round the core: inputs go in one at a time, outputs are carried out at once. */
-export class Runtime {
+type OutputOf<Kind extends Output['kind']> = Extract<Output, { kind: Kind }>;
+
+const readClocks = (): ClockReading => ({
+  monotonic: performance.now() as MonotonicTime,
+  wallClock: Date.now() as WallClockTime,
+});
+
+/**
+ * Runs one controller: inputs go into the core one at a time, and what it puts out is carried out at once. It owns all
+ * listeners, connections and timers, from its construction until `close`.
+ */
+export class ControllerRuntime {
   private readonly controller: Controller;
-  private readonly stateStoreClient: HttpClient;
-  private readonly watchClient: HttpClient;
-  private readonly cloudClient: HttpClient;
-  private readonly workerClients = new WorkerClients();
+  private readonly stateStore: StateStoreClient;
+  private readonly cloud: CloudClient;
+  private readonly workers: CommandPushClient;
   private readonly peers: PeerConnections;
   private readonly httpServer: Server;
-  private readonly pendingUserRequests = new Map<RequestId, (answer: UserResponse) => void>();
-  private readonly pendingHeartbeats = new Map<RequestId, (answer: HeartbeatResponse) => void>();
+  private readonly malformedMessages: MalformedMessages;
+  private readonly userRequests = new PendingRequests<UserResponse>(() => this.nextRequestId());
+  private readonly heartbeats = new PendingRequests<HeartbeatResponse>(() => this.nextRequestId());
   private lastRequestId: RequestId = 0;
   private timer: NodeJS.Timeout | null = null;
+  /** When `timer` fires; of use only while that is set. */
   private timerDueAt: MonotonicTime | null = null;
-  private malformedCount = 0;
+  private isClosed = false;
 
   constructor(
     private readonly platform: PlatformSettings,
@@ -56,75 +56,70 @@
     private readonly log: Log,
   ) {
     const { settings } = platform;
-    const seed = randomBytes(4).readInt32BE(0);
+    const seed = randomBytes(SEED_BYTES).readInt32BE(0);
     const incarnation = randomBytes(INCARNATION_BYTES).toString('hex');
-    this.controller = new Controller(settings, tuning, incarnation, seed, this.now(), features);
-    this.stateStoreClient = new HttpClient(platform.stateStoreAddress, STATE_STORE_SOCKETS);
-    this.watchClient = new HttpClient(platform.stateStoreAddress, WATCH_SOCKETS);
-    this.cloudClient = new HttpClient(platform.cloudAddress, CLOUD_SOCKETS);
-    this.peers = new PeerConnections(
-      settings.controller,
-      platform.peers,
-      (sender, message) => this.step({ kind: 'peerMessage', sender, message }),
-      log,
-    );
+    this.controller = new Controller(settings, tuning, incarnation, seed, readClocks(), features);
+    this.malformedMessages = new MalformedMessages(log);
+    this.stateStore = new StateStoreClient(platform.stateStoreAddress, this.malformedMessages.add);
+    this.cloud = new CloudClient(platform.cloudAddress, this.malformedMessages.add);
+    this.workers = new CommandPushClient(this.malformedMessages.add);
+    const onPeerMessage: OnPeerMessage = (sender, message) => this.step({ kind: 'peerMessage', sender, message });
+    this.peers = new PeerConnections(settings.controller, platform.peers, onPeerMessage, log);
     this.httpServer = this.createServer();
   }
 
   private createServer(): Server {
-    return createHttpServer(
-      {
-        handleUserRequest: (request) =>
-          new Promise((resolve) => {
-            const requestId = ++this.lastRequestId;
-            this.pendingUserRequests.set(requestId, resolve);
-            this.step({ kind: 'userRequest', requestId, request });
-          }),
-        handleHeartbeat: (heartbeat) =>
-          new Promise((resolve) => {
-            const requestId = ++this.lastRequestId;
-            this.pendingHeartbeats.set(requestId, resolve);
-            this.step({ kind: 'heartbeat', requestId, heartbeat });
-          }),
-        isHealthy: () => this.controller.isHealthy(this.now().monotonic),
-        onMalformedMessage: (what) => this.countMalformedMessage(what),
-      },
-      this.platform.settings.limits.maxConnections,
-    );
+    const handlers: RequestHandlers = {
+      handleUserRequest: (request) =>
+        this.userRequests.open((requestId) => this.step({ kind: 'userRequest', requestId, request })),
+      handleHeartbeat: (heartbeat) =>
+        this.heartbeats.open((requestId) => this.step({ kind: 'heartbeat', requestId, heartbeat })),
+      isHealthy: () => this.controller.isHealthy(readClocks().monotonic),
+      onMalformedMessage: this.malformedMessages.add,
+    };
+    return createHttpServer(handlers, this.platform.settings.limits.maxConnections);
+  }
+
+  private nextRequestId(): RequestId {
+    this.lastRequestId += 1;
+    return this.lastRequestId;
   }
 
+  /** Listens, connects to the peers and starts the core. Ends the process with exit code 1 if it can't listen. */
   start(): void {
-    const { listenAddress } = this.platform;
+    const { listenAddress, peerListenAddress, peers } = this.platform;
     const { host, port } = parseHostPort(listenAddress);
     this.httpServer.on('error', (error) => {
       this.log('error', 'cannot listen', { listen: listenAddress, error: error.message });
       process.exit(1);
     });
     this.httpServer.listen(port, host, () => {
-      this.log('info', 'started', { listen: listenAddress, peers: this.platform.peers.length });
+      this.log('info', 'started', { listen: listenAddress, peers: peers.length });
     });
-    this.peers.listen(this.platform.peerListenAddress);
+    this.peers.listen(peerListenAddress);
     this.step({ kind: 'start' });
   }
 
-  private now(): ClockReading {
-    return { monotonic: performance.now() as MonotonicTime, wallClock: Date.now() as WallClockTime };
-  }
-
-  /** Counted always, logged at growing distances: a flood of bad messages must not become a flood of lines. */
-  private countMalformedMessage(what: string): void {
-    this.malformedCount += 1;
-    const isPowerOfTwo = (this.malformedCount & (this.malformedCount - 1)) === 0;
-    if (isPowerOfTwo) this.log('info', 'malformed message dropped', { what, count: this.malformedCount });
+  /** Ends all listeners, connections and timers; the core takes no more steps. */
+  close(): void {
+    this.isClosed = true;
+    if (this.timer) clearTimeout(this.timer);
+    this.httpServer.close();
+    this.httpServer.closeAllConnections();
+    this.peers.close();
+    this.stateStore.close();
+    this.cloud.close();
+    this.workers.close();
   }
 
   private step(input: Input): void {
-    for (const output of this.controller.step(this.now(), input)) this.dispatchUnlessExpired(output);
+    if (this.isClosed) return;
+    for (const output of this.controller.step(readClocks(), input)) this.dispatchUnlessExpired(output);
     this.scheduleTimer();
   }
 
   private dispatchUnlessExpired(output: Output): void {
-    const { output: due, reply } = checkExpiry(output, this.now().monotonic);
+    const { output: due, reply } = checkExpiry(output, readClocks().monotonic);
     if (due) this.dispatch(due);
     if (reply) setImmediate(() => this.step(reply));
   }
@@ -145,21 +140,19 @@
   private dispatch(output: Output): void {
     switch (output.kind) {
       case 'userResponse':
-        this.pendingUserRequests.get(output.requestId)?.(output.response);
-        this.pendingUserRequests.delete(output.requestId);
+        this.userRequests.settle(output.requestId, output.response);
         break;
       case 'heartbeatResponse':
-        this.pendingHeartbeats.get(output.requestId)?.(output.response);
-        this.pendingHeartbeats.delete(output.requestId);
+        this.heartbeats.settle(output.requestId, output.response);
         break;
       case 'stateStoreCall':
-        this.callStateStore(output);
+        void this.callStateStore(output);
         break;
       case 'cloudCall':
-        this.callCloud(output);
+        void this.callCloud(output);
         break;
       case 'commandPush':
-        this.callWorker(output);
+        void this.pushCommands(output);
         break;
       case 'peerMessage':
         this.peers.send(output.recipient, output.message);
@@ -170,49 +163,18 @@
     }
   }
 
-  private callStateStore({ callId, operation, timeoutMs }: Extract<Output, { kind: 'stateStoreCall' }>): void {
-    const client = isWatch(operation) ? this.watchClient : this.stateStoreClient;
-    client.send(encodeStateStoreRequest(operation), timeoutMs, (answer) => {
-      const result = this.decodeResponse(answer, 'state service', ({ status, body }) =>
-        decodeStateStoreResponse(operation, status, body),
-      );
-      this.step({ kind: 'stateStoreReply', callId, result });
-    });
+  private async callStateStore({ callId, operation, timeoutMs }: OutputOf<'stateStoreCall'>): Promise<void> {
+    const result = await this.stateStore.call(operation, timeoutMs);
+    this.step({ kind: 'stateStoreReply', callId, result });
   }
 
-  private callCloud({ callId, operation }: Extract<Output, { kind: 'cloudCall' }>): void {
-    this.cloudClient.send(encodeCloudRequest(operation), CLOUD_TIMEOUT_MS, (answer) => {
-      const result = this.decodeResponse(answer, 'cloud', ({ status, body }) =>
-        decodeCloudResponse(operation, status, body),
-      );
-      this.step({ kind: 'cloudReply', callId, result });
-    });
+  private async callCloud({ callId, operation }: OutputOf<'cloudCall'>): Promise<void> {
+    const result = await this.cloud.call(operation);
+    this.step({ kind: 'cloudReply', callId, result });
   }
 
-  private callWorker({ callId, operation }: Extract<Output, { kind: 'commandPush' }>): void {
-    const request = { method: 'POST', path: COMMANDS_PATH, body: encodePushedCommands(operation) } as const;
-    this.workerClients.clientFor(operation.address).send(request, WORKER_TIMEOUT_MS, (answer) => {
-      const result = this.decodeResponse(answer, 'worker', ({ status, body }) =>
-        decodePushedCommandsResponse(status, body),
-      );
-      this.step({ kind: 'commandPushReply', callId, result });
-    });
-  }
-
-  /** What an answer says; one that is missing or malformed leaves it unknown whether the call was carried out. */
-  private decodeResponse<T, E>(
-    answer: HttpResponse | null,
-    from: string,
-    decode: (answer: HttpResponse) => Result<T, E>,
-  ): Result<T, E | OutcomeUnknown> {
-    if (!answer) return { ok: false, error: { code: 'outcomeUnknown' } };
-    try {
-      return decode(answer);
-    } catch (error) {
-      this.countMalformedMessage(`${from}: ${(error as Error).message}`);
-      return { ok: false, error: { code: 'outcomeUnknown' } };
-    }
+  private async pushCommands({ callId, operation }: OutputOf<'commandPush'>): Promise<void> {
+    const result = await this.workers.push(operation);
+    this.step({ kind: 'commandPushReply', callId, result });
   }
 }
-
-const isWatch = (op: StateStoreOperation): boolean => op.op === 'watch';
--- a/src/io/http/http_client.ts
+++ b/src/io/http/http_client.ts
@@ -1,85 +1,106 @@
-import { Agent, type ClientRequest, type IncomingMessage, request } from 'node:http';
+/** Calls one outside service: CBOR over HTTP/1.1, on connections that persist. */
+import { Agent, request } from 'node:http';
+import { ApplicationError } from '../../errors.js';
 import { parseHostPort } from '../address.js';
-import { decodeCbor, encodeCbor } from '../wire/cbor.js';
+import { encodeCbor } from '../wire/cbor.js';
+import { WireError } from '../wire/wire_error.js';
+import { decodeBody, readBody } from './body.js';
 import type { HttpRequest } from './http_request.js';
 
-/** An answer whose body, if it has one, was CBOR. */
+/** A response whose body, if it has one, was CBOR. */
 export interface HttpResponse {
   readonly status: number;
+  /** Null: the response had no body. */
   readonly body: unknown;
 }
 
-/** Null: no usable answer; whether the request was carried out isn't known. */
-export type OnHttpResponse = (answer: HttpResponse | null) => void;
+/** How a call ends without a usable response. In every case the request may have been carried out. */
+export type HttpCallErrorCode =
+  /** No whole response came within the call's time. */
+  | 'timedOut'
+  /** The connection was refused, or broke before the response was whole. */
+  | 'connectionFailed'
+  /** The body was too long or not CBOR. */
+  | 'unusableBody'
+  /** The client was closed meanwhile. */
+  | 'clientClosed';
 
-const MAX_BODY_BYTES = 8 * 1024 * 1024;
+/** A call without a usable response; `cause` is the error from below, if there was one. */
+export class HttpCallError extends ApplicationError<HttpCallErrorCode> {
+  constructor(code: HttpCallErrorCode, cause?: unknown) {
+    super(code, `call to an outside service: ${code}`, cause);
+  }
+}
+
+interface RawResponse {
+  readonly status: number;
+  readonly bytes: Buffer;
+}
 
-/** CBOR over HTTP/1.1 to one service, on connections that persist. */
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
+
+/** Connections to one service. Its owner closes it; until then idle connections are kept for the next call. */
 export class HttpClient {
   private readonly agent: Agent;
   private readonly host: string;
   private readonly port: number;
+  /** One for each call that has not ended, also for those that wait for a connection. */
+  private readonly openCalls = new Set<AbortController>();
 
-  constructor(addr: string, sockets: number) {
-    const { host, port } = parseHostPort(addr);
+  /** `address` is `host:port`; calls beyond `sockets` wait for a connection, within their own time. */
+  constructor(address: string, sockets: number) {
+    const { host, port } = parseHostPort(address);
     this.host = host;
     this.port = port;
     this.agent = new Agent({ keepAlive: true, maxSockets: sockets, maxFreeSockets: sockets, scheduling: 'lifo' });
   }
 
-  /** `done` is called once, after `timeoutMs` at the latest. */
-  send(call: HttpRequest, timeoutMs: number, done: OnHttpResponse): void {
-    const payload = call.body === undefined ? null : encodeCbor(call.body);
-    const outgoing = this.openRequest(call, payload);
-    let open = true;
-    const finish: OnHttpResponse = (answer) => {
-      if (!open) return;
-      open = false;
+  /**
+   * Sends a request and resolves with its response, whatever its status. Rejects with `HttpCallError` after `timeoutMs`, if
+   * no usable response came by then, or sooner. Either way nothing of the call is left open.
+   */
+  async send(httpRequest: HttpRequest, timeoutMs: number): Promise<HttpResponse> {
+    const call = new AbortController();
+    this.openCalls.add(call);
+    const timer = setTimeout(() => call.abort(new HttpCallError('timedOut')), timeoutMs);
+    try {
+      const { status, bytes } = await this.exchange(httpRequest, call.signal);
+      return { status, body: bytes.length > 0 ? decodeBody(bytes) : null };
+    } catch (error) {
+      throw callError(call.signal, error);
+    } finally {
       clearTimeout(timer);
-      done(answer);
-    };
-    const abandon = (): void => {
-      finish(null);
-      outgoing.destroy();
-    };
-    const timer = setTimeout(abandon, timeoutMs);
-    outgoing.on('error', () => finish(null));
-    outgoing.on('response', (response) => readResponse(response, finish, abandon));
-    if (payload) outgoing.end(payload);
-    else outgoing.end();
+      this.openCalls.delete(call);
+    }
   }
 
-  private openRequest(call: HttpRequest, payload: Buffer | null): ClientRequest {
+  /** Listens to everything before anything can happen: an event that is missed would leave the call open. */
+  private exchange({ method, path, body }: HttpRequest, signal: AbortSignal): Promise<RawResponse> {
+    const payload = body === undefined ? null : encodeCbor(body);
     const headers = payload
       ? { 'content-type': 'application/cbor', 'content-length': payload.length }
       : { 'content-length': 0 };
-    const { method, path } = call;
-    return request({ host: this.host, port: this.port, method, path, agent: this.agent, headers });
+    return new Promise((resolve, reject) => {
+      const outgoing = request({ host: this.host, port: this.port, method, path, agent: this.agent, headers, signal });
+      signal.addEventListener('abort', () => reject(signal.reason), { once: true });
+      outgoing.on('error', reject);
+      outgoing.on('response', (response) => {
+        const status = response.statusCode ?? 0;
+        readBody(response, MAX_RESPONSE_BYTES, 'destroy').then((bytes) => resolve({ status, bytes }), reject);
+      });
+      if (payload) outgoing.end(payload);
+      else outgoing.end();
+    });
   }
 
+  /** Ends all calls that are open, with `clientClosed`, and all connections. */
   close(): void {
+    for (const call of this.openCalls) call.abort(new HttpCallError('clientClosed'));
     this.agent.destroy();
   }
 }
 
-function readResponse(response: IncomingMessage, finish: OnHttpResponse, abandon: () => void): void {
-  const parts: Buffer[] = [];
-  let size = 0;
-  response.on('data', (part: Buffer) => {
-    size += part.length;
-    if (size > MAX_BODY_BYTES) abandon();
-    else parts.push(part);
-  });
-  response.on('error', () => finish(null));
-  response.on('close', () => finish(null));
-  response.on('end', () => {
-    let body: unknown = null;
-    try {
-      const bytes = parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts);
-      if (bytes.length > 0) body = decodeCbor(bytes);
-    } catch {
-      return finish(null);
-    }
-    finish({ status: response.statusCode ?? 0, body });
-  });
+function callError(signal: AbortSignal, error: unknown): HttpCallError {
+  if (signal.reason instanceof HttpCallError) return signal.reason;
+  return new HttpCallError(error instanceof WireError ? 'unusableBody' : 'connectionFailed', error);
 }
--- a/src/io/peers/outbound_connection.ts
+++ b/src/io/peers/outbound_connection.ts
@@ -1,3 +1,4 @@
+/** The connection that this controller opens to one peer: what goes out on it. */
 import { connect, type Socket } from 'node:net';
 import type { PeerMessage } from '../../core/messages.js';
 import type { ControllerName } from '../../core/types.js';
@@ -6,48 +7,57 @@
 
 const RECONNECT_MS = 500;
 const CONNECT_TIMEOUT_MS = 1500;
+/** What the socket may hold unsent before the peer counts as one that takes nothing in. */
 const MAX_UNSENT_BYTES = 128 * 1024;
 
-/** The connection to one peer, opened again whenever it ends. What can't be sent now is dropped. */
+/** Opened again whenever it ends, until it is closed. What can't be sent now is dropped. */
 export class OutboundConnection {
   private socket: Socket | null = null;
-  private ready = false;
-  private closed = false;
+  private isConnected = false;
+  private isClosed = false;
+  private reconnectTimer: NodeJS.Timeout | null = null;
   private readonly host: string;
   private readonly port: number;
 
+  /** `self` is this controller's name, `address` the peer's `host:port`. */
   constructor(
     private readonly self: ControllerName,
-    addr: string,
+    address: string,
   ) {
-    const { host, port } = parseHostPort(addr);
+    const { host, port } = parseHostPort(address);
     this.host = host;
     this.port = port;
   }
 
+  /** Connects, and goes on trying until `close`. */
   open(): void {
-    if (this.closed) return;
+    if (this.isClosed) return;
     const socket = connect({ host: this.host, port: this.port, noDelay: true });
     this.socket = socket;
-    this.ready = false;
+    this.isConnected = false;
     const connectTimer = setTimeout(() => socket.destroy(), CONNECT_TIMEOUT_MS);
     socket.on('connect', () => {
       clearTimeout(connectTimer);
-      this.ready = true;
+      this.isConnected = true;
       socket.write(encodeFrame({ kind: 'hello', node: this.self }));
     });
     // 'close' follows every error.
     socket.on('error', () => {});
     socket.on('close', () => {
       clearTimeout(connectTimer);
-      this.ready = false;
-      if (!this.closed) setTimeout(() => this.open(), RECONNECT_MS);
+      this.isConnected = false;
+      this.reconnectLater();
     });
   }
 
+  private reconnectLater(): void {
+    if (!this.isClosed) this.reconnectTimer = setTimeout(() => this.open(), RECONNECT_MS);
+  }
+
+  /** Sends a message, or drops it if there is no connection or the peer takes nothing in. */
   send(message: PeerMessage): void {
     const { socket } = this;
-    if (!socket || !this.ready) return;
+    if (!socket || !this.isConnected) return;
     // What a peer doesn't take in goes with the connection: messages are of the moment, and are not kept.
     if (socket.writableLength > MAX_UNSENT_BYTES) {
       socket.destroy();
@@ -61,8 +71,10 @@
     socket.write(encodeFrame(message));
   }
 
+  /** Ends the connection for good. */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
+    if (this.reconnectTimer) clearTimeout(this.reconnectTimer);
     this.socket?.destroy();
   }
 }
--- a/src/io/users/user_codec.ts
+++ b/src/io/users/user_codec.ts
@@ -1,6 +1,8 @@
-import type { UserResponse } from '../../core/messages.js';
+/** The users' protocol: paths, submissions and responses, by the names that they have on the wire. */
+import type { UserRequest, UserResponse } from '../../core/messages.js';
 import type {
   ImageName,
+  JobId,
   JobKind,
   JobSpec,
   MachineTypeName,
@@ -20,9 +22,15 @@
   type WireMap,
 } from '../wire/fields.js';
 import { parseJobId } from '../wire/job_id.js';
-import { WireError } from '../wire/wire_error.js';
+import { problemOf, WireError } from '../wire/wire_error.js';
+
+/** Where jobs are submitted; a job's own path is below it. */
+export const JOBS_PATH = '/v2/runs';
+/** What follows a job's path where it is cancelled. */
+export const CANCEL_SUFFIX = '/withdraw';
+/** All paths of the protocol, for any method. */
+export const USER_PATHS: readonly RegExp[] = [/^\/v2\/runs(\/[^/]+(\/withdraw)?)?$/];
 
-/** Submissions and answers to users, by the names that they have on the wire. */
 const JOB_KINDS: Readonly<Record<string, JobKind>> = { batch: 'array', ensemble: 'gang', daemon: 'service' };
 const PRIORITY_LEVELS: Readonly<Record<string, PriorityLevel>> = { low: 0, normal: 1, urgent: 2, critical: 3 };
 const JOB_STATUSES = { queued: 'queued', running: 'running', done: 'done', cancelled: 'withdrawn' } as const;
@@ -41,12 +49,16 @@
   return types as MachineTypeName[];
 }
 
-/** Reads a submission; throws `WireError`, naming the field, where it is malformed. */
-export function decodeJobSpec(fields: WireMap): JobSpec {
+function decodeJobId(fields: WireMap): JobId {
   const id = parseJobId(fields.ref);
   if (!id) throw new WireError('ref is not a job id');
+  return id;
+}
+
+/** Reads the job that a submission describes; throws `WireError`, naming the field, where it is malformed. */
+export function decodeJobSpec(fields: WireMap): JobSpec {
   return {
-    id,
+    id: decodeJobId(fields),
     taskCount: decodeTaskCount(fields),
     allowedMachineTypes: decodeAllowedTypes(fields),
     jobClass: textField(fields, 'flock'),
@@ -69,7 +81,22 @@
   };
 }
 
-export function encodeUserResponse(answer: UserResponse): WireMap {
-  if (!('jobStatus' in answer)) return { error: answer.problem };
-  return { ref: answer.id, mood: JOB_STATUSES[answer.jobStatus], done: answer.done, running: answer.running };
+/**
+ * Reads a submission. One that is malformed still comes back, without its job and with the problem, as long as it has an id:
+ * a job that is known is answered with its state whatever the body of the repeat. Throws `WireError` if it has none.
+ */
+export function decodeSubmission(fields: WireMap): Extract<UserRequest, { op: 'submit' }> {
+  const id = decodeJobId(fields);
+  try {
+    return { op: 'submit', id, spec: decodeJobSpec(fields), problem: '' };
+  } catch (error) {
+    return { op: 'submit', id, spec: null, problem: problemOf(error) };
+  }
+}
+
+/** Returns the body of a response; its status and its `Retry-After` go into the head. */
+export function encodeUserResponse(response: UserResponse): WireMap {
+  if (!('jobStatus' in response)) return { error: response.problem };
+  const { id, jobStatus, done, running } = response;
+  return { ref: id, mood: JOB_STATUSES[jobStatus], done, running };
 }
--- a/src/io/wire/wire_error.ts
+++ b/src/io/wire/wire_error.ts
@@ -7,3 +7,9 @@
     super('malformedMessage', problem, cause);
   }
 }
+
+/** Returns the message of a `WireError`; throws any other error on. */
+export function problemOf(error: unknown): string {
+  if (!(error instanceof WireError)) throw error;
+  return error.message;
+}
--- a/src/io/workers/worker_codec.ts
+++ b/src/io/workers/worker_codec.ts
@@ -46,6 +46,9 @@
 };
 const TASK_NUMBER = /^\d{1,6}$/;
 
+/** Where workers send heartbeats. */
+export const HEARTBEAT_PATH = '/agent/beat';
+/** Where workers take pushed commands. */
 export const COMMANDS_PATH = '/commands';
 
 function decodeTaskStatus(raw: unknown): TaskStatus {
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,14 +1,18 @@
 #!/usr/bin/env node
+/** The program: the command line, and the service behind it. */
 import { createProgram } from './cli/program.js';
 
 const program = createProgram(async ({ platform, tuning, features }) => {
   // The service's own parts are loaded only when it serves: `--help` and `check` need none of them.
-  const [{ createLog }, { Runtime }] = await Promise.all([import('./io/log.js'), import('./io/controller_runtime.js')]);
+  const [{ createLog }, { ControllerRuntime }] = await Promise.all([
+    import('./io/log.js'),
+    import('./io/controller_runtime.js'),
+  ]);
   const log = createLog(platform.settings.controller);
   process.on('uncaughtException', (error) => {
     log('error', 'unexpected failure: ending, to be started anew', { error: error.stack ?? String(error) });
     process.exit(1);
   });
-  new Runtime(platform, tuning, features, log).start();
+  new ControllerRuntime(platform, tuning, features, log).start();
 });
 program.parse();
--- /dev/null
+++ b/test/http_client.test.ts
@@ -0,0 +1,156 @@
+import assert from 'node:assert/strict';
+import { once } from 'node:events';
+import { type AddressInfo, createServer, type Server, type Socket } from 'node:net';
+import { describe, type TestContext, test } from 'node:test';
+import { HttpCallError, type HttpCallErrorCode, HttpClient } from '../src/io/http/http_client.js';
+import { encodeCbor } from '../src/io/wire/cbor.js';
+
+const REQUEST = { method: 'GET', path: '/x' } as const;
+const TIMEOUT_MS = 5000;
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
+
+/** A service that speaks for itself, byte by byte, and a client of it; both end with the test. */
+class Service {
+  readonly sockets: Socket[] = [];
+  readonly client: HttpClient;
+
+  private constructor(
+    private readonly server: Server,
+    sockets: number,
+  ) {
+    this.client = new HttpClient(`127.0.0.1:${(server.address() as AddressInfo).port}`, sockets);
+  }
+
+  /** `respond` takes each part of what comes in. */
+  static async start(t: TestContext, respond: (socket: Socket) => void, sockets = 1): Promise<Service> {
+    const server = createServer();
+    server.listen(0, '127.0.0.1');
+    await once(server, 'listening');
+    const service = new Service(server, sockets);
+    server.on('connection', (socket) => {
+      service.sockets.push(socket);
+      socket.on('error', () => {});
+      socket.on('data', () => respond(socket));
+    });
+    t.after(() => service.stop());
+    return service;
+  }
+
+  /** Stops listening, and resolves once the client has ended all of its connections. */
+  async allClosed(): Promise<void> {
+    this.server.close();
+    await once(this.server, 'close');
+  }
+
+  private stop(): void {
+    this.client.close();
+    for (const socket of this.sockets) socket.destroy();
+    this.server.close();
+  }
+}
+
+const head = (status: number, length: number): string => `HTTP/1.1 ${status} X\r\ncontent-length: ${length}\r\n\r\n`;
+const responseWith = (body: Uint8Array): Buffer => Buffer.concat([Buffer.from(head(200, body.length)), body]);
+
+const endsWith = (code: HttpCallErrorCode) => (error: unknown) => error instanceof HttpCallError && error.code === code;
+
+describe('an outgoing call ends', () => {
+  test('with the response, whose body may be missing, and its connection serves the next call', async (t) => {
+    const service = await Service.start(t, (socket) => {
+      socket.write(service.sockets.length === 1 ? responseWith(encodeCbor({ a: 1n << 60n })) : '');
+    });
+    const first = await service.client.send(REQUEST, TIMEOUT_MS);
+    assert.deepEqual(first, { status: 200, body: { a: 1n << 60n } });
+    await service.client.send({ ...REQUEST, method: 'POST', body: { b: 1 } }, TIMEOUT_MS);
+    assert.equal(service.sockets.length, 1);
+  });
+
+  test('with the response of any status and without a body', async (t) => {
+    const service = await Service.start(t, (socket) => socket.write(head(503, 0)));
+    assert.deepEqual(await service.client.send(REQUEST, TIMEOUT_MS), { status: 503, body: null });
+  });
+
+  test('as connectionFailed where nobody listens', async () => {
+    const client = new HttpClient('127.0.0.1:1', 1);
+    await assert.rejects(client.send(REQUEST, TIMEOUT_MS), endsWith('connectionFailed'));
+    client.close();
+  });
+
+  test('as connectionFailed where the connection ends without a response', async (t) => {
+    const service = await Service.start(t, (socket) => socket.end());
+    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), endsWith('connectionFailed'));
+  });
+
+  test('as connectionFailed where what comes back is not HTTP', async (t) => {
+    const service = await Service.start(t, (socket) => socket.end('nonsense\r\n\r\n'));
+    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), endsWith('connectionFailed'));
+    await service.allClosed();
+  });
+
+  test('without a usable body where the connection ends in the middle of it', async (t) => {
+    const service = await Service.start(t, (socket) => socket.end(`${head(200, 100)}short`));
+    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), HttpCallError);
+    await service.allClosed();
+  });
+
+  test('as connectionFailed where the chunks of the body are malformed', async (t) => {
+    const service = await Service.start(t, (socket) =>
+      socket.write('HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n'),
+    );
+    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), endsWith('connectionFailed'));
+    await service.allClosed();
+  });
+
+  test('as unusableBody where the body is not CBOR', async (t) => {
+    const service = await Service.start(t, (socket) => socket.write(responseWith(Buffer.from('nonsense'))));
+    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), endsWith('unusableBody'));
+  });
+
+  test('as unusableBody as soon as the body is too long, with its connection', async (t) => {
+    const service = await Service.start(t, (socket) => {
+      socket.write(head(200, 2 * MAX_RESPONSE_BYTES));
+      socket.write(Buffer.alloc(MAX_RESPONSE_BYTES + 1));
+    });
+    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), endsWith('unusableBody'));
+    await service.allClosed();
+  });
+
+  test('as timedOut where no response comes in time, with its connection', async (t) => {
+    const service = await Service.start(t, () => {});
+    await assert.rejects(service.client.send(REQUEST, 50), endsWith('timedOut'));
+    await service.allClosed();
+  });
+
+  test('as timedOut where the body does not end in time, with its connection', async (t) => {
+    const service = await Service.start(t, (socket) => socket.write(`${head(200, 100)}short`));
+    await assert.rejects(service.client.send(REQUEST, 50), endsWith('timedOut'));
+    await service.allClosed();
+  });
+
+  test('as timedOut where it waited for a connection all of its time; the one before it goes on', async (t) => {
+    const service = await Service.start(t, () => {});
+    const first = service.client.send(REQUEST, TIMEOUT_MS);
+    await assert.rejects(service.client.send(REQUEST, 50), endsWith('timedOut'));
+    assert.equal(service.sockets.length, 1);
+    service.sockets[0]?.write(head(200, 0));
+    assert.equal((await first).status, 200);
+  });
+
+  test('as clientClosed where its client is closed, whether it was sent or waited for a connection', async (t) => {
+    const service = await Service.start(t, () => service.client.close());
+    const sent = service.client.send(REQUEST, TIMEOUT_MS);
+    const waiting = service.client.send(REQUEST, TIMEOUT_MS);
+    await Promise.all([
+      assert.rejects(sent, endsWith('clientClosed')),
+      assert.rejects(waiting, endsWith('clientClosed')),
+    ]);
+    await service.allClosed();
+  });
+});
+
+test('closing a client ends the connections that it kept', async (t) => {
+  const service = await Service.start(t, (socket) => socket.write(head(200, 0)));
+  await service.client.send(REQUEST, TIMEOUT_MS);
+  service.client.close();
+  await service.allClosed();
+});
--- /dev/null
+++ b/test/runtime_close.test.ts
@@ -0,0 +1,106 @@
+import assert from 'node:assert/strict';
+import { EventEmitter, once } from 'node:events';
+import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net';
+import { join } from 'node:path';
+import { type TestContext, test } from 'node:test';
+import { fileURLToPath } from 'node:url';
+import { loadPlatform } from '../src/config/platform.js';
+import { loadTuning } from '../src/config/tuning.js';
+import { ALL_OFF } from '../src/core/features.js';
+import type { ControllerName } from '../src/core/types.js';
+import { ControllerRuntime } from '../src/io/controller_runtime.js';
+import type { Log } from '../src/io/log.js';
+import { encodeFrame } from '../src/io/peers/peer_codec.js';
+
+const repositoryFile = (path: string): string => fileURLToPath(new URL(join('../../../', path), import.meta.url));
+const PEER = 'node-b' as ControllerName;
+const FRAME_KIND_OFFSET = 5;
+
+/** The calls to the state store that are open end by themselves after 1.5 s: what is gone by now was closed. */
+const CLOSED_WITHIN_MS = 1000;
+
+function unknownFrame(): Buffer {
+  const frame = encodeFrame({ kind: 'hello', node: PEER });
+  frame.writeUInt8(99, FRAME_KIND_OFFSET);
+  return frame;
+}
+
+/** A service that takes connections and never says anything. */
+async function silentService(t: TestContext): Promise<{ server: Server; address: string; sockets: Socket[] }> {
+  const sockets: Socket[] = [];
+  const server = createServer((socket) => {
+    sockets.push(socket);
+    socket.on('error', () => {});
+    socket.resume();
+  });
+  server.listen(0, '127.0.0.1');
+  await once(server, 'listening');
+  t.after(() => {
+    for (const socket of sockets) socket.destroy();
+    server.close();
+  });
+  return { server, address: `127.0.0.1:${(server.address() as AddressInfo).port}`, sockets };
+}
+
+async function freeAddress(): Promise<string> {
+  const server = createServer();
+  server.listen(0, '127.0.0.1');
+  await once(server, 'listening');
+  const { port } = server.address() as AddressInfo;
+  server.close();
+  await once(server, 'close');
+  return `127.0.0.1:${port}`;
+}
+
+async function connected(address: string): Promise<Socket> {
+  const socket = connect(Number(address.split(':')[1]), '127.0.0.1');
+  socket.on('error', () => {});
+  await once(socket, 'connect');
+  return socket;
+}
+
+/** Resolves when what ends in this turn of the event loop has ended. */
+const endOfTurn = (): Promise<void> => new Promise((resolve) => setImmediate(() => setImmediate(resolve)));
+
+/** Resolves when a connection has ended, also with an error. */
+const closed = (socket: Socket): Promise<void> => new Promise((resolve) => void socket.once('close', () => resolve()));
+
+test('a closed runtime leaves no listener, connection or timer behind', async (t) => {
+  const stateStore = await silentService(t);
+  const peer = await silentService(t);
+  const platform = {
+    ...loadPlatform(repositoryFile('test/settings.toml')),
+    listenAddress: await freeAddress(),
+    peerListenAddress: await freeAddress(),
+    peers: [
+      { name: PEER, address: peer.address },
+      { name: 'node-c' as ControllerName, address: '127.0.0.1:1' },
+    ],
+    stateStoreAddress: stateStore.address,
+  };
+  const resources = (): string[] => process.getActiveResourcesInfo().sort();
+  await endOfTurn();
+  const before = resources();
+  const events = new EventEmitter();
+  const log: Log = (_level, event) => void events.emit(event);
+  const runtime = new ControllerRuntime(platform, loadTuning(repositoryFile('deploy/tuning.toml')), ALL_OFF, log);
+  // A call to the state store is open, the peer is connected, and there is one connection in of each kind.
+  const running = [once(events, 'started'), once(stateStore.server, 'connection'), once(peer.server, 'connection')];
+  runtime.start();
+  await Promise.all(running);
+  const slowUser = await connected(platform.listenAddress);
+  slowUser.write('POST /v2/runs HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\n');
+  const user = await connected(platform.listenAddress);
+  user.write('GET /up HTTP/1.1\r\nhost: x\r\n\r\n');
+  await once(user, 'data');
+  const inbound = await connected(platform.peerListenAddress);
+  inbound.write(unknownFrame());
+  await once(events, 'peer frames of unknown kind or version skipped');
+  const ends = [slowUser, user, inbound, ...stateStore.sockets, ...peer.sockets].map(closed);
+  runtime.close();
+  const deadline = AbortSignal.timeout(CLOSED_WITHIN_MS);
+  await Promise.all(ends);
+  assert.ok(!deadline.aborted, 'connections ended only with the time of their calls');
+  await endOfTurn();
+  assert.deepEqual(resources(), before);
+});
