--- a/src/core/machines/autoscaler.ts
+++ b/src/core/machines/autoscaler.ts
@@ -1,4 +1,4 @@
-import type { RoundResult } from '../scheduler/round.js';
+import type { RoundResult } from '../scheduler/round_result.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MachineType, MachineTypeName, MonotonicTime } from '../types.js';
 import { GuaranteedCapacity } from './guaranteed_capacity.js';
--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -1,6 +1,6 @@
 import type { Placement } from '../jobs/job.js';
 import { workerLeaseExpiryMs } from '../lease_bounds.js';
-import { moveReplica } from '../scheduler/service_placement.js';
+import { moveReplica } from '../scheduler/replica_move.js';
 import type { Cluster } from '../state/cluster.js';
 import { addMilliseconds, type JobId, type MonotonicTime } from '../types.js';
 import type { Machine } from './machine.js';
--- a/src/core/machines/scale_out_demand.ts
+++ b/src/core/machines/scale_out_demand.ts
@@ -1,6 +1,6 @@
 import { countFitting, RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { PlanJob } from '../scheduler/plan_types.js';
-import type { RoundResult } from '../scheduler/round.js';
+import type { RoundResult } from '../scheduler/round_result.js';
 import { type GpuDemand, gpuDemand, spareCapacityOfType } from '../scheduler/spare_capacity.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MachineType, MachineTypeName, ZoneName } from '../types.js';
--- a/src/core/scheduler/candidates.ts
+++ b/src/core/scheduler/candidates.ts
@@ -1,6 +1,7 @@
 import type { MachineType } from '../types.js';
 import { elementAt, fitsNow, fitsType, lacksSpareCapacity, machineShare, slackAfter } from './capacity_timeline.js';
-import type { PlacementPenalties, PlanJob, PlanMachine } from './plan_types.js';
+import type { PlanJob, PlanMachine } from './plan_types.js';
+import type { PlacementPenalties } from './policy.js';
 
 /** Starts are preferred in steps of half a second: those that close count as one, and best fit decides. */
 const DELAY_RANKS_PER_SECOND = 2;
--- /dev/null
+++ b/src/core/scheduler/cluster_state.ts
@@ -0,0 +1,41 @@
+/** The leader's state as the scheduler sees it: what its decisions read, and what `apply.ts` alone changes. */
+import type { RuntimeEstimator } from '../jobs/runtime_estimator.js';
+import type { BootTimeEstimator } from '../machines/boot_time_estimator.js';
+import type { MachineTypes } from '../machines/machine_type_catalog.js';
+import type { SpotInterruptionRate } from '../machines/spot_interruption_rate.js';
+import type { JobTable } from '../state/job_table.js';
+import type { MachineTable } from '../state/machine_table.js';
+import type { PendingCommands } from '../state/pending_commands.js';
+import type { PlacementTable } from '../state/placement_table.js';
+import type { PreviousTerms } from '../state/previous_terms.js';
+import type { Quotas } from '../state/quotas.js';
+import type { StepContext } from '../step_context.js';
+import type { Attempt, ImageName, Resources } from '../types.js';
+
+/** What decisions read: nothing of it is changed by them. */
+export interface ClusterState {
+  readonly context: Pick<StepContext, 'now' | 'settings' | 'tuning' | 'after' | 'log'>;
+  readonly jobs: Pick<JobTable, 'active' | 'services' | 'hasPendingReplicas'>;
+  readonly machines: Pick<MachineTable, 'values' | 'size' | 'isExpected'>;
+  readonly machineTypes: MachineTypes;
+  readonly quotas: Pick<Quotas, 'remainingTasks' | 'teamsInOrder'>;
+  readonly previousTerms: Pick<PreviousTerms, 'startableTasks'>;
+  readonly runtimeEstimator: Pick<RuntimeEstimator, 'expectedSeconds'>;
+  readonly bootTimeEstimator: Pick<BootTimeEstimator, 'remainingSeconds'>;
+  readonly spotInterruptions: Pick<SpotInterruptionRate, 'perSecond'>;
+  readonly images: {
+    /** For each image the largest task seen that uses it. */
+    readonly largestTasks: ReadonlyMap<ImageName, Resources>;
+  };
+}
+
+/** The state with the operations that put decisions into effect: entry points pass it on to `apply.ts`, and to nothing else. */
+export interface SchedulableCluster extends ClusterState {
+  /** The leader's term, with which a job's first start is recorded. */
+  readonly term: number;
+  readonly previousTerms: Pick<PreviousTerms, 'startableTasks' | 'updateUnreconciled' | 'recordsStartZones'>;
+  readonly placements: Pick<PlacementTable, 'add' | 'evict' | 'stop' | 'breakGang'>;
+  readonly pendingCommands: Pick<PendingCommands, 'machinesWithStarts'>;
+  /** Returns an attempt number higher than any before. */
+  nextAttempt(): Attempt;
+}
--- /dev/null
+++ b/src/core/scheduler/eviction.ts
@@ -0,0 +1,72 @@
+/** What stopping work of lower priority on a machine would cost: shared by preemption for gangs and for replicas. */
+import type { Job, Placement } from '../jobs/job.js';
+import type { Machine } from '../machines/machine.js';
+import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
+import type { MonotonicTime } from '../types.js';
+import type { ClusterState } from './cluster_state.js';
+import type { Eviction } from './decisions.js';
+import { isFeasibleMachine } from './placement_constraints.js';
+
+/** How long the capacity that preemption frees is kept for the job. */
+export const PREEMPTION_RESERVATION_MS = 6000;
+
+/** What work without GPUs counts in a cost, in GPUs. */
+const CPU_WORK_GPU_EQUIVALENT = 0.1;
+
+/** A task that may be stopped. */
+interface Victim {
+  readonly placement: Placement;
+  /** GPU seconds of work that are lost with it. */
+  readonly lostGpuSeconds: number;
+}
+
+/** Returns the cheapest eviction that lets one task of the job fit the machine; null if none can. */
+export function findEviction(cluster: ClusterState, job: Job, machine: Machine): Eviction | null {
+  if (!mayEvictOn(cluster, job, machine)) return null;
+  const { spec } = job;
+  const { type } = machine;
+  const now = cluster.context.now.monotonic;
+  let freeCpus = type.cpus - machine.usedCpus;
+  let freeGpus = type.gpus - machine.usedGpus;
+  let freeMemoryGb = type.memoryGb - machine.usedMemoryGb;
+  const fits = (): boolean =>
+    freeCpus + RESOURCE_TOLERANCE >= spec.cpus &&
+    freeGpus + RESOURCE_TOLERANCE >= spec.gpus &&
+    freeMemoryGb + RESOURCE_TOLERANCE >= spec.memoryGb;
+  const pullSeconds = machine.images.remainingPullSeconds(spec.image, spec.imageGb, now);
+  let cost = pullSeconds * gpuEquivalent(spec.gpus);
+  const victims: Placement[] = [];
+  for (const { placement, lostGpuSeconds } of lowerPriorityTasks(machine, job, now)) {
+    if (fits()) break;
+    const freed = placement.job.spec;
+    victims.push(placement);
+    cost += lostGpuSeconds;
+    freeCpus += freed.cpus;
+    freeGpus += freed.gpus;
+    freeMemoryGb += freed.memoryGb;
+  }
+  return fits() ? { machine, victims, cost } : null;
+}
+
+function mayEvictOn({ context }: ClusterState, job: Job, machine: Machine): boolean {
+  const now = context.now.monotonic;
+  if (!machine.isSchedulable(now, context.settings.workers.heartbeatIntervalMs)) return false;
+  if (!isFeasibleMachine(job, machine) || machine.isReservedForOther(job.id, now)) return false;
+  // What is being stopped already comes free by itself, and not for this job.
+  for (const { pendingStop } of machine.placements.values()) if (pendingStop !== null) return false;
+  return true;
+}
+
+/** Array tasks of lower priority on a machine, those first of which least is lost. */
+function lowerPriorityTasks(machine: Machine, job: Job, now: MonotonicTime): Victim[] {
+  const victims: Victim[] = [];
+  for (const placement of machine.placements.values()) {
+    const { spec } = placement.job;
+    if (spec.kind !== 'array' || spec.priorityLevel >= job.spec.priorityLevel) continue;
+    const ranSeconds = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000;
+    victims.push({ placement, lostGpuSeconds: ranSeconds * gpuEquivalent(spec.gpus) });
+  }
+  return victims.sort((a, b) => a.lostGpuSeconds - b.lostGpuSeconds);
+}
+
+const gpuEquivalent = (gpus: number): number => Math.max(gpus, CPU_WORK_GPU_EQUIVALENT);
--- a/src/core/scheduler/evolutionary_search.ts
+++ b/src/core/scheduler/evolutionary_search.ts
@@ -2,14 +2,7 @@
 import type { ZoneName } from '../types.js';
 import type { Plan, PlanJob, PlanMachine } from './plan_types.js';
 import type { Planner } from './planner.js';
-
-export interface SearchSettings {
-  readonly populationSize: number;
-  readonly generations: number;
-  readonly mutationRate: number;
-  /** Most plan steps that one search may spend. */
-  readonly maxPlanSteps: number;
-}
+import type { SearchSettings } from './policy.js';
 
 /** Chances are drawn in thousandths. */
 const MUTATION_SCALE = 1000;
--- a/src/core/scheduler/migration.ts
+++ b/src/core/scheduler/migration.ts
@@ -1,41 +1,48 @@
+/** Moves gangs that still pull their image to machines that hold it. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
-import type { Cluster } from '../state/cluster.js';
 import type { ZoneName } from '../types.js';
+import { applyGangMigration } from './apply.js';
+import type { ClusterState, SchedulableCluster } from './cluster_state.js';
+import type { GangMigration } from './decisions.js';
 import { isFeasibleNow } from './placement_constraints.js';
 
-/** A fetch that takes so much longer is worth a move. */
+/** An image pull with so many seconds left is worth a move. */
 const MIN_GAIN_SECONDS = 6;
-const MAX_MIGRATIONS = 3;
+const MAX_MIGRATIONS_PER_JOB = 3;
 const RESERVATION_MS = 2500;
 
 /**
- * A gang that still waits for its image may go to machines that hold it and have just come free: nothing is lost by
- * stopping a fetch. So a gang need not bet on when a machine will be free: it begins to fetch at once, and moves if that
- * turns out better. Starts follow only once the stop is reported, as for any restart.
+ * Moves each gang whose image pull has long to go to machines that hold the image and have just come free: nothing is lost
+ * by stopping a pull. So a gang need not bet on when a machine will be free: it begins to pull at once, and moves if that
+ * turns out better. It starts on the new machines once its stops are reported, as for any restart.
  */
-export function migrateToCachedImages(cluster: Cluster): void {
-  const { context } = cluster;
+export function migrateToCachedImages(cluster: SchedulableCluster): void {
   for (const job of cluster.jobs.active) {
-    if (!mayMigrate(job) || remainingPullSeconds(cluster, job) < MIN_GAIN_SECONDS) continue;
-    const targets = machinesWithImage(cluster, job);
-    if (!targets) continue;
-    job.migrationCount += 1;
-    for (const machine of targets) machine.reserve(job.id, context.after(RESERVATION_MS));
-    context.log('debug', 'moving to where the image is', { job: job.id, to: targets.map(({ id }) => id) });
-    cluster.placements.breakGang(job);
+    const migration = findMigration(cluster, job);
+    if (!migration) continue;
+    const machines = migration.targets.map(({ id }) => id);
+    cluster.context.log('debug', 'gang migration', { job: job.id, machines });
+    applyGangMigration(cluster, migration);
   }
 }
 
+/** Null where the job may not move, or has nowhere better to go. */
+function findMigration(cluster: ClusterState, job: Job): GangMigration | null {
+  if (!mayMigrate(job) || remainingPullSeconds(cluster, job) < MIN_GAIN_SECONDS) return null;
+  const targets = machinesWithImage(cluster, job);
+  return targets && { job, targets, reservationMs: RESERVATION_MS };
+}
+
 function mayMigrate(job: Job): boolean {
   if (!job.isGang || job.isFaulty || job.state !== 'accepted' || job.gangBroken) return false;
-  // Spreading isn't worth its rules here.
-  if (job.spec.zoneSpread || job.migrationCount >= MAX_MIGRATIONS) return false;
+  // A zone spread would have to be kept across both sets of machines: not worth it here.
+  if (job.spec.zoneSpread || job.migrationCount >= MAX_MIGRATIONS_PER_JOB) return false;
   return job.placements.size === job.spec.taskCount;
 }
 
-/** Seconds until the gang's last image is there; 0 if any of its tasks is past fetching. */
-function remainingPullSeconds({ context }: Cluster, job: Job): number {
+/** Seconds until the gang's last image is there; 0 if any of its tasks is past pulling, or is being stopped. */
+function remainingPullSeconds({ context }: ClusterState, job: Job): number {
   const { image, imageGb } = job.spec;
   let longest = 0;
   for (const { phase, pendingStop, machine } of job.placements.values()) {
@@ -45,18 +52,18 @@
   return longest;
 }
 
-/** Machines that hold the image and have room for the whole gang now, in one zone if the job wants that. */
-function machinesWithImage(cluster: Cluster, job: Job): Machine[] | null {
+/** Machines that hold the image and take the whole gang now, in one zone if the job asks for that; null if too few. */
+function machinesWithImage(cluster: ClusterState, job: Job): Machine[] | null {
   const { spec } = job;
   const now = cluster.context.now.monotonic;
-  const byZone = new Map<ZoneName | null, Machine[]>();
+  const machinesByZone = new Map<ZoneName | null, Machine[]>();
   for (const machine of cluster.machines.values()) {
     if (!machine.images.has(spec.image) || !isFeasibleNow(cluster, job, machine)) continue;
     if (machine.isReservedForOther(job.id, now)) continue;
     const zone = spec.singleZone ? machine.zone : null;
-    const found = byZone.get(zone) ?? [];
+    const found = machinesByZone.get(zone) ?? [];
     found.push(machine);
-    byZone.set(zone, found);
+    machinesByZone.set(zone, found);
     if (found.length === spec.taskCount) return found;
   }
   return null;
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -2,14 +2,16 @@
 import { capacityPoolKey } from '../machines/capacity_pool.js';
 import type { Machine } from '../machines/machine.js';
 import { expectedSpotDelaySeconds } from '../machines/spot_interruption_rate.js';
-import type { Cluster } from '../state/cluster.js';
 import type { JobId, MachineId, MachineTypeName, MonotonicTime, ZoneName } from '../types.js';
 import { machineShare } from './capacity_timeline.js';
-import { fitsTypesWithoutGpus, isFeasibleType, zoneAllowance } from './placement_constraints.js';
+import type { ClusterState } from './cluster_state.js';
+import { fitsTypesWithoutGpus, isFeasibleType } from './placement_constraints.js';
 import type { PlanJob, PlanMachine } from './plan_types.js';
 import { priorityWeight } from './priority.js';
-import { penaltyFactor, type RankedJob } from './ranking.js';
+import type { RankedJob } from './ranking.js';
 import { type GpuDemand, gpuDemand, spareCapacity } from './spare_capacity.js';
+import { penaltyFactor } from './waiting_time.js';
+import { zoneAllowance } from './zone_allowance.js';
 
 /** A task that takes more of a machine than this needs a whole one. */
 const WHOLE_MACHINE_SHARE = 0.6;
@@ -34,7 +36,7 @@
   private readonly machineIndexById: ReadonlyMap<MachineId, number>;
 
   constructor(
-    private readonly cluster: Cluster,
+    private readonly cluster: ClusterState,
     ranked: readonly RankedJob[],
   ) {
     const now = cluster.context.now.monotonic;
@@ -122,7 +124,11 @@
   }
 }
 
-function toPlanMachines(cluster: Cluster, machines: readonly Machine[], ranked: readonly RankedJob[]): PlanMachine[] {
+function toPlanMachines(
+  cluster: ClusterState,
+  machines: readonly Machine[],
+  ranked: readonly RankedJob[],
+): PlanMachine[] {
   const claims: GpuClaims = {
     demand: gpuDemand(cluster),
     reservedTypes: typesReservedForGangs(cluster, ranked),
@@ -141,7 +147,7 @@
 }
 
 /** The kinds of machines with GPUs that waiting GPU work could take. */
-function poolsAwaitedByGpuWork(cluster: Cluster, waiting: readonly RankedJob[]): Set<string> {
+function poolsAwaitedByGpuWork(cluster: ClusterState, waiting: readonly RankedJob[]): Set<string> {
   const kinds = new Set<string>();
   const gpuJobs = waiting.filter(({ job }) => job.spec.gpus > 0 && !job.isFaulty);
   for (const type of cluster.machineTypes.values()) {
@@ -159,7 +165,7 @@
 }
 
 function toPlanMachine(
-  cluster: Cluster,
+  cluster: ClusterState,
   machine: Machine,
   index: number,
   { demand, reservedTypes, awaitedPools }: GpuClaims,
@@ -183,7 +189,7 @@
 
 /** What is free on a machine now, and from each expected end of its tasks on. */
 function freeCapacity(
-  cluster: Cluster,
+  cluster: ClusterState,
   machine: Machine,
 ): Pick<PlanMachine, 'stepTimesSeconds' | 'freeCpus' | 'freeGpus' | 'freeMemoryGb'> {
   const now = cluster.context.now.monotonic;
@@ -212,7 +218,11 @@
 }
 
 /** Seconds until a task is expected to leave its machine. */
-function remainingSeconds({ context, runtimeEstimator }: Cluster, placement: Placement, now: MonotonicTime): number {
+function remainingSeconds(
+  { context, runtimeEstimator }: ClusterState,
+  placement: Placement,
+  now: MonotonicTime,
+): number {
   const { job, machine, pendingStop, runningSince } = placement;
   const reportS = context.settings.workers.heartbeatIntervalMs / 1000;
   if (pendingStop !== null) return Math.max(reportS, pendingStop.gracePeriodSeconds);
@@ -227,11 +237,11 @@
 }
 
 /** When a machine that was rented but hasn't reported is expected, in seconds from now. */
-function remainingBootSeconds({ bootTimeEstimator }: Cluster, machine: Machine, now: MonotonicTime): number {
+function remainingBootSeconds({ bootTimeEstimator }: ClusterState, machine: Machine, now: MonotonicTime): number {
   return bootTimeEstimator.remainingSeconds(machine.type, machine.zone, machine.lifecycle.ageSeconds(now), now);
 }
 
-function largestCachedImageShare(cluster: Cluster, machine: Machine): number {
+function largestCachedImageShare(cluster: ClusterState, machine: Machine): number {
   let largest = 0;
   for (const image of machine.images.presentImages()) {
     const user = cluster.images.largestTasks.get(image);
@@ -241,7 +251,7 @@
 }
 
 /** Types of which gangs wait for whole machines that may not be spot ones. */
-function typesReservedForGangs(cluster: Cluster, waiting: readonly RankedJob[]): Set<MachineTypeName> {
+function typesReservedForGangs(cluster: ClusterState, waiting: readonly RankedJob[]): Set<MachineTypeName> {
   const found = new Set<MachineTypeName>();
   for (const { job } of waiting) {
     if (!job.isGang || job.spec.toleratesSpot) continue;
--- a/src/core/scheduler/plan_types.ts
+++ b/src/core/scheduler/plan_types.ts
@@ -80,35 +80,3 @@
   /** Work spent on it, in plan steps: what bounds a round, so that a seed repeats. */
   readonly steps: number;
 }
-
-/** Seconds of start time that a job would rather lose than take a machine that others need more. */
-export interface PlacementPenalties {
-  /** For a machine with GPUs, by a job that asks for none. */
-  readonly gpuMachineSeconds: number;
-  /** For a machine on demand, by a job that may use a spot one: cheaper, and the others can't. */
-  readonly onDemandSeconds: number;
-  /** For a machine that waiting gangs have no choice but to use, by an array that may use spot ones. */
-  readonly reservedTypeSeconds: number;
-  /** For a machine that holds images of larger jobs: those would have to fetch elsewhere. */
-  readonly cachedImageSeconds: number;
-  /** Room in the future counts this much more than its time: what is expected to end often doesn't. */
-  readonly futureDiscount: number;
-  /** The same for gangs, which lose nothing by beginning to fetch at once: they move if better room comes free. */
-  readonly gangFutureDiscount: number;
-}
-
-export const NO_PENALTIES: PlacementPenalties = {
-  gpuMachineSeconds: 0,
-  onDemandSeconds: 0,
-  reservedTypeSeconds: 0,
-  cachedImageSeconds: 0,
-  futureDiscount: 0,
-  gangFutureDiscount: 0,
-};
-
-/** Weights of the fitness: mean weighted wait, longest weighted wait, idle share. */
-export interface FitnessWeights {
-  readonly averageWait: number;
-  readonly maximumWait: number;
-  readonly idleShare: number;
-}
--- a/src/core/scheduler/planner.ts
+++ b/src/core/scheduler/planner.ts
@@ -19,15 +19,8 @@
   utilization,
 } from './capacity_timeline.js';
 import { type GangPlacement, GangSearch } from './gang_search.js';
-import {
-  type FitnessWeights,
-  NO_PENALTIES,
-  type PlacementPenalties,
-  type Plan,
-  type PlanJob,
-  type PlanMachine,
-  type PlannedStart,
-} from './plan_types.js';
+import type { Plan, PlanJob, PlanMachine, PlannedStart } from './plan_types.js';
+import { type FitnessWeights, NO_PENALTIES, type PlacementPenalties } from './policy.js';
 
 /** What the fitness takes a task to wait that no machine of the plan can take. */
 const UNPLACED_WAIT_SECONDS = 600;
--- a/src/core/scheduler/spare_capacity.ts
+++ b/src/core/scheduler/spare_capacity.ts
@@ -1,7 +1,7 @@
 import type { Machine } from '../machines/machine.js';
 import { countFitting } from '../resource_amounts.js';
-import type { Cluster } from '../state/cluster.js';
 import type { MachineType, MachineTypeName, Resources } from '../types.js';
+import type { ClusterState } from './cluster_state.js';
 
 /** Cores and memory beside GPUs. */
 export interface CpusAndMemory {
@@ -16,14 +16,14 @@
 const NO_CAPACITY: CpusAndMemory = { cpus: 0, memoryGb: 0 };
 
 /** Once for each type and shape of task, not for each machine: hundreds of machines meet hundreds of shapes. */
-export function gpuDemand(cluster: Cluster): GpuDemand {
+export function gpuDemand(cluster: ClusterState): GpuDemand {
   const shapes = gpuTaskSizes(cluster);
   const demand = new Map<MachineTypeName, CpusAndMemory>();
   for (const type of cluster.machineTypes.values()) demand.set(type.name, demandOn(type, shapes));
   return demand;
 }
 
-function gpuTaskSizes(cluster: Cluster): Resources[] {
+function gpuTaskSizes(cluster: ClusterState): Resources[] {
   const shapes = new Map<string, Resources>();
   for (const { spec, state } of cluster.jobs.active) {
     if (spec.gpus <= 0 || state !== 'accepted') continue;
--- /dev/null
+++ b/src/core/scheduler/waiting_services.ts
@@ -0,0 +1,14 @@
+/** Which services wait for machines, in the order in which they get them. */
+import type { Job } from '../jobs/job.js';
+import type { ClusterState } from './cluster_state.js';
+
+/** Returns services with replicas that may start now: higher priority first, then in the order of submission. */
+export function waitingServices(cluster: ClusterState): Job[] {
+  const now = cluster.context.now.monotonic;
+  const waiting = [...cluster.jobs.services].filter(
+    (job) => job.notBefore <= now && cluster.previousTerms.startableTasks(job) > 0,
+  );
+  return waiting.sort(
+    (a, b) => b.spec.priorityLevel - a.spec.priorityLevel || a.submittedAt - b.submittedAt || (a.id < b.id ? -1 : 1),
+  );
+}
--- a/test/core/scheduler/gang_reservation.test.ts
+++ b/test/core/scheduler/gang_reservation.test.ts
@@ -2,7 +2,8 @@
 import { describe, test } from 'node:test';
 import { Job } from '../../../src/core/jobs/job.js';
 import { RangeSet } from '../../../src/core/jobs/range_set.js';
-import { reserveForOverdueGangs } from '../../../src/core/scheduler/gang_reservation.js';
+import { applyReservations } from '../../../src/core/scheduler/apply.js';
+import { findOverdueGangReservations } from '../../../src/core/scheduler/gang_reservation.js';
 import type { Settings } from '../../../src/core/settings.js';
 import { Cluster } from '../../../src/core/state/cluster.js';
 import { StepContext } from '../../../src/core/step_context.js';
@@ -43,7 +44,7 @@
       freeAtSeconds: 20,
       startAtSeconds: 30,
     }));
-    reserveForOverdueGangs(cluster, starts, jobs, machines);
+    applyReservations(cluster, findOverdueGangReservations(cluster, starts, { jobs, machines }));
     const keptFor = machines.map((kept) => kept.reservedFor(now.monotonic));
     assert.deepEqual(keptFor, [null, null, 'job-2', 'job-2', null, null]);
     assert.equal(machines[2]?.isReservedForOther('job-1' as JobId, now.monotonic), true);
--- a/test/core/scheduler/planner.test.ts
+++ b/test/core/scheduler/planner.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { NO_PENALTIES } from '../../../src/core/scheduler/plan_types.js';
 import { Planner } from '../../../src/core/scheduler/planner.js';
+import { NO_PENALTIES } from '../../../src/core/scheduler/policy.js';
 import type { MachineTypeName } from '../../../src/core/types.js';
 import { makeMachineType, zoneA, zoneB } from '../../support/machine_fixtures.js';
 import { makePlanJob, makePlanMachine, makePlanner } from '../../support/plan_fixtures.js';
--- a/test/core/scheduler/plans.test.ts
+++ b/test/core/scheduler/plans.test.ts
@@ -4,14 +4,9 @@
 import { describe, test } from 'node:test';
 import { type RandomGenerator, unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand';
 import { EvolutionarySearch } from '../../../src/core/scheduler/evolutionary_search.js';
-import type {
-  PlacementPenalties,
-  Plan,
-  PlanJob,
-  PlanMachine,
-  PlannedStart,
-} from '../../../src/core/scheduler/plan_types.js';
+import type { Plan, PlanJob, PlanMachine, PlannedStart } from '../../../src/core/scheduler/plan_types.js';
 import { Planner } from '../../../src/core/scheduler/planner.js';
+import type { PlacementPenalties } from '../../../src/core/scheduler/policy.js';
 import type { ImageName, MachineType, MachineTypeName, ZoneName } from '../../../src/core/types.js';
 
 /**
