--- a/test/sim/scenario/checks/controllers.ts
+++ b/test/sim/scenario/checks/controllers.ts
@@ -1,7 +1,7 @@
 import type { World } from '../../world.js';
 import type { CheckTable } from './check.js';
 
-/** What `peak` can ask for. Calls and changes are of the busiest second, of all nodes together. */
+/** What `peak` can ask for. Calls and changes are of the busiest second, of all controllers together. */
 const METERS: Readonly<Record<string, (world: World) => number>> = {
   'steps-per-round': (world) => world.meters.largestRoundSteps,
   'store-requests': (world) => world.meters.peakStoreCalls,
@@ -18,30 +18,30 @@
   leader(world) {
     return world.leader() ? null : 'nobody leads';
   },
-  /** terms at-most N: so often the lead was taken */
+  /** terms at-most N: so often leadership was taken */
   terms(world, [, wanted]) {
     const term = (world.stateStore.item('term')?.value as { n?: number } | undefined)?.n ?? 0;
-    return term <= Number(wanted) ? null : `the lead was taken ${term} times, more than ${wanted}`;
+    return term <= Number(wanted) ? null : `leadership was taken ${term} times, more than ${wanted}`;
   },
-  /** expired-leases at-most N: workers whose lease ended under their tasks */
+  /** expired-leases at-most N: workers whose lease expired under their tasks */
   'expired-leases'(world, [, wanted]) {
     return world.expiredLeases <= Number(wanted)
       ? null
-      : `${world.expiredLeases} leases ran out under tasks, more than ${wanted}`;
+      : `${world.expiredLeases} leases expired under tasks, more than ${wanted}`;
   },
-  /** throttled at-most N: calls that the state service refused for coming too often */
+  /** throttled at-most N: calls that the state store refused for exceeding its rates */
   throttled(world, [, wanted]) {
     return world.stateStore.throttled <= Number(wanted)
       ? null
       : `${world.stateStore.throttled} calls throttled, more than ${wanted}`;
   },
-  /** delayed-writes at-least N: so many transactions were carried out late */
+  /** delayed-writes at-least N: so many transactions were applied late */
   'delayed-writes'(world, [, wanted]) {
     return world.stateStore.delayedWritesApplied >= Number(wanted)
       ? null
-      : `only ${world.stateStore.delayedWritesApplied} transactions carried out late`;
+      : `only ${world.stateStore.delayedWritesApplied} transactions applied late`;
   },
-  /** oversized-transactions at-most N: transactions of the present build that the state service called too large */
+  /** oversized-transactions at-most N: transactions of the current build that the state store called too large */
   'oversized-transactions'(world, [, wanted]) {
     return world.oversizedTransactions <= Number(wanted)
       ? null
@@ -54,7 +54,7 @@
     );
     return longest <= Number(wanted) ? null : `a page of ${longest} bytes`;
   },
-  /** peak WHAT N: what the controllers used of what is scarce, see `METERS` */
+  /** peak WHAT N: what the controllers used of what is scarce, see METERS */
   peak(world, [what, wanted]) {
     const meter = METERS[what ?? ''];
     if (!meter) return `no meter ${what}`;
--- a/test/sim/scenario/checks/machines.ts
+++ b/test/sim/scenario/checks/machines.ts
@@ -12,7 +12,7 @@
     const there = ids.filter((id) => world.cloud.machines.has(id as never));
     return there.length === 0 ? null : `still rented: ${there.join(' ')}`;
   },
-  /** machines at-most N: rented at the end */
+  /** machines at-most N: provisioned at the end */
   machines(world, [, wanted]) {
     return world.cloud.machines.size <= Number(wanted)
       ? null
@@ -24,14 +24,14 @@
       ? null
       : `${world.cloud.provisionedCount} machines rented, more than ${wanted}`;
   },
-  /** quarantined at-most N: machines that a leader took out of use because tasks failed there */
+  /** quarantined at-most N: machines that a leader quarantined because tasks failed there */
   quarantined(world, [, wanted]) {
     const { quarantinedMachines } = world.meters;
     return quarantinedMachines <= Number(wanted)
       ? null
       : `${quarantinedMachines} machines taken out of use, more than ${wanted}`;
   },
-  /** terminated-busy at-most N: machines that were returned with tasks on them */
+  /** terminated-busy at-most N: machines that were terminated with tasks on them */
   'terminated-busy'(world, [, wanted]) {
     const { terminatedWhileBusy } = world.meters;
     return terminatedWhileBusy <= Number(wanted)
--- a/test/sim/scenario/checks/recovery.ts
+++ b/test/sim/scenario/checks/recovery.ts
@@ -21,7 +21,7 @@
     const holds = bound === 'at-most' ? count <= Number(wanted) : count >= Number(wanted);
     return holds ? null : `${count} commands to ${kind}, not ${bound} ${wanted}`;
   },
-  /** found CLASS N: so many tasks were found to be that when the lead last changed */
+  /** found CLASS N: so many tasks were found to be that at the last failover */
   found(world, [taskClass, wanted]) {
     const tasks: Record<string, number> = { ...world.leader()?.recoverySummary()?.tasks };
     const count = tasks[taskClass ?? ''];
@@ -33,7 +33,7 @@
     const count = certainty[how ?? ''];
     return count === Number(wanted) ? null : `${count} machines certain by ${how}, not ${wanted}`;
   },
-  /** recovered-within S: everything was certain so long after the lead was taken */
+  /** recovered-within S: everything was certain so long after leadership was taken */
   'recovered-within'(world, [seconds]) {
     const summary = world.leader()?.recoverySummary();
     if (!summary || summary.finishedAt === null) return 'recovery has not ended';
