--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -15,10 +15,12 @@
 import { Cluster } from '../state/cluster.js';
 import type { StepContext, TimerName } from '../step_context.js';
 import type { Heartbeat, JobId, MonotonicTime } from '../types.js';
+import { CommandDelivery } from '../workers/command_delivery.js';
 import { type CommandLeader, CommandPusher } from '../workers/command_pusher.js';
 import { HeartbeatHandler, type HeartbeatLeader } from '../workers/heartbeat_handler.js';
 import type { HeartbeatResponder } from '../workers/heartbeat_response.js';
 import { Reconciler, type ReconciliationLeader } from '../workers/reconciler.js';
+import { StatusRequests } from '../workers/status_requests.js';
 import type { Election } from './election.js';
 import { JobRecordLookup } from './job_record_lookup.js';
 import type { Leadership } from './leadership.js';
@@ -57,8 +59,9 @@
   private readonly autoscaler: Autoscaler;
   private readonly recordWriter: RecordWriter;
   private readonly heartbeatHandler: HeartbeatHandler;
-  private readonly reconciliation: Reconciler;
-  private readonly commandSender: CommandPusher;
+  private readonly commandDelivery: CommandDelivery;
+  private readonly statusRequests: StatusRequests;
+  private readonly commandPusher: CommandPusher;
   private readonly healthChecks: HealthChecks;
   private readonly registry: MachineRegistry;
   private readonly stateLoader: StateLoader;
@@ -89,12 +92,15 @@
       onRecordRead: (item) => void this.jobCache.update(item),
       onWriteFinished: () => {
         this.heartbeatHandler.releaseDeferred();
-        this.commandSender.pushDueCommands();
+        this.commandPusher.pushDueCommands();
       },
     });
-    this.reconciliation = new Reconciler(this.cluster, leadership.fencingToken, this);
-    this.heartbeatHandler = new HeartbeatHandler(this.cluster, leadership.fencingToken, this.reconciliation, this);
-    this.commandSender = new CommandPusher(this.cluster, leadership.fencingToken, this.reconciliation, this);
+    const { fencingToken } = leadership;
+    const reconciler = new Reconciler(this.cluster, fencingToken, this);
+    this.heartbeatHandler = new HeartbeatHandler(this.cluster, fencingToken, reconciler, this);
+    this.commandDelivery = new CommandDelivery(this.cluster, fencingToken, reconciler);
+    this.statusRequests = new StatusRequests(this.cluster, this.commandDelivery);
+    this.commandPusher = new CommandPusher(this.cluster, this.commandDelivery, this);
     this.healthChecks = new HealthChecks(this.cluster, () => this.schedulePlanningRoundSoon());
     this.autoscaler = new Autoscaler(this.cluster, this.recordWriter);
     // Earlier leaders answered nobody after this one took the lead; it has itself answered some while it read the state.
@@ -121,8 +127,8 @@
     this.stateLoader.stop();
     this.jobRecordLookup.stop();
     this.recordWriter.stop();
-    this.reconciliation.stop();
-    this.commandSender.stop();
+    this.statusRequests.stop();
+    this.commandDelivery.stop();
     this.heartbeatHandler.stop();
     for (const timer of OWN_TIMERS) this.context.timers.clear(timer);
   }
@@ -178,7 +184,7 @@
     this.stateRestorer.restore(pages);
     this.loaded = true;
     this.autoscaler.listMachines();
-    if (this.cluster.previousTerms.recovery === null) this.reconciliation.reconcileAll();
+    if (this.cluster.previousTerms.recovery === null) this.statusRequests.requestAll();
     else this.context.timers.set('reconciliation', this.context.after(this.context.features.recovery.ask_after_ms));
     this.context.timers.set('round', this.context.after(FIRST_PLANNING_ROUND_MS));
     this.context.timers.set('healthChecks', this.context.after(FIRST_HEALTH_CHECK_MS));
@@ -213,7 +219,7 @@
   }
 
   reconcileAllMachines(): void {
-    if (this.isLeaseValid()) this.reconciliation.reconcileAll();
+    if (this.isLeaseValid()) this.statusRequests.requestAll();
   }
 
   lookUpSuspectedOrphans(): void {
@@ -225,7 +231,7 @@
   }
 
   sendCommands(): void {
-    this.commandSender.pushDueCommands();
+    this.commandPusher.pushDueCommands();
   }
 
   flushRecords(): void {
@@ -240,7 +246,7 @@
     this.cluster.servicePlacements.onPlacement();
     if (placeServices(this.cluster) === 0) return;
     this.recordWriter.flush();
-    this.commandSender.pushDueCommands();
+    this.commandPusher.pushDueCommands();
   }
 
   /** One planning round, and what follows from it. */
@@ -270,7 +276,7 @@
     if (!this.loaded) return;
     this.healthChecks.run();
     this.cluster.previousTerms.finishIfReconciled();
-    this.reconciliation.probeMachines();
+    this.statusRequests.probe();
     this.autoscaler.runScaleIn(this.electedAt);
     this.registry.collectImageChanges();
     this.recordWriter.flush();
--- a/src/core/machines/reachability.ts
+++ b/src/core/machines/reachability.ts
@@ -1,10 +1,12 @@
 /** Judges whether what is sent to one machine arrives there. */
-import type { MonotonicTime } from '../types.js';
+import { addMilliseconds, type MonotonicTime } from '../types.js';
 
 /** After so many responses in a row that had no effect a machine counts as unresponsive. */
 const UNRESPONSIVE_AFTER_IGNORED_RESPONSES = 2;
 /** An agent shows a new token with its next heartbeat or the one after; one that goes on without it hears nothing. */
 const MAX_STALE_TOKEN_HEARTBEATS = 4;
+/** Time between the probes of a machine. */
+const PROBE_INTERVAL_MS = 3000;
 
 /** Whether responses and pushed commands reach a machine, as far as its messages show. */
 export class Reachability {
@@ -74,10 +76,10 @@
     return this.unresponsive === null && this.ignoredResponses >= UNRESPONSIVE_AFTER_IGNORED_RESPONSES;
   }
 
-  /** It counts as unresponsive from now on, and is probed at `nextProbeAt`. */
-  markUnresponsive(now: MonotonicTime, nextProbeAt: MonotonicTime): void {
+  /** It counts as unresponsive from now on, and is probed after a while. */
+  markUnresponsive(now: MonotonicTime): void {
     this.unresponsive = now;
-    this.nextProbeAt = nextProbeAt;
+    this.nextProbeAt = addMilliseconds(now, PROBE_INTERVAL_MS);
   }
 
   /** Whether a probe may be sent now. */
@@ -85,8 +87,8 @@
     return this.nextProbeAt <= now;
   }
 
-  /** A probe goes out; the next is due at `nextProbeAt`. */
-  recordProbe(nextProbeAt: MonotonicTime): void {
-    this.nextProbeAt = nextProbeAt;
+  /** A probe goes out. */
+  recordProbe(now: MonotonicTime): void {
+    this.nextProbeAt = addMilliseconds(now, PROBE_INTERVAL_MS);
   }
 }
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -1,15 +1,21 @@
+/**
+ * Pushes stops to workers at once, and the starts of replicas; all other starts only ever go out in responses to heartbeats. A
+ * pushed command can arrive late: a start sent this way counts as possibly there until there is a response, the agent epoch
+ * ends or the machine is gone.
+ */
 import type { Placement } from '../jobs/job.js';
-import { type StartKey, startKeyOf } from '../jobs/task_keys.js';
+import { startKeyOf } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
-import type { AgentEpoch, Command, FencingToken } from '../types.js';
+import type { AgentEpoch, Command } from '../types.js';
+import type { CommandDelivery } from './command_delivery.js';
 import { recordStartSent, stopCommands } from './commands.js';
-import { MAX_PUSHES_IN_FLIGHT, type Reconciler } from './reconciler.js';
 import { mayStart } from './start_checks.js';
 
+/** Commands that could not be pushed, or had no effect, are tried again after so long. */
 const RETRY_INTERVAL_MS = 1000;
-/** After a command without an answer the machine is left alone for so long. */
+/** A machine from which no response came is left alone for so long. */
 const UNANSWERED_BACKOFF_MS = 5000;
 
 /** What pushed commands depend on at the leader. */
@@ -22,63 +28,51 @@
   mayStartTasks(): boolean;
 }
 
-/**
- * Sends stops to the workers at once, and starts of replicas; all other starts only ever go out in answers to reports. A
- * direct command can arrive late: a start sent this way counts as possibly there until the command is answered, the session
- * ends or the machine is gone.
- */
+/** Pushes the commands that machines are due. */
 export class CommandPusher {
   private readonly context: StepContext;
-  private stopped = false;
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly fencingToken: FencingToken,
-    private readonly reconciler: Reconciler,
+    private readonly delivery: CommandDelivery,
     private readonly leader: CommandLeader,
   ) {
     this.context = cluster.context;
   }
 
-  stop(): void {
-    this.stopped = true;
-  }
-
-  /** Sends what is due, and looks again as long as something is left. */
+  /** Pushes what is due, and sets the timer to look again as long as something is left. */
   pushDueCommands(): void {
     if (!this.leader.isLeaseValid()) return;
     const { machinesWithStops, machinesWithStarts } = this.cluster.pendingCommands;
-    let anyLeft = false;
+    let isAnyLeft = false;
     for (const machine of new Set([...machinesWithStops, ...machinesWithStarts])) {
       const stops = this.dueStops(machine);
-      const planned = this.plannedReplicas(machine);
-      if (stops.length === 0 && planned.length === 0) continue;
-      anyLeft = true;
+      const replicas = this.plannedReplicas(machine);
+      if (stops.length === 0 && replicas.length === 0) continue;
+      isAnyLeft = true;
       const { agentEpoch } = machine.messages;
-      if (agentEpoch === null || !this.canPush(machine)) continue;
-      if (this.context.openCommandPushCount >= MAX_PUSHES_IN_FLIGHT) break;
-      this.pushCommands(machine, agentEpoch, stops, planned);
+      if (agentEpoch === null || !this.mayPushTo(machine)) continue;
+      if (this.delivery.isSaturated) break;
+      this.push(machine, agentEpoch, stops, replicas);
     }
-    if (anyLeft) this.context.timers.set('workerCommands', this.context.after(RETRY_INTERVAL_MS));
+    if (isAnyLeft) this.context.timers.set('workerCommands', this.context.after(RETRY_INTERVAL_MS));
   }
 
-  private canPush(machine: Machine): boolean {
+  private mayPushTo(machine: Machine): boolean {
     if (!machine.reconciled || !machine.address || machine.lifecycle.isTerminating) return false;
     return machine.commandChannel.isReady(this.context.now.monotonic);
   }
 
-  /** Stops that the machine has yet to carry out. Without any it is not looked at again. */
+  /** Returns the stops that the machine has yet to carry out. Without any it is not looked at again. */
   private dueStops(machine: Machine): Command[] {
     const { machinesWithStops } = this.cluster.pendingCommands;
     if (!machinesWithStops.has(machine)) return [];
-    const isDue = ({ phase, pendingStop }: Placement): boolean =>
-      phase !== 'checkpointing' || pendingStop?.gracePeriodSeconds === 0;
-    const stops = this.cluster.machines.isCurrent(machine) ? stopCommands(machine, isDue) : [];
+    const stops = this.cluster.machines.isCurrent(machine) ? stopCommands(machine, isStopDue) : [];
     if (stops.length === 0) machinesWithStops.delete(machine);
     return stops;
   }
 
-  /** Replicas that have a place there and are yet to be started. Without any the machine is not looked at again. */
+  /** Returns the replicas placed there that are yet to be started. Without any the machine is not looked at again. */
   private plannedReplicas(machine: Machine): Placement[] {
     const { machinesWithStarts } = this.cluster.pendingCommands;
     if (!machinesWithStarts.has(machine)) return [];
@@ -88,40 +82,22 @@
     return planned;
   }
 
-  private pushCommands(
+  private push(
     machine: Machine,
-    session: AgentEpoch,
+    agentEpoch: AgentEpoch,
     stops: readonly Command[],
-    planned: readonly Placement[],
+    replicas: readonly Placement[],
   ): void {
     const mayStartAny = this.leader.mayStartTasks() && this.leader.hasRecentJobView();
-    const starting = mayStartAny ? planned.filter(({ job }) => mayStart(job, machine)) : [];
-    const commands = [...stops, ...starting.map((placement) => this.startCommand(placement))];
-    if (commands.length > 0) this.sendCommands(machine, session, commands, starting.map(startKeyOf));
-  }
-
-  private startCommand(placement: Placement): Command {
-    return recordStartSent(this.cluster, placement, null);
-  }
-
-  private sendCommands(
-    machine: Machine,
-    agentEpoch: AgentEpoch,
-    commands: readonly Command[],
-    starts: readonly StartKey[],
-  ): void {
-    machine.commandChannel.begin(starts);
-    this.context.pushCommands(
-      { address: machine.address, fencingToken: this.fencingToken, agentEpoch, commands },
-      (result) => {
-        machine.commandChannel.end();
-        if (result.ok) machine.commandChannel.confirmStarts(starts);
-        else machine.commandChannel.pause(this.context.after(UNANSWERED_BACKOFF_MS));
-        if (this.stopped || !result.ok || result.value.heartbeat.machine !== machine.id) return;
-        if (!this.cluster.machines.isCurrent(machine)) return;
-        this.reconciler.reconcile(machine, result.value.heartbeat, 'commandResponse');
-        if (result.value.executed) this.reconciler.onReachable(machine);
-      },
-    );
+    const starting = mayStartAny ? replicas.filter(({ job }) => mayStart(job, machine)) : [];
+    const commands = [...stops, ...starting.map((placement) => recordStartSent(this.cluster, placement, null))];
+    if (commands.length === 0) return;
+    this.delivery.deliver({ machine, agentEpoch, commands, starts: starting.map(startKeyOf) }, ({ kind }) => {
+      if (kind === 'unanswered') machine.commandChannel.pause(this.context.after(UNANSWERED_BACKOFF_MS));
+    });
   }
 }
+
+/** A task that is checkpointing carries out its stop already, unless it is to end without. */
+const isStopDue = ({ phase, pendingStop }: Placement): boolean =>
+  phase !== 'checkpointing' || pendingStop?.gracePeriodSeconds === 0;
