--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -1,45 +1,8 @@
-import type { Machine } from '../machines/machine.js';
 import type { JobRecord, JobState } from '../records.js';
-import type {
-  Attempt,
-  JobId,
-  JobSpec,
-  MachineId,
-  MonotonicTime,
-  Revision,
-  SequenceNumber,
-  WallClockTime,
-  ZoneName,
-} from '../types.js';
+import type { JobId, JobSpec, MachineId, MonotonicTime, Revision, WallClockTime, ZoneName } from '../types.js';
 import { FailureHistory } from './failure_history.js';
 import { RangeSet } from './range_set.js';
 
-export type PlacementPhase =
-  /** Given a place; no start has been sent yet, so it can be taken back freely. */
-  | 'planned'
-  /** A start went out: it may be on the machine until a newer report says otherwise. */
-  | 'sent'
-  | 'pulling'
-  | 'gathering'
-  | 'running'
-  | 'checkpointing';
-
-/** A task that is, or may be, or is about to be on a machine. */
-export interface Placement {
-  readonly job: Job;
-  readonly index: number;
-  readonly machine: Machine;
-  readonly attempt: Attempt;
-  phase: PlacementPhase;
-  /** The report in whose answer the start last went out; null: it went out directly, or not yet. */
-  sentInResponseTo: SequenceNumber | null;
-  readonly since: MonotonicTime;
-  runningSince: MonotonicTime | null;
-  /** It was running when this leader first heard of it: nobody here knows for how long. */
-  readonly foundRunning: boolean;
-  pendingStop: { readonly gracePeriodSeconds: number; readonly since: MonotonicTime } | null;
-}
-
 /** A job as the leader holds it: its record, and where its tasks are. */
 export class Job {
   readonly spec: JobSpec;
@@ -64,7 +27,8 @@
   readonly unexpectedTasks = new Map<number, number>();
   /** What is known to be complete, durable or not. */
   readonly doneTasks: RangeSet;
-  readonly placements = new Map<number, Placement>();
+  /** Tasks that are, or may be, or are about to be on a machine. */
+  private readonly placedTasks = new Set<number>();
   /** A gang's present attempt can't complete any more: all of it has to leave. */
   gangBroken = false;
   writeInFlight = false;
@@ -161,8 +125,8 @@
   /** How many tasks wait for a place; of a gang all or none. */
   get pendingCount(): number {
     if (this.state !== 'accepted') return 0;
-    if (this.isGang) return this.placements.size === 0 && this.doneTasks.count === 0 ? this.spec.taskCount : 0;
-    return this.spec.taskCount - this.doneTasks.count - this.placements.size;
+    if (this.isGang) return this.placedTasks.size === 0 && this.doneTasks.count === 0 ? this.spec.taskCount : 0;
+    return this.spec.taskCount - this.doneTasks.count - this.placedTasks.size;
   }
 
   /** How many tasks wait for a place and may be given one now. */
@@ -175,7 +139,7 @@
   }
 
   private isPending(index: number): boolean {
-    return !this.placements.has(index) && !this.doneTasks.has(index);
+    return !this.placedTasks.has(index) && !this.doneTasks.has(index);
   }
 
   /** How many tasks were found in this term and wait for a place again. */
@@ -189,7 +153,7 @@
   get unaccountedCount(): number {
     if (this.isGang && this.doneTasks.count > 0) return 0;
     if (this.isGang) return this.spec.taskCount - this.locatedTasks.size;
-    return this.spec.taskCount - this.doneTasks.count - this.placements.size - this.locatedPendingCount;
+    return this.spec.taskCount - this.doneTasks.count - this.placedTasks.size - this.locatedPendingCount;
   }
 
   /** Whether the store lacks something that must be there before anything else can happen. */
@@ -201,7 +165,7 @@
 
   /** Nothing of it is left to write or to stop. */
   get isSettled(): boolean {
-    return this.state !== 'accepted' && this.placements.size === 0 && this.writeUrgency === 'no';
+    return this.state !== 'accepted' && this.placedTasks.size === 0 && this.writeUrgency === 'no';
   }
 
   isDone(index: number): boolean {
@@ -227,8 +191,20 @@
     if (this.doneTasks.count >= this.spec.taskCount && this.state === 'accepted') this.state = 'done';
   }
 
+  /** How many of its tasks are, or may be, or are about to be on machines. */
+  get placedCount(): number {
+    return this.placedTasks.size;
+  }
+
+  /** A task has got a place on a machine. */
+  onTaskPlaced(index: number): void {
+    this.placedTasks.add(index);
+  }
+
   /** A task has lost its place. */
-  onTaskReleased(index: number): void {
+  onTaskReleased(index: number, now: MonotonicTime): void {
+    this.placedTasks.delete(index);
+    if (this.placedTasks.size === 0) this.inactiveSince = now;
     if (index < this.firstPossiblyPending) this.firstPossiblyPending = index;
   }
 
@@ -251,25 +227,6 @@
     if (index === this.firstPossiblyPending) this.firstPossiblyPending = index + 1;
   }
 
-  runningCount(): number {
-    let count = 0;
-    for (const { phase } of this.placements.values()) if (phase === 'running' || phase === 'checkpointing') count += 1;
-    return count;
-  }
-
-  replicaCountOn(machine: Machine): number {
-    let count = 0;
-    for (const placement of this.placements.values()) if (placement.machine === machine) count += 1;
-    return count;
-  }
-
-  /** How many of its tasks may be in each zone now. */
-  taskCountByZone(): Map<ZoneName, number> {
-    const counts = new Map<ZoneName, number>();
-    for (const { machine } of this.placements.values()) counts.set(machine.zone, (counts.get(machine.zone) ?? 0) + 1);
-    return counts;
-  }
-
   /** The largest number of its tasks that one zone may hold. */
   get maxTasksPerZone(): number {
     return this.spec.zoneSpread ? Math.ceil(this.spec.taskCount / 2) : this.spec.taskCount;
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -299,6 +299,6 @@
   taskCounts(id: JobId): TaskCounts | null {
     if (!this.isLeaseValid() || !this.loaded) return null;
     const job = this.cluster.jobs.get(id);
-    return job ? { done: job.doneTasks.count, running: job.runningCount() } : null;
+    return job ? { done: job.doneTasks.count, running: this.cluster.placements.runningCount(job) } : null;
   }
 }
--- a/src/core/machines/autoscaler.ts
+++ b/src/core/machines/autoscaler.ts
@@ -112,8 +112,7 @@
       if (machine.spot || machine.phase !== 'up') continue;
       const { cpus, gpus } = machine.type;
       let share = 0;
-      for (const { job } of machine.placements.values()) {
-        const { spec } = job;
+      for (const spec of machine.allocations.jobSpecs()) {
         if (spec.toleratesSpot) share += Math.max(spec.gpus / Math.max(1, gpus), spec.cpus / cpus);
       }
       shares.set(machine.typeName, (shares.get(machine.typeName) ?? 0) + share);
--- a/src/core/machines/health_checks.ts
+++ b/src/core/machines/health_checks.ts
@@ -1,7 +1,7 @@
-import type { Placement } from '../jobs/job.js';
 import { workerLeaseExpiryMs } from '../lease_bounds.js';
 import { moveReplica } from '../scheduler/replica_move.js';
 import type { Cluster } from '../state/cluster.js';
+import type { Placement } from '../state/placement.js';
 import { addMilliseconds, type JobId, type MonotonicTime } from '../types.js';
 import type { Machine } from './machine.js';
 import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO, type StragglerEvidence } from './straggler_detector.js';
@@ -58,8 +58,7 @@
     const unreconciled = previousTerms.updateUnreconciled();
     if (unreconciled > 0 && previousTerms.recovery === null) return;
     for (const job of this.cluster.jobs.active) {
-      const { size } = job.placements;
-      const isIncomplete = job.isGang && size > 0 && size < job.spec.taskCount;
+      const isIncomplete = job.isGang && job.placedCount > 0 && job.placedCount < job.spec.taskCount;
       if (!isIncomplete || job.state !== 'accepted' || previousTerms.mayRunUnseen(job)) continue;
       this.cluster.placements.breakGang(job);
     }
@@ -67,9 +66,10 @@
 
   /** A job that has failed is cleared by a task that runs for much longer than it took the others to fail. */
   private recordHealthyTasks(now: MonotonicTime): void {
-    for (const { failureHistory, placements } of this.cluster.jobs.active) {
+    for (const job of this.cluster.jobs.active) {
+      const { failureHistory } = job;
       if (!failureHistory.hasFailed || failureHistory.hasSucceeded) continue;
-      for (const { phase, runningSince } of placements.values()) {
+      for (const { phase, runningSince } of this.cluster.placements.ofJob(job).values()) {
         const doesWell =
           phase === 'running' && runningSince !== null && failureHistory.isHealthyAfter(now - runningSince);
         if (doesWell) failureHistory.recordSuccess();
@@ -102,7 +102,7 @@
   private onLeaseExpired(machine: Machine): void {
     this.cluster.context.log('info', 'machine silent for longer than its lease: its tasks are gone', {
       machine: machine.id,
-      tasks: machine.placements.size,
+      tasks: machine.allocations.taskCount,
       reconciled: machine.reconciled,
     });
     this.cluster.clearMachine(machine);
@@ -144,7 +144,7 @@
   /** What runs on a machine and has already taken longer than expected. */
   private overrunEvidence(machine: Machine, now: MonotonicTime): ReadonlyMap<JobId, StragglerEvidence> {
     let found: Map<JobId, StragglerEvidence> | null = null;
-    for (const placement of machine.placements.values()) {
+    for (const placement of this.cluster.placements.onMachine(machine).values()) {
       const logRatio = this.overrunLogRatio(placement, now);
       const { job } = placement;
       if (logRatio <= (found?.get(job.id)?.logRatio ?? 0)) continue;
@@ -172,7 +172,7 @@
   private evictFromLeavingMachines(now: MonotonicTime): void {
     for (const machine of this.cluster.machines.values()) {
       if (!machine.cordon.isLeaving) continue;
-      for (const placement of [...machine.placements.values()]) {
+      for (const placement of [...this.cluster.placements.onMachine(machine).values()]) {
         if (placement.pendingStop === null) this.evictFromLeavingMachine(placement, now);
       }
     }
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,17 +1,8 @@
-import type { Job, Placement } from '../jobs/job.js';
-import { type StartKey, type TaskKey, taskKey } from '../jobs/task_keys.js';
-import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
-import type {
-  Attempt,
-  JobId,
-  MachineId,
-  MachineType,
-  MachineTypeName,
-  MonotonicTime,
-  Resources,
-  ZoneName,
-} from '../types.js';
+import type { Job } from '../jobs/job.js';
+import type { StartKey, TaskKey } from '../jobs/task_keys.js';
+import type { Attempt, JobId, MachineId, MachineType, MachineTypeName, MonotonicTime, ZoneName } from '../types.js';
 import { AgentMessages } from './agent_messages.js';
+import { Allocations } from './allocations.js';
 import { CommandChannel } from './command_channel.js';
 import { Cordon } from './cordon.js';
 import { ImageCache } from './image_cache.js';
@@ -74,23 +65,20 @@
 
   /** Commands that are pushed to it. */
   readonly commandChannel = new CommandChannel();
-  idleSince: MonotonicTime;
+  /** What its capacity is allocated to. */
+  readonly allocations: Allocations;
   /** Failures since a task last did well here; after each it gets nothing new for a moment. */
   readonly taskFailures = new TaskFailures();
   readonly stragglerDetector = new StragglerDetector();
 
   /** Kept for a moment for a job that is on its way here. */
   private reservation: { readonly job: JobId; readonly until: MonotonicTime } | null = null;
-  readonly placements = new Map<TaskKey, Placement>();
   /** Tasks on it that have no place there: their jobs aren't known, or they are somewhere else too. */
   unexpectedTasks: ReadonlyMap<TaskKey, UnexpectedTask> = new Map();
   exitedTasks: ExitedTask[] = [];
   /** The ends that the list before this one showed. */
   previousExits: ReadonlySet<StartKey> = new Set();
   readonly images: ImageCache;
-  usedCpus = 0;
-  usedGpus = 0;
-  usedMemoryGb = 0;
 
   constructor(init: MachineInit) {
     const { now } = init;
@@ -105,7 +93,7 @@
     this.messages = new AgentMessages(now);
     this.reachability = new Reachability(isProvisionedByThisLeader);
     this.images = new ImageCache(init.type);
-    this.idleSince = now;
+    this.allocations = new Allocations(init.type, now);
   }
 
   get typeName(): MachineTypeName {
@@ -148,29 +136,14 @@
     return this.phase === 'booting' && !this.lifecycle.isTerminating && !this.cordon.isDraining;
   }
 
-  hasFreeCapacityFor(task: Resources): boolean {
-    return (
-      this.usedCpus + task.cpus <= this.type.cpus + RESOURCE_TOLERANCE &&
-      this.usedGpus + task.gpus <= this.type.gpus + RESOURCE_TOLERANCE &&
-      this.usedMemoryGb + task.memoryGb <= this.type.memoryGb + RESOURCE_TOLERANCE
-    );
-  }
-
   /** Whether no task is on it, or on its way, as far as is known. */
   get isEmpty(): boolean {
-    return this.placements.size === 0 && this.unexpectedTasks.size === 0;
+    return this.allocations.taskCount === 0 && this.unexpectedTasks.size === 0;
   }
 
   /** Whether work that asks for GPUs is there, or the machine is kept for some. */
   hasGpuWork(now: MonotonicTime): boolean {
-    if (this.reservedFor(now) !== null) return true;
-    for (const { job } of this.placements.values()) if (job.spec.gpus > 0) return true;
-    return false;
-  }
-
-  hasReplica(): boolean {
-    for (const { job } of this.placements.values()) if (job.spec.kind === 'service') return true;
-    return false;
+    return this.reservedFor(now) !== null || this.allocations.hasGpuTask;
   }
 
   reserve(job: JobId, until: MonotonicTime): void {
@@ -196,35 +169,8 @@
     if (this.reservation?.job === job) this.reservation = null;
   }
 
-  addPlacement(placement: Placement): void {
-    const { spec } = placement.job;
-    this.placements.set(taskKey(placement.job.id, placement.index), placement);
-    this.usedCpus += spec.cpus;
-    this.usedGpus += spec.gpus;
-    this.usedMemoryGb += spec.memoryGb;
-  }
-
-  removePlacement(placement: Placement, now: MonotonicTime): void {
-    const key = taskKey(placement.job.id, placement.index);
-    if (this.placements.get(key) !== placement) return;
-    const { spec } = placement.job;
-    this.placements.delete(key);
-    this.usedCpus -= spec.cpus;
-    this.usedGpus -= spec.gpus;
-    this.usedMemoryGb -= spec.memoryGb;
-    if (this.placements.size > 0) return;
-    // Sums of decimal amounts leave a rest.
-    this.usedCpus = 0;
-    this.usedGpus = 0;
-    this.usedMemoryGb = 0;
-    this.idleSince = now;
-  }
-
   /** A fetch is given up once no task waits for it. */
   dropAbandonedPulls(): void {
-    this.images.dropAbandonedPulls((image) => {
-      for (const { job } of this.placements.values()) if (job.spec.image === image) return true;
-      return false;
-    });
+    this.images.dropAbandonedPulls((image) => this.allocations.needsImage(image));
   }
 }
--- a/src/core/machines/machine_list.ts
+++ b/src/core/machines/machine_list.ts
@@ -82,7 +82,7 @@
 
   /** A failed machine has stopped by itself: nothing is on it any more. */
   private handleStopped(machine: Machine): void {
-    this.cluster.context.log('info', 'machine failed', { machine: machine.id, tasks: machine.placements.size });
+    this.cluster.context.log('info', 'machine failed', { machine: machine.id, tasks: machine.allocations.taskCount });
     this.cluster.clearMachine(machine);
     this.cluster.markReconciled(machine, 'gone');
     this.onMachineStopped(machine);
--- a/src/core/machines/scale_in.ts
+++ b/src/core/machines/scale_in.ts
@@ -83,7 +83,10 @@
     if (machine.phase === 'booting') return this.hasBootTimedOut(machine, overview.now) ? 'boot timeout' : null;
     const silence = overview.mayJudgeHeartbeats ? overdueHeartbeatReason(machine, overview) : null;
     if (silence !== null) return silence;
-    if (holdsOnlyUnconfirmedStarts(machine) && overview.now - machine.messages.lastContactAt < overview.leaseMs) {
+    if (
+      holdsOnlyUnconfirmedStarts(this.cluster, machine) &&
+      overview.now - machine.messages.lastContactAt < overview.leaseMs
+    ) {
       return 'unconfirmed start';
     }
     return overview.mayJudgeHeartbeats && isLongUnresponsive(machine, overview) ? 'unresponsive' : null;
@@ -115,7 +118,10 @@
     // Made empty on purpose, for a job that is on its way here.
     if (machine.reservedFor(now) !== null) return false;
     if (machine.lifecycle.ageSeconds(now) < MIN_CHARGED_SECONDS) return false;
-    const idleSince = Math.max(machine.idleSince, machine.messages.firstHeartbeatAt ?? machine.idleSince);
+    const idleSince = Math.max(
+      machine.allocations.idleSince,
+      machine.messages.firstHeartbeatAt ?? machine.allocations.idleSince,
+    );
     return (now - idleSince) / 1000 >= this.cluster.context.tuning.machines.idle_return_s;
   }
 
@@ -179,7 +185,7 @@
   // Deleting it proves it empty sooner than its lease would.
   if (machine.spot && silentMs > SPOT_LOST_AFTER_PERIODS * heartbeatIntervalMs) return 'heartbeat overdue';
   // Users of a service wait until it is proven that the replica is gone.
-  if (fewOverdue && missesReports && machine.hasReplica()) return 'heartbeat overdue';
+  if (fewOverdue && missesReports && machine.allocations.hasReplica) return 'heartbeat overdue';
   return silentMs > leaseMs + GIVE_UP_AFTER_LEASE_MS ? 'heartbeat overdue' : null;
 }
 
@@ -195,12 +201,12 @@
   );
 
 /** Nothing is there but starts of replicas that are no longer needed, whose direct commands were never answered. */
-function holdsOnlyUnconfirmedStarts(machine: Machine): boolean {
+function holdsOnlyUnconfirmedStarts(cluster: Cluster, machine: Machine): boolean {
   const { commandChannel } = machine;
   if (!commandChannel.hasUnconfirmedStarts || commandChannel.isBusy) return false;
-  for (const placement of machine.placements.values()) {
+  for (const placement of cluster.placements.onMachine(machine).values()) {
     const unwanted = placement.phase === 'sent' && placement.pendingStop !== null;
     if (!unwanted || !commandChannel.isUnconfirmed(startKeyOf(placement))) return false;
   }
-  return machine.placements.size > 0;
+  return machine.allocations.taskCount > 0;
 }
--- a/src/core/scheduler/apply.ts
+++ b/src/core/scheduler/apply.ts
@@ -71,7 +71,7 @@
   starts: readonly PlannedStart[],
   machines: readonly Machine[],
 ): number {
-  if (job.placements.size > 0 || cluster.quotas.remainingTasks(job.spec) < job.spec.taskCount) return 0;
+  if (job.placedCount > 0 || cluster.quotas.remainingTasks(job.spec) < job.spec.taskCount) return 0;
   const attempt = cluster.nextAttempt();
   let placed = 0;
   for (const { machineIndex, tasks } of starts) {
--- a/src/core/scheduler/cluster_state.ts
+++ b/src/core/scheduler/cluster_state.ts
@@ -18,6 +18,7 @@
   readonly jobs: Pick<JobTable, 'active' | 'services' | 'hasPendingReplicas'>;
   readonly machines: Pick<MachineTable, 'values' | 'size' | 'isExpected'>;
   readonly machineTypes: MachineTypes;
+  readonly placements: Pick<PlacementTable, 'ofJob' | 'onMachine' | 'taskCountOn' | 'taskCountByZone'>;
   readonly quotas: Pick<Quotas, 'remainingTasks' | 'teamsInOrder'>;
   readonly previousTerms: Pick<PreviousTerms, 'startableTasks'>;
   readonly runtimeEstimator: Pick<RuntimeEstimator, 'expectedSeconds'>;
@@ -34,7 +35,7 @@
   /** The leader's term, with which a job's first start is recorded. */
   readonly term: number;
   readonly previousTerms: Pick<PreviousTerms, 'startableTasks' | 'updateUnreconciled' | 'recordsStartZones'>;
-  readonly placements: Pick<PlacementTable, 'add' | 'evict' | 'stop' | 'breakGang'>;
+  readonly placements: ClusterState['placements'] & Pick<PlacementTable, 'add' | 'evict' | 'stop' | 'breakGang'>;
   readonly pendingCommands: Pick<PendingCommands, 'machinesWithStarts'>;
   /** Returns an attempt number higher than any before. */
   nextAttempt(): Attempt;
--- a/src/core/scheduler/decisions.ts
+++ b/src/core/scheduler/decisions.ts
@@ -1,6 +1,7 @@
 /** What the scheduler decides besides starts: the values that decision modules return and `apply.ts` puts into effect. */
-import type { Job, Placement } from '../jobs/job.js';
+import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
+import type { Placement } from '../state/placement.js';
 
 /** Machines to keep for a job for some time. */
 export interface Reservation {
--- a/src/core/scheduler/eviction.ts
+++ b/src/core/scheduler/eviction.ts
@@ -1,8 +1,8 @@
 /** What stopping work of lower priority on a machine would cost: shared by preemption for gangs and for replicas. */
-import type { Job, Placement } from '../jobs/job.js';
+import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
-import type { MonotonicTime } from '../types.js';
+import type { Placement } from '../state/placement.js';
 import type { ClusterState } from './cluster_state.js';
 import type { Eviction } from './decisions.js';
 import { isFeasibleMachine } from './placement_constraints.js';
@@ -26,9 +26,9 @@
   const { spec } = job;
   const { type } = machine;
   const now = cluster.context.now.monotonic;
-  let freeCpus = type.cpus - machine.usedCpus;
-  let freeGpus = type.gpus - machine.usedGpus;
-  let freeMemoryGb = type.memoryGb - machine.usedMemoryGb;
+  let freeCpus = type.cpus - machine.allocations.usedCpus;
+  let freeGpus = type.gpus - machine.allocations.usedGpus;
+  let freeMemoryGb = type.memoryGb - machine.allocations.usedMemoryGb;
   const fits = (): boolean =>
     freeCpus + RESOURCE_TOLERANCE >= spec.cpus &&
     freeGpus + RESOURCE_TOLERANCE >= spec.gpus &&
@@ -36,7 +36,7 @@
   const pullSeconds = machine.images.remainingPullSeconds(spec.image, spec.imageGb, now);
   let cost = pullSeconds * gpuEquivalent(spec.gpus);
   const victims: Placement[] = [];
-  for (const { placement, lostGpuSeconds } of lowerPriorityTasks(machine, job, now)) {
+  for (const { placement, lostGpuSeconds } of lowerPriorityTasks(cluster, job, machine)) {
     if (fits()) break;
     const freed = placement.job.spec;
     victims.push(placement);
@@ -48,19 +48,20 @@
   return fits() ? { machine, victims, cost } : null;
 }
 
-function mayEvictOn({ context }: ClusterState, job: Job, machine: Machine): boolean {
+function mayEvictOn({ context, placements }: ClusterState, job: Job, machine: Machine): boolean {
   const now = context.now.monotonic;
   if (!machine.isSchedulable(now, context.settings.workers.heartbeatIntervalMs)) return false;
   if (!isFeasibleMachine(job, machine) || machine.isReservedForOther(job.id, now)) return false;
   // What is being stopped already comes free by itself, and not for this job.
-  for (const { pendingStop } of machine.placements.values()) if (pendingStop !== null) return false;
+  for (const { pendingStop } of placements.onMachine(machine).values()) if (pendingStop !== null) return false;
   return true;
 }
 
 /** Array tasks of lower priority on a machine, those first of which least is lost. */
-function lowerPriorityTasks(machine: Machine, job: Job, now: MonotonicTime): Victim[] {
+function lowerPriorityTasks({ context, placements }: ClusterState, job: Job, machine: Machine): Victim[] {
+  const now = context.now.monotonic;
   const victims: Victim[] = [];
-  for (const placement of machine.placements.values()) {
+  for (const placement of placements.onMachine(machine).values()) {
     const { spec } = placement.job;
     if (spec.kind !== 'array' || spec.priorityLevel >= job.spec.priorityLevel) continue;
     const ranSeconds = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000;
--- a/src/core/scheduler/gang_reservation.ts
+++ b/src/core/scheduler/gang_reservation.ts
@@ -44,7 +44,7 @@
   const machinesByGang = new Map<Job, Machine[]>();
   for (const { jobIndex, machineIndex } of starts) {
     const job = jobs[jobIndex] as Job;
-    if (!job.isGang || job.placements.size > 0 || !isOverdue(cluster, job)) continue;
+    if (!job.isGang || job.placedCount > 0 || !isOverdue(cluster, job)) continue;
     const chosen = machinesByGang.get(job) ?? [];
     chosen.push(machines[machineIndex] as Machine);
     machinesByGang.set(job, chosen);
--- a/src/core/scheduler/migration.ts
+++ b/src/core/scheduler/migration.ts
@@ -38,14 +38,14 @@
   if (!job.isGang || job.isFaulty || job.state !== 'accepted' || job.gangBroken) return false;
   // A zone spread would have to be kept across both sets of machines: not worth it here.
   if (job.spec.zoneSpread || job.migrationCount >= MAX_MIGRATIONS_PER_JOB) return false;
-  return job.placements.size === job.spec.taskCount;
+  return job.placedCount === job.spec.taskCount;
 }
 
 /** Seconds until the gang's last image is there; 0 if any of its tasks is past pulling, or is being stopped. */
-function remainingPullSeconds({ context }: ClusterState, job: Job): number {
+function remainingPullSeconds({ context, placements }: ClusterState, job: Job): number {
   const { image, imageGb } = job.spec;
   let longest = 0;
-  for (const { phase, pendingStop, machine } of job.placements.values()) {
+  for (const { phase, pendingStop, machine } of placements.ofJob(job).values()) {
     if (phase !== 'pulling' || pendingStop !== null) return 0;
     longest = Math.max(longest, machine.images.remainingPullSeconds(image, imageGb, context.now.monotonic));
   }
--- a/src/core/scheduler/placement_constraints.ts
+++ b/src/core/scheduler/placement_constraints.ts
@@ -33,7 +33,7 @@
 export function isFeasibleNow({ context }: ClusterState, job: Job, machine: Machine): boolean {
   return (
     machine.isSchedulable(context.now.monotonic, context.settings.workers.heartbeatIntervalMs) &&
-    machine.hasFreeCapacityFor(job.spec) &&
+    machine.allocations.hasFreeCapacityFor(job.spec) &&
     isFeasibleMachine(job, machine)
   );
 }
@@ -41,12 +41,12 @@
 /** Returns whether one more task of the job may go to the machine, beside its other tasks and within its team's quota. */
 export function canPlaceTask(cluster: ClusterState, job: Job, machine: Machine): boolean {
   if (!isFeasibleNow(cluster, job, machine) || cluster.quotas.remainingTasks(job.spec) < 1) return false;
-  if (job.spec.singleZone && !runsOnlyInZone(job, machine.zone)) return false;
-  return !job.spec.zoneSpread || (job.taskCountByZone().get(machine.zone) ?? 0) < job.maxTasksPerZone;
+  if (job.spec.singleZone && !runsOnlyInZone(cluster, job, machine.zone)) return false;
+  return !job.spec.zoneSpread || (cluster.placements.taskCountByZone(job).get(machine.zone) ?? 0) < job.maxTasksPerZone;
 }
 
 /** Returns whether all placed tasks of the job are in the zone. */
-export function runsOnlyInZone(job: Job, zone: ZoneName): boolean {
-  for (const { machine } of job.placements.values()) if (machine.zone !== zone) return false;
+export function runsOnlyInZone({ placements }: ClusterState, job: Job, zone: ZoneName): boolean {
+  for (const { machine } of placements.ofJob(job).values()) if (machine.zone !== zone) return false;
   return true;
 }
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -1,7 +1,8 @@
-import type { Job, Placement } from '../jobs/job.js';
+import type { Job } from '../jobs/job.js';
 import { capacityPoolKey } from '../machines/capacity_pool.js';
 import type { Machine } from '../machines/machine.js';
 import { expectedSpotDelaySeconds } from '../machines/spot_interruption_rate.js';
+import type { Placement } from '../state/placement.js';
 import type { JobId, MachineId, MachineTypeName, MonotonicTime, ZoneName } from '../types.js';
 import { machineShare } from './capacity_timeline.js';
 import type { ClusterState } from './cluster_state.js';
@@ -65,7 +66,8 @@
 
   /** Zones that may host the job now: the search draws from these only. */
   private feasibleZones(job: Job): ZoneName[] {
-    if (job.spec.singleZone) for (const { machine } of job.placements.values()) return [machine.zone];
+    if (job.spec.singleZone)
+      for (const { machine } of this.cluster.placements.ofJob(job).values()) return [machine.zone];
     const present = this.poolRepresentatives
       .filter(({ type, zone, spot }) => (job.spec.toleratesSpot || !spot) && isFeasibleType(job, type, zone))
       .map(({ zone }) => zone);
@@ -83,7 +85,7 @@
     const { spec } = job;
     const { runtimeEstimator, spotInterruptions, context } = this.cluster;
     const durationSeconds = runtimeEstimator.expectedSeconds(spec);
-    const isBound = spec.singleZone && job.placements.size > 0;
+    const isBound = spec.singleZone && job.placedCount > 0;
     return {
       index,
       isGang: job.isGang,
@@ -194,10 +196,10 @@
 ): Pick<PlanMachine, 'stepTimesSeconds' | 'freeCpus' | 'freeGpus' | 'freeMemoryGb'> {
   const now = cluster.context.now.monotonic;
   const stepTimesSeconds = [machine.phase === 'booting' ? remainingBootSeconds(cluster, machine, now) : 0];
-  const freeCpus = [machine.type.cpus - machine.usedCpus];
-  const freeGpus = [machine.type.gpus - machine.usedGpus];
-  const freeMemoryGb = [machine.type.memoryGb - machine.usedMemoryGb];
-  const ends = [...machine.placements.values()]
+  const freeCpus = [machine.type.cpus - machine.allocations.usedCpus];
+  const freeGpus = [machine.type.gpus - machine.allocations.usedGpus];
+  const freeMemoryGb = [machine.type.memoryGb - machine.allocations.usedMemoryGb];
+  const ends = [...cluster.placements.onMachine(machine).values()]
     .map((placement) => ({ atS: remainingSeconds(cluster, placement, now), spec: placement.job.spec }))
     .sort((a, b) => a.atS - b.atS);
   for (const { atS, spec } of ends) {
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -51,7 +51,7 @@
     !job.isFaulty &&
     spec.priorityLevel > 0 &&
     !spec.zoneSpread &&
-    job.placements.size === 0 &&
+    job.placedCount === 0 &&
     !job.gangBroken &&
     job.preemptionCount < MAX_PREEMPTIONS_PER_JOB &&
     waitedSeconds(cluster, job) >= MIN_WAITED_SECONDS &&
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -65,7 +65,7 @@
   const pending = Math.min(job.startableCount, maxTasks);
   const allowed = cluster.quotas.remainingTasks(job.spec);
   // A job that fails wherever it runs is tried with one task at a time.
-  if (job.isFaulty && !job.isGang) return job.placements.size === 0 ? Math.min(pending, allowed, 1) : 0;
+  if (job.isFaulty && !job.isGang) return job.placedCount === 0 ? Math.min(pending, allowed, 1) : 0;
   if (job.isGang) return pending <= allowed ? pending : 0;
   return Math.min(pending, allowed);
 }
--- a/src/core/scheduler/replica_move.ts
+++ b/src/core/scheduler/replica_move.ts
@@ -1,6 +1,7 @@
 /** Moves replicas off machines that are about to go. */
-import type { Job, Placement } from '../jobs/job.js';
+import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
+import type { Placement } from '../state/placement.js';
 import { applyReplicaMove } from './apply.js';
 import type { ClusterState, SchedulableCluster } from './cluster_state.js';
 import type { ReplicaMove } from './decisions.js';
@@ -32,7 +33,7 @@
 /** Null where the service has too many replicas on the move, or no other machine takes this one. */
 function findReplicaMove(cluster: ClusterState, placement: Placement): ReplicaMove | null {
   const { job, machine: from } = placement;
-  if (!mayMoveReplica(job)) return null;
+  if (!mayMoveReplica(cluster, job)) return null;
   const allowance = zoneAllowance(cluster, job);
   // Its own place comes free with the move.
   useZoneAllowance(allowance, from.zone, job, -1);
@@ -44,8 +45,8 @@
   return { placement, target, reservationMs: RESERVATION_MS };
 }
 
-function mayMoveReplica(job: Job): boolean {
-  const moving = [...job.placements.values()].filter(({ pendingStop }) => pendingStop !== null).length;
+function mayMoveReplica({ placements }: ClusterState, job: Job): boolean {
+  const moving = [...placements.ofJob(job).values()].filter(({ pendingStop }) => pendingStop !== null).length;
   const maxMoving = Math.max(1, Math.ceil(job.spec.taskCount * MAX_MOVING_SHARE));
   return moving + job.pendingCount < maxMoving;
 }
--- a/src/core/scheduler/replica_placement.ts
+++ b/src/core/scheduler/replica_placement.ts
@@ -80,10 +80,14 @@
 }
 
 /** Seconds until a replica would start there, with the penalties of the machine. */
-function startDelaySeconds({ context, spotInterruptions }: ClusterState, job: Job, machine: Machine): number {
+function startDelaySeconds(
+  { context, placements, spotInterruptions }: ClusterState,
+  job: Job,
+  machine: Machine,
+): number {
   const { image, imageGb } = job.spec;
   const pullSeconds = machine.images.remainingPullSeconds(image, imageGb, context.now.monotonic);
-  let delaySeconds = pullSeconds + PENALTIES.sharedMachineSeconds * job.replicaCountOn(machine);
+  let delaySeconds = pullSeconds + PENALTIES.sharedMachineSeconds * placements.taskCountOn(job, machine);
   if (leavesGpusUnused(job, machine)) delaySeconds += PENALTIES.gpuMachineSeconds;
   if (machine.spot) {
     const lossChance = 1 - Math.exp(-PENALTIES.spotLossHorizonSeconds * spotInterruptions.perSecond);
@@ -93,11 +97,11 @@
 }
 
 /** The part of its scarcest resource that a machine has free, 0 to 1. */
-function scarcestFreeShare({ type, usedCpus, usedGpus, usedMemoryGb }: Machine): number {
+function scarcestFreeShare({ type, allocations }: Machine): number {
   const freeShare = (used: number, capacity: number): number => (capacity > 0 ? (capacity - used) / capacity : 1);
   return Math.min(
-    freeShare(usedCpus, type.cpus),
-    freeShare(usedGpus, type.gpus),
-    freeShare(usedMemoryGb, type.memoryGb),
+    freeShare(allocations.usedCpus, type.cpus),
+    freeShare(allocations.usedGpus, type.gpus),
+    freeShare(allocations.usedMemoryGb, type.memoryGb),
   );
 }
--- a/src/core/scheduler/service_placement.ts
+++ b/src/core/scheduler/service_placement.ts
@@ -87,7 +87,7 @@
     if (!mayPreemptOn(cluster, job, machine, allowance)) continue;
     const eviction = findEviction(cluster, job, machine);
     if (!eviction || eviction.victims.length === 0) continue;
-    const cost = eviction.cost + SHARED_MACHINE_COST * job.replicaCountOn(machine);
+    const cost = eviction.cost + SHARED_MACHINE_COST * cluster.placements.taskCountOn(job, machine);
     if (cost >= lowestCost) continue;
     cheapest = eviction;
     lowestCost = cost;
@@ -98,5 +98,5 @@
 function mayPreemptOn(cluster: ClusterState, job: Job, machine: Machine, allowance: ZoneAllowance): boolean {
   if (machine.reservedFor(cluster.context.now.monotonic) !== null) return false;
   if (!isAvailableTo(cluster, job, machine, allowance)) return false;
-  return !job.spec.singleZone || runsOnlyInZone(job, machine.zone);
+  return !job.spec.singleZone || runsOnlyInZone(cluster, job, machine.zone);
 }
--- a/src/core/scheduler/spare_capacity.ts
+++ b/src/core/scheduler/spare_capacity.ts
@@ -59,10 +59,10 @@
   const { type } = machine;
   if (type.gpus === 0) return UNLIMITED;
   let { cpus, memoryGb } = spareCapacityOfType(type, demand);
-  for (const { job } of machine.placements.values()) {
-    if (job.spec.gpus > 0) continue;
-    cpus -= job.spec.cpus;
-    memoryGb -= job.spec.memoryGb;
+  for (const spec of machine.allocations.jobSpecs()) {
+    if (spec.gpus > 0) continue;
+    cpus -= spec.cpus;
+    memoryGb -= spec.memoryGb;
   }
   return { cpus, memoryGb };
 }
--- a/src/core/scheduler/waiting_time.ts
+++ b/src/core/scheduler/waiting_time.ts
@@ -19,7 +19,7 @@
  * runs waiting beside free capacity for ever.
  */
 export function penaltyFactor({ context }: ClusterState, job: Job): number {
-  if (job.placements.size > 0) return 1;
+  if (job.placedCount > 0) return 1;
   const { monotonic, wallClock } = context.now;
   const inactiveMs = job.startTerm === 0 ? wallClock - job.submittedAt : monotonic - job.inactiveSince;
   const inactiveSeconds = inactiveMs / 1000;
--- a/src/core/scheduler/zone_allowance.ts
+++ b/src/core/scheduler/zone_allowance.ts
@@ -7,9 +7,9 @@
 export type ZoneAllowance = Map<ZoneName, number> | null;
 
 /** Returns what each zone may take now, beside the tasks that the job has there. */
-export function zoneAllowance({ context }: ClusterState, job: Job): ZoneAllowance {
+export function zoneAllowance({ context, placements }: ClusterState, job: Job): ZoneAllowance {
   if (!job.spec.zoneSpread) return null;
-  const counts = job.taskCountByZone();
+  const counts = placements.taskCountByZone(job);
   const { zones } = context.settings;
   return new Map(zones.map((zone) => [zone, Math.max(0, job.maxTasksPerZone - (counts.get(zone) ?? 0))]));
 }
--- a/src/core/state/placement_table.ts
+++ b/src/core/state/placement_table.ts
@@ -1,11 +1,13 @@
 /** Which task has a placement on which machine: the one place where placements are made, stopped and taken away. */
-import type { Job, Placement, PlacementPhase } from '../jobs/job.js';
-import { taskKey } from '../jobs/task_keys.js';
+import type { Job } from '../jobs/job.js';
+import type { TaskKey } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
 import type { StepContext } from '../step_context.js';
-import type { Attempt, JobId } from '../types.js';
+import type { JobId, ZoneName } from '../types.js';
 import type { JobTable } from './job_table.js';
 import type { PendingCommands } from './pending_commands.js';
+import { Placement, type PlacementInit } from './placement.js';
+import { PlacementIndex } from './placement_index.js';
 import type { Quotas } from './quotas.js';
 import type { ServicePlacementSchedule } from './service_placement_schedule.js';
 
@@ -24,44 +26,57 @@
 }
 
 /** A task to be given a placement. */
-export interface NewPlacement {
-  readonly job: Job;
-  readonly index: number;
-  readonly machine: Machine;
-  readonly attempt: Attempt;
-  readonly phase: PlacementPhase;
-}
+export type NewPlacement = Omit<PlacementInit, 'placedAt'>;
 
 /** Makes, stops and takes away placements, and keeps jobs, machines and quotas in line with them. */
 export class PlacementTable {
+  private readonly index = new PlacementIndex();
+
   constructor(
     private readonly context: StepContext,
     private readonly parts: PlacementTableParts,
   ) {}
 
+  // ---- finding
+
   /** Returns undefined where the task has no placement on the machine. */
   find(machine: Machine, job: JobId, index: number): Placement | undefined {
-    return machine.placements.get(taskKey(job, index));
+    return this.index.find(machine, job, index);
+  }
+
+  /** Returns the placements of a job by the indices of its tasks, in the order in which they were placed. */
+  ofJob(job: Job): ReadonlyMap<number, Placement> {
+    return this.index.ofJob(job);
+  }
+
+  /** Returns the placements on a machine, in the order in which they were placed. */
+  onMachine(machine: Machine): ReadonlyMap<TaskKey, Placement> {
+    return this.index.onMachine(machine);
   }
 
+  /** Returns how many of a job's tasks run or save a checkpoint. */
+  runningCount(job: Job): number {
+    return this.index.runningCount(job);
+  }
+
+  /** Returns how many of a job's tasks are placed on a machine. */
+  taskCountOn(job: Job, machine: Machine): number {
+    return this.index.taskCountOn(job, machine);
+  }
+
+  /** Returns how many of a job's tasks are placed in each zone; zones without any are left out. */
+  taskCountByZone(job: Job): Map<ZoneName, number> {
+    return this.index.taskCountByZone(job);
+  }
+
+  // ---- placing
+
   /** Gives the task a placement: `planned` if a start is to be sent, otherwise as it was found on the machine. */
-  add({ job, index, machine, attempt, phase }: NewPlacement): Placement {
-    const now = this.context.now.monotonic;
+  add(task: NewPlacement): Placement {
+    const { job, index, phase } = task;
     if (phase !== 'planned' && this.parts.notesLocatedTasks) job.locatedTasks.add(index);
-    const placement: Placement = {
-      job,
-      index,
-      machine,
-      attempt,
-      phase,
-      sentInResponseTo: null,
-      since: now,
-      runningSince: phase === 'running' ? now : null,
-      foundRunning: phase === 'running',
-      pendingStop: null,
-    };
-    job.placements.set(index, placement);
-    machine.addPlacement(placement);
+    const placement = new Placement({ ...task, placedAt: this.context.now.monotonic });
+    this.index.add(placement);
     this.parts.quotas.recordUsage(job.spec, 1);
     this.parts.jobs.activate(job);
     return placement;
@@ -80,38 +95,32 @@
   }
 
   private onGangTaskReleased(job: Job): void {
-    if (job.placements.size > 0) this.breakGang(job);
+    if (job.placedCount > 0) this.breakGang(job);
     else job.gangBroken = false;
   }
 
   /** Takes the placement away, whatever that means for the others of its job. Returns whether it was there. */
   detach(placement: Placement): boolean {
-    const { job, machine, index } = placement;
-    if (job.placements.get(index) !== placement) return false;
-    const now = this.context.now.monotonic;
-    job.placements.delete(index);
-    if (job.placements.size === 0) job.inactiveSince = now;
-    machine.removePlacement(placement, now);
-    this.parts.quotas.recordUsage(job.spec, -1);
-    job.onTaskReleased(index);
+    if (!this.index.remove(placement, this.context.now.monotonic)) return false;
+    this.parts.quotas.recordUsage(placement.job.spec, -1);
     return true;
   }
 
   /** Releases all placements on the machine. */
   releaseAll(machine: Machine): void {
-    for (const placement of [...machine.placements.values()]) this.release(placement);
+    for (const placement of [...this.onMachine(machine).values()]) this.release(placement);
   }
 
   /** Releases the placements on the machine of which no start was sent: they go elsewhere. */
   releasePlanned(machine: Machine): void {
-    for (const placement of [...machine.placements.values()]) {
+    for (const placement of [...this.onMachine(machine).values()]) {
       if (placement.phase === 'planned') this.release(placement);
     }
   }
 
   /** The job is done or cancelled: what is only planned is released, what may be on a machine is stopped. */
   onJobOver(job: Job): void {
-    for (const placement of [...job.placements.values()]) {
+    for (const placement of [...this.ofJob(job).values()]) {
       if (placement.phase === 'planned') this.release(placement);
       else if (job.state === 'cancelled') this.stop(placement, 0);
     }
@@ -121,9 +130,8 @@
 
   /** Asks the worker to stop the task. A stop that was asked for with no longer a grace period stands. */
   stop(placement: Placement, gracePeriodSeconds: number): void {
-    if (placement.pendingStop && placement.pendingStop.gracePeriodSeconds <= gracePeriodSeconds) return;
-    placement.pendingStop = { gracePeriodSeconds, since: this.context.now.monotonic };
-    this.parts.pendingCommands.scheduleStops(placement.machine);
+    const isChanged = placement.requestStop(gracePeriodSeconds, this.context.now.monotonic);
+    if (isChanged) this.parts.pendingCommands.scheduleStops(placement.machine);
   }
 
   /** Takes the task from its machine: at once if no start was sent, otherwise by a stop. */
@@ -148,8 +156,8 @@
   /** All of a gang leaves; what was only planned is gone at once. */
   private evictGang(job: Job, gracePeriodSeconds: number): void {
     job.gangBroken = true;
-    for (const placement of [...job.placements.values()]) this.evict(placement, gracePeriodSeconds);
-    if (job.placements.size === 0) job.gangBroken = false;
+    for (const placement of [...this.ofJob(job).values()]) this.evict(placement, gracePeriodSeconds);
+    if (job.placedCount === 0) job.gangBroken = false;
   }
 }
 
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -3,10 +3,11 @@
  * pushed command can arrive late: a start sent this way counts as possibly there until there is a response, the agent epoch
  * ends or the machine is gone.
  */
-import type { Placement } from '../jobs/job.js';
+
 import { startKeyOf } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
+import type { Placement } from '../state/placement.js';
 import type { StepContext } from '../step_context.js';
 import type { AgentEpoch, Command } from '../types.js';
 import type { CommandDelivery } from './command_delivery.js';
@@ -67,7 +68,7 @@
   private dueStops(machine: Machine): Command[] {
     const { machinesWithStops } = this.cluster.pendingCommands;
     if (!machinesWithStops.has(machine)) return [];
-    const stops = this.cluster.machines.isCurrent(machine) ? stopCommands(machine, isStopDue) : [];
+    const stops = this.cluster.machines.isCurrent(machine) ? stopCommands(this.cluster, machine, isStopDue) : [];
     if (stops.length === 0) machinesWithStops.delete(machine);
     return stops;
   }
@@ -76,7 +77,9 @@
   private plannedReplicas(machine: Machine): Placement[] {
     const { machinesWithStarts } = this.cluster.pendingCommands;
     if (!machinesWithStarts.has(machine)) return [];
-    const placements = this.cluster.machines.isCurrent(machine) ? [...machine.placements.values()] : [];
+    const placements = this.cluster.machines.isCurrent(machine)
+      ? [...this.cluster.placements.onMachine(machine).values()]
+      : [];
     const planned = placements.filter(({ job, phase }) => job.isService && phase === 'planned');
     if (planned.length === 0) machinesWithStarts.delete(machine);
     return planned;
--- a/src/core/workers/commands.ts
+++ b/src/core/workers/commands.ts
@@ -1,8 +1,9 @@
 /** Puts together the commands that tell a worker what to acknowledge, stop and start. */
-import type { Placement } from '../jobs/job.js';
+
 import { startKey } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
+import type { Placement } from '../state/placement.js';
 import type { Command, SequenceNumber } from '../types.js';
 import { mayAcknowledgeUnknownJob } from './recovered_tasks.js';
 import { isGangStartDue, mayStart } from './start_checks.js';
@@ -19,10 +20,10 @@
   machine: Machine,
   startsInResponseTo: SequenceNumber | null,
 ): Command[] {
-  const commands = [...acknowledgeCommands(cluster, machine), ...stopCommands(machine)];
+  const commands = [...acknowledgeCommands(cluster, machine), ...stopCommands(cluster, machine)];
   if (startsInResponseTo === null) return commands;
   let starts = MAX_COMMANDS_PER_RESPONSE - commands.length;
-  for (const placement of machine.placements.values()) {
+  for (const placement of cluster.placements.onMachine(machine).values()) {
     if (starts <= 0) break;
     if (!isToStart(placement)) continue;
     starts -= 1;
@@ -50,8 +51,7 @@
   placement: Placement,
   sentInResponseTo: SequenceNumber | null,
 ): Command {
-  placement.phase = 'sent';
-  placement.sentInResponseTo = sentInResponseTo;
+  placement.recordStartSent(sentInResponseTo);
   cluster.previousTerms.onTaskStarted();
   return { op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt };
 }
@@ -70,9 +70,13 @@
 }
 
 /** Returns the stops of all tasks that were told to stop, and for which `isDue` holds. */
-export function stopCommands(machine: Machine, isDue: (placement: Placement) => boolean = () => true): Command[] {
+export function stopCommands(
+  cluster: Cluster,
+  machine: Machine,
+  isDue: (placement: Placement) => boolean = () => true,
+): Command[] {
   const commands: Command[] = [];
-  for (const placement of machine.placements.values()) {
+  for (const placement of cluster.placements.onMachine(machine).values()) {
     const { job, index, attempt, phase, pendingStop } = placement;
     if (pendingStop === null || phase === 'planned' || !isDue(placement)) continue;
     commands.push({ op: 'stop', job: job.id, index, attempt, gracePeriodSeconds: pendingStop.gracePeriodSeconds });
--- a/src/core/workers/deferred_responses.ts
+++ b/src/core/workers/deferred_responses.ts
@@ -86,7 +86,7 @@
     switch (reason) {
       case 'machineIdle':
         // A place was given to the machine: from then on the response waits as for any other start.
-        return machine.placements.size === 0 || this.callbacks.awaitsWrites(machine);
+        return machine.allocations.taskCount === 0 || this.callbacks.awaitsWrites(machine);
       case 'startsPending':
         return isRoundImminent || this.callbacks.awaitsWrites(machine);
     }
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -67,7 +67,7 @@
   ) {
     this.context = cluster.context;
     this.deferredResponses = new DeferredResponses(this.context, {
-      awaitsWrites: (machine) => leader.hasWritesInFlight() && awaitsDurableRecords(machine),
+      awaitsWrites: (machine) => leader.hasWritesInFlight() && awaitsDurableRecords(cluster, machine),
       send: (response) => this.sendResponse(response),
     });
     this.backlog = new BackloggedHeartbeats(this.context, {
@@ -185,7 +185,7 @@
     const isFirst = machine.messages.recordHeartbeat(monotonic);
     machine.learnAddress(heartbeat.address);
     if (machine.phase === 'booting') this.onMachineUp(machine);
-    if (isFirst) machine.idleSince = monotonic;
+    if (isFirst) machine.allocations.resetIdleSince(monotonic);
     return isFirst;
   }
 
@@ -250,7 +250,8 @@
 
   private respondOrDefer(response: PendingResponse, heartbeat: Heartbeat): void {
     const { machine } = response;
-    if (awaitsDurableRecords(machine)) this.deferredResponses.defer(response, 'startsPending', MAX_DEFERRAL_MS);
+    if (awaitsDurableRecords(this.cluster, machine))
+      this.deferredResponses.defer(response, 'startsPending', MAX_DEFERRAL_MS);
     else if (this.isIdle(machine, heartbeat))
       this.deferredResponses.defer(response, 'machineIdle', this.idleDeferralMs());
     else this.sendResponse(response);
@@ -283,9 +284,9 @@
 }
 
 /** Whether the machine or the first start of a task that it is to run is not on record yet. */
-function awaitsDurableRecords(machine: Machine): boolean {
+function awaitsDurableRecords({ placements }: Cluster, machine: Machine): boolean {
   if (!machine.lifecycle.isRegistered) return true;
-  for (const { phase, job } of machine.placements.values()) {
+  for (const { phase, job } of placements.onMachine(machine).values()) {
     if (phase === 'planned' && !job.isStartDurable(machine.zone)) return true;
   }
   return false;
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -3,10 +3,11 @@
  * A task that has its placement there agrees with what is known, and never gets here.
  */
 import { type Classification, classify, type OtherPlacement, type StoredJob } from '../../recovery/index.js';
-import type { Job, Placement } from '../jobs/job.js';
+import type { Job } from '../jobs/job.js';
 import { startKey, taskKey } from '../jobs/task_keys.js';
 import type { Machine, UnexpectedTask } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
+import type { Placement } from '../state/placement.js';
 import type { JobId, LiveTaskStatus, TaskStatus } from '../types.js';
 
 /** Returns the placement of a live task; null where it gets none and is added to `unexpected`. */
@@ -95,7 +96,7 @@
 
 /** Returns the task's placement on another machine, or null; one that was only planned is released. */
 function findPlacementElsewhere(cluster: Cluster, job: Job, index: number): Placement | null {
-  const placement = job.placements.get(index);
+  const placement = cluster.placements.ofJob(job).get(index);
   if (!placement) return null;
   if (placement.phase !== 'planned') return placement;
   cluster.placements.release(placement);
--- a/src/core/workers/status_reconciliation.ts
+++ b/src/core/workers/status_reconciliation.ts
@@ -1,8 +1,9 @@
 /** Brings what is known of one machine in line with a status of it: the tasks that its agent says are there. */
-import type { Placement } from '../jobs/job.js';
+
 import { type StartKey, startKey, startKeyOf, type TaskKey, taskKey } from '../jobs/task_keys.js';
 import type { Machine, UnexpectedTask } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
+import type { Placement } from '../state/placement.js';
 import { addMilliseconds, type FencingToken, type Heartbeat, type LiveTaskStatus, type TaskStatus } from '../types.js';
 import { placeReportedTask, recoverLiveTask } from './recovered_tasks.js';
 import { reconcileExit } from './task_exits.js';
@@ -78,7 +79,7 @@
     cluster.context.log('info', 'agent epoch began', {
       machine: machine.id,
       agentEpoch: status.agentEpoch,
-      lostTasks: machine.placements.size,
+      lostTasks: machine.allocations.taskCount,
     });
     cluster.clearMachine(machine);
     machine.commandChannel.clearUnconfirmedStarts();
@@ -125,7 +126,7 @@
   private reconcileAbsentTasks(live: ReadonlySet<TaskKey>): void {
     const { cluster, machine } = this;
     let startDropped = false;
-    for (const [key, placement] of [...machine.placements]) {
+    for (const [key, placement] of [...this.cluster.placements.onMachine(machine)]) {
       if (live.has(key) || placement.phase === 'planned') continue;
       if (placement.phase !== 'sent') {
         cluster.context.log('info', 'task missing from status', { task: key, machine: machine.id });
@@ -153,8 +154,7 @@
   /** The start goes out again, unless the task is not to run any more. */
   private revertStart(placement: Placement): void {
     const { job, pendingStop } = placement;
-    placement.phase = 'planned';
-    placement.sentInResponseTo = null;
+    placement.revertStart();
     const isWanted = pendingStop === null && !job.gangBroken && job.state === 'accepted';
     if (isWanted) return;
     this.cluster.placements.release(placement);
@@ -169,12 +169,10 @@
     const { job } = placement;
     const hasJustStarted = placement.phase === 'sent';
     if (hasJustStarted) machine.reachability.recordEffect();
-    placement.phase = task.phase;
+    const startsRunning = placement.recordPhase(task.phase, now);
     if (task.phase === 'pulling') machine.images.onPulling(job.spec, hasJustStarted, now);
     else machine.images.onPresent(job.spec, now);
-    if (task.phase !== 'running' || placement.runningSince !== null) return;
-    placement.runningSince = now;
-    logRunning(cluster, placement);
+    if (startsRunning) logRunning(cluster, placement);
   }
 
   /** The placement of a live task, made where there is none; null where the task can't be accounted for. */
@@ -200,14 +198,14 @@
   return new Set(exitedTasks.map(({ job, index, attempt }) => startKey(job, index, attempt)));
 }
 
-function logRunning({ context }: Cluster, { job, index, machine, since }: Placement): void {
+function logRunning({ context }: Cluster, { job, index, machine, placedAt }: Placement): void {
   context.log('debug', 'task running', {
     task: taskKey(job.id, index),
     machine: machine.id,
     jobClass: job.spec.jobClass,
     image: job.spec.image,
     imageGb: job.spec.imageGb,
-    sincePlacementSeconds: (context.now.monotonic - since) / 1000,
+    sincePlacementSeconds: (context.now.monotonic - placedAt) / 1000,
     sinceSubmissionSeconds: (context.now.wallClock - job.submittedAt) / 1000,
     pullSpeed: machine.images.pullSpeed,
   });
--- a/src/core/workers/status_requests.ts
+++ b/src/core/workers/status_requests.ts
@@ -90,6 +90,8 @@
     if (!machine.reachability.isUsable) return true;
     // Whether the machine of a replica is gone decides when the replica runs elsewhere.
     const missedAfterMs = HEARTBEAT_MISSED_AFTER_INTERVALS * this.context.settings.workers.heartbeatIntervalMs;
-    return this.context.now.monotonic - machine.messages.lastContactAt >= missedAfterMs && machine.hasReplica();
+    return (
+      this.context.now.monotonic - machine.messages.lastContactAt >= missedAfterMs && machine.allocations.hasReplica
+    );
   }
 }
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -1,9 +1,10 @@
 /** Takes in that tasks ended: results, failures of jobs and machines, restarts of replicas, and run times. */
-import type { Job, Placement } from '../jobs/job.js';
+import type { Job } from '../jobs/job.js';
 import { taskKey } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
 import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO } from '../machines/straggler_detector.js';
 import type { Cluster } from '../state/cluster.js';
+import type { Placement } from '../state/placement.js';
 import type { MonotonicTime, TaskStatus } from '../types.js';
 import { isNewExit, recoverExitedTask } from './recovered_tasks.js';
 
@@ -20,7 +21,7 @@
 const REFUSED_START_PAUSE_MS = 1000;
 
 /** The job and machine of a task that has exited, and since when it was there. */
-type EndedRun = Pick<Placement, 'job' | 'machine' | 'since' | 'runningSince'>;
+type EndedRun = Pick<Placement, 'job' | 'machine' | 'placedAt' | 'runningSince'>;
 
 /** What an exit changed: whether the task had a placement on its machine, which is free now. */
 export type ExitOutcome = 'placementReleased' | 'noPlacement';
@@ -53,7 +54,7 @@
   job.locatedTasks.add(task.index);
   if (action !== 'requeue' || job.isService) return;
   const now = cluster.context.now.monotonic;
-  const placement = { job, machine, since: now, runningSince: now };
+  const placement = { job, machine, placedAt: now, runningSince: now };
   recordFailure(cluster, placement, task);
 }
 
@@ -109,10 +110,10 @@
 }
 
 function recordShortRun({ context }: Cluster, placement: Placement): void {
-  const { job, since } = placement;
+  const { job, placedAt } = placement;
   recordJobFailure(placement, context.now.monotonic);
   // Replicas that began together and end together have failed once.
-  if (since >= job.lastShortRunAt) {
+  if (placedAt >= job.lastShortRunAt) {
     job.shortRunCount += 1;
     job.lastShortRunAt = context.now.monotonic;
   }
@@ -121,10 +122,10 @@
   job.notBefore = context.after(Math.min(MAX_RESTART_PAUSE_MS, pauseMs));
 }
 
-function recordJobFailure({ job, machine, since, runningSince }: EndedRun, now: MonotonicTime): void {
+function recordJobFailure({ job, machine, placedAt, runningSince }: EndedRun, now: MonotonicTime): void {
   const { failureHistory } = job;
   failureHistory.recordFailure(machine.id, {
-    placedAt: since,
+    placedAt,
     ranMs: runningSince === null ? 0 : now - runningSince,
     now,
     machineSuspected: machine.taskFailures.hasFailuresOfOtherJobs(failureHistory),
@@ -160,7 +161,8 @@
 function pauseFaultyJob(cluster: Cluster, job: Job): void {
   const { failureHistory } = job;
   job.notBefore = cluster.context.after(failureHistory.backoffMs);
-  for (const other of [...job.placements.values()]) if (other.phase === 'planned') cluster.placements.release(other);
+  for (const other of [...cluster.placements.ofJob(job).values()])
+    if (other.phase === 'planned') cluster.placements.release(other);
 }
 
 /** Whether the machine is at fault is judged once it is known how the job does elsewhere (health_checks.ts). */
