--- a/src/core/scheduler/backfill.ts
+++ b/src/core/scheduler/backfill.ts
@@ -1,8 +1,97 @@
-import type { Resources } from '../types.js';
-import type { PlanJob } from './plan_types.js';
+/** Backfill, the fourth step of a round: offers what a plan leaves free now to jobs beyond those planned in full. */
+import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
+import type { Resources, ZoneName } from '../types.js';
+import { type Candidate, precedes, recordOffer } from './candidates.js';
+import { allowedTasks, elementAt, fitsNow } from './capacity_timeline.js';
+import { GangSearch } from './gang_search.js';
+import type { Plan, PlanJob, PlanMachine, PlannedStart } from './plan_types.js';
+import type { PlanWorkspace } from './plan_workspace.js';
+
+/** What a backfill is made from. */
+export interface BackfillInput {
+  /** The plan whose machines are filled up. */
+  readonly plan: Plan;
+  /** The jobs in order of rank. */
+  readonly jobs: readonly PlanJob[];
+  /** Plan steps after which it ends: with hundreds of machines free and hundreds of jobs the next round goes on. */
+  readonly maxSteps: number;
+}
+
+/**
+ * Starts jobs in order on what is free now, so that nothing stands idle because a round plans so many jobs only. It delays
+ * nothing that the plan starts. Returns the starts; all are for now.
+ */
+export function backfill(workspace: PlanWorkspace, { plan, jobs, maxSteps }: BackfillInput): PlannedStart[] {
+  workspace.begin(plan.machines);
+  const stepLimit = workspace.steps + maxSteps;
+  const leastDemands = minimumDemands(jobs);
+  const isFree = (machine: PlanMachine): boolean =>
+    elementAt(machine.stepTimesSeconds, 0) <= RESOURCE_TOLERANCE &&
+    leastDemands.some((demand) => fitsNow(machine, demand));
+  const freeMachines = new Set(workspace.machines.filter(isFree).map(({ index }) => index));
+  const rejected: PlanJob[] = [];
+  const starts: PlannedStart[] = [];
+  for (const job of jobs) {
+    if (freeMachines.size === 0 || workspace.steps >= stepLimit) break;
+    // Free capacity only shrinks here: what asks for as much as a job that found none finds none either.
+    if (job.zoneAllowance || rejected.some((other) => isAtLeastAsDemanding(job, other))) continue;
+    const started = startNow(workspace, job, workspace.candidatesAmong(job, freeMachines));
+    if (started.length === 0) rejected.push(job);
+    for (const { machineIndex } of started) {
+      if (!isFree(workspace.machines[machineIndex] as PlanMachine)) freeMachines.delete(machineIndex);
+    }
+    starts.push(...started);
+  }
+  return starts;
+}
+
+function startNow(workspace: PlanWorkspace, job: PlanJob, candidates: readonly Candidate[]): PlannedStart[] {
+  return job.isGang ? startGangNow(workspace, job, candidates) : startArrayNow(workspace, job, candidates);
+}
+
+function startGangNow(workspace: PlanWorkspace, job: PlanJob, candidates: readonly Candidate[]): PlannedStart[] {
+  const starts: PlannedStart[] = [];
+  for (const zone of job.singleZone ? job.feasibleZones : [null]) {
+    const inZone = zone === null ? candidates : candidates.filter(({ machine }) => machine.zone === zone);
+    const search = new GangSearch(job, zone ?? (job.feasibleZones[0] as ZoneName), inZone);
+    const placement = search.placeAt(0);
+    workspace.steps += search.steps;
+    if (!placement) continue;
+    workspace.startGang(job, placement, starts);
+    break;
+  }
+  return starts;
+}
+
+function startArrayNow(workspace: PlanWorkspace, job: PlanJob, candidates: readonly Candidate[]): PlannedStart[] {
+  const starts: PlannedStart[] = [];
+  let left = job.tasks;
+  for (const candidate of offersNow(workspace, job, candidates)) {
+    if (left <= 0) break;
+    const { machineIndex, imagePullSeconds } = candidate;
+    const tasks = Math.min(left, candidate.taskCount);
+    const start = { jobIndex: job.index, machineIndex, tasks, freeAtSeconds: 0, startAtSeconds: imagePullSeconds };
+    workspace.start(start, job, candidate, imagePullSeconds + job.durationSeconds, starts);
+    left -= tasks;
+  }
+  return starts;
+}
+
+/** The candidates that take tasks of an array now, the best first. */
+function offersNow(workspace: PlanWorkspace, job: PlanJob, candidates: readonly Candidate[]): Candidate[] {
+  const offers: Candidate[] = [];
+  for (const candidate of candidates) {
+    if (!job.feasibleZones.includes(candidate.machine.zone)) continue;
+    const taskCount = allowedTasks(candidate.machine, 0, candidate.imagePullSeconds + job.durationSeconds, job);
+    if (taskCount === 0) continue;
+    recordOffer(candidate, job, 0, taskCount, workspace.penalties.futureDiscount);
+    offers.push(candidate);
+  }
+  return offers.sort((a, b) => (precedes(a, b) ? -1 : 1));
+}
 
 /** For jobs with and without GPUs, the least that any of them asks for of each resource. */
-export function minimumDemands(jobs: readonly PlanJob[]): Resources[] {
+function minimumDemands(jobs: readonly PlanJob[]): Resources[] {
   const demands: Resources[] = [];
   for (const withGpus of [true, false]) {
     const alike = jobs.filter(({ gpus }) => gpus > 0 === withGpus);
@@ -18,8 +107,8 @@
   return demands;
 }
 
-/** Whether a job can begin only where the other could: it asks for no less, for no shorter, and may go to no more places. */
-export function isAtLeastAsDemanding(job: PlanJob, other: PlanJob): boolean {
+/** Whether a job can begin only where the other could: it asks for no less, for no shorter, and may use no more machines. */
+function isAtLeastAsDemanding(job: PlanJob, other: PlanJob): boolean {
   return (
     job.cpus >= other.cpus &&
     job.gpus >= other.gpus &&
@@ -27,10 +116,16 @@
     job.memoryGb >= other.memoryGb &&
     job.durationSeconds >= other.durationSeconds &&
     (other.toleratesSpot || !job.toleratesSpot) &&
-    (other.allowedMachineTypes === null ||
-      (job.allowedMachineTypes?.every((type) => other.allowedMachineTypes?.includes(type)) ?? false)) &&
+    isWithinTypesOf(job, other) &&
     job.feasibleZones.every((zone) => other.feasibleZones.includes(zone)) &&
     other.excludedMachines === null &&
-    (!other.isGang || (job.isGang && job.tasks >= other.tasks && (job.singleZone || !other.singleZone)))
+    isGangAtLeastAsLarge(job, other)
   );
 }
+
+const isWithinTypesOf = (job: PlanJob, { allowedMachineTypes }: PlanJob): boolean =>
+  allowedMachineTypes === null ||
+  (job.allowedMachineTypes?.every((type) => allowedMachineTypes.includes(type)) ?? false);
+
+const isGangAtLeastAsLarge = (job: PlanJob, other: PlanJob): boolean =>
+  !other.isGang || (job.isGang && job.tasks >= other.tasks && (job.singleZone || !other.singleZone));
--- /dev/null
+++ b/src/core/scheduler/candidate_heap.ts
@@ -0,0 +1,40 @@
+/** A heap of candidates: the one with the best offer is on top. */
+import { type Candidate, precedes } from './candidates.js';
+
+/** Binary heap in an array: an array job takes many places one after the other, from hundreds of machines. */
+export class CandidateHeap {
+  /** Takes over and reorders the array. */
+  constructor(private readonly items: Candidate[]) {
+    for (let parent = (items.length >> 1) - 1; parent >= 0; parent--) this.siftDown(parent);
+  }
+
+  /** The best candidate; undefined where none is left. */
+  get top(): Candidate | undefined {
+    return this.items[0];
+  }
+
+  /** The offer of the top one has become worse, or takes no tasks any more: then it is dropped. */
+  updateTop(): void {
+    const first = this.items[0];
+    if (!first) return;
+    if (first.taskCount === 0) {
+      const last = this.items.pop() as Candidate;
+      if (this.items.length === 0) return;
+      this.items[0] = last;
+    }
+    this.siftDown(0);
+  }
+
+  private siftDown(from: number): void {
+    const { items } = this;
+    const moving = items[from] as Candidate;
+    let hole = from;
+    for (let child = 2 * hole + 1; child < items.length; child = 2 * hole + 1) {
+      if (child + 1 < items.length && precedes(items[child + 1] as Candidate, items[child] as Candidate)) child += 1;
+      if (!precedes(items[child] as Candidate, moving)) break;
+      items[hole] = items[child] as Candidate;
+      hole = child;
+    }
+    items[hole] = moving;
+  }
+}
--- a/src/core/scheduler/candidates.ts
+++ b/src/core/scheduler/candidates.ts
@@ -1,3 +1,4 @@
+/** Candidates: which machines may take tasks of a job, and what each of them offers it. */
 import type { MachineType } from '../types.js';
 import { elementAt, fitsNow, fitsType, lacksSpareCapacity, machineShare, slackAfter } from './capacity_timeline.js';
 import type { PlanJob, PlanMachine } from './plan_types.js';
@@ -5,36 +6,42 @@
 
 /** Starts are preferred in steps of half a second: those that close count as one, and best fit decides. */
 const DELAY_RANKS_PER_SECOND = 2;
-/** A cached image keeps a machine for jobs that need this much more of it. */
+/** A cached image keeps a machine for jobs that need so much more of it, as a share of the machine. */
 const CACHED_IMAGE_SHARE_MARGIN = 0.01;
 
-/** Up to so many machines all are looked at; of more, so many with room now at least. */
+/** Up to so many machines all are considered; of more, so many with free capacity now at least. */
 const MAX_MACHINES_ALL_CONSIDERED = 800;
 const MIN_MACHINES_CONSIDERED = 300;
 
-/** A machine that may take tasks of a job, and the best that it offers now. */
+/** A machine that may take tasks of a job, and its present offer. */
 export interface Candidate {
   readonly machineIndex: number;
+  /** As the plan in progress has left it. */
   machine: PlanMachine;
   readonly imagePullSeconds: number;
+  /** By how much later a start there counts. */
   readonly penaltySeconds: number;
-  /** The step from which it takes `count` tasks; they start at `startS`. */
+  /** The step from which it takes `taskCount` tasks, 0 where it takes none; they start at `startSeconds`. */
   step: number;
   taskCount: number;
   startSeconds: number;
-  /** Preference by start time, penalty and doubt; less is better. Of equals the one with least slack is taken. */
+  /** Start time, penalty and doubt in steps of half a second; less is better. Of equals the least slack is taken. */
   delayRank: number;
+  /** What one more task would leave of its scarcest resource, as a share of the machine. */
   slack: number;
 }
 
+/** Returns the step of half a second that a delay falls into. */
 export const delayRankOf = (seconds: number): number => Math.round(DELAY_RANKS_PER_SECOND * seconds);
 
+/** Returns whether the first offer is better; no two are equal, so that plans repeat. */
 export function precedes(first: Candidate, second: Candidate): boolean {
   if (first.delayRank !== second.delayRank) return first.delayRank < second.delayRank;
   if (first.slack !== second.slack) return first.slack < second.slack;
   return first.machineIndex < second.machineIndex;
 }
 
+/** `share`: the part of the machine that one task takes. */
 function placementPenaltySeconds(
   job: PlanJob,
   machine: PlanMachine,
@@ -50,15 +57,15 @@
   return seconds * job.penaltyFactor + (machine.spot ? job.spotDelaySeconds : 0);
 }
 
-/** Whether the machine's kind and what it can spare are open to the job, which need not fit its type. */
+/** Whether the job may use the machine and what it can spare; whether it fits the type is not asked. */
 const isEligible = (job: PlanJob, machine: PlanMachine): boolean =>
   (job.toleratesSpot || !machine.spot) &&
   !job.excludedMachines?.has(machine.index) &&
   !lacksSpareCapacity(machine, job);
 
 /**
- * Of very many machines, enough that have room now, those first that hold the image; all of them where there are fewer. With
- * thousands of machines a round would otherwise cost all machines times all jobs it plans.
+ * Returns, of very many machines, enough that have free capacity now, those first that hold the image; all of them where
+ * there are fewer. With thousands of machines a round would otherwise cost all machines times all jobs that it plans.
  */
 export function machinesWithFreeCapacityNow(
   job: PlanJob,
@@ -69,19 +76,19 @@
   const enough = Math.max(MIN_MACHINES_CONSIDERED, job.tasks);
   const holders: number[] = [];
   const others: number[] = [];
-  for (const slot of machineIndices) {
-    const machine = machines[slot] as PlanMachine;
+  for (const machineIndex of machineIndices) {
+    const machine = machines[machineIndex] as PlanMachine;
     if (elementAt(machine.stepTimesSeconds, 0) > 0 || !fitsNow(machine, job)) continue;
     // What `findCandidates` would leave out must not count as enough.
     if (!isEligible(job, machine) || !fitsType(job, machine.type)) continue;
-    if (machine.imagePullSeconds(job.image, job.imageGb) === 0) holders.push(slot);
-    else if (others.length < enough) others.push(slot);
+    if (machine.imagePullSeconds(job.image, job.imageGb) === 0) holders.push(machineIndex);
+    else if (others.length < enough) others.push(machineIndex);
     if (holders.length >= enough) return holders;
   }
   return holders.length + others.length >= enough ? [...holders, ...others] : machineIndices;
 }
 
-/** The machines among `slots` that may take tasks of the job at some time. */
+/** Returns the machines among those with these indices that may take tasks of the job at some time. */
 export function findCandidates(
   job: PlanJob,
   machines: readonly PlanMachine[],
@@ -116,7 +123,7 @@
   return found;
 }
 
-/** Notes that the candidate takes `count` tasks from a step on. */
+/** Records that the candidate takes so many tasks from a step on, and how good an offer that is. */
 export function recordOffer(
   candidate: Candidate,
   job: PlanJob,
@@ -131,41 +138,3 @@
   candidate.delayRank = delayRankOf(candidate.startSeconds + futureDiscount * freeAtSeconds + candidate.penaltySeconds);
   candidate.slack = slackAfter(candidate.machine, step, job);
 }
-
-/** Candidates with the best on top: an array takes many places one after the other, from hundreds of machines. */
-export class CandidateHeap {
-  constructor(private readonly items: Candidate[]) {
-    for (let i = (items.length >> 1) - 1; i >= 0; i--) this.siftDown(i);
-  }
-
-  get top(): Candidate | undefined {
-    return this.items[0];
-  }
-
-  /** The top one has changed for the worse, or has nothing more to give. */
-  updateTop(): void {
-    const first = this.items[0];
-    if (!first) return;
-    if (first.taskCount === 0) {
-      const last = this.items.pop() as Candidate;
-      if (this.items.length === 0) return;
-      this.items[0] = last;
-    }
-    this.siftDown(0);
-  }
-
-  private siftDown(from: number): void {
-    const { items } = this;
-    const moving = items[from] as Candidate;
-    let i = from;
-    for (;;) {
-      let child = 2 * i + 1;
-      if (child >= items.length) break;
-      if (child + 1 < items.length && precedes(items[child + 1] as Candidate, items[child] as Candidate)) child += 1;
-      if (!precedes(items[child] as Candidate, moving)) break;
-      items[i] = items[child] as Candidate;
-      i = child;
-    }
-    items[i] = moving;
-  }
-}
--- a/src/core/scheduler/capacity_timeline.ts
+++ b/src/core/scheduler/capacity_timeline.ts
@@ -1,17 +1,13 @@
-import { countFitting, RESOURCE_TOLERANCE as TOLERANCE } from '../resource_amounts.js';
-import type { MachineType, Resources } from '../types.js';
-import type { PlanJob, PlanMachine } from './plan_types.js';
-
 /**
- * Operations on a machine's free room over time. `step` is an index into the machine's `times`. These run many thousand
- * times a round: they make no objects.
+ * Operations on a machine's free capacity over time, σ(n, t) of Eq. (13) in the paper. `step` is an index into the machine's
+ * `stepTimesSeconds`. They run many thousand times a round: they make no objects.
  */
+import { countFitting, RESOURCE_TOLERANCE as TOLERANCE } from '../resource_amounts.js';
+import type { MachineType, Resources } from '../types.js';
+import type { PlanJob, PlanMachine, WorkingMachine } from './plan_types.js';
 
-/** The fitness looks at utilization this far ahead. */
-const UTILIZATION_HORIZON_SECONDS = 60;
-
-/** Written out field by field: a spread into a literal costs several microseconds, and a round makes thousands. */
-export function clonePlanMachine(machine: PlanMachine): PlanMachine {
+/** Returns a copy with free capacity of its own. Written out field by field: a spread into a literal costs several microseconds, and a round makes thousands. */
+export function clonePlanMachine(machine: PlanMachine): WorkingMachine {
   return {
     index: machine.index,
     zone: machine.zone,
@@ -30,16 +26,16 @@
   };
 }
 
-/** The element at an index that is known to be within bounds. */
+/** Returns the element at an index that is known to be within bounds. */
 export const elementAt = (values: readonly number[], index: number): number => values[index] as number;
 
-/** The part of a machine that one task takes, by what it takes most of. */
+/** Returns the part of a machine that one task takes, 0 to 1 and more, by what it takes most of. */
 export function machineShare(task: Resources, type: MachineType): number {
   const share = (amount: number, capacity: number): number => (capacity > 0 ? amount / capacity : 0);
   return Math.max(share(task.cpus, type.cpus), share(task.gpus, type.gpus), share(task.memoryGb, type.memoryGb));
 }
 
-/** Whether a task of the job could run on an empty machine of the type. */
+/** Returns whether a task of the job could run on an empty machine of the type (Eq. (10)). */
 export function fitsType(job: PlanJob, type: MachineType): boolean {
   return (
     (job.allowedMachineTypes === null || job.allowedMachineTypes.includes(type.name)) &&
@@ -49,18 +45,14 @@
   );
 }
 
-/** How many tasks fit from a step on for as long as they need. */
+/** Returns how many tasks fit from a step on for so many seconds: the node capacity of Eq. (9) over time. */
 export function fittingTasks(machine: PlanMachine, step: number, durationSeconds: number, task: Resources): number {
   const untilSeconds = elementAt(machine.stepTimesSeconds, step) + durationSeconds;
   let cpus = Number.POSITIVE_INFINITY;
   let gpus = Number.POSITIVE_INFINITY;
   let memoryGb = Number.POSITIVE_INFINITY;
-  for (
-    let i = step;
-    i < machine.stepTimesSeconds.length &&
-    (i === step || elementAt(machine.stepTimesSeconds, i) < untilSeconds - TOLERANCE);
-    i++
-  ) {
+  for (let i = step; i < machine.stepTimesSeconds.length; i++) {
+    if (i > step && elementAt(machine.stepTimesSeconds, i) >= untilSeconds - TOLERANCE) break;
     if (elementAt(machine.freeCpus, i) < cpus) cpus = elementAt(machine.freeCpus, i);
     if (elementAt(machine.freeGpus, i) < gpus) gpus = elementAt(machine.freeGpus, i);
     if (elementAt(machine.freeMemoryGb, i) < memoryGb) memoryGb = elementAt(machine.freeMemoryGb, i);
@@ -69,12 +61,12 @@
   return Math.min(countFitting(cpus, task.cpus), countFitting(gpus, task.gpus), countFitting(memoryGb, task.memoryGb));
 }
 
-/** Whether a job is held to the cores and memory that GPU work has no use for. */
+/** Whether a job may use only the cores and memory of a machine that GPU work has no use for. */
 const isLimitedToSpareCapacity = (machine: PlanMachine, job: PlanJob): boolean =>
   job.gpus === 0 && machine.type.gpus > 0 && job.penaltyFactor > 0;
 
 /**
- * Whether a job that is held to a machine's spare room finds any. One that fits cheaper types finds none on a machine with
+ * Returns whether a job that may use only a machine's spare capacity finds none. One that fits cheaper types finds none on a machine with
  * GPUs that no GPU work uses: it would keep the machine from being returned.
  */
 export function lacksSpareCapacity(machine: PlanMachine, job: PlanJob): boolean {
@@ -83,18 +75,18 @@
   return machine.spareCpus + TOLERANCE < job.cpus || machine.spareMemoryGb + TOLERANCE < job.memoryGb;
 }
 
-/** As `fitCount`, and without taking from GPU work what it needs beside its GPUs. */
+/** As `fittingTasks`, and without taking from GPU work what it needs beside its GPUs. */
 export function allowedTasks(machine: PlanMachine, step: number, durationSeconds: number, job: PlanJob): number {
   if (!isLimitedToSpareCapacity(machine, job)) return fittingTasks(machine, step, durationSeconds, job);
-  const spare = Math.min(
+  const spareTasks = Math.min(
     job.cpus > 0 ? machine.spareCpus / job.cpus : Number.POSITIVE_INFINITY,
     job.memoryGb > 0 ? machine.spareMemoryGb / job.memoryGb : Number.POSITIVE_INFINITY,
   );
-  if (spare + TOLERANCE < 1) return 0;
-  return Math.min(Math.floor(spare + TOLERANCE), fittingTasks(machine, step, durationSeconds, job));
+  if (spareTasks + TOLERANCE < 1) return 0;
+  return Math.min(Math.floor(spareTasks + TOLERANCE), fittingTasks(machine, step, durationSeconds, job));
 }
 
-/** Whether so much is free at the first step, not asking for how long. */
+/** Returns whether so much is free at the first step, not asking for how long. */
 export function fitsNow(machine: PlanMachine, task: Resources): boolean {
   if (task.gpus === 0 && machine.type.gpus > 0) {
     if (machine.spareCpus + TOLERANCE < task.cpus || machine.spareMemoryGb + TOLERANCE < task.memoryGb) return false;
@@ -106,39 +98,39 @@
   );
 }
 
-/** Room left in the scarcest resource after one more task, as a share of the machine: best fit takes the least. */
+/** Returns what one more task leaves of the scarcest resource, as a share of the machine: best fit takes the least. */
 export function slackAfter(machine: PlanMachine, step: number, task: Resources): number {
   const { type } = machine;
-  let least = 1;
-  if (type.gpus > 0) least = Math.min(least, (elementAt(machine.freeGpus, step) - task.gpus) / type.gpus);
-  if (type.cpus > 0) least = Math.min(least, (elementAt(machine.freeCpus, step) - task.cpus) / type.cpus);
+  let slack = 1;
+  if (type.gpus > 0) slack = Math.min(slack, (elementAt(machine.freeGpus, step) - task.gpus) / type.gpus);
+  if (type.cpus > 0) slack = Math.min(slack, (elementAt(machine.freeCpus, step) - task.cpus) / type.cpus);
   if (type.memoryGb > 0)
-    least = Math.min(least, (elementAt(machine.freeMemoryGb, step) - task.memoryGb) / type.memoryGb);
-  return least;
+    slack = Math.min(slack, (elementAt(machine.freeMemoryGb, step) - task.memoryGb) / type.memoryGb);
+  return slack;
 }
 
-/** The last step that begins by the time; the first where none does. */
-export function lastStepBy(machine: PlanMachine, time: number): number {
+/** Returns the last step that begins by the time, in seconds from now; the first where none does. */
+export function lastStepBy(machine: PlanMachine, timeSeconds: number): number {
   let step = machine.stepTimesSeconds.length - 1;
-  while (step > 0 && elementAt(machine.stepTimesSeconds, step) > time + TOLERANCE) step -= 1;
+  while (step > 0 && elementAt(machine.stepTimesSeconds, step) > timeSeconds + TOLERANCE) step -= 1;
   return step;
 }
 
-/** The step that begins at the time, made where there is none. */
-function ensureStepAt(machine: PlanMachine, time: number): number {
-  const step = lastStepBy(machine, time);
-  const begins = elementAt(machine.stepTimesSeconds, step);
-  if (Math.abs(begins - time) <= TOLERANCE || time <= begins) return step;
-  machine.stepTimesSeconds.splice(step + 1, 0, time);
+/** The step that begins at the time; it is made where there is none, but not before the first. */
+function ensureStepAt(machine: WorkingMachine, timeSeconds: number): number {
+  const step = lastStepBy(machine, timeSeconds);
+  const beginsSeconds = elementAt(machine.stepTimesSeconds, step);
+  if (Math.abs(beginsSeconds - timeSeconds) <= TOLERANCE || timeSeconds <= beginsSeconds) return step;
+  machine.stepTimesSeconds.splice(step + 1, 0, timeSeconds);
   machine.freeCpus.splice(step + 1, 0, elementAt(machine.freeCpus, step));
   machine.freeGpus.splice(step + 1, 0, elementAt(machine.freeGpus, step));
   machine.freeMemoryGb.splice(step + 1, 0, elementAt(machine.freeMemoryGb, step));
   return step + 1;
 }
 
-/** Takes the room of so many tasks for a time. */
+/** Reserves the capacity of so many tasks from a time on, for so many seconds. */
 export function reserveCapacity(
-  machine: PlanMachine,
+  machine: WorkingMachine,
   fromSeconds: number,
   durationSeconds: number,
   taskCount: number,
@@ -155,26 +147,3 @@
   machine.spareCpus -= taskCount * task.cpus;
   machine.spareMemoryGb -= taskCount * task.memoryGb;
 }
-
-/** How much of the machines is in use over the next minute, by GPUs where they have some and by cores elsewhere. */
-export function utilization(machines: readonly PlanMachine[]): number {
-  let used = 0;
-  let available = 0;
-  for (const { type, stepTimesSeconds, freeGpus, freeCpus } of machines) {
-    const capacity = type.gpus > 0 ? type.gpus : type.cpus;
-    const free = type.gpus > 0 ? freeGpus : freeCpus;
-    for (
-      let step = 0;
-      step < stepTimesSeconds.length && elementAt(stepTimesSeconds, step) < UTILIZATION_HORIZON_SECONDS;
-      step++
-    ) {
-      const next =
-        step + 1 < stepTimesSeconds.length ? elementAt(stepTimesSeconds, step + 1) : UTILIZATION_HORIZON_SECONDS;
-      const share =
-        (Math.min(UTILIZATION_HORIZON_SECONDS, next) - elementAt(stepTimesSeconds, step)) / UTILIZATION_HORIZON_SECONDS;
-      available += share;
-      used += share * (1 - elementAt(free, step) / capacity);
-    }
-  }
-  return available > 0 ? used / available : 1;
-}
--- a/src/core/scheduler/evolutionary_search.ts
+++ b/src/core/scheduler/evolutionary_search.ts
@@ -1,3 +1,4 @@
+/** The upper layer of EVO-GP, evolutionary job allocation: Algorithm 1 and Section III-B of the paper. */
 import { type RandomGenerator, unsafeUniformIntDistribution } from 'pure-rand';
 import type { ZoneName } from '../types.js';
 import type { Plan, PlanJob, PlanMachine } from './plan_types.js';
@@ -7,14 +8,16 @@
 /** Chances are drawn in thousandths. */
 const MUTATION_SCALE = 1000;
 
+/** One assignment of zones (Section III-B1): each job has one, so that Eqs. (6) and (7) hold of themselves. */
 interface Individual {
-  readonly genes: ZoneName[];
+  /** By job index, the zone. */
+  readonly genes: readonly ZoneName[];
   readonly plan: Plan;
 }
 
-/** The upper layer of EVO-GP: evolves one zone per waiting job and returns the best plan found. */
+/** Evolves one zone for each job; the planner makes a plan of each assignment and tells its fitness. */
 export class EvolutionarySearch {
-  /** Plan steps that the present search has spent. */
+  /** Plan steps that the search in progress has spent. */
   private stepsSpent = 0;
 
   constructor(
@@ -23,7 +26,7 @@
     private readonly settings: SearchSettings,
   ) {}
 
-  /** A random number from 0 to below `limit`. */
+  /** A random whole number from 0 to below `limit`. */
   private randomBelow(limit: number): number {
     return limit <= 1 ? 0 : unsafeUniformIntDistribution(0, limit - 1, this.random);
   }
@@ -32,16 +35,23 @@
     return from[this.randomBelow(from.length)] as T;
   }
 
-  /** `seed`: zones to start from beside the random ones, where something better than chance is known. */
-  search(machines: readonly PlanMachine[], jobs: readonly PlanJob[], seed: ZoneName[] | null = null): Plan {
+  /**
+   * Returns the plan with the lowest cost of those tried. `informedGenes`: zones to start from beside the random ones, where
+   * something better than chance is known; null: none.
+   */
+  search(
+    machines: readonly PlanMachine[],
+    jobs: readonly PlanJob[],
+    informedGenes: readonly ZoneName[] | null = null,
+  ): Plan {
     this.stepsSpent = 0;
-    const evaluate = (genes: ZoneName[]): Individual => {
+    const evaluate = (genes: readonly ZoneName[]): Individual => {
       const plan = this.planner.plan(machines, jobs, genes);
       this.stepsSpent += plan.steps;
       return { genes, plan };
     };
     const randomGenes = (): ZoneName[] => jobs.map(({ feasibleZones }) => this.pickRandom(feasibleZones));
-    const first = evaluate(seed ?? randomGenes());
+    const first = evaluate(informedGenes ?? randomGenes());
     // With one feasible zone for every job there is nothing to search: the planner alone decides.
     if (jobs.every(({ feasibleZones }) => feasibleZones.length === 1)) return first.plan;
     const { populationSize, generations } = this.settings;
@@ -59,11 +69,11 @@
     return this.stepsSpent < this.settings.maxPlanSteps;
   }
 
-  /** A generation of offspring of parents drawn from the population. */
+  /** Lines 5 to 17 of Algorithm 1: a generation of offspring of parents drawn from the population. */
   private breed(
     population: readonly Individual[],
     jobs: readonly PlanJob[],
-    evaluate: (genes: ZoneName[]) => Individual,
+    evaluate: (genes: readonly ZoneName[]) => Individual,
   ): Individual[] {
     const offspring: Individual[] = [];
     while (offspring.length < this.settings.populationSize && this.hasStepsLeft()) {
@@ -76,7 +86,7 @@
     return offspring;
   }
 
-  /** Single-point crossover: two offspring with the parents' genes exchanged behind the point. */
+  /** Section III-B3, single-point crossover: two offspring with the parents' genes exchanged behind the point. */
   private crossover(first: readonly ZoneName[], second: readonly ZoneName[]): [ZoneName[], ZoneName[]] {
     if (first.length < 2) return [first.slice(), second.slice()];
     const point = 1 + this.randomBelow(first.length - 1);
@@ -86,7 +96,7 @@
     ];
   }
 
-  /** At the mutation rate, moves one job to a feasible zone or swaps the zones of two. */
+  /** Section III-B3, mutation: at the mutation rate, moves one job to a feasible zone or swaps the zones of two. */
   private mutate(genes: ZoneName[], jobs: readonly PlanJob[]): void {
     if (this.randomBelow(MUTATION_SCALE) >= this.settings.mutationRate * MUTATION_SCALE) return;
     const index = this.randomBelow(genes.length);
@@ -95,13 +105,15 @@
     else this.swapZones(genes, jobs, index);
   }
 
+  /** Swaps with a job of another zone where each may use the other's (Eq. (10)); does nothing where there is none. */
   private swapZones(genes: ZoneName[], jobs: readonly PlanJob[], index: number): void {
     const { feasibleZones } = jobs[index] as PlanJob;
     const zone = genes[index] as ZoneName;
     const partners: number[] = [];
-    genes.forEach((other, candidate) => {
-      const feasible = feasibleZones.includes(other) && (jobs[candidate] as PlanJob).feasibleZones.includes(zone);
-      if (candidate !== index && other !== zone && feasible) partners.push(candidate);
+    genes.forEach((otherZone, other) => {
+      if (other === index || otherZone === zone) return;
+      const isFeasible = feasibleZones.includes(otherZone) && (jobs[other] as PlanJob).feasibleZones.includes(zone);
+      if (isFeasible) partners.push(other);
     });
     if (partners.length === 0) return;
     const partner = this.pickRandom(partners);
--- /dev/null
+++ b/src/core/scheduler/fitness.ts
@@ -0,0 +1,59 @@
+/** The fitness of a plan: what the search minimizes (Section II-A3 of the paper). */
+import { elementAt } from './capacity_timeline.js';
+import type { PlanJob, PlanMachine } from './plan_types.js';
+import type { FitnessWeights } from './policy.js';
+
+/** Utilization is looked at so far ahead; the paper's horizon, the end of all jobs, would say nothing of the next minute. */
+const UTILIZATION_HORIZON_SECONDS = 60;
+
+/** The weighted queuing times of the jobs of one plan, in seconds. */
+export class WeightedWaits {
+  /** Eq. (3): the longest of them. */
+  maximum = 0;
+  private sum = 0;
+  private jobs = 0;
+
+  /** Adds a job that the plan lets wait for so many seconds more. */
+  add(job: PlanJob, waitSeconds: number): void {
+    const weighted = job.priorityWeight * (job.waitedSeconds + waitSeconds);
+    this.sum += weighted;
+    this.jobs += 1;
+    if (weighted > this.maximum) this.maximum = weighted;
+  }
+
+  /** Eq. (2): the mean over all jobs; 0 where there are none. */
+  get average(): number {
+    return this.jobs > 0 ? this.sum / this.jobs : 0;
+  }
+}
+
+/** Eq. (5): returns the weighted sum of average wait, maximum wait and idle share; less is better. */
+export function fitness(weights: FitnessWeights, waits: WeightedWaits, machines: readonly PlanMachine[]): number {
+  return (
+    weights.averageWait * waits.average +
+    weights.maximumWait * waits.maximum +
+    weights.idleShare * (1 - utilization(machines))
+  );
+}
+
+/**
+ * Eq. (4): returns which part of the machines is in use over the next minute, 0 to 1, by GPUs where they have some and by
+ * cores elsewhere.
+ */
+function utilization(machines: readonly PlanMachine[]): number {
+  let used = 0;
+  let available = 0;
+  for (const { type, stepTimesSeconds, freeGpus, freeCpus } of machines) {
+    const capacity = type.gpus > 0 ? type.gpus : type.cpus;
+    const free = type.gpus > 0 ? freeGpus : freeCpus;
+    const steps = stepTimesSeconds.length;
+    for (let step = 0; step < steps && elementAt(stepTimesSeconds, step) < UTILIZATION_HORIZON_SECONDS; step++) {
+      const next = step + 1 < steps ? elementAt(stepTimesSeconds, step + 1) : UTILIZATION_HORIZON_SECONDS;
+      const end = Math.min(UTILIZATION_HORIZON_SECONDS, next);
+      const share = (end - elementAt(stepTimesSeconds, step)) / UTILIZATION_HORIZON_SECONDS;
+      available += share;
+      used += share * (1 - elementAt(free, step) / capacity);
+    }
+  }
+  return available > 0 ? used / available : 1;
+}
--- a/src/core/scheduler/gang_search.ts
+++ b/src/core/scheduler/gang_search.ts
@@ -1,15 +1,16 @@
+/** Finds the machines for a whole gang, and the earliest time at which they are free together. */
 import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { ZoneName } from '../types.js';
 import { type Candidate, delayRankOf } from './candidates.js';
 import { allowedTasks, elementAt, lastStepBy, slackAfter } from './capacity_timeline.js';
 import type { PlanJob } from './plan_types.js';
 
-/** Instants at which a gang's start is tried, from the first at which there is room for all of it. */
+/** So many start times of a gang are tried, from the first at which there may be capacity for all of it. */
 const MAX_START_TIMES_TRIED = 10;
-/** A later start must be sooner by so much, fetches included, to be preferred. */
+/** Capacity that is free later must let the gang start so much sooner, image pulls included, to be preferred. */
 const MIN_GAIN_SECONDS = 0.5;
 
-/** So many tasks of a gang on a machine. */
+/** The tasks of a gang that one machine takes. */
 export interface GangAllocation {
   readonly candidate: Candidate;
   readonly tasks: number;
@@ -17,20 +18,22 @@
 
 /** The machines that take a whole gang, and from when on. */
 export interface GangPlacement {
+  /** When the capacity of all of them is free. */
   readonly freeAtSeconds: number;
+  /** When the last of them has the image too. */
   readonly startSeconds: number;
   readonly allocations: readonly GangAllocation[];
 }
 
-/** Room for some tasks of a gang that comes free at a time. */
+/** Capacity for some tasks of a gang that comes free at a time. */
 interface FreedCapacity {
   readonly atSeconds: number;
   readonly tasks: number;
 }
 
-/** Looks for the machines that take a whole gang; those of `zone` come first. */
+/** Looks among candidates for machines that take all tasks of a gang at once (Eq. (8)); those of one zone come first. */
 export class GangSearch {
-  /** Plan steps spent. */
+  /** Plan steps spent so far. */
   steps = 0;
 
   constructor(
@@ -39,72 +42,80 @@
     private readonly candidates: readonly Candidate[],
   ) {}
 
-  /** Tries the instants at which room comes free, from the first at which there may be enough for all of it. */
+  /**
+   * Eq. (12): returns the placement with the earliest start, where capacity that is free later counts `futureDiscount` times
+   * its time more; null where the candidates never take the whole gang.
+   */
   findEarliest(futureDiscount: number): GangPlacement | null {
-    const discounted = (roomAtS: number, startS: number): number => startS + futureDiscount * roomAtS;
+    const discounted = (freeAtSeconds: number, startSeconds: number): number =>
+      startSeconds + futureDiscount * freeAtSeconds;
     let best: GangPlacement | null = null;
     let tried = 0;
-    for (const roomAtS of this.possibleStartTimes()) {
+    for (const freeAtSeconds of this.possibleStartTimes()) {
       if (tried >= MAX_START_TIMES_TRIED) break;
-      if (best !== null && discounted(roomAtS, roomAtS) >= discounted(best.freeAtSeconds, best.startSeconds)) break;
+      if (
+        best !== null &&
+        discounted(freeAtSeconds, freeAtSeconds) >= discounted(best.freeAtSeconds, best.startSeconds)
+      )
+        break;
       tried += 1;
-      const placement = this.placeAt(roomAtS);
+      const placement = this.placeAt(freeAtSeconds);
       if (!placement) continue;
       const limit =
         best === null ? Number.POSITIVE_INFINITY : discounted(best.freeAtSeconds, best.startSeconds) - MIN_GAIN_SECONDS;
-      if (discounted(roomAtS, placement.startSeconds) < limit) best = placement;
+      if (discounted(freeAtSeconds, placement.startSeconds) < limit) best = placement;
     }
     return best;
   }
 
-  /** The instants at which room comes free and there may be enough for the whole gang. */
+  /** The set T of Eq. (12): times at which capacity comes free and there may be enough for the whole gang. */
   private possibleStartTimes(): number[] {
     const freed = freedCapacity(this.job, this.candidates);
-    const instants: number[] = [];
-    let room = 0;
-    freed.forEach(({ atSeconds, tasks }, i) => {
-      room += tasks;
-      const next = freed[i + 1];
+    const startTimes: number[] = [];
+    let freedTasks = 0;
+    freed.forEach(({ atSeconds, tasks }, index) => {
+      freedTasks += tasks;
+      const next = freed[index + 1];
       const moreAtOnce = next !== undefined && next.atSeconds <= atSeconds + RESOURCE_TOLERANCE;
-      if (room >= this.job.tasks && !moreAtOnce) instants.push(atSeconds);
+      if (freedTasks >= this.job.tasks && !moreAtOnce) startTimes.push(atSeconds);
     });
-    return instants;
+    return startTimes;
   }
 
-  /** The machines that take the whole gang from a time on; null if there are not enough. */
+  /** Returns the best machines that take the whole gang from a time on; null if there are not enough. */
   placeAt(freeAtSeconds: number): GangPlacement | null {
     const { job } = this;
     const options = gangOptions(job, this.preferredZone, this.candidates, freeAtSeconds);
     this.steps += options.length;
-    const zoneRoom = job.zoneAllowance ? new Map(job.zoneAllowance) : null;
+    const allowance = job.zoneAllowance ? new Map(job.zoneAllowance) : null;
     const allocations: GangAllocation[] = [];
     let left = job.tasks;
-    let fetchS = 0;
+    let pullSeconds = 0;
     for (const { candidate, taskCount } of options) {
       if (left === 0) break;
       const { zone } = candidate.machine;
-      const inZone = zoneRoom ? (zoneRoom.get(zone) ?? 0) : left;
-      const tasks = Math.min(left, taskCount, inZone);
+      const allowed = allowance ? (allowance.get(zone) ?? 0) : left;
+      const tasks = Math.min(left, taskCount, allowed);
       if (tasks <= 0) continue;
-      zoneRoom?.set(zone, inZone - tasks);
+      allowance?.set(zone, allowed - tasks);
       allocations.push({ candidate, tasks });
-      fetchS = Math.max(fetchS, candidate.imagePullSeconds);
+      pullSeconds = Math.max(pullSeconds, candidate.imagePullSeconds);
       left -= tasks;
     }
-    return left === 0 ? { freeAtSeconds, startSeconds: freeAtSeconds + fetchS, allocations } : null;
+    return left === 0 ? { freeAtSeconds, startSeconds: freeAtSeconds + pullSeconds, allocations } : null;
   }
 }
 
-/** When room for how many more tasks of a gang comes free on the candidates, soonest first. */
+/** When the candidates have capacity for how many more tasks of a gang, soonest first. */
 function freedCapacity(job: PlanJob, candidates: readonly Candidate[]): FreedCapacity[] {
   const freed: FreedCapacity[] = [];
   for (const { machine, imagePullSeconds } of candidates) {
     let counted = 0;
     for (let step = 0; step < machine.stepTimesSeconds.length && counted < job.tasks; step++) {
-      const count = allowedTasks(machine, step, imagePullSeconds + job.durationSeconds, job);
-      if (count <= counted) continue;
-      freed.push({ atSeconds: elementAt(machine.stepTimesSeconds, step), tasks: count - counted });
-      counted = count;
+      const taskCount = allowedTasks(machine, step, imagePullSeconds + job.durationSeconds, job);
+      if (taskCount <= counted) continue;
+      freed.push({ atSeconds: elementAt(machine.stepTimesSeconds, step), tasks: taskCount - counted });
+      counted = taskCount;
     }
   }
   return freed.sort((a, b) => a.atSeconds - b.atSeconds);
@@ -114,13 +125,13 @@
 interface GangOption {
   readonly candidate: Candidate;
   readonly taskCount: number;
-  /** 0 in the zone asked for, 1 elsewhere. */
+  /** 0 in the preferred zone, 1 elsewhere. */
   readonly zoneDistance: number;
   readonly delayRank: number;
   readonly slack: number;
 }
 
-/** What the candidates offer a gang from a time on, the best first. */
+/** What the candidates offer a gang from a time on, the best first; no two are equal, so that plans repeat. */
 function gangOptions(
   job: PlanJob,
   zone: ZoneName,
--- a/src/core/scheduler/replica_placement.ts
+++ b/src/core/scheduler/replica_placement.ts
@@ -1,6 +1,7 @@
 /** Which machine a replica of a service goes to. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
+import { delayRankOf } from './candidates.js';
 import type { ClusterState } from './cluster_state.js';
 import { type GpuDemand, gpuDemand, spareCapacity } from './spare_capacity.js';
 import { hasZoneAllowance, type ZoneAllowance } from './zone_allowance.js';
@@ -22,8 +23,6 @@
   spotLossSeconds: 400,
   spotLossHorizonSeconds: 60,
 };
-/** Start times are compared in steps of half a second; of equals the machine with least free capacity is taken. */
-const DELAY_RANKS_PER_SECOND = 2;
 /** A replica leaves the cores that are kept for GPU work alone for so long. */
 const AVOID_GPU_MACHINES_MS = 20_000;
 
@@ -52,7 +51,7 @@
   let bestSlack = Number.POSITIVE_INFINITY;
   for (const machine of cluster.machines.values()) {
     if (!isAvailableTo(cluster, job, machine, allowance) || !mayUse(machine)) continue;
-    const rank = Math.round(DELAY_RANKS_PER_SECOND * startDelaySeconds(cluster, job, machine));
+    const rank = delayRankOf(startDelaySeconds(cluster, job, machine));
     const slack = scarcestFreeShare(machine);
     if (rank > bestRank || (rank === bestRank && slack >= bestSlack)) continue;
     best = machine;
--- a/test/core/scheduler/planner.test.ts
+++ b/test/core/scheduler/planner.test.ts
@@ -10,19 +10,19 @@
   test('backfills only where something could start, within its plan steps', () => {
     const machines = Array.from({ length: 300 }, (_, i) => makePlanMachine(i, 'a', makeMachineType('g4', 24, 4), 24));
     const jobs = Array.from({ length: 200 }, (_, i) => makePlanJob(i, { cpus: 2, gpus: 4 }));
-    const fill = (steps: number): { steps: number; starts: number } => {
-      const evolution = makePlanner();
-      const plan = evolution.plan(machines, [], null);
-      const starts = evolution.backfill(plan, jobs, steps).length;
-      return { steps: evolution.steps, starts };
+    const fill = (steps: number, fleet = machines): { steps: number; starts: number } => {
+      const planner = makePlanner();
+      const plan = planner.plan(fleet, [], null);
+      const starts = planner.backfill(plan, jobs, steps).length;
+      return { steps: planner.steps, starts };
     };
     const free = fill(1_000_000);
     assert.equal(free.starts, 200);
     const bounded = fill(1500);
     assert.ok(bounded.steps < 1500 + 300 && bounded.starts > 0 && bounded.starts < 200, JSON.stringify(bounded));
     // With nothing free for any of them, none of the 200 looks over the 300 machines.
-    for (const machine of machines) machine.freeGpus[0] = 3;
-    assert.deepEqual(fill(1_000_000), { steps: 0, starts: 0 });
+    const occupied = machines.map((machine) => ({ ...machine, freeGpus: [3] }));
+    assert.deepEqual(fill(1_000_000, occupied), { steps: 0, starts: 0 });
   });
 
   test('counts the image pull into the earliest start, and breaks ties by the least free capacity', () => {
