--- a/src/core/calls/state_store_reads.ts
+++ b/src/core/clients/state_store_reads.ts
@@ -1,6 +1,6 @@
 import type { StoredEntry } from '../messages.js';
-import type { StepContext } from '../step_context.js';
 import type { Revision } from '../types.js';
+import type { StateStoreClient } from './state_store_client.js';
 
 const PAGE_SIZE = 500;
 const READ_PRIORITY = 1;
@@ -13,11 +13,15 @@
 }
 
 /** Reads all values under a prefix; null where the state service gave no answer. */
-export function readPrefix(context: StepContext, prefix: string, done: (read: PrefixRead | null) => void): void {
+export function readPrefix(
+  stateStore: StateStoreClient,
+  prefix: string,
+  done: (read: PrefixRead | null) => void,
+): void {
   const items: StoredEntry[] = [];
   let revision: Revision | null = null;
   const readPage = (after: string | null): void => {
-    context.callStateStore({ op: 'list', prefix, after, limit: PAGE_SIZE }, READ_PRIORITY, (result) => {
+    stateStore.call({ op: 'list', prefix, after, limit: PAGE_SIZE }, READ_PRIORITY, (result) => {
       if (!result.ok) {
         done(null);
         return;
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -13,7 +13,8 @@
 import { StatusExchange } from './peers/status_exchange.js';
 import { RequestHandler } from './requests/request_handler.js';
 import type { Settings, Tuning } from './settings.js';
-import { StepContext, type TimerName } from './step_context.js';
+import { StepContext } from './step_context.js';
+import type { Timer } from './timers.js';
 import type { ClockReading, ControllerName, MonotonicTime } from './types.js';
 import { HeartbeatRouter } from './workers/heartbeat_router.js';
 
@@ -41,6 +42,7 @@
   private readonly heartbeatForwarding: HeartbeatForwarding;
   private readonly cancellationBroadcasts: CancellationBroadcasts;
   private readonly heartbeatRouter: HeartbeatRouter;
+  private readonly statusTimer: Timer;
   private readonly statusExchange: StatusExchange;
   /** While this node leads. */
   private leader: Leader | null = null;
@@ -75,6 +77,7 @@
     );
     this.statusExchange = new StatusExchange(context, this.election, this.peers, this.heartbeatRouter);
     this.requestHandler = this.makeRequestHandler();
+    this.statusTimer = context.timers.create(() => this.exchangeStatus());
   }
 
   private makeElection(incarnation: string): Election {
@@ -124,12 +127,12 @@
 
   /** When the next step is due even if no input comes. */
   nextTimerAt(): MonotonicTime | null {
-    return this.context.timers.next();
+    return this.context.timers.nextDueAt();
   }
 
   /** What load balancers are told. A node without the state service still serves while a peer can stand in. */
   isHealthy(now: MonotonicTime): boolean {
-    const since = this.context.stateStoreFailingSince;
+    const since = this.context.stateStore.failingSince;
     if (since === null || now - since < UNHEALTHY_AFTER_MS) return true;
     return this.peers.isAnyAlive(now);
   }
@@ -143,7 +146,7 @@
     this.election.start();
     this.catalog.read();
     this.jobCache.read();
-    this.context.timers.set('peerStatus', this.context.after(FIRST_STATUS_DELAY_MS));
+    this.statusTimer.set(this.context.after(FIRST_STATUS_DELAY_MS));
   }
 
   private onInput(input: Input): void {
@@ -152,7 +155,7 @@
         this.start();
         return;
       case 'timer':
-        for (const timer of this.context.timers.takeDue(this.context.now.monotonic)) this.onTimer(timer);
+        this.context.timers.runDue(this.context.now.monotonic);
         return;
       case 'userRequest':
         this.onUserRequest(input.requestId, input.request);
@@ -161,13 +164,13 @@
         this.heartbeatRouter.onHeartbeat(input.requestId, input.heartbeat);
         return;
       case 'stateStoreReply':
-        this.context.onStateStoreReply(input.callId, input.result);
+        this.context.stateStore.onReply(input.callId, input.result);
         return;
       case 'cloudReply':
-        this.context.onCloudReply(input.callId, input.result);
+        this.context.cloud.onReply(input.callId, input.result);
         return;
       case 'commandPushReply':
-        this.context.onCommandPushReply(input.callId, input.result);
+        this.context.commandPushes.onReply(input.callId, input.result);
         return;
       case 'peerMessage':
         this.onPeerMessage(input.sender, input.message);
@@ -177,68 +180,12 @@
 
   private onUserRequest(req: RequestId, request: UserRequest): void {
     const deadline = this.context.after(request.op === 'query' ? STATUS_QUERY_TIMEOUT_MS : REQUEST_TIMEOUT_MS);
-    this.requestHandler.handle(request, (answer) => this.context.respondToUser(req, answer, deadline));
+    this.requestHandler.handle(request, (answer) => this.context.outbox.respondToUser(req, answer, deadline));
   }
 
-  private onTimer(timer: TimerName): void {
-    switch (timer) {
-      case 'election':
-        this.election.onTimer();
-        return;
-      case 'renew':
-        this.election.renewLease();
-        return;
-      case 'peerStatus':
-        this.onStatusTimer();
-        return;
-      case 'catalog':
-        this.catalog.read();
-        return;
-      case 'jobCache':
-        this.jobCache.onTimer();
-        return;
-      case 'pollConfirmation':
-        this.requestHandler.sendLinearizableReads();
-        return;
-      case 'cancellationNotices':
-        this.cancellationBroadcasts.expire();
-        return;
-      case 'loadState':
-        this.leader?.loadState();
-        return;
-      case 'round':
-        this.leader?.runPlanningRound();
-        return;
-      case 'servicePlacement':
-        this.leader?.placeServices();
-        return;
-      case 'reportBacklog':
-        this.leader?.processHeartbeatBacklog();
-        return;
-      case 'reconciliation':
-        this.leader?.reconcileAllMachines();
-        return;
-      case 'recordFlush':
-        this.leader?.flushRecords();
-        return;
-      case 'heldReports':
-        this.leader?.releaseDeferredResponses();
-        return;
-      case 'workerCommands':
-        this.leader?.sendCommands();
-        return;
-      case 'healthChecks':
-        this.leader?.runHealthChecks();
-        return;
-      // These two only bring a step about, in which queued calls go out.
-      case 'storeQueue':
-      case 'cloudQueue':
-        return;
-    }
-  }
-
-  private onStatusTimer(): void {
-    this.context.timers.set('peerStatus', this.context.after(STATUS_INTERVAL_MS));
+  /** Once a second: peers hear how this controller is, and what they left without a response is given up. */
+  private exchangeStatus(): void {
+    this.statusTimer.set(this.context.after(STATUS_INTERVAL_MS));
     this.statusExchange.sendStatus();
     this.requestForwarding.expire();
     this.heartbeatForwarding.expire(this.election.leaderName());
@@ -253,7 +200,7 @@
       case 'request':
         this.requestHandler.handle(
           message.request,
-          (response) => this.context.sendToPeer(from, { kind: 'requestResponse', id: message.id, response }),
+          (response) => this.context.outbox.sendToPeer(from, { kind: 'requestResponse', id: message.id, response }),
           true,
         );
         return;
@@ -264,7 +211,7 @@
         const { id, heartbeat } = message;
         const { machine } = heartbeat;
         this.heartbeatRouter.onForwardedHeartbeat(heartbeat, (response) =>
-          this.context.sendToPeer(from, { kind: 'heartbeatResponse', id, machine, response }),
+          this.context.outbox.sendToPeer(from, { kind: 'heartbeatResponse', id, machine, response }),
         );
         return;
       }
@@ -273,7 +220,7 @@
         return;
       case 'cancellation':
         this.leader?.onCancellationBroadcast(message.job);
-        this.context.sendToPeer(from, { kind: 'cancellationAck', id: message.id });
+        this.context.outbox.sendToPeer(from, { kind: 'cancellationAck', id: message.id });
         return;
       case 'cancellationAck':
         this.cancellationBroadcasts.onAcknowledged(from, message.id);
--- a/src/core/jobs/job_cache.ts
+++ b/src/core/jobs/job_cache.ts
@@ -1,8 +1,9 @@
-import { type PrefixRead, readPrefix } from '../calls/state_store_reads.js';
+import { type PrefixRead, readPrefix } from '../clients/state_store_reads.js';
 import { CLOCK_DRIFT, maxJobViewAgeMs } from '../lease_bounds.js';
 import type { StateStoreResponse, StateStoreResult, StoredEntry, WatchEvent } from '../messages.js';
 import { decodeJob, JOB_PREFIX, type JobRecord } from '../records.js';
 import type { StepContext } from '../step_context.js';
+import type { Timer } from '../timers.js';
 import { addMilliseconds, type JobId, type MonotonicTime, type Revision } from '../types.js';
 
 const FOLLOWER_WATCH_MS = 4000;
@@ -39,6 +40,7 @@
   private rereadRequested = false;
   private readCallbacks: OnRead[] = [];
   private watchInFlight = false;
+  private readonly watchTimer: Timer;
   private isLeader = false;
   private readonly leaderWatchMs: number;
   /** What the store held before this is known: when the last answered watch was sent, or when one without news ended. */
@@ -49,6 +51,7 @@
     private readonly context: StepContext,
     private readonly onRecord: (job: CachedJob) => void,
   ) {
+    this.watchTimer = context.timers.create(() => this.watchOrReadAll());
     // Where `cancel_s` leaves little time, the view has to be the fresher (tight-cancel.txt).
     this.leaderWatchMs = Math.min(LEADER_WATCH_MS, maxJobViewAgeMs(context.settings) / WATCHES_PER_MAX_VIEW_AGE);
     this.currentAsOf = context.now.monotonic;
@@ -78,7 +81,7 @@
     else this.readAll();
   }
 
-  onTimer(): void {
+  private watchOrReadAll(): void {
     if (this.watchRevision !== null) this.watch(this.watchRevision);
     else if (!this.readInFlight) this.readAll();
   }
@@ -87,7 +90,7 @@
     this.readInFlight = true;
     this.rereadRequested = false;
     const sentAt = this.context.now.monotonic;
-    readPrefix(this.context, JOB_PREFIX, (read) => {
+    readPrefix(this.context.stateStore, JOB_PREFIX, (read) => {
       if (read) this.onAllRead(read, sentAt);
       this.onReadDone(read !== null);
     });
@@ -114,7 +117,7 @@
 
   private scheduleNextWatch(ms: number): void {
     if (this.watchInFlight && this.watchRevision !== null) return;
-    this.context.timers.set('jobCache', this.context.after(ms));
+    this.watchTimer.set(this.context.after(ms));
   }
 
   private watch(after: Revision): void {
@@ -127,7 +130,7 @@
       if (result.ok) this.onWatchAnswered(result.value, sentAt, waitMs);
       else this.onWatchFailed(result.error.code === 'gone');
     };
-    this.context.callStateStore({ op: 'watch', prefix: JOB_PREFIX, after, waitMs }, 1, onResult, {
+    this.context.stateStore.call({ op: 'watch', prefix: JOB_PREFIX, after, waitMs }, 1, onResult, {
       timeoutMs: waitMs + WATCH_GRACE_MS,
       maxQueueTimeMs: WATCH_QUEUE_MS,
       onSend: (at) => {
--- a/src/core/leadership/candidacy.ts
+++ b/src/core/leadership/candidacy.ts
@@ -6,7 +6,7 @@
 import { ABSENT_VERSION, type FencingToken, type LeaseId, type MonotonicTime, type Revision } from '../types.js';
 import type { Leadership } from './leadership.js';
 
-/** Calls of the election are not throttled (calls/call_queue.ts). */
+/** Calls of the election are not throttled (clients/call_queue.ts). */
 export const ELECTION_PRIORITY = 0;
 
 /** The leader key was acquired. */
@@ -51,7 +51,7 @@
   ) {}
 
   start(): void {
-    this.context.callStateStore({ op: 'get', key: TERM_KEY }, ELECTION_PRIORITY, (result) => {
+    this.context.stateStore.call({ op: 'get', key: TERM_KEY }, ELECTION_PRIORITY, (result) => {
       if (!result.ok) return this.onOutcome({ kind: 'unavailable' });
       const item = result.value.item ?? null;
       const { enabled, record_zones } = this.context.features.recovery;
@@ -67,7 +67,7 @@
       if (leaseId === undefined) this.onOutcome({ kind: 'unavailable' });
       else this.acquireLeaderKey({ term, leaseId, grantSentAt }, termVersion);
     };
-    this.context.callStateStore({ op: 'grant', ttlMs: this.init.leaseDurationMs }, ELECTION_PRIORITY, onResult, {
+    this.context.stateStore.call({ op: 'grant', ttlMs: this.init.leaseDurationMs }, ELECTION_PRIORITY, onResult, {
       onSend: (at) => {
         grantSentAt = at;
       },
@@ -84,7 +84,7 @@
       { put: LEADER_KEY, value: encodeLeader(this.leaderRecord(lease)), lease: leaseId },
       { put: TERM_KEY, value: encodeTerm(term) },
     ];
-    this.context.callStateStore({ op: 'compareAndSwap', conditions, changes }, ELECTION_PRIORITY, (result) => {
+    this.context.stateStore.call({ op: 'compareAndSwap', conditions, changes }, ELECTION_PRIORITY, (result) => {
       if (result.ok && result.value.revision !== undefined) this.win(lease, result.value.revision);
       else if (!result.ok && result.error.code === 'outcomeUnknown') this.confirmAcquisition(lease);
       else this.giveUp(leaseId, { kind: 'lost' });
@@ -93,7 +93,7 @@
 
   /** The transaction may have been carried out: the key itself tells. */
   private confirmAcquisition(lease: GrantedLease): void {
-    this.context.callStateStore({ op: 'get', key: LEADER_KEY }, ELECTION_PRIORITY, (result) => {
+    this.context.stateStore.call({ op: 'get', key: LEADER_KEY }, ELECTION_PRIORITY, (result) => {
       const item = result.ok ? (result.value.item ?? null) : null;
       const holder = item ? decodeLeader(item.value) : null;
       const isOwn = holder?.lease === String(lease.leaseId) && holder.incarnation === this.init.incarnation;
@@ -114,7 +114,7 @@
   }
 
   private giveUp(lease: LeaseId, outcome: CandidacyOutcome): void {
-    this.context.callStateStore({ op: 'revoke', lease }, ELECTION_PRIORITY, () => {});
+    this.context.stateStore.call({ op: 'revoke', lease }, ELECTION_PRIORITY, () => {});
     this.onOutcome(outcome);
   }
 
--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -3,6 +3,7 @@
 import type { StateStoreResult, StoredEntry } from '../messages.js';
 import { decodeLeader, LEADER_KEY, type LeaderRecord } from '../records.js';
 import type { StepContext } from '../step_context.js';
+import type { Timer } from '../timers.js';
 import { ABSENT_VERSION, type ControllerName, type LeaseId, type MonotonicTime, type Revision } from '../types.js';
 import { Candidacy, type CandidacyOutcome, ELECTION_PRIORITY, type ElectionWon } from './candidacy.js';
 import { LeaderLease } from './leader_lease.js';
@@ -50,6 +51,7 @@
   private leaderRecordReadAt = Number.NEGATIVE_INFINITY as MonotonicTime;
   private observedRevision: Revision = ABSENT_VERSION;
   private nextCandidacyAt = 0 as MonotonicTime;
+  private readonly retryTimer: Timer;
   private readonly leaseDurationMs: number;
 
   /** `incarnation` names this process among those of the controller. */
@@ -60,6 +62,9 @@
   ) {
     this.leaseDurationMs = leaderLeaseMs(context.settings, context.tuning);
     this.electedAt = context.now.monotonic;
+    this.retryTimer = context.timers.create(() => {
+      if (this.state.kind === 'waiting') this.follow();
+    });
   }
 
   // ---- what others ask
@@ -91,15 +96,6 @@
     this.follow();
   }
 
-  onTimer(): void {
-    if (this.state.kind === 'waiting') this.follow();
-  }
-
-  /** Renews the leader's lease, when its timer is due. */
-  renewLease(): void {
-    if (this.state.kind === 'leader') this.state.lease.renew();
-  }
-
   /** Gives up the role at once, and doesn't stand for election for a while. Without effect where this is not the leader. */
   stepDown(reason: StepDownReason): void {
     if (this.state.kind !== 'leader') return;
@@ -126,7 +122,7 @@
 
   private waitFor(ms: number): void {
     this.state = { kind: 'waiting' };
-    this.context.timers.set('election', this.context.after(ms));
+    this.retryTimer.set(this.context.after(ms));
   }
 
   private follow(): void {
@@ -178,7 +174,7 @@
   // ---- the leader key
 
   private readLeaderKey(): void {
-    this.context.callStateStore({ op: 'get', key: LEADER_KEY }, ELECTION_PRIORITY, (result) => {
+    this.context.stateStore.call({ op: 'get', key: LEADER_KEY }, ELECTION_PRIORITY, (result) => {
       if (!result.ok) return this.waitFor(RETRY_MS);
       this.leaderRecordReadAt = this.context.now.monotonic;
       this.observeRevision(result.value.revision);
@@ -214,7 +210,7 @@
   private watchLeaderKey(): void {
     const watch = { op: 'watch', prefix: LEADER_KEY, after: this.observedRevision, waitMs: WATCH_MS } as const;
     const options = { timeoutMs: WATCH_MS + WATCH_TIMEOUT_MARGIN_MS };
-    this.context.callStateStore(watch, ELECTION_PRIORITY, (result) => this.onWatchAnswered(result), options);
+    this.context.stateStore.call(watch, ELECTION_PRIORITY, (result) => this.onWatchAnswered(result), options);
   }
 
   private onWatchAnswered(result: StateStoreResult): void {
@@ -231,6 +227,6 @@
   }
 
   private revoke(lease: LeaseId, onDone: () => void = () => {}): void {
-    this.context.callStateStore({ op: 'revoke', lease }, ELECTION_PRIORITY, onDone);
+    this.context.stateStore.call({ op: 'revoke', lease }, ELECTION_PRIORITY, onDone);
   }
 }
--- a/src/core/leadership/job_record_lookup.ts
+++ b/src/core/leadership/job_record_lookup.ts
@@ -26,7 +26,7 @@
   }
 
   private lookUp(id: JobId): void {
-    this.context.callStateStore({ op: 'get', key: jobKey(id) }, LOOKUP_PRIORITY, (result) => {
+    this.context.stateStore.call({ op: 'get', key: jobKey(id) }, LOOKUP_PRIORITY, (result) => {
       if (this.stopped) return;
       const item = result.ok ? (result.value.item ?? null) : null;
       if (item) this.jobCache.update(item);
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -13,7 +13,8 @@
 import { scheduleRound } from '../scheduler/round.js';
 import { placeServices } from '../scheduler/service_placement.js';
 import { Cluster } from '../state/cluster.js';
-import type { StepContext, TimerName } from '../step_context.js';
+import type { StepContext } from '../step_context.js';
+import type { Timer } from '../timers.js';
 import type { Heartbeat, JobId, MonotonicTime } from '../types.js';
 import { CommandDelivery } from '../workers/command_delivery.js';
 import { type CommandLeader, CommandPusher } from '../workers/command_pusher.js';
@@ -38,18 +39,6 @@
 /** A start is based on a view of jobs that is at most so old: a cancellation may be on record since. */
 const MAX_JOB_VIEW_AGE_FOR_STARTS_MS = 4000;
 
-const OWN_TIMERS: readonly TimerName[] = [
-  'round',
-  'recordFlush',
-  'heldReports',
-  'healthChecks',
-  'workerCommands',
-  'loadState',
-  'servicePlacement',
-  'reportBacklog',
-  'reconciliation',
-];
-
 /**
  * The holder of the lead; a new one is made for every term. It ties the parts together: reports and commands (workers/),
  * records (record_writer.ts), machines (machines/), and the rounds of the scheduler.
@@ -68,6 +57,8 @@
   private readonly stateRestorer: StateRestorer;
   private readonly jobRecordLookup: JobRecordLookup;
   private readonly electedAt: MonotonicTime;
+  private readonly healthCheckTimer: Timer;
+  private readonly statusRequestTimer: Timer;
   private loaded = false;
   private stopped = false;
   private lastPlanningRoundAt = 0 as MonotonicTime;
@@ -86,6 +77,11 @@
     this.electedAt = context.now.monotonic;
     this.cluster = new Cluster(context, leadership.term, leadership.startZonesRecordedSince);
     this.cluster.machineTypes = types;
+    const { timers } = this.cluster;
+    timers.planningRound.handle(() => this.runPlanningRound());
+    timers.servicePlacement.handle(() => this.placeServices());
+    this.healthCheckTimer = timers.create(() => this.runHealthChecks());
+    this.statusRequestTimer = timers.create(() => this.requestAllStatuses());
     this.registry = new MachineRegistry(context.settings.stateStore.maxValueBytes);
     this.recordWriter = new RecordWriter(this.cluster, leadership, this.registry, {
       mayWrite: () => this.isLeaseValid() && this.loaded,
@@ -108,9 +104,9 @@
       this.heartbeatHandler.renewalsWhileLoading.lastRenewalAt(machine, this.electedAt),
     );
     this.jobRecordLookup = new JobRecordLookup(context, jobCache, this.cluster.previousTerms);
-    this.stateLoader = new StateLoader(context, jobCache, (pages) => this.restoreState(pages));
+    this.stateLoader = new StateLoader(context, this.cluster.timers, jobCache, (pages) => this.restoreState(pages));
     this.loadState();
-    context.timers.set('healthChecks', context.after(HEALTH_CHECK_INTERVAL_MS));
+    this.healthCheckTimer.set(context.after(HEALTH_CHECK_INTERVAL_MS));
   }
 
   get machineCount(): number {
@@ -130,7 +126,7 @@
     this.statusRequests.stop();
     this.commandDelivery.stop();
     this.heartbeatHandler.stop();
-    for (const timer of OWN_TIMERS) this.context.timers.clear(timer);
+    this.cluster.timers.close();
   }
 
   // ---- what the parts ask
@@ -170,7 +166,7 @@
     const costMs = spacing_per_machine_ms * this.machineCount + spacing_per_step_ms * this.lastPlanningRoundSteps;
     const earliest = this.lastPlanningRoundAt + spacing_ms + costMs;
     const at = Math.max(earliest, this.context.after(PLANNING_ROUND_BATCHING_MS)) as MonotonicTime;
-    this.context.timers.bringForward('round', at);
+    this.cluster.timers.planningRound.bringForward(at);
   }
 
   // ---- rebuilding from the store
@@ -185,9 +181,9 @@
     this.loaded = true;
     this.autoscaler.listMachines();
     if (this.cluster.previousTerms.recovery === null) this.statusRequests.requestAll();
-    else this.context.timers.set('reconciliation', this.context.after(this.context.features.recovery.ask_after_ms));
-    this.context.timers.set('round', this.context.after(FIRST_PLANNING_ROUND_MS));
-    this.context.timers.set('healthChecks', this.context.after(FIRST_HEALTH_CHECK_MS));
+    else this.statusRequestTimer.set(this.context.after(this.context.features.recovery.ask_after_ms));
+    this.cluster.timers.planningRound.set(this.context.after(FIRST_PLANNING_ROUND_MS));
+    this.healthCheckTimer.set(this.context.after(FIRST_HEALTH_CHECK_MS));
   }
 
   /** The cache has a newer record of a job: a submission, a cancellation, or what this leader wrote itself. */
@@ -210,15 +206,7 @@
     this.heartbeatHandler.onHeartbeat(report, reply);
   }
 
-  releaseDeferredResponses(): void {
-    this.heartbeatHandler.releaseDeferred();
-  }
-
-  processHeartbeatBacklog(): void {
-    this.heartbeatHandler.processBacklog();
-  }
-
-  reconcileAllMachines(): void {
+  private requestAllStatuses(): void {
     if (this.isLeaseValid()) this.statusRequests.requestAll();
   }
 
@@ -230,18 +218,10 @@
     return this.cluster.previousTerms.summary();
   }
 
-  sendCommands(): void {
-    this.commandPusher.pushDueCommands();
-  }
-
-  flushRecords(): void {
-    this.recordWriter.flush();
-  }
-
   // ---- rounds
 
   /** Replicas that wait are given places at once, and their starts go out directly. */
-  placeServices(): void {
+  private placeServices(): void {
     if (!this.isLeaseValid() || !this.loaded) return;
     this.cluster.servicePlacements.onPlacement();
     if (placeServices(this.cluster) === 0) return;
@@ -250,8 +230,8 @@
   }
 
   /** One planning round, and what follows from it. */
-  runPlanningRound(): void {
-    this.context.timers.set('round', this.context.after(this.context.tuning.scheduler.period_ms));
+  private runPlanningRound(): void {
+    this.cluster.timers.planningRound.set(this.context.after(this.context.tuning.scheduler.period_ms));
     this.lastPlanningRoundAt = this.context.now.monotonic;
     if (!this.isLeaseValid() || !this.loaded) return;
     this.planningRounds += 1;
@@ -266,8 +246,8 @@
   }
 
   /** Once a second: silence, losses, returns. */
-  runHealthChecks(): void {
-    this.context.timers.set('healthChecks', this.context.after(HEALTH_CHECK_INTERVAL_MS));
+  private runHealthChecks(): void {
+    this.healthCheckTimer.set(this.context.after(HEALTH_CHECK_INTERVAL_MS));
     if (!this.isLeaseValid()) return;
     if (!this.hasRecentJobView()) {
       this.election.stepDown('view of jobs too old');
--- a/src/core/leadership/leader_lease.ts
+++ b/src/core/leadership/leader_lease.ts
@@ -2,6 +2,7 @@
 import { CLOCK_DRIFT } from '../lease_bounds.js';
 import type { StateStoreResult } from '../messages.js';
 import type { StepContext } from '../step_context.js';
+import type { Timer } from '../timers.js';
 import { addMilliseconds, type MonotonicTime } from '../types.js';
 import { ELECTION_PRIORITY, type ElectionWon } from './candidacy.js';
 import type { Leadership } from './leadership.js';
@@ -21,6 +22,7 @@
 export class LeaderLease {
   readonly leadership: Leadership;
   private isReleased = false;
+  private readonly renewalTimer: Timer;
 
   /** `onExpired`: the state store says that the lease is no more. */
   constructor(
@@ -30,12 +32,13 @@
     private readonly onExpired: () => void,
   ) {
     this.leadership = won.leadership;
+    this.renewalTimer = context.timers.create(() => this.renew());
     this.extendValidity(won.grantSentAt);
   }
 
   /** Returns whether no other controller can be the leader at this moment. */
   isValid(): boolean {
-    return !this.isReleased && this.context.now.monotonic < this.context.leadershipValidUntil;
+    return !this.isReleased && this.context.now.monotonic < this.context.leadership.validUntil;
   }
 
   /** Begins to renew the lease. */
@@ -46,19 +49,19 @@
   /** Ends validity and renewals at once. The lease itself stays with the state store until it expires or is revoked. */
   release(): void {
     this.isReleased = true;
-    this.context.leadershipValidUntil = 0 as MonotonicTime;
-    this.context.timers.clear('renew');
+    this.context.leadership.validUntil = 0 as MonotonicTime;
+    this.renewalTimer.clear();
   }
 
   /** Sends a renewal. Does nothing once the lease was released. */
-  renew(): void {
+  private renew(): void {
     if (this.isReleased) return;
     let sentAt = this.context.now.monotonic;
     const onResult = (result: StateStoreResult): void => {
       if (!this.isReleased) this.onRenewal(outcomeOf(result), sentAt);
     };
     const renewal = { op: 'renew', lease: this.leadership.leaseId } as const;
-    this.context.callStateStore(renewal, ELECTION_PRIORITY, onResult, {
+    this.context.stateStore.call(renewal, ELECTION_PRIORITY, onResult, {
       timeoutMs: Math.min(MAX_RENEWAL_TIMEOUT_MS, this.durationMs * RENEWAL_TIMEOUT_SHARE),
       onSend: (at) => {
         sentAt = at;
@@ -91,11 +94,11 @@
   private extendValidity(sentAt: MonotonicTime): void {
     const validMs = this.durationMs * (1 - CLOCK_DRIFT) - this.context.tuning.leadership.margin_ms;
     const until = addMilliseconds(sentAt, validMs);
-    if (until > this.context.leadershipValidUntil) this.context.leadershipValidUntil = until;
+    if (until > this.context.leadership.validUntil) this.context.leadership.validUntil = until;
   }
 
   private scheduleRenewal(afterMs: number): void {
-    this.context.timers.set('renew', this.context.after(afterMs));
+    this.renewalTimer.set(this.context.after(afterMs));
   }
 }
 
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -85,6 +85,7 @@
     private readonly callbacks: RecordWriterCallbacks,
   ) {
     this.context = cluster.context;
+    cluster.timers.recordFlush.handle(() => this.flush());
     this.maxChanges = this.context.settings.stateStore.maxChangesPerTransaction;
     this.maxValueBytes = this.context.settings.stateStore.maxValueBytes;
   }
@@ -108,11 +109,11 @@
   }
 
   private scheduleFlush(): void {
-    this.context.timers.bringForward('recordFlush', this.context.after(BATCHING_MS));
+    this.cluster.timers.recordFlush.bringForward(this.context.after(BATCHING_MS));
   }
 
   private rescheduleFlush(ms: number): void {
-    this.context.timers.set('recordFlush', this.context.after(ms));
+    this.cluster.timers.recordFlush.set(this.context.after(ms));
   }
 
   /** Writes what is due. */
@@ -120,10 +121,10 @@
     if (this.stopped || !this.callbacks.mayWrite()) return;
     const now = this.context.now.monotonic;
     if (now < this.pausedUntil) {
-      this.context.timers.set('recordFlush', this.pausedUntil);
+      this.cluster.timers.recordFlush.set(this.pausedUntil);
       return;
     }
-    const hasSpareWrites = this.context.hasSpareWriteCapacity();
+    const hasSpareWrites = this.context.stateStore.hasSpareWriteCapacity();
     const jobs = this.dueJobs(now, hasSpareWrites);
     for (const page of this.registry.pagesToReread()) this.rereadPage(page);
     const pages = this.registry.duePages(now, hasSpareWrites);
@@ -183,7 +184,7 @@
   private send(batch: WriteBatch): void {
     const { conditions, changes } = batch;
     this.writesInFlight += 1;
-    this.context.callStateStore(
+    this.context.stateStore.call(
       { op: 'compareAndSwap', conditions, changes },
       batch.isUrgent ? URGENT_PRIORITY : LAZY_PRIORITY,
       (result) => {
@@ -246,7 +247,7 @@
   /** A write failed or has an unknown outcome: the store tells what holds now. */
   private rereadJob(job: Job): void {
     job.writeInFlight = true;
-    this.context.callStateStore({ op: 'get', key: jobKey(job.id) }, URGENT_PRIORITY, (result) => {
+    this.context.stateStore.call({ op: 'get', key: jobKey(job.id) }, URGENT_PRIORITY, (result) => {
       job.writeInFlight = false;
       if (this.stopped || !result.ok || !result.value.item) return;
       this.callbacks.onRecordRead(result.value.item);
@@ -257,7 +258,7 @@
   /** Only the version matters: the page is written anew, on the condition that nothing has come in between. */
   private rereadPage(page: RegistryPage): void {
     page.writeInFlight = true;
-    this.context.callStateStore({ op: 'get', key: pageKey(page.index) }, URGENT_PRIORITY, (result) => {
+    this.context.stateStore.call({ op: 'get', key: pageKey(page.index) }, URGENT_PRIORITY, (result) => {
       page.writeInFlight = false;
       if (this.stopped) return;
       if (result.ok) {
--- a/src/core/leadership/state_loader.ts
+++ b/src/core/leadership/state_loader.ts
@@ -1,8 +1,9 @@
-import { readPrefix } from '../calls/state_store_reads.js';
+import { readPrefix } from '../clients/state_store_reads.js';
 import type { JobCache } from '../jobs/job_cache.js';
 import type { StoredEntry } from '../messages.js';
 import { MACHINE_PREFIX } from '../records.js';
 import type { StepContext } from '../step_context.js';
+import type { Timer, TimerFactory } from '../timers.js';
 
 const RETRY_MS = 300;
 
@@ -10,13 +11,17 @@
 export class StateLoader {
   private isLoading = false;
   private isStopped = false;
+  private readonly retryTimer: Timer;
 
   /** `onLoaded` is given the registry's pages once jobs and machines are read. */
   constructor(
     private readonly context: StepContext,
+    timers: TimerFactory,
     private readonly jobCache: JobCache,
     private readonly onLoaded: (pages: readonly StoredEntry[]) => void,
-  ) {}
+  ) {
+    this.retryTimer = timers.create(() => this.load());
+  }
 
   stop(): void {
     this.isStopped = true;
@@ -33,7 +38,7 @@
       if (!ok) this.retry();
       else if (pages !== null && jobsRead) this.finish(pages);
     };
-    readPrefix(this.context, MACHINE_PREFIX, (read) => {
+    readPrefix(this.context.stateStore, MACHINE_PREFIX, (read) => {
       pages = read?.items ?? null;
       onPart(read !== null);
     });
@@ -45,7 +50,7 @@
 
   private retry(): void {
     this.isLoading = false;
-    this.context.timers.set('loadState', this.context.after(RETRY_MS));
+    this.retryTimer.set(this.context.after(RETRY_MS));
   }
 
   private finish(pages: readonly StoredEntry[]): void {
--- a/src/core/machines/machine_list.ts
+++ b/src/core/machines/machine_list.ts
@@ -35,7 +35,7 @@
   }
 
   private readPage(after: MachineId | null, before: readonly CloudMachine[]): void {
-    this.cluster.context.callCloud({ op: 'list', after }, LIST_PRIORITY, (result) => {
+    this.cluster.context.cloud.call({ op: 'list', after }, LIST_PRIORITY, (result) => {
       if (!result.ok) {
         this.readInFlight = false;
         return;
--- a/src/core/machines/machine_type_catalog.ts
+++ b/src/core/machines/machine_type_catalog.ts
@@ -1,4 +1,5 @@
 import type { StepContext } from '../step_context.js';
+import type { Timer } from '../timers.js';
 import type { MachineType, MachineTypeName, MonotonicTime } from '../types.js';
 
 const RETRY_MS = 700;
@@ -12,12 +13,14 @@
 export class MachineTypeCatalog {
   types: MachineTypes = new Map();
   private readAt: MonotonicTime;
+  private readonly refreshTimer: Timer;
 
   constructor(
     private readonly context: StepContext,
     private readonly onChange: (types: MachineTypes) => void,
   ) {
     this.readAt = context.now.monotonic;
+    this.refreshTimer = context.timers.create(() => this.read());
   }
 
   /** Reads the day's prices for a new leader, unless they are known already. */
@@ -27,17 +30,16 @@
 
   read(): void {
     const priority = this.types.size === 0 ? 0 : 3;
-    this.context.callCloud({ op: 'types' }, priority, (result) => {
+    this.context.cloud.call({ op: 'types' }, priority, (result) => {
       if (!result.ok || !result.value.machineTypes) {
-        this.context.timers.set('catalog', this.context.after(RETRY_MS));
+        this.refreshTimer.set(this.context.after(RETRY_MS));
         return;
       }
       this.readAt = this.context.now.monotonic;
       this.types = new Map(result.value.machineTypes.map((type) => [type.name, type]));
       this.onChange(this.types);
-      this.context.timers.set(
-        'catalog',
-        this.context.after(this.context.isLeader ? LEADER_REFRESH_MS : FOLLOWER_REFRESH_MS),
+      this.refreshTimer.set(
+        this.context.after(this.context.leadership.isLeader ? LEADER_REFRESH_MS : FOLLOWER_REFRESH_MS),
       );
     });
   }
--- a/src/core/machines/scale_in.ts
+++ b/src/core/machines/scale_in.ts
@@ -155,10 +155,10 @@
   private sendBatch(batch: readonly Machine[]): void {
     const { context } = this.cluster;
     this.requestsInFlight += 1;
-    context.callCloud({ op: 'terminate', machines: batch.map(({ id }) => id) }, TERMINATION_PRIORITY, (result) => {
+    context.cloud.call({ op: 'terminate', machines: batch.map(({ id }) => id) }, TERMINATION_PRIORITY, (result) => {
       this.requestsInFlight -= 1;
       for (const machine of batch) this.onTerminationAnswered(machine, result.ok);
-      if (result.ok) context.timers.set('round', context.after(ROUND_AFTER_TERMINATION_MS));
+      if (result.ok) this.cluster.timers.planningRound.set(context.after(ROUND_AFTER_TERMINATION_MS));
       this.sendTerminations();
     });
   }
--- a/src/core/machines/scale_out.ts
+++ b/src/core/machines/scale_out.ts
@@ -79,7 +79,7 @@
       spot: pool.spot,
       count,
     } as const;
-    context.callCloud(op, PROVISION_PRIORITY, (result) => {
+    context.cloud.call(op, PROVISION_PRIORITY, (result) => {
       if (result.ok) return this.onProvisioned(rental, result.value.provisioned ?? []);
       if (result.error.code === 'outcomeUnknown' && context.now.monotonic - requestedAt < RETRY_WINDOW_MS)
         return this.send(rental);
--- a/src/core/peers/cancellation_broadcasts.ts
+++ b/src/core/peers/cancellation_broadcasts.ts
@@ -1,4 +1,5 @@
 import type { StepContext } from '../step_context.js';
+import type { Timer } from '../timers.js';
 import type { ControllerName, JobId, MonotonicTime } from '../types.js';
 import type { MessageIds } from './message_ids.js';
 import type { PeerTable } from './peer_table.js';
@@ -18,13 +19,16 @@
  * that it refuses is entitled to start work until its validity ends (refusal-then-outage.txt).
  */
 export class CancellationBroadcasts {
+  private readonly expiryTimer: Timer;
   private readonly pending = new Map<number, PendingBroadcast>();
 
   constructor(
     private readonly context: StepContext,
     private readonly peers: PeerTable,
     private readonly messageIds: MessageIds,
-  ) {}
+  ) {
+    this.expiryTimer = context.timers.create(() => this.expire());
+  }
 
   /** `done` follows once every leader has acknowledged, or soon after in any case. */
   broadcast(job: JobId, onDone: () => void): void {
@@ -34,14 +38,14 @@
       if (!peer.status.acknowledgesCancellations || !this.peers.isAlive(peer)) continue;
       // One whose validity has lapsed may find its lease alive and lead on: it is told, but not waited for.
       if (peer.status.isLeader) unacknowledged.add(peer.name);
-      this.context.sendToPeer(peer.name, { kind: 'cancellation', id, job });
+      this.context.outbox.sendToPeer(peer.name, { kind: 'cancellation', id, job });
     }
     if (unacknowledged.size === 0) {
       onDone();
       return;
     }
     this.pending.set(id, { onDone, unacknowledged, deadline: this.context.after(ACKNOWLEDGEMENT_TIMEOUT_MS) });
-    this.context.timers.setIfUnset('cancellationNotices', this.context.after(ACKNOWLEDGEMENT_TIMEOUT_MS));
+    this.expiryTimer.setIfUnset(this.context.after(ACKNOWLEDGEMENT_TIMEOUT_MS));
   }
 
   onAcknowledged(from: ControllerName, id: number): void {
@@ -52,7 +56,7 @@
   }
 
   /** Goes on without the acknowledgements that have not come in time. */
-  expire(): void {
+  private expire(): void {
     let next: MonotonicTime | null = null;
     for (const [id, notice] of this.pending) {
       if (notice.deadline > this.context.now.monotonic) {
@@ -62,6 +66,6 @@
       this.pending.delete(id);
       notice.onDone();
     }
-    if (next !== null) this.context.timers.set('cancellationNotices', next);
+    if (next !== null) this.expiryTimer.set(next);
   }
 }
--- a/src/core/peers/heartbeat_forwarding.ts
+++ b/src/core/peers/heartbeat_forwarding.ts
@@ -30,7 +30,7 @@
     const id = this.messageIds.next();
     const deadline = this.context.after(FORWARD_TIMEOUT_MS);
     this.pending.set(id, { recipient, machine: heartbeat.machine, respond, deadline });
-    this.context.sendToPeer(recipient, { kind: 'heartbeat', id, heartbeat });
+    this.context.outbox.sendToPeer(recipient, { kind: 'heartbeat', id, heartbeat });
   }
 
   onResponse(from: ControllerName, id: number, machine: MachineId, answer: HeartbeatResponse): void {
--- a/src/core/peers/request_forwarding.ts
+++ b/src/core/peers/request_forwarding.ts
@@ -31,7 +31,7 @@
       if (!peer.status.stateStoreReachable || !this.peers.isAlive(peer)) continue;
       const id = this.messageIds.next();
       this.pending.set(id, { respond, deadline: this.context.after(FORWARD_TIMEOUT_MS) });
-      this.context.sendToPeer(peer.name, { kind: 'request', id, request });
+      this.context.outbox.sendToPeer(peer.name, { kind: 'request', id, request });
       return true;
     }
     return false;
--- a/src/core/peers/status_exchange.ts
+++ b/src/core/peers/status_exchange.ts
@@ -21,13 +21,14 @@
     const heardMs = this.router.sinceLastHeartbeatMs;
     const status: PeerStatus = {
       isLeader: this.election.isLeaseValid(),
-      stateStoreReachable: this.context.stateStoreFailingSince === null,
+      stateStoreReachable: this.context.stateStore.failingSince === null,
       sinceLastHeartbeatMs: heardMs === null ? NO_HEARTBEAT_YET : Math.round(heardMs),
       heartbeatsPerSecond: this.router.heartbeatsPerSecond,
       prefersDirectHeartbeats: this.router.prefersDirectHeartbeats(),
       acknowledgesCancellations: true,
     };
-    for (const peer of this.context.settings.peers) this.context.sendToPeer(peer.name, { kind: 'status', status });
+    for (const peer of this.context.settings.peers)
+      this.context.outbox.sendToPeer(peer.name, { kind: 'status', status });
   }
 
   /** A leader that no worker reaches, while they reach a peer, keeps the lead from being of use: it resigns. */
--- a/src/core/requests/job_reader.ts
+++ b/src/core/requests/job_reader.ts
@@ -64,7 +64,7 @@
   }
 
   read(id: JobId, found: (job: CachedJob) => void, missing: () => void, failed: () => void): void {
-    this.context.callStateStore(
+    this.context.stateStore.call(
       { op: 'get', key: jobKey(id) },
       READ_PRIORITY,
       (result) => {
--- a/src/core/requests/linearizable_reads.ts
+++ b/src/core/requests/linearizable_reads.ts
@@ -2,6 +2,7 @@
 import type { StateStoreResult } from '../messages.js';
 import { JOB_PREFIX, jobKey } from '../records.js';
 import type { StepContext } from '../step_context.js';
+import type { Timer } from '../timers.js';
 import type { JobId } from '../types.js';
 import type { JobReader, StatusQuery } from './job_reader.js';
 
@@ -29,12 +30,15 @@
 export class LinearizableReads {
   private waiting: StatusQuery[] = [];
   private inFlight = 0;
+  private readonly batchTimer: Timer;
 
   constructor(
     private readonly context: StepContext,
     private readonly jobCache: JobCache,
     private readonly reader: JobReader,
-  ) {}
+  ) {
+    this.batchTimer = context.timers.create(() => this.sendBatch());
+  }
 
   /** A question about a job that the cache knows waits for the next confirmation; any other is read. */
   enqueue(question: StatusQuery): void {
@@ -47,18 +51,18 @@
   }
 
   private schedule(ms: number): void {
-    this.context.timers.setIfUnset('pollConfirmation', this.context.after(ms));
+    this.batchTimer.setIfUnset(this.context.after(ms));
   }
 
   /** Confirms what was gathered. */
-  sendBatch(): void {
+  private sendBatch(): void {
     if (this.waiting.length === 0 || this.inFlight >= MAX_CONCURRENT) return;
     const batch = this.takeBatch();
-    if (this.waiting.length > 0) this.context.timers.set('pollConfirmation', this.context.after(NEXT_BATCH_MS));
+    if (this.waiting.length > 0) this.batchTimer.set(this.context.after(NEXT_BATCH_MS));
     if (batch.size === 0) return;
     this.inFlight += 1;
     const conditions = [...batch].map(([id, { job }]) => ({ key: jobKey(id), version: job.version }));
-    this.context.callStateStore(
+    this.context.stateStore.call(
       { op: 'compareAndSwap', conditions, changes: [] },
       CONFIRM_PRIORITY,
       (result) => {
--- a/src/core/requests/request_handler.ts
+++ b/src/core/requests/request_handler.ts
@@ -66,10 +66,6 @@
     this.linearizableReads = new LinearizableReads(context, jobCache, this.reader);
   }
 
-  sendLinearizableReads(): void {
-    this.linearizableReads.sendBatch();
-  }
-
   /** `relayed`: the request came from another node and isn't passed on again. */
   handle(request: UserRequest, respond: Respond, relayed = false): void {
     const known = this.jobCache.get(request.id);
@@ -110,7 +106,7 @@
 
   /** For how long the state service has refused this node or not answered it; 0: it answers. */
   private stateStoreFailingMs(): number {
-    const since = this.context.stateStoreFailingSince;
+    const since = this.context.stateStore.failingSince;
     return since === null ? 0 : this.context.now.monotonic - since;
   }
 
@@ -164,7 +160,7 @@
       if (mayExist) this.reader.respond({ id, responseIfMissing: STATE_STORE_UNAVAILABLE, ...reply });
       else reply.onUnavailable();
     };
-    this.context.callStateStore(
+    this.context.stateStore.call(
       { op: 'compareAndSwap', conditions, changes },
       WRITE_PRIORITY,
       onResult,
@@ -230,7 +226,7 @@
       if (wasNotExecuted(result.error) || tries >= MAX_CANCEL_ATTEMPTS) reply.onUnavailable();
       else this.cancel(id, reply, tries + 1);
     };
-    this.context.callStateStore(
+    this.context.stateStore.call(
       { op: 'compareAndSwap', conditions, changes },
       WRITE_PRIORITY,
       onResult,
--- a/src/core/state/cluster.ts
+++ b/src/core/state/cluster.ts
@@ -17,6 +17,7 @@
 import { PreviousTerms } from './previous_terms.js';
 import { Quotas } from './quotas.js';
 import { ServicePlacementSchedule } from './service_placement_schedule.js';
+import { TermTimers } from './term_timers.js';
 import { UnexpectedTasks } from './unexpected_tasks.js';
 
 /** Attempts of one term are numbered within so many bits. */
@@ -29,6 +30,7 @@
   readonly spotInterruptions = new SpotInterruptionRate();
   readonly images = new ImageUsage();
   readonly jobs = new JobTable();
+  readonly timers: TermTimers;
   readonly machines: MachineTable;
   readonly quotas: Quotas;
   readonly previousTerms: PreviousTerms;
@@ -46,10 +48,12 @@
     startZonesRecordedSince: StartZonesRecordedSince = null,
   ) {
     const { jobs } = this;
+    const timers = new TermTimers(context.timers);
+    this.timers = timers;
     const quotas = new Quotas(context.settings.teamQuotas);
     const machines = new MachineTable(context, this.bootTimeEstimator);
-    const pendingCommands = new PendingCommands(context);
-    const servicePlacements = new ServicePlacementSchedule(context, jobs);
+    const pendingCommands = new PendingCommands(context, timers);
+    const servicePlacements = new ServicePlacementSchedule(context, timers, jobs);
     this.quotas = quotas;
     this.machines = machines;
     this.pendingCommands = pendingCommands;
--- a/src/core/state/service_placement_schedule.ts
+++ b/src/core/state/service_placement_schedule.ts
@@ -2,6 +2,7 @@
 import type { StepContext } from '../step_context.js';
 import type { MonotonicTime } from '../types.js';
 import type { JobTable } from './job_table.js';
+import type { TermTimers } from './term_timers.js';
 
 /** Least spacing of placements of replicas, and how long one waits for more to place. */
 const SPACING_MS = 100;
@@ -13,6 +14,7 @@
 
   constructor(
     private readonly context: StepContext,
+    private readonly timers: TermTimers,
     private readonly jobs: JobTable,
   ) {}
 
@@ -26,6 +28,6 @@
     if (!this.jobs.hasPendingReplicas()) return;
     const spaced = this.lastPlacementAt + SPACING_MS;
     const earliest = Math.max(at, spaced, this.context.after(BATCHING_MS)) as MonotonicTime;
-    this.context.timers.bringForward('servicePlacement', earliest);
+    this.timers.servicePlacement.bringForward(earliest);
   }
 }
--- a/src/core/workers/backlogged_heartbeats.ts
+++ b/src/core/workers/backlogged_heartbeats.ts
@@ -3,6 +3,7 @@
 import type { Machine } from '../machines/machine.js';
 import type { HeartbeatResponse } from '../messages.js';
 import type { StepContext } from '../step_context.js';
+import type { Timer, TimerFactory } from '../timers.js';
 import type { Heartbeat, MonotonicTime } from '../types.js';
 import { type HeartbeatResponder, UNAVAILABLE } from './heartbeat_response.js';
 
@@ -29,11 +30,14 @@
 /** Heartbeats are reconciled in their turn, the newest of each machine; leases are renewed whether or not it has come. */
 export class BackloggedHeartbeats {
   private readonly backlog: HeartbeatBacklog<BackloggedHeartbeat>;
+  private readonly turnTimer: Timer;
 
   constructor(
     private readonly context: StepContext,
+    timers: TimerFactory,
     private readonly callbacks: BacklogCallbacks,
   ) {
+    this.turnTimer = timers.create(() => this.processDue());
     this.backlog = new HeartbeatBacklog(context.features.recovery.lists_per_window);
   }
 
@@ -50,12 +54,12 @@
     if (this.backlog.admit(this.context.now.monotonic)) return false;
     this.backlog.add(machine.id, backlogged);
     machine.messages.recordHeartbeatSequence(heartbeat.sequence);
-    this.context.timers.setIfUnset('reportBacklog', this.backlog.nextDueAt() ?? this.context.now.monotonic);
+    this.turnTimer.setIfUnset(this.backlog.nextDueAt() ?? this.context.now.monotonic);
     return true;
   }
 
   /** Processes the heartbeats whose turn it is, and renews the leases of those whose deadline has come. */
-  onTimer(): void {
+  private processDue(): void {
     const now = this.context.now.monotonic;
     for (const backlogged of this.backlog.takeDue(now)) this.callbacks.process(backlogged);
     for (const backlogged of this.backlog.pending()) {
@@ -64,7 +68,7 @@
       backlogged.respond = null;
     }
     const next = this.backlog.nextDueAt();
-    if (next !== null) this.context.timers.set('reportBacklog', next);
+    if (next !== null) this.turnTimer.set(next);
   }
 
   /** Answers all that wait with 503. */
--- a/src/core/workers/command_delivery.ts
+++ b/src/core/workers/command_delivery.ts
@@ -50,14 +50,14 @@
 
   /** Whether no more may be pushed to any machine before a response comes. */
   get isSaturated(): boolean {
-    return this.context.openCommandPushCount >= MAX_PUSHES_IN_FLIGHT;
+    return this.context.commandPushes.openCount >= MAX_PUSHES_IN_FLIGHT;
   }
 
   /** Pushes the commands at once; `onOutcome` is called after the status in the response was reconciled. */
   deliver(delivery: Delivery, onOutcome: (outcome: DeliveryOutcome) => void): void {
     const { machine, agentEpoch, commands, starts } = delivery;
     machine.commandChannel.begin(starts);
-    this.context.pushCommands(
+    this.context.commandPushes.push(
       { address: machine.address, fencingToken: this.fencingToken, agentEpoch, commands },
       (result) => onOutcome(this.processResult(delivery, result)),
     );
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -39,6 +39,7 @@
     private readonly leader: CommandLeader,
   ) {
     this.context = cluster.context;
+    cluster.timers.commandPush.handle(() => this.pushDueCommands());
   }
 
   /** Pushes what is due, and sets the timer to look again as long as something is left. */
@@ -56,7 +57,7 @@
       if (this.delivery.isSaturated) break;
       this.push(machine, agentEpoch, stops, replicas);
     }
-    if (isAnyLeft) this.context.timers.set('workerCommands', this.context.after(RETRY_INTERVAL_MS));
+    if (isAnyLeft) this.cluster.timers.commandPush.set(this.context.after(RETRY_INTERVAL_MS));
   }
 
   private mayPushTo(machine: Machine): boolean {
--- a/src/core/workers/deferred_responses.ts
+++ b/src/core/workers/deferred_responses.ts
@@ -1,6 +1,8 @@
 /** Holds back responses to heartbeats whose commands are not known yet. */
 import type { Machine } from '../machines/machine.js';
+import type { TermTimers } from '../state/term_timers.js';
 import type { StepContext } from '../step_context.js';
+import type { Timer } from '../timers.js';
 import type { MonotonicTime, SequenceNumber } from '../types.js';
 import { type HeartbeatResponder, UNAVAILABLE } from './heartbeat_response.js';
 
@@ -39,17 +41,21 @@
 /** The responses that are held back, each until what it waits for is there or its deadline has come. */
 export class DeferredResponses {
   private deferred: DeferredResponse[] = [];
+  private readonly deadlineTimer: Timer;
 
   constructor(
     private readonly context: StepContext,
+    private readonly timers: TermTimers,
     private readonly callbacks: DeferralCallbacks,
-  ) {}
+  ) {
+    this.deadlineTimer = timers.create(() => this.release());
+  }
 
   /** Holds a response back for `maxDeferralMs` at most. */
   defer({ respond, machine, sequence }: PendingResponse, reason: DeferralReason, maxDeferralMs: number): void {
     const deadline = this.context.after(maxDeferralMs);
     this.deferred.push({ respond, machine, sequence, reason, deadline });
-    this.context.timers.bringForward('heldReports', deadline);
+    this.deadlineTimer.bringForward(deadline);
   }
 
   /** Sends the responses that have nothing left to wait for. */
@@ -67,7 +73,7 @@
       if (nextDeadline === null || response.deadline < nextDeadline) nextDeadline = response.deadline;
     }
     this.deferred = kept;
-    if (nextDeadline !== null) this.context.timers.set('heldReports', nextDeadline);
+    if (nextDeadline !== null) this.deadlineTimer.set(nextDeadline);
   }
 
   /** Answers all that are held back with `UNAVAILABLE`. */
@@ -78,7 +84,7 @@
 
   private isRoundImminent(): boolean {
     const withinMs = this.context.tuning.scheduler.spacing_ms + IMMINENT_ROUND_MS;
-    return this.context.timers.isDueBy('round', this.context.after(withinMs));
+    return this.timers.planningRound.isDueBy(this.context.after(withinMs));
   }
 
   private mustWait({ deadline, reason, machine }: DeferredResponse, isRoundImminent: boolean): boolean {
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -66,11 +66,11 @@
     private readonly leader: HeartbeatLeader,
   ) {
     this.context = cluster.context;
-    this.deferredResponses = new DeferredResponses(this.context, {
+    this.deferredResponses = new DeferredResponses(this.context, cluster.timers, {
       awaitsWrites: (machine) => leader.hasWritesInFlight() && awaitsDurableRecords(cluster, machine),
       send: (response) => this.sendResponse(response),
     });
-    this.backlog = new BackloggedHeartbeats(this.context, {
+    this.backlog = new BackloggedHeartbeats(this.context, cluster.timers, {
       process: (backlogged) => this.processBacklogged(backlogged),
       leaseRenewal: () => (this.mayRenewLeases() ? leaseRenewal(this.fencingToken) : UNAVAILABLE),
     });
@@ -97,11 +97,6 @@
     }
   }
 
-  /** Reconciles the heartbeats in the backlog whose turn has come. */
-  processBacklog(): void {
-    this.backlog.onTimer();
-  }
-
   /** Sends the deferred responses that have nothing left to wait for. */
   releaseDeferred(): void {
     this.deferredResponses.release();
--- a/src/core/workers/heartbeat_router.ts
+++ b/src/core/workers/heartbeat_router.ts
@@ -79,7 +79,7 @@
     this.lastHeartbeatAt = this.context.now.monotonic;
     this.lastDirectHeartbeatAt = this.context.now.monotonic;
     this.heartbeatsCounted += 1;
-    const answer = (given: HeartbeatResponse): void => this.context.respondToWorker(req, given);
+    const answer = (given: HeartbeatResponse): void => this.context.outbox.respondToWorker(req, given);
     const leader = this.currentLeader();
     if (!leader) {
       this.forwardToLeader(report, answer);
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -66,11 +66,11 @@
   placement: Placement | null,
 ): void {
   if (job.state !== 'accepted' || job.isDone(task.index)) return;
-  const { context } = cluster;
+  const { context, timers } = cluster;
   job.markDone(task.index);
   machine.taskFailures.clear();
   if (placement) recordRunTime(cluster, placement);
-  context.timers.setIfUnset('recordFlush', context.after(RESULT_FLUSH_DELAY_MS));
+  timers.recordFlush.setIfUnset(context.after(RESULT_FLUSH_DELAY_MS));
 }
 
 /** Learns from how long a task took, unless it ran in several parts. */
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -1,5 +1,5 @@
 /* Runs the unit tests of test/core/ as one file. */
-import './core/calls/call_queue.test.js';
+import './core/clients/call_queue.test.js';
 import './core/jobs/range_set.test.js';
 import './core/jobs/runtime_estimator.test.js';
 import './core/machines/machine.test.js';
--- a/test/core/calls/call_queue.test.ts
+++ b/test/core/clients/call_queue.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import fc from 'fast-check';
-import { CallQueue } from '../../../src/core/calls/call_queue.js';
-import { TokenBucket } from '../../../src/core/calls/token_bucket.js';
+import { CallQueue } from '../../../src/core/clients/call_queue.js';
+import { TokenBucket } from '../../../src/core/clients/token_bucket.js';
 import type { MonotonicTime } from '../../../src/core/types.js';
 
 const RATE = 10;
