--- a/src/core/machines/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -1,8 +1,8 @@
+import type { Machine } from '../machines/machine.js';
 import type { RoundResult } from '../scheduler/round_result.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MachineType, MachineTypeName, MonotonicTime } from '../types.js';
 import { GuaranteedCapacity } from './guaranteed_capacity.js';
-import type { Machine } from './machine.js';
 import { MachineList } from './machine_list.js';
 import { ScaleIn } from './scale_in.js';
 import { ScaleOut } from './scale_out.js';
--- a/src/core/machines/guaranteed_capacity.ts
+++ b/src/core/autoscaling/guaranteed_capacity.ts
@@ -1,6 +1,6 @@
+import type { CapacityPool } from '../machines/capacity_pool.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MachineType, MonotonicTime } from '../types.js';
-import type { CapacityPool } from './capacity_pool.js';
 import type { ScaleOut } from './scale_out.js';
 
 /** Capacity for guarantees is given back when there has been no work at all for so long. */
--- a/src/core/machines/machine_list.ts
+++ b/src/core/autoscaling/machine_list.ts
@@ -1,6 +1,6 @@
+import { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { CloudMachine, MachineId, MonotonicTime } from '../types.js';
-import { Machine } from './machine.js';
 
 const LIST_PERIOD_MS = 6000;
 const LIST_PRIORITY = 2;
--- a/src/core/machines/scale_in.ts
+++ b/src/core/autoscaling/scale_in.ts
@@ -1,10 +1,10 @@
 import { startKey, startKeyOf } from '../jobs/task_keys.js';
+import { HEARTBEAT_OVERDUE_AFTER_PERIODS } from '../machines/agent_messages.js';
+import type { DrainReason } from '../machines/cordon.js';
+import type { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MonotonicTime } from '../types.js';
-import { HEARTBEAT_OVERDUE_AFTER_PERIODS } from './agent_messages.js';
-import type { DrainReason } from './cordon.js';
 import { CAPACITY_TOLERANCE, type Capacity } from './guaranteed_capacity.js';
-import type { Machine } from './machine.js';
 
 /** What the cloud takes in one request, and how many requests are under way at once. */
 const TERMINATION_BATCH_SIZE = 100;
--- a/src/core/machines/scale_out.ts
+++ b/src/core/autoscaling/scale_out.ts
@@ -1,7 +1,7 @@
+import { type CapacityPool, capacityPoolKey } from '../machines/capacity_pool.js';
+import { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MachineId, MonotonicTime } from '../types.js';
-import { type CapacityPool, capacityPoolKey } from './capacity_pool.js';
-import { Machine } from './machine.js';
 
 /** What the cloud takes in one request. */
 const MAX_MACHINES_PER_REQUEST = 50;
--- a/src/core/machines/scale_out_demand.ts
+++ b/src/core/autoscaling/scale_out_demand.ts
@@ -1,11 +1,11 @@
+import { type CapacityPool, capacityPoolKey } from '../machines/capacity_pool.js';
+import { pullSeconds } from '../machines/image_cache.js';
 import { countFitting, RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { PlanJob } from '../scheduler/plan_types.js';
 import type { RoundResult } from '../scheduler/round_result.js';
 import { type GpuDemand, gpuDemand, spareCapacityOfType } from '../scheduler/spare_capacity.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MachineType, MachineTypeName, ZoneName } from '../types.js';
-import { type CapacityPool, capacityPoolKey } from './capacity_pool.js';
-import { pullSeconds } from './image_cache.js';
 import type { ScaleOut } from './scale_out.js';
 
 /** Spot machines are lost now and then: their price counts so much more. */
--- a/src/core/machines/health_checks.ts
+++ b/src/core/health/health_checks.ts
@@ -1,10 +1,14 @@
 import { workerLeaseExpiryMs } from '../lease_bounds.js';
+import type { Machine } from '../machines/machine.js';
+import {
+  MISESTIMATED_AFTER_MACHINES,
+  STRAGGLER_LOG_RATIO,
+  type StragglerEvidence,
+} from '../machines/straggler_detector.js';
 import { moveReplica } from '../scheduler/replica_move.js';
 import type { Cluster } from '../state/cluster.js';
 import type { Placement } from '../state/placement.js';
 import { addMilliseconds, type JobId, type MonotonicTime } from '../types.js';
-import type { Machine } from './machine.js';
-import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO, type StragglerEvidence } from './straggler_detector.js';
 
 /** One suspicion at a time: if everything seems slow, it isn't the machines. Of more machines, more may be replaced. */
 const STRAGGLER_DRAIN_INTERVAL_MS = 30_000;
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -1,8 +1,8 @@
 import type { RecoverySummary } from '../../recovery/index.js';
+import { Autoscaler } from '../autoscaling/autoscaler.js';
+import { HealthChecks } from '../health/health_checks.js';
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
 import { maxJobViewAgeMs } from '../lease_bounds.js';
-import { Autoscaler } from '../machines/autoscaler.js';
-import { HealthChecks } from '../machines/health_checks.js';
 import type { Machine } from '../machines/machine.js';
 import { MachineRegistry } from '../machines/machine_registry.js';
 import type { MachineTypes } from '../machines/machine_type_catalog.js';
