--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -23,16 +23,16 @@
   countIfNew(cluster, machine, task, classification);
   switch (classification.action) {
     case 'adopt':
-      return adopt(cluster, machine, task);
+      return adopt(cluster, machine, job, task);
     case 'adoptAndStop': {
-      const placement = adopt(cluster, machine, task);
+      const placement = adopt(cluster, machine, job, task);
       if (placement) cluster.placements.stop(placement, 0);
       return placement;
     }
     case 'adoptAndStopOther':
       if (elsewhere) displace(cluster, elsewhere);
       logDuplicateTask(cluster, machine, task, elsewhere);
-      return adopt(cluster, machine, task);
+      return adopt(cluster, machine, job, task);
     case 'stop':
       if (job) logDuplicateTask(cluster, machine, task, elsewhere);
       unexpected.push(toUnexpectedTask(task, job, true));
@@ -41,7 +41,11 @@
       cluster.previousTerms.suspectOrphan(task.job, machine);
       unexpected.push(toUnexpectedTask(task, job, false));
       return null;
-    default:
+    case 'leave':
+    // These are for exited tasks: a live one is left alone.
+    case 'recordResult':
+    case 'requeue':
+    case 'forget':
       unexpected.push(toUnexpectedTask(task, job, false));
       return null;
   }
@@ -83,6 +87,7 @@
   return classify({ attempt: task.attempt, exitReason, job: storedJob(cluster, task), otherPlacement });
 }
 
+/** What the state store is known to hold of the job. */
 function storedJob(cluster: Cluster, { job: id, index, phase }: TaskStatus): StoredJob {
   const job = cluster.jobs.get(id);
   if (job) {
@@ -105,8 +110,7 @@
 
 const toOtherPlacement = ({ machine, attempt }: Placement): OtherPlacement => ({ machine: machine.id, attempt });
 
-function adopt(cluster: Cluster, machine: Machine, task: LiveTaskStatus): Placement | null {
-  const job = cluster.jobs.get(task.job);
+function adopt(cluster: Cluster, machine: Machine, job: Job | null, task: LiveTaskStatus): Placement | null {
   return job ? place(cluster, machine, job, task) : null;
 }
 
@@ -114,23 +118,17 @@
   return cluster.placements.add({ job, index, machine, attempt, phase });
 }
 
+/** An older attempt on another machine loses its placement, and is stopped there. */
 function displace(cluster: Cluster, placement: Placement): void {
   const { job, index, attempt, machine } = placement;
   cluster.placements.detach(placement);
   cluster.unexpectedTasks.add(machine, { job: job.id, index, attempt, shouldStop: true, knownJob: job });
 }
 
-const toUnexpectedTask = (
-  { job, index, attempt }: TaskStatus,
-  knownJob: Job | null,
-  shouldStop: boolean,
-): UnexpectedTask => ({
-  job,
-  index,
-  attempt,
-  shouldStop,
-  knownJob,
-});
+function toUnexpectedTask(task: TaskStatus, knownJob: Job | null, shouldStop: boolean): UnexpectedTask {
+  const { job, index, attempt } = task;
+  return { job, index, attempt, shouldStop, knownJob };
+}
 
 /** Statuses repeat what doesn't change: a task is counted with the first that shows it as what it is. */
 function countIfNew(
@@ -144,6 +142,7 @@
   if (!isRepeated) previousTerms.recovery?.countTask(taskClass);
 }
 
+/** Says once of each status that first shows it that a task is on two machines. */
 function logDuplicateTask({ context }: Cluster, machine: Machine, task: TaskStatus, other: Placement | null): void {
   const { job, index, attempt } = task;
   if (machine.unexpectedTasks.get(taskKey(job, index))?.attempt === attempt) return;
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -17,7 +17,7 @@
 const FIRST_RESTART_PAUSE_MS = 500;
 const MAX_RESTART_DOUBLINGS = 6;
 const MAX_RESTART_PAUSE_MS = 30_000;
-/** After a start that the worker refused. */
+/** A job waits for so long after a worker refused to start a task of it. */
 const REFUSED_START_PAUSE_MS = 1000;
 
 /** The job and machine of a task that has exited, and since when it was there. */
@@ -54,10 +54,10 @@
   job.locatedTasks.add(task.index);
   if (action !== 'requeue' || job.isService) return;
   const now = cluster.context.now.monotonic;
-  const placement = { job, machine, placedAt: now, runningSince: now };
-  recordFailure(cluster, placement, task);
+  recordFailure(cluster, { job, machine, placedAt: now, runningSince: now }, task);
 }
 
+/** Marks the task as done, whether or not it had a placement here. */
 function recordResult(
   cluster: Cluster,
   machine: Machine,
@@ -122,6 +122,7 @@
   job.notBefore = context.after(Math.min(MAX_RESTART_PAUSE_MS, pauseMs));
 }
 
+/** The failure history of the job tells a faulty job from a faulty machine. */
 function recordJobFailure({ job, machine, placedAt, runningSince }: EndedRun, now: MonotonicTime): void {
   const { failureHistory } = job;
   failureHistory.recordFailure(machine.id, {
@@ -132,29 +133,48 @@
   });
 }
 
-function recordFailure(cluster: Cluster, placement: EndedRun, task: TaskStatus): void {
-  const { context } = cluster;
-  const { job, machine, runningSince } = placement;
+/** A task ended without a result. */
+function recordFailure(cluster: Cluster, run: EndedRun, task: TaskStatus): void {
   const { exitReason } = task;
   if (exitReason === 'stopped' || exitReason === 'gang_member_lost') {
-    if (runningSince !== null) job.failureCount += 1;
-    if (task.checkpointSaved) job.failureHistory.recordSuccess();
+    recordInterruption(run, task);
     return;
   }
-  context.log('info', 'task exited early', {
+  const { job, machine } = run;
+  cluster.context.log('info', 'task exited early', {
     task: taskKey(task.job, task.index),
     machine: machine.id,
     exitReason,
   });
   job.failureCount += 1;
-  if (exitReason === 'no_capacity' || exitReason === 'busy' || exitReason === 'unknown') {
-    job.notBefore = context.after(REFUSED_START_PAUSE_MS);
-    return;
+  switch (exitReason) {
+    case 'no_capacity':
+    case 'busy':
+    case 'unknown':
+      job.notBefore = cluster.context.after(REFUSED_START_PAUSE_MS);
+      return;
+    case 'error':
+      recordError(cluster, run);
+      return;
+    // The gang is tried again at once; the others need nothing to be done.
+    case 'gang_incomplete':
+    case 'done':
+    case null:
+      return;
   }
-  if (exitReason !== 'error') return;
-  recordJobFailure(placement, context.now.monotonic);
-  if (job.isFaulty) pauseFaultyJob(cluster, job);
-  else recordMachineError(cluster, machine, job);
+}
+
+/** The task was made to end: its run time will tell nothing, but a checkpoint shows that the job does well. */
+function recordInterruption({ job, runningSince }: EndedRun, { checkpointSaved }: TaskStatus): void {
+  if (runningSince !== null) job.failureCount += 1;
+  if (checkpointSaved) job.failureHistory.recordSuccess();
+}
+
+/** Either the job is at fault, or the machine may be. */
+function recordError(cluster: Cluster, run: EndedRun): void {
+  recordJobFailure(run, cluster.context.now.monotonic);
+  if (run.job.isFaulty) pauseFaultyJob(cluster, run.job);
+  else recordMachineError(cluster, run.machine, run.job);
 }
 
 /** What has not been sent yet is held back; later tries are of one task at a time (ranking.ts). */
