--- a/src/core/scheduler/fitness.ts
+++ b/src/core/scheduler/fitness.ts
@@ -3,7 +3,7 @@
 import type { PlanJob, PlanMachine } from './plan_types.js';
 import type { FitnessWeights } from './policy.js';
 
-/** Utilization is looked at so far ahead; the paper's horizon, the end of all jobs, would say nothing of the next minute. */
+/** Utilization is looked at so far ahead, where the paper looks to the end of the last job. */
 const UTILIZATION_HORIZON_SECONDS = 60;
 
 /** The weighted queuing times of the jobs of one plan, in seconds. */
--- a/src/core/scheduler/spare_capacity.ts
+++ b/src/core/scheduler/spare_capacity.ts
@@ -1,42 +1,43 @@
+/** Spare capacity: what work without GPUs may take of machines with GPUs. */
 import type { Machine } from '../machines/machine.js';
 import { countFitting } from '../resource_amounts.js';
 import type { MachineType, MachineTypeName, Resources } from '../types.js';
 import type { ClusterState } from './cluster_state.js';
 
-/** Cores and memory beside GPUs. */
+/** The cores and memory of a machine, GPUs left aside. */
 export interface CpusAndMemory {
   readonly cpus: number;
   readonly memoryGb: number;
 }
 
-/** For each type with GPUs, what the GPU work there is now could use beside them if it had all of them. */
+/** For each machine type, what the GPU work there is now could use beside GPUs if it had all of them. */
 export type GpuDemand = ReadonlyMap<MachineTypeName, CpusAndMemory>;
 
 const UNLIMITED: CpusAndMemory = { cpus: Number.POSITIVE_INFINITY, memoryGb: Number.POSITIVE_INFINITY };
 const NO_CAPACITY: CpusAndMemory = { cpus: 0, memoryGb: 0 };
 
-/** Once for each type and shape of task, not for each machine: hundreds of machines meet hundreds of shapes. */
+/** Returns the demand by type: reckoned once for each size of task, as hundreds of machines meet hundreds of sizes. */
 export function gpuDemand(cluster: ClusterState): GpuDemand {
-  const shapes = gpuTaskSizes(cluster);
+  const sizes = gpuTaskSizes(cluster);
   const demand = new Map<MachineTypeName, CpusAndMemory>();
-  for (const type of cluster.machineTypes.values()) demand.set(type.name, demandOn(type, shapes));
+  for (const type of cluster.machineTypes.values()) demand.set(type.name, demandOn(type, sizes));
   return demand;
 }
 
 function gpuTaskSizes(cluster: ClusterState): Resources[] {
-  const shapes = new Map<string, Resources>();
+  const sizes = new Map<string, Resources>();
   for (const { spec, state } of cluster.jobs.active) {
     if (spec.gpus <= 0 || state !== 'accepted') continue;
     const key = `${spec.gpus}|${spec.cpus}|${spec.memoryGb}`;
-    if (!shapes.has(key)) shapes.set(key, spec);
+    if (!sizes.has(key)) sizes.set(key, spec);
   }
-  return [...shapes.values()];
+  return [...sizes.values()];
 }
 
-function demandOn(type: MachineType, shapes: readonly Resources[]): CpusAndMemory {
+function demandOn(type: MachineType, sizes: readonly Resources[]): CpusAndMemory {
   let cpus = 0;
   let memoryGb = 0;
-  for (const task of shapes) {
+  for (const task of sizes) {
     if (task.gpus > type.gpus) continue;
     const tasks = countFitting(type.gpus, task.gpus);
     cpus = Math.max(cpus, Math.min(type.cpus, tasks * task.cpus));
@@ -45,15 +46,16 @@
   return { cpus, memoryGb };
 }
 
-/** What an empty machine of the type leaves beside all that GPU work could use. */
+/** Returns what an empty machine of the type leaves beside all that GPU work could use. */
 export function spareCapacityOfType(type: MachineType, demand: GpuDemand): CpusAndMemory {
   const reserved = demand.get(type.name) ?? NO_CAPACITY;
   return { cpus: type.cpus - reserved.cpus, memoryGb: type.memoryGb - reserved.memoryGb };
 }
 
 /**
- * On machines with GPUs, the cores and memory that GPU work has no use for even when it has all the GPUs. Work without
- * GPUs that took more would keep GPUs idle: a gang that needs whole machines would wait for the last small task on each.
+ * Returns the cores and memory that GPU work has no use for even when it has all GPUs of the machine; without limit where it
+ * has none. Work without GPUs that took more would keep GPUs idle: a gang that needs whole machines would wait for the last
+ * small task on each.
  */
 export function spareCapacity(machine: Machine, demand: GpuDemand): CpusAndMemory {
   const { type } = machine;
