--- a/src/core/health/health_checks.ts
+++ b/src/core/health/health_checks.ts
@@ -1,10 +1,6 @@
 import { workerLeaseExpiryMs } from '../lease_bounds.js';
 import type { Machine } from '../machines/machine.js';
-import {
-  MISESTIMATED_AFTER_MACHINES,
-  STRAGGLER_LOG_RATIO,
-  type StragglerEvidence,
-} from '../machines/straggler_detector.js';
+import { STRAGGLER_LOG_RATIO, type StragglerEvidence } from '../machines/straggler_detector.js';
 import { moveReplica } from '../scheduler/replica_move.js';
 import type { Cluster } from '../state/cluster.js';
 import type { Placement } from '../state/placement.js';
@@ -157,7 +153,7 @@
         logRatio,
         logStandardDeviation: this.cluster.runtimeEstimator.logStandardDeviation(job.spec),
       });
-      if (logRatio > STRAGGLER_LOG_RATIO) job.slowMachines.add(machine.id);
+      if (logRatio > STRAGGLER_LOG_RATIO) job.recordSlowMachine(machine.id);
     }
     return found ?? NO_EVIDENCE;
   }
@@ -167,7 +163,7 @@
     if (phase !== 'running' || runningSince === null) return 0;
     // A service runs for as long as its user wants, and a gang is as slow as its slowest machine.
     if (job.isService || (job.isGang && job.spec.taskCount > 1)) return 0;
-    if (job.slowMachines.size >= MISESTIMATED_AFTER_MACHINES) return 0;
+    if (job.isMisestimated) return 0;
     const ranS = (now - runningSince) / 1000;
     return Math.max(0, Math.log(ranS / this.cluster.runtimeEstimator.expectedSeconds(job.spec)));
   }
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -1,67 +1,55 @@
+/** One job as the leader holds it: its description, its state, and which of its tasks are done, placed or waiting. */
 import type { JobRecord, JobState } from '../records.js';
 import type { JobId, JobSpec, MachineId, MonotonicTime, Revision, WallClockTime, ZoneName } from '../types.js';
 import { FailureHistory } from './failure_history.js';
 import { RangeSet } from './range_set.js';
+import { Retries } from './retries.js';
+import { StoredJobState } from './stored_job_state.js';
 
-/** A job as the leader holds it: its record, and where its tasks are. */
+/** A job that runs long on so many machines was estimated wrongly, and is no evidence against any of them. */
+const MISESTIMATED_AFTER_MACHINES = 2;
+
+/** How soon a job's record has to be written: `immediate` where something else can't happen before. */
+export type WriteUrgency = 'none' | 'deferrable' | 'immediate';
+
+/** A job of the leader. What lasts beyond its term is in `stored`; the rest is learned anew by each leader. */
 export class Job {
   readonly spec: JobSpec;
   readonly submittedAt: WallClockTime;
-  state: JobState;
-  version: Revision;
-  /** What the store is known to hold. */
-  durableDoneTasks: RangeSet;
-  durableState: JobState;
-  durableStartTerm: number;
-  /** The term in which its first start was allowed, 0 before. */
-  startTerm: number;
-  startZone: ZoneName | null;
-  /** Zones in which it may have been started, this leader's starts included; null: any. */
-  startZones: Set<ZoneName> | null = null;
-  private durableStartZones: ReadonlySet<ZoneName> = new Set();
-  /** While tasks of it may be on machines that have told nothing yet, only those in `located` may be started. */
-  mayRunUnreconciled = false;
-  /** Tasks that this leader has found on machines: wherever they are now, they are on no other. */
-  readonly locatedTasks = new Set<number>();
-  /** Tasks that are also on a machine where they don't belong, and on how many. */
-  readonly unexpectedTasks = new Map<number, number>();
+  /** What the state store is known to hold of it. */
+  readonly stored: StoredJobState;
+  /** From when on it may be started again after failures. */
+  readonly retries = new Retries();
+  /** How its tasks have failed, and whether it is itself at fault. */
+  readonly failureHistory = new FailureHistory();
   /** What is known to be complete, durable or not. */
   readonly doneTasks: RangeSet;
-  /** Tasks that are, or may be, or are about to be on a machine. */
+
+  private currentState: JobState;
+  private firstStartTerm: number;
+  private firstStartZone: ZoneName | null;
+  private zonesOfStarts: Set<ZoneName> | null = null;
+  private isGangBroken = false;
+  private mayRunUnreconciled = false;
+  private readonly locatedTasks = new Set<number>();
+  /** Tasks that are also on a machine where they don't belong, and on how many. */
+  private readonly unexpectedTasks = new Map<number, number>();
   private readonly placedTasks = new Set<number>();
-  /** A gang's present attempt can't complete any more: all of it has to leave. */
-  gangBroken = false;
-  writeInFlight = false;
-  lastWriteAt = 0 as MonotonicTime;
-  /** After failures: not started before this time. */
-  notBefore = 0 as MonotonicTime;
-  failureCount = 0;
-  readonly failureHistory = new FailureHistory();
-  /** Machines on which a task of it took far longer than expected. */
-  readonly slowMachines = new Set<MachineId>();
-  /** How often it was moved to machines that hold its image, and how often lower work was stopped for it. */
-  migrationCount = 0;
-  preemptionCount = 0;
-  /** Of a service: replicas that ended soon after their start, one after the other. */
-  shortRunCount = 0;
-  lastShortRunAt = 0 as MonotonicTime;
-  /** Of a service: since when a replica has waited for a place. */
-  replicaPendingSince: MonotonicTime | null = null;
-  /** Since when nothing of it has been on any machine, or it is known here. */
-  inactiveSince = 0 as MonotonicTime;
+  private readonly slowMachines = new Set<MachineId>();
+  private migrations = 0;
+  private preemptions = 0;
+  private waitingReplicaSince: MonotonicTime | null = null;
+  private lastActiveAt = 0 as MonotonicTime;
   /** Every task below this number is done or has a place. */
   private firstPossiblyPending = 0;
 
   constructor(record: JobRecord, version: Revision) {
     this.spec = record.spec;
     this.submittedAt = record.submittedAt;
-    this.version = version;
-    this.state = record.state;
-    this.durableState = record.state;
-    this.durableDoneTasks = record.done;
-    this.durableStartTerm = record.startTerm;
-    this.startTerm = record.startTerm;
-    this.startZone = record.startZone;
+    this.stored = new StoredJobState(record, version);
+    this.currentState = record.state;
+    this.firstStartTerm = record.startTerm;
+    this.firstStartZone = record.startZone;
     this.doneTasks = RangeSet.from(record.done.pairs());
     if (this.doneTasks.count > 0) this.failureHistory.recordSuccess();
   }
@@ -78,118 +66,105 @@
     return this.spec.kind === 'service';
   }
 
+  // ---- state
+
+  /** Whether it is accepted, done or cancelled, as far as is known here: the record may lag behind. */
+  get state(): JobState {
+    return this.currentState;
+  }
+
   /** Takes over what a newer record says. */
   merge(record: JobRecord, version: Revision): void {
-    if (version < this.version) return;
-    this.version = version;
-    this.durableState = record.state;
-    this.durableDoneTasks = record.done;
-    this.durableStartTerm = record.startTerm;
-    this.onStartZonesStored(record.startZones);
-    if (record.startTerm > 0 && this.startTerm === 0) {
-      this.startTerm = record.startTerm;
-      this.startZone = record.startZone;
+    if (!this.stored.applyRecord(record, version)) return;
+    if (record.startTerm > 0 && this.firstStartTerm === 0) {
+      this.firstStartTerm = record.startTerm;
+      this.firstStartZone = record.startZone;
     }
-    if (record.state !== 'accepted') this.state = record.state;
+    if (record.state !== 'accepted') this.currentState = record.state;
     this.doneTasks.addAll(record.done);
     if (this.doneTasks.count > 0) this.failureHistory.recordSuccess();
   }
 
-  /** The zones of its record are to be believed, and kept up. */
-  restoreStartZones(zones: readonly ZoneName[] | null): void {
-    this.startZones = zones && new Set(zones);
-    this.durableStartZones = new Set(zones);
+  /** Cancels the job. Returns false, and changes nothing, if it is over. */
+  cancel(): boolean {
+    if (this.currentState !== 'accepted') return false;
+    this.currentState = 'cancelled';
+    return true;
   }
 
-  /** Its first start is allowed. `keepsZones`: the zones of its starts go on record. */
-  recordFirstStart(term: number, zone: ZoneName, keepsZones: boolean): void {
-    this.startTerm = term;
-    this.startZone = zone;
-    this.startZones = keepsZones ? new Set() : null;
-  }
-
-  /** What a transaction has put on record. */
-  onStartZonesStored(zones: readonly ZoneName[] | null): void {
-    if (zones !== null) this.durableStartZones = new Set(zones);
+  /** A task has completed; of a gang that means all of them. */
+  markDone(index: number): void {
+    // A replica that ends has to run again, whatever it says of itself.
+    if (this.isService) return;
+    if (this.isGang) for (let task = 0; task < this.spec.taskCount; task++) this.doneTasks.add(task);
+    else this.doneTasks.add(index);
+    this.failureHistory.recordSuccess();
+    if (this.doneTasks.count >= this.spec.taskCount && this.currentState === 'accepted') this.currentState = 'done';
   }
 
-  /** Whether the store knows that it is started, and that it may be started in the zone. */
-  isStartDurable(zone: ZoneName): boolean {
-    return this.durableStartTerm > 0 && (this.startZones === null || this.durableStartZones.has(zone));
+  /** Whether the task is known to be complete. */
+  isDone(index: number): boolean {
+    return this.doneTasks.has(index);
   }
 
-  private get hasUnstoredStartZone(): boolean {
-    return this.startZones !== null && this.startZones.size > this.durableStartZones.size;
+  /** How soon the record has to be written. */
+  get writeUrgency(): WriteUrgency {
+    if (this.stored.state !== 'accepted') return 'none';
+    const isStartUnstored = this.firstStartTerm !== this.stored.startTerm || this.hasUnstoredStartZone;
+    if (this.currentState === 'done' || isStartUnstored) return 'immediate';
+    return this.doneTasks.count > this.stored.doneTasks.count ? 'deferrable' : 'none';
   }
 
-  /** How many tasks wait for a place; of a gang all or none. */
-  get pendingCount(): number {
-    if (this.state !== 'accepted') return 0;
-    if (this.isGang) return this.placedTasks.size === 0 && this.doneTasks.count === 0 ? this.spec.taskCount : 0;
-    return this.spec.taskCount - this.doneTasks.count - this.placedTasks.size;
+  /** Whether nothing of it is left to write or to stop. */
+  get isSettled(): boolean {
+    return this.currentState !== 'accepted' && this.placedTasks.size === 0 && this.writeUrgency === 'none';
   }
 
-  /** How many tasks wait for a place and may be given one now. */
-  get startableCount(): number {
-    const pending = this.pendingCount;
-    if (pending === 0 || (!this.mayRunUnreconciled && this.unexpectedTasks.size === 0)) return pending;
-    if (this.isGang) return 0;
-    if (this.mayRunUnreconciled) return this.locatedPendingCount;
-    return pending - [...this.unexpectedTasks.keys()].filter((index) => this.isPending(index)).length;
-  }
+  // ---- starts
 
-  private isPending(index: number): boolean {
-    return !this.placedTasks.has(index) && !this.doneTasks.has(index);
+  /** The term in which its first start was allowed; 0 before. */
+  get startTerm(): number {
+    return this.firstStartTerm;
   }
 
-  /** How many tasks were found in this term and wait for a place again. */
-  get locatedPendingCount(): number {
-    let count = 0;
-    for (const index of this.locatedTasks) if (this.isPending(index) && !this.unexpectedTasks.has(index)) count += 1;
-    return count;
+  /** The zone of its first start; null before. */
+  get startZone(): ZoneName | null {
+    return this.firstStartZone;
   }
 
-  /** Tasks of which nothing is known in this term: neither done nor found on any machine. */
-  get unaccountedCount(): number {
-    if (this.isGang && this.doneTasks.count > 0) return 0;
-    if (this.isGang) return this.spec.taskCount - this.locatedTasks.size;
-    return this.spec.taskCount - this.doneTasks.count - this.placedTasks.size - this.locatedPendingCount;
+  /** Zones in which it may have been started, this leader's starts included; null: any. */
+  get startZones(): ReadonlySet<ZoneName> | null {
+    return this.zonesOfStarts;
   }
 
-  /** Whether the store lacks something that must be there before anything else can happen. */
-  get writeUrgency(): 'no' | 'soon' | 'now' {
-    if (this.durableState !== 'accepted') return 'no';
-    if (this.state === 'done' || this.startTerm !== this.durableStartTerm || this.hasUnstoredStartZone) return 'now';
-    return this.doneTasks.count > this.durableDoneTasks.count ? 'soon' : 'no';
+  /** The zones of its record are to be believed, and kept up; null: it may have been started in any. */
+  restoreStartZones(zones: readonly ZoneName[] | null): void {
+    this.zonesOfStarts = zones && new Set(zones);
+    this.stored.restoreStartZones(zones);
   }
 
-  /** Nothing of it is left to write or to stop. */
-  get isSettled(): boolean {
-    return this.state !== 'accepted' && this.placedTasks.size === 0 && this.writeUrgency === 'no';
+  /** Its first start is allowed. `recordsZones`: the zones of its starts go on record. */
+  recordFirstStart(term: number, zone: ZoneName, recordsZones: boolean): void {
+    this.firstStartTerm = term;
+    this.firstStartZone = zone;
+    this.zonesOfStarts = recordsZones ? new Set() : null;
   }
 
-  isDone(index: number): boolean {
-    return this.doneTasks.has(index);
+  /** A task is to be started in the zone. */
+  recordStartZone(zone: ZoneName): void {
+    this.zonesOfStarts?.add(zone);
   }
 
-  /** Whether the result of a task may be dropped from its worker. */
-  isResultDurable(index: number): boolean {
-    return this.durableState !== 'accepted' || this.durableDoneTasks.has(index);
+  /** Whether the state store knows that it is started, and that it may be started in the zone. */
+  isStartDurable(zone: ZoneName): boolean {
+    return this.stored.startTerm > 0 && (this.zonesOfStarts === null || this.stored.startZones.has(zone));
   }
 
-  /** Whether it fails wherever it runs: then it is the job itself that is at fault. */
-  get isFaulty(): boolean {
-    return this.failureHistory.isFaulty;
+  private get hasUnstoredStartZone(): boolean {
+    return this.zonesOfStarts !== null && this.zonesOfStarts.size > this.stored.startZones.size;
   }
 
-  markDone(index: number): void {
-    // A replica that ends has to run again, whatever it says of itself.
-    if (this.isService) return;
-    if (this.isGang) for (let task = 0; task < this.spec.taskCount; task++) this.doneTasks.add(task);
-    else this.doneTasks.add(index);
-    this.failureHistory.recordSuccess();
-    if (this.doneTasks.count >= this.spec.taskCount && this.state === 'accepted') this.state = 'done';
-  }
+  // ---- placed tasks
 
   /** How many of its tasks are, or may be, or are about to be on machines. */
   get placedCount(): number {
@@ -204,11 +179,59 @@
   /** A task has lost its place. */
   onTaskReleased(index: number, now: MonotonicTime): void {
     this.placedTasks.delete(index);
-    if (this.placedTasks.size === 0) this.inactiveSince = now;
+    if (this.placedTasks.size === 0) this.lastActiveAt = now;
     if (index < this.firstPossiblyPending) this.firstPossiblyPending = index;
   }
 
-  /** Up to `limit` task numbers that wait for a place, lowest first. */
+  /** Since when nothing of it has been on any machine, or it is known here. */
+  get inactiveSince(): MonotonicTime {
+    return this.lastActiveAt;
+  }
+
+  /** The job becomes known here: until then it counts as active. */
+  resetInactiveSince(now: MonotonicTime): void {
+    this.lastActiveAt = now;
+  }
+
+  /** Whether a gang's present attempt can't complete any more: all of it has to leave. */
+  get gangBroken(): boolean {
+    return this.isGangBroken;
+  }
+
+  /** A task of the gang is lost. */
+  markGangBroken(): void {
+    this.isGangBroken = true;
+  }
+
+  /** The last task of the broken attempt has left: a new attempt may begin. */
+  clearGangBroken(): void {
+    this.isGangBroken = false;
+  }
+
+  /** The largest number of its tasks that one zone may hold. */
+  get maxTasksPerZone(): number {
+    return this.spec.zoneSpread ? Math.ceil(this.spec.taskCount / 2) : this.spec.taskCount;
+  }
+
+  // ---- waiting tasks
+
+  /** How many tasks wait for a place; of a gang all or none. */
+  get pendingCount(): number {
+    if (this.currentState !== 'accepted') return 0;
+    if (this.isGang) return this.placedTasks.size === 0 && this.doneTasks.count === 0 ? this.spec.taskCount : 0;
+    return this.spec.taskCount - this.doneTasks.count - this.placedTasks.size;
+  }
+
+  /** How many tasks wait for a place and may be given one now. */
+  get startableCount(): number {
+    const pending = this.pendingCount;
+    if (pending === 0 || (!this.mayRunUnreconciled && this.unexpectedTasks.size === 0)) return pending;
+    if (this.isGang) return 0;
+    if (this.mayRunUnreconciled) return this.locatedPendingCount;
+    return pending - [...this.unexpectedTasks.keys()].filter((index) => this.isPending(index)).length;
+  }
+
+  /** Returns up to `limit` task numbers that wait for a place and may be given one, lowest first. */
   pendingTasks(limit: number): number[] {
     const found: number[] = [];
     for (let index = this.firstPossiblyPending; index < this.spec.taskCount && found.length < limit; index++) {
@@ -218,6 +241,10 @@
     return found;
   }
 
+  private isPending(index: number): boolean {
+    return !this.placedTasks.has(index) && !this.doneTasks.has(index);
+  }
+
   private isStartable(index: number): boolean {
     if (!this.isPending(index) || this.unexpectedTasks.has(index)) return false;
     return !this.mayRunUnreconciled || this.locatedTasks.has(index);
@@ -227,8 +254,86 @@
     if (index === this.firstPossiblyPending) this.firstPossiblyPending = index + 1;
   }
 
-  /** The largest number of its tasks that one zone may hold. */
-  get maxTasksPerZone(): number {
-    return this.spec.zoneSpread ? Math.ceil(this.spec.taskCount / 2) : this.spec.taskCount;
+  /** Of a service: since when a replica has waited for a place; null: none waits. */
+  get replicaPendingSince(): MonotonicTime | null {
+    return this.waitingReplicaSince;
+  }
+
+  /** A replica waits for a place. */
+  beginReplicaWait(now: MonotonicTime): void {
+    this.waitingReplicaSince ??= now;
+  }
+
+  /** No replica waits any more. */
+  endReplicaWait(): void {
+    this.waitingReplicaSince = null;
+  }
+
+  // ---- after a failover
+
+  /** While tasks of it may be on unreconciled machines, only located tasks may be started. */
+  setMayRunUnreconciled(mayRun: boolean): void {
+    this.mayRunUnreconciled = mayRun;
+  }
+
+  /** This leader has found the task on a machine: wherever it is now, it is on no other. */
+  recordLocated(index: number): void {
+    this.locatedTasks.add(index);
+  }
+
+  /** How many tasks of which this leader knows nothing: neither done nor located. */
+  get unaccountedCount(): number {
+    if (this.isGang && this.doneTasks.count > 0) return 0;
+    if (this.isGang) return this.spec.taskCount - this.locatedTasks.size;
+    return this.spec.taskCount - this.doneTasks.count - this.placedTasks.size - this.locatedPendingCount;
+  }
+
+  /** How many tasks were located in this term and wait for a place again. */
+  private get locatedPendingCount(): number {
+    let count = 0;
+    for (const index of this.locatedTasks) if (this.isPending(index) && !this.unexpectedTasks.has(index)) count += 1;
+    return count;
+  }
+
+  /** The task is on one machine more, or fewer, where it doesn't belong: while it is on any, it is started nowhere. */
+  countUnexpectedTask(index: number, change: 1 | -1): void {
+    const machines = (this.unexpectedTasks.get(index) ?? 0) + change;
+    if (machines > 0) this.unexpectedTasks.set(index, machines);
+    else this.unexpectedTasks.delete(index);
+  }
+
+  // ---- judgements
+
+  /** Whether it fails wherever it runs: then it is the job itself that is at fault. */
+  get isFaulty(): boolean {
+    return this.failureHistory.isFaulty;
+  }
+
+  /** A task of it took far longer than expected on the machine. */
+  recordSlowMachine(machine: MachineId): void {
+    this.slowMachines.add(machine);
+  }
+
+  /** Whether it runs long wherever it runs: its run time says nothing of its machines. */
+  get isMisestimated(): boolean {
+    return this.slowMachines.size >= MISESTIMATED_AFTER_MACHINES;
+  }
+
+  /** How often it was moved to machines that hold its image. */
+  get migrationCount(): number {
+    return this.migrations;
+  }
+
+  recordMigration(): void {
+    this.migrations += 1;
+  }
+
+  /** How often tasks of lower priority were preempted for it. */
+  get preemptionCount(): number {
+    return this.preemptions;
+  }
+
+  recordPreemption(): void {
+    this.preemptions += 1;
   }
 }
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -190,7 +190,7 @@
   onJobRecord(job: CachedJob): void {
     if (!this.loaded || this.stopped) return;
     const known = this.cluster.jobs.get(job.record.spec.id);
-    if (known && known.version >= job.version) return;
+    if (known && known.stored.version >= job.version) return;
     this.cluster.applyJobRecord(job.record, job.version);
     this.schedulePlanningRoundSoon();
   }
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -146,10 +146,11 @@
     const lazyMs = hasSpareWrites ? LAZY_WRITE_INTERVAL_MS : SCARCE_WRITES_INTERVAL_FACTOR * LAZY_WRITE_INTERVAL_MS;
     for (const job of this.cluster.jobs.active) {
       const need = job.writeUrgency;
-      if (need === 'no') this.cluster.jobs.deactivateIfSettled(job);
-      else if (!job.writeInFlight && (need === 'now' || now - job.lastWriteAt >= lazyMs)) due.push(job);
+      if (need === 'none') this.cluster.jobs.deactivateIfSettled(job);
+      else if (!job.stored.isCallInFlight && (need === 'immediate' || now - job.stored.lastWriteAt >= lazyMs))
+        due.push(job);
     }
-    return due.sort((a, b) => Number(b.writeUrgency === 'now') - Number(a.writeUrgency === 'now'));
+    return due.sort((a, b) => Number(b.writeUrgency === 'immediate') - Number(a.writeUrgency === 'immediate'));
   }
 
   private hasSpace(batch: WriteBatch): boolean {
@@ -166,9 +167,8 @@
   }
 
   private addJob(batch: WriteBatch, job: Job, now: MonotonicTime): void {
-    if (job.writeUrgency === 'now') batch.isUrgent = true;
-    job.writeInFlight = true;
-    job.lastWriteAt = now;
+    if (job.writeUrgency === 'immediate') batch.isUrgent = true;
+    job.stored.beginWrite(now);
     const { spec, submittedAt, state, startTerm, startZone, doneTasks } = job;
     const startZones = job.startZones && [...job.startZones];
     const value = encodeJob(
@@ -177,7 +177,7 @@
     );
     batch.bytes += ESTIMATED_JOB_RECORD_BYTES + value.done.length * ESTIMATED_DONE_RANGE_BYTES;
     batch.jobs.push({ job, state, startTerm, startZones, doneTasks: value.done });
-    batch.conditions.push({ key: jobKey(job.id), version: job.version });
+    batch.conditions.push({ key: jobKey(job.id), version: job.stored.version });
     batch.changes.push({ put: jobKey(job.id), value });
   }
 
@@ -189,7 +189,7 @@
       batch.isUrgent ? URGENT_PRIORITY : LAZY_PRIORITY,
       (result) => {
         this.writesInFlight -= 1;
-        for (const { job } of batch.jobs) job.writeInFlight = false;
+        for (const { job } of batch.jobs) job.stored.endCall();
         for (const { page } of batch.pages) page.writeInFlight = false;
         if (this.stopped) return;
         if (result.ok && result.value.revision !== undefined) this.onBatchWritten(batch, result.value.revision);
@@ -208,15 +208,9 @@
   }
 
   private onJobWritten({ job, state, startTerm, startZones, doneTasks }: JobSnapshot, version: Revision): void {
-    if (version > job.version) {
-      job.version = version;
-      job.durableState = state;
-      job.durableStartTerm = startTerm;
-      job.onStartZonesStored(startZones);
-      job.durableDoneTasks = RangeSet.from(doneTasks);
-    }
+    job.stored.applyWrite({ state, startTerm, startZones, done: RangeSet.from(doneTasks) }, version);
     this.cluster.jobs.deactivateIfSettled(job);
-    if (job.writeUrgency === 'now') this.scheduleFlush();
+    if (job.writeUrgency === 'immediate') this.scheduleFlush();
   }
 
   private onBatchFailed(batch: WriteBatch, result: StateStoreResult): void {
@@ -246,9 +240,9 @@
 
   /** A write failed or has an unknown outcome: the store tells what holds now. */
   private rereadJob(job: Job): void {
-    job.writeInFlight = true;
+    job.stored.beginRead();
     this.context.stateStore.call({ op: 'get', key: jobKey(job.id) }, URGENT_PRIORITY, (result) => {
-      job.writeInFlight = false;
+      job.stored.endCall();
       if (this.stopped || !result.ok || !result.value.item) return;
       this.callbacks.onRecordRead(result.value.item);
       this.scheduleFlush();
--- a/src/core/machines/straggler_detector.ts
+++ b/src/core/machines/straggler_detector.ts
@@ -14,8 +14,6 @@
 const MIN_STANDARD_ERRORS = 3;
 /** A machine is slow that takes twice as long as expected, as a logarithm. */
 export const STRAGGLER_LOG_RATIO = Math.log(2);
-/** A job that runs long on so many machines was estimated wrongly, and is no evidence against any of them. */
-export const MISESTIMATED_AFTER_MACHINES = 2;
 
 /**
  * Tells a slow machine from wrong estimates. Each job speaks once, weighed by how sure the estimates of its class are, and
--- a/src/core/scheduler/apply.ts
+++ b/src/core/scheduler/apply.ts
@@ -94,7 +94,7 @@
   if (job.startTerm === 0) {
     job.recordFirstStart(cluster.term, machine.zone, cluster.previousTerms.recordsStartZones(job));
   }
-  job.startZones?.add(machine.zone);
+  job.recordStartZone(machine.zone);
 }
 
 /** Keeps the machines for the jobs. */
@@ -106,7 +106,7 @@
 
 /** Stops the victims and keeps their machines for the job; counts as one of the preemptions that a gang may cause. */
 export function applyGangPreemption(cluster: SchedulableCluster, preemption: Preemption): void {
-  preemption.job.preemptionCount += 1;
+  preemption.job.recordPreemption();
   applyPreemption(cluster, preemption);
 }
 
@@ -127,7 +127,7 @@
 
 /** Stops the gang and keeps the machines to which it moves; it starts there with a later round. */
 export function applyGangMigration(cluster: SchedulableCluster, { job, targets, reservationMs }: GangMigration): void {
-  job.migrationCount += 1;
+  job.recordMigration();
   for (const machine of targets) machine.reserve(job.id, cluster.context.after(reservationMs));
   cluster.placements.breakGang(job);
 }
@@ -147,10 +147,10 @@
 
 /** Notes since when a replica of the service waits, if that is not known yet. */
 export function beginReplicaWait(cluster: SchedulableCluster, job: Job): void {
-  job.replicaPendingSince ??= cluster.context.now.monotonic;
+  job.beginReplicaWait(cluster.context.now.monotonic);
 }
 
 /** Ends the wait once no replica of the service is left without a machine. */
 export function endReplicaWait(job: Job): void {
-  if (job.pendingCount === 0) job.replicaPendingSince = null;
+  if (job.pendingCount === 0) job.endReplicaWait();
 }
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -55,7 +55,7 @@
 /** Whether a job waits for a start that may happen now, as far as it and work of previous terms go. */
 function mayStartNow(cluster: ClusterState, job: Job): boolean {
   // Services have been placed before, by best fit outside the search (service_placement.ts).
-  if (job.isService || job.pendingCount <= 0 || job.notBefore > cluster.context.now.monotonic) return false;
+  if (job.isService || job.pendingCount <= 0 || job.retries.isDelayed(cluster.context.now.monotonic)) return false;
   return cluster.previousTerms.startableTasks(job) > 0;
 }
 
--- a/src/core/state/cluster.ts
+++ b/src/core/state/cluster.ts
@@ -93,7 +93,7 @@
   private addJob(record: JobRecord, version: Revision): void {
     const job = new Job(record, version);
     this.previousTerms.onJobAdded(job, record.startZones);
-    job.inactiveSince = this.context.now.monotonic;
+    job.resetInactiveSince(this.context.now.monotonic);
     this.jobs.add(job);
     this.images.record(job.spec);
     if (job.isService && job.state === 'accepted') this.servicePlacements.request();
@@ -106,9 +106,7 @@
       this.jobs.cancelBeforeRecord(id);
       return;
     }
-    if (job.state !== 'accepted') return;
-    job.state = 'cancelled';
-    this.onJobOver(job);
+    if (job.cancel()) this.onJobOver(job);
   }
 
   private onJobOver(job: Job): void {
--- a/src/core/state/job_table.ts
+++ b/src/core/state/job_table.ts
@@ -30,7 +30,7 @@
 
   /** Adds a job, as cancelled if its cancellation came before its record. */
   add(job: Job): void {
-    if (this.cancelledBeforeRecord.delete(job.id) && job.state === 'accepted') job.state = 'cancelled';
+    if (this.cancelledBeforeRecord.delete(job.id)) job.cancel();
     this.byId.set(job.id, job);
     if (job.state !== 'accepted') return;
     this.activeJobs.add(job);
--- a/src/core/state/placement_table.ts
+++ b/src/core/state/placement_table.ts
@@ -74,7 +74,7 @@
   /** Gives the task a placement: `planned` if a start is to be sent, otherwise as it was found on the machine. */
   add(task: NewPlacement): Placement {
     const { job, index, phase } = task;
-    if (phase !== 'planned' && this.parts.notesLocatedTasks) job.locatedTasks.add(index);
+    if (phase !== 'planned' && this.parts.notesLocatedTasks) job.recordLocated(index);
     const placement = new Placement({ ...task, placedAt: this.context.now.monotonic });
     this.index.add(placement);
     this.parts.quotas.recordUsage(job.spec, 1);
@@ -96,7 +96,7 @@
 
   private onGangTaskReleased(job: Job): void {
     if (job.placedCount > 0) this.breakGang(job);
-    else job.gangBroken = false;
+    else job.clearGangBroken();
   }
 
   /** Takes the placement away, whatever that means for the others of its job. Returns whether it was there. */
@@ -155,9 +155,9 @@
 
   /** All of a gang leaves; what was only planned is gone at once. */
   private evictGang(job: Job, gracePeriodSeconds: number): void {
-    job.gangBroken = true;
+    job.markGangBroken();
     for (const placement of [...this.ofJob(job).values()]) this.evict(placement, gracePeriodSeconds);
-    if (job.placedCount === 0) job.gangBroken = false;
+    if (job.placedCount === 0) job.clearGangBroken();
   }
 }
 
--- a/src/core/state/previous_terms.ts
+++ b/src/core/state/previous_terms.ts
@@ -130,7 +130,7 @@
 
   /** Notes whether tasks of a job may run unseen, and returns how many of it may be given places now. */
   startableTasks(job: Job): number {
-    job.mayRunUnreconciled = this.mayRunUnseen(job);
+    job.setMayRunUnreconciled(this.mayRunUnseen(job));
     return job.startableCount;
   }
 
--- a/src/core/state/unexpected_tasks.ts
+++ b/src/core/state/unexpected_tasks.ts
@@ -41,9 +41,7 @@
   private count({ knownJob, index }: UnexpectedTask, change: 1 | -1): void {
     if (!knownJob) return;
     this.quotas.recordUsage(knownJob.spec, change);
-    const onMachines = (knownJob.unexpectedTasks.get(index) ?? 0) + change;
-    if (onMachines > 0) knownJob.unexpectedTasks.set(index, onMachines);
-    else knownJob.unexpectedTasks.delete(index);
+    knownJob.countUnexpectedTask(index, change);
   }
 }
 
--- a/src/core/workers/commands.ts
+++ b/src/core/workers/commands.ts
@@ -63,7 +63,7 @@
     // Once acknowledged, a start of the same attempt that is still on its way would run it again.
     if (machine.commandChannel.isUnconfirmed(startKey(id, index, attempt))) continue;
     const job = cluster.jobs.get(id);
-    const mayAcknowledge = job ? !isDone || job.isResultDurable(index) : mayAcknowledgeUnknownJob(cluster, id);
+    const mayAcknowledge = job ? !isDone || job.stored.isResultDurable(index) : mayAcknowledgeUnknownJob(cluster, id);
     if (mayAcknowledge) commands.push({ op: 'acknowledge', job: id, index, attempt });
   }
   return commands;
--- a/src/core/workers/start_checks.ts
+++ b/src/core/workers/start_checks.ts
@@ -11,7 +11,7 @@
 export function mayStart(job: Job, machine: Machine): boolean {
   return (
     job.state === 'accepted' &&
-    job.durableState === 'accepted' &&
+    job.stored.state === 'accepted' &&
     job.isStartDurable(machine.zone) &&
     !job.gangBroken &&
     machine.lifecycle.isRegistered &&
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -2,7 +2,7 @@
 import type { Job } from '../jobs/job.js';
 import { taskKey } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
-import { MISESTIMATED_AFTER_MACHINES, STRAGGLER_LOG_RATIO } from '../machines/straggler_detector.js';
+import { STRAGGLER_LOG_RATIO } from '../machines/straggler_detector.js';
 import type { Cluster } from '../state/cluster.js';
 import type { Placement } from '../state/placement.js';
 import type { MonotonicTime, TaskStatus } from '../types.js';
@@ -12,11 +12,6 @@
 const RESULT_FLUSH_DELAY_MS = 30;
 /** A replica that ran for so long has shown that its service and its machine are well. */
 const STABLE_RUN_MS = 30_000;
-/** So many short runs are followed by no pause; then the pause doubles with each. */
-const SHORT_RUNS_WITHOUT_PAUSE = 2;
-const FIRST_RESTART_PAUSE_MS = 500;
-const MAX_RESTART_DOUBLINGS = 6;
-const MAX_RESTART_PAUSE_MS = 30_000;
 /** A job waits for so long after a worker refused to start a task of it. */
 const REFUSED_START_PAUSE_MS = 1000;
 
@@ -51,7 +46,7 @@
   cluster.previousTerms.recovery?.countTask(taskClass);
   const job = cluster.jobs.get(task.job);
   if (!job) return;
-  job.locatedTasks.add(task.index);
+  job.recordLocated(task.index);
   if (action !== 'requeue' || job.isService) return;
   const now = cluster.context.now.monotonic;
   recordFailure(cluster, { job, machine, placedAt: now, runningSince: now }, task);
@@ -75,7 +70,7 @@
 
 /** Learns from how long a task took, unless it ran in several parts. */
 function recordRunTime(cluster: Cluster, { job, machine, runningSince, foundRunning }: Placement): void {
-  if (runningSince === null || job.failureCount > 0) return;
+  if (runningSince === null || job.retries.failureCount > 0) return;
   const { runtimeEstimator, context, previousTerms } = cluster;
   // How long it ran before this leader found it isn't known: taken for its whole time it would make estimates too short.
   if (foundRunning && previousTerms.recovery) return;
@@ -83,9 +78,8 @@
   const logRatio = runtimeEstimator.observe(job.spec, (context.now.monotonic - runningSince) / 1000);
   // A gang is as slow as its slowest machine: only a gang of one says which that is.
   if (job.isGang && job.spec.taskCount > 1) return;
-  if (logRatio > STRAGGLER_LOG_RATIO) job.slowMachines.add(machine.id);
-  if (job.slowMachines.size < MISESTIMATED_AFTER_MACHINES)
-    machine.stragglerDetector.record(job.id, { logRatio, logStandardDeviation });
+  if (logRatio > STRAGGLER_LOG_RATIO) job.recordSlowMachine(machine.id);
+  if (!job.isMisestimated) machine.stragglerDetector.record(job.id, { logRatio, logStandardDeviation });
 }
 
 /**
@@ -99,27 +93,20 @@
   const ranSteadily = runningSince !== null && now - runningSince >= STABLE_RUN_MS;
   if (ranSteadily) {
     job.failureHistory.clearMachines();
-    job.shortRunCount = 0;
+    job.retries.recordStableRun();
   } else if (task.exitReason === 'done' || task.exitReason === 'error') {
     recordShortRun(cluster, placement);
   }
-  const pausedUntil = job.notBefore;
+  const delayedUntil = job.retries.notBefore;
   if (task.exitReason !== 'done') recordFailure(cluster, placement, task);
-  job.notBefore = Math.max(pausedUntil, job.notBefore) as MonotonicTime;
-  cluster.servicePlacements.request(job.notBefore);
+  job.retries.delayAtLeastUntil(delayedUntil);
+  cluster.servicePlacements.request(job.retries.notBefore);
 }
 
 function recordShortRun({ context }: Cluster, placement: Placement): void {
   const { job, placedAt } = placement;
   recordJobFailure(placement, context.now.monotonic);
-  // Replicas that began together and end together have failed once.
-  if (placedAt >= job.lastShortRunAt) {
-    job.shortRunCount += 1;
-    job.lastShortRunAt = context.now.monotonic;
-  }
-  const doublings = Math.min(MAX_RESTART_DOUBLINGS, job.shortRunCount - SHORT_RUNS_WITHOUT_PAUSE);
-  const pauseMs = doublings <= 0 ? 0 : FIRST_RESTART_PAUSE_MS * 2 ** doublings;
-  job.notBefore = context.after(Math.min(MAX_RESTART_PAUSE_MS, pauseMs));
+  job.retries.recordShortRun(placedAt, context.now.monotonic);
 }
 
 /** The failure history of the job tells a faulty job from a faulty machine. */
@@ -146,12 +133,12 @@
     machine: machine.id,
     exitReason,
   });
-  job.failureCount += 1;
+  job.retries.recordFailure();
   switch (exitReason) {
     case 'no_capacity':
     case 'busy':
     case 'unknown':
-      job.notBefore = cluster.context.after(REFUSED_START_PAUSE_MS);
+      job.retries.delayUntil(cluster.context.after(REFUSED_START_PAUSE_MS));
       return;
     case 'error':
       recordError(cluster, run);
@@ -166,7 +153,7 @@
 
 /** The task was made to end: its run time will tell nothing, but a checkpoint shows that the job does well. */
 function recordInterruption({ job, runningSince }: EndedRun, { checkpointSaved }: TaskStatus): void {
-  if (runningSince !== null) job.failureCount += 1;
+  if (runningSince !== null) job.retries.recordFailure();
   if (checkpointSaved) job.failureHistory.recordSuccess();
 }
 
@@ -180,7 +167,7 @@
 /** What has not been sent yet is held back; later tries are of one task at a time (ranking.ts). */
 function pauseFaultyJob(cluster: Cluster, job: Job): void {
   const { failureHistory } = job;
-  job.notBefore = cluster.context.after(failureHistory.backoffMs);
+  job.retries.delayUntil(cluster.context.after(failureHistory.backoffMs));
   for (const other of [...cluster.placements.ofJob(job).values()])
     if (other.phase === 'planned') cluster.placements.release(other);
 }
