--- a/test/cold_start_process.test.ts
+++ b/test/cold_start_process.test.ts
@@ -1,13 +1,12 @@
 import assert from 'node:assert/strict';
 import type { ChildProcess } from 'node:child_process';
-import { test } from 'node:test';
+import { type TestContext, test } from 'node:test';
 import { FakeServices } from './support/fake_services.js';
-import { FakeWorker, WorkLog } from './support/fake_worker.js';
+import { FakeWorker, RETRY_DELAY_MS, SHORTEST_PERIOD_SHARE, WorkLog } from './support/fake_worker.js';
+import { sendRequest } from './support/http.js';
 import {
   allocateAddress,
   type ControllerAddress,
-  pause,
-  sendRequest,
   startController,
   waitUntil,
   writeSettingsFile,
@@ -26,6 +25,10 @@
 const MAX_RECOVERY_SECONDS = 8;
 const HEARTBEAT_SECONDS = 0.5;
 const WORKERS = 6;
+/** How long all controllers are away, within the workers' lease. */
+const AWAY_MS = 2000;
+/** How long workers are watched after the recovery for commands that they must not get. */
+const WATCHED_MS = 1500;
 const CONTROLLERS = ['node-a', 'node-b', 'node-c'];
 
 interface JobOptions {
@@ -34,11 +37,11 @@
   readonly cpus: number;
 }
 
-/** Three controllers, six workers, a state service and a cloud that rents nothing. */
+/** Three controllers, six workers, a state store and a cloud that provisions nothing. */
 class RealCluster {
   readonly log = new WorkLog();
   readonly workers: FakeWorker[] = [];
-  /** Every state that any node has told of a job, in order. */
+  /** Every state that any controller has told of a job, in order. */
   readonly statesByJob = new Map<string, string[]>();
   private readonly services = new FakeServices(ZONE);
   private readonly runMs = new Map<string, number>();
@@ -54,7 +57,7 @@
     this.settingsFiles = this.controllers.map((own) =>
       writeSettingsFile(
         own,
-        this.controllers.filter((node) => node !== own),
+        this.controllers.filter((other) => other !== own),
         servicesPort,
         { leaseSeconds: this.leaseSeconds, heartbeatSeconds: HEARTBEAT_SECONDS },
       ),
@@ -100,7 +103,7 @@
     });
   }
 
-  /** A new leader whose token every worker shows. */
+  /** A new leader whose fencing token every worker shows. */
   async waitUntilRecovered(): Promise<void> {
     await waitUntil('all workers know the leader', () => {
       const token = this.services.leaderFencingToken();
@@ -108,6 +111,24 @@
     });
   }
 
+  /** Every worker has failed to reach a controller for so long, by its count of failed heartbeats. */
+  async waitUntilUnanswered(ms: number): Promise<void> {
+    const failures = 1 + Math.ceil(ms / RETRY_DELAY_MS);
+    const wanted = new Map(this.workers.map((worker) => [worker, worker.failedHeartbeats + failures]));
+    await waitUntil('no worker reaches a controller', () =>
+      [...wanted].every(([worker, count]) => worker.failedHeartbeats >= count),
+    );
+  }
+
+  /** Every worker has had its heartbeats answered for so long, by their count. */
+  async waitUntilAnswered(ms: number): Promise<void> {
+    const answers = 1 + Math.ceil(ms / (SHORTEST_PERIOD_SHARE * HEARTBEAT_SECONDS * 1000));
+    const wanted = new Map(this.workers.map((worker) => [worker, worker.answeredHeartbeats + answers]));
+    await waitUntil('all heartbeats are answered', () =>
+      [...wanted].every(([worker, count]) => worker.answeredHeartbeats >= count),
+    );
+  }
+
   async submit({ id, tasks, cpus }: JobOptions, runMs: number): Promise<void> {
     this.runMs.set(id, runMs);
     const needs = { cpus, gpus: 0, mem_gb: 1, plumage: 'img', image_gb: 0, breeds: null, grove: null };
@@ -128,7 +149,7 @@
     });
   }
 
-  /** Asks every node for every job, and writes down what it says. */
+  /** Asks every controller for every job, and records what it says. */
   async pollAll(ids: readonly string[]): Promise<void> {
     for (const { port } of this.controllers) {
       for (const id of ids) {
@@ -142,7 +163,7 @@
 
   async waitUntilDone(ids: readonly string[]): Promise<void> {
     await waitUntil(
-      `${ids.join(' ')} done on every node`,
+      `${ids.join(' ')} done on every controller`,
       async () => {
         await this.pollAll(ids);
         return ids.every((id) =>
@@ -176,87 +197,81 @@
   }
 }
 
-async function withCluster(
-  play: (site: RealCluster) => Promise<void>,
-  leaseSeconds: number = LEASE_SECONDS,
-): Promise<void> {
-  const site = new RealCluster(leaseSeconds);
-  try {
-    await site.start();
-    await play(site);
-  } finally {
-    await site.stop();
-  }
+/** A cluster that has started, and that ends with the test. */
+async function startCluster(t: TestContext, leaseSeconds = LEASE_SECONDS): Promise<RealCluster> {
+  const cluster = new RealCluster(leaseSeconds);
+  t.after(() => cluster.stop());
+  await cluster.start();
+  return cluster;
 }
 
-test('killed and back within a lease with nothing in disagreement: workers are told nothing', () =>
-  withCluster(async (site) => {
-    const { log } = site;
-    await site.submit({ id: 'job-1', tasks: 12, cpus: 4 }, LONG_LEASE_SECONDS * 1000);
-    await waitUntil('all tasks run', () => log.runningTasks() === 12);
-    log.resetCommands();
-    const killedAt = performance.now();
-    await site.killControllers();
-    await pause(2000);
-    site.startControllers();
-    await site.waitUntilListening();
-    const listeningAt = performance.now();
-    await site.waitUntilRecovered();
-    const recoverySeconds = (performance.now() - listeningAt) / 1000;
-    assert.ok(recoverySeconds < MAX_RECOVERY_SECONDS, `recovered only ${recoverySeconds} s after it listened`);
-    const awaySeconds = (performance.now() - killedAt) / 1000;
-    assert.ok(awaySeconds < LONG_LEASE_SECONDS, `back after ${awaySeconds} s: not within a lease`);
-    await pause(1500);
-    assert.deepEqual(log.commands, { run: 0, stop: 0, reap: 0 });
-    await site.waitUntilDone(['job-1']);
-    site.assertStatesFinal();
-    assert.deepEqual(site.completionCounts('job-1'), Array(12).fill(1));
-    assert.equal(Math.max(...log.startsByTask.values()), 1);
-    assert.deepEqual(log.concurrentRuns, []);
-    assert.deepEqual(log.expiredLeases, []);
-  }, LONG_LEASE_SECONDS));
+test('killed and back within a lease with nothing in disagreement: workers are told nothing', async (t) => {
+  const cluster = await startCluster(t, LONG_LEASE_SECONDS);
+  const { log } = cluster;
+  await cluster.submit({ id: 'job-1', tasks: 12, cpus: 4 }, LONG_LEASE_SECONDS * 1000);
+  await waitUntil('all tasks run', () => log.runningTasks() === 12);
+  log.resetCommands();
+  const killedAt = performance.now();
+  await cluster.killControllers();
+  await cluster.waitUntilUnanswered(AWAY_MS);
+  cluster.startControllers();
+  await cluster.waitUntilListening();
+  const listeningAt = performance.now();
+  await cluster.waitUntilRecovered();
+  const recoverySeconds = (performance.now() - listeningAt) / 1000;
+  assert.ok(recoverySeconds < MAX_RECOVERY_SECONDS, `recovered only ${recoverySeconds} s after it listened`);
+  const awaySeconds = (performance.now() - killedAt) / 1000;
+  assert.ok(awaySeconds < LONG_LEASE_SECONDS, `back after ${awaySeconds} s: not within a lease`);
+  await cluster.waitUntilAnswered(WATCHED_MS);
+  assert.deepEqual(log.commands, { run: 0, stop: 0, reap: 0 });
+  await cluster.waitUntilDone(['job-1']);
+  cluster.assertStatesFinal();
+  assert.deepEqual(cluster.completionCounts('job-1'), Array(12).fill(1));
+  assert.equal(Math.max(...log.startsByTask.values()), 1);
+  assert.deepEqual(log.concurrentRuns, []);
+  assert.deepEqual(log.expiredLeases, []);
+});
 
-test('tasks end and a machine vanishes while no controller is up: one final answer, nothing done twice', () =>
-  withCluster(async (site) => {
-    const { log } = site;
-    await site.submit({ id: 'job-2', tasks: 6, cpus: 4 }, 60_000);
-    await waitUntil('job-2 runs', () => log.runningTasks() === 6);
-    await site.submit({ id: 'job-1', tasks: 6, cpus: 4 }, 5000);
-    await waitUntil('both jobs run', () => log.runningTasks() === 12);
-    // All machines are full: it waits until the controllers are back.
-    await site.submit({ id: 'job-3', tasks: 9, cpus: 2 }, 1000);
-    await site.killControllers();
-    log.resetCommands();
-    const [vanishing] = site.workers;
-    assert.ok(vanishing);
-    const lost = vanishing.taskNames;
-    site.loseWorker(vanishing);
-    await waitUntil('the tasks of job-1 that were left have ended', () => {
-      const left = 6 - lost.filter((task) => task.startsWith('job-1/')).length;
-      return site.completionCounts('job-1').length === left;
-    });
-    site.startControllers();
-    await site.waitUntilDone(['job-1', 'job-3']);
-    site.assertStatesFinal();
-    assert.deepEqual(site.completionCounts('job-1'), Array(6).fill(1));
-    assert.deepEqual(site.completionCounts('job-3'), Array(9).fill(1));
-    for (const [task, times] of log.startsByTask)
-      assert.ok(times <= (lost.includes(task) ? 2 : 1), `${task}: ${times}`);
-    assert.equal(log.commands.stop, 0);
-    assert.deepEqual(log.concurrentRuns, []);
-    assert.deepEqual(log.expiredLeases, []);
-  }));
+test('tasks end and a machine vanishes while no controller is up: one final answer, nothing done twice', async (t) => {
+  const cluster = await startCluster(t);
+  const { log } = cluster;
+  await cluster.submit({ id: 'job-2', tasks: 6, cpus: 4 }, 60_000);
+  await waitUntil('job-2 runs', () => log.runningTasks() === 6);
+  await cluster.submit({ id: 'job-1', tasks: 6, cpus: 4 }, 5000);
+  await waitUntil('both jobs run', () => log.runningTasks() === 12);
+  // All machines are full: it waits until the controllers are back.
+  await cluster.submit({ id: 'job-3', tasks: 9, cpus: 2 }, 1000);
+  await cluster.killControllers();
+  log.resetCommands();
+  const [vanishing] = cluster.workers;
+  assert.ok(vanishing);
+  const lost = vanishing.taskNames;
+  cluster.loseWorker(vanishing);
+  await waitUntil('the tasks of job-1 that were left have ended', () => {
+    const left = 6 - lost.filter((task) => task.startsWith('job-1/')).length;
+    return cluster.completionCounts('job-1').length === left;
+  });
+  cluster.startControllers();
+  await cluster.waitUntilDone(['job-1', 'job-3']);
+  cluster.assertStatesFinal();
+  assert.deepEqual(cluster.completionCounts('job-1'), Array(6).fill(1));
+  assert.deepEqual(cluster.completionCounts('job-3'), Array(9).fill(1));
+  for (const [task, times] of log.startsByTask) assert.ok(times <= (lost.includes(task) ? 2 : 1), `${task}: ${times}`);
+  assert.equal(log.commands.stop, 0);
+  assert.deepEqual(log.concurrentRuns, []);
+  assert.deepEqual(log.expiredLeases, []);
+});
 
-test('away for longer than a lease: sessions have moved on, all begins anew and ends once', () =>
-  withCluster(async (site) => {
-    const { log } = site;
-    await site.submit({ id: 'job-1', tasks: 6, cpus: 4 }, 4000);
-    await waitUntil('all tasks run', () => log.runningTasks() === 6);
-    await site.killControllers();
-    await waitUntil('all leases have ended', () => site.workers.every((worker) => worker.currentAgentEpoch > 1));
-    site.startControllers();
-    await site.waitUntilDone(['job-1']);
-    site.assertStatesFinal();
-    assert.ok(Math.max(...log.startsByTask.values()) <= 2);
-    assert.deepEqual(log.concurrentRuns, []);
-  }));
+test('away for longer than a lease: sessions have moved on, all begins anew and ends once', async (t) => {
+  const cluster = await startCluster(t);
+  const { log } = cluster;
+  await cluster.submit({ id: 'job-1', tasks: 6, cpus: 4 }, 4000);
+  await waitUntil('all tasks run', () => log.runningTasks() === 6);
+  await cluster.killControllers();
+  await waitUntil('all leases have ended', () => cluster.workers.every((worker) => worker.currentAgentEpoch > 1));
+  cluster.startControllers();
+  await cluster.waitUntilDone(['job-1']);
+  cluster.assertStatesFinal();
+  assert.ok(Math.max(...log.startsByTask.values()) <= 2);
+  assert.deepEqual(log.concurrentRuns, []);
+});
--- a/test/paused_process.test.ts
+++ b/test/paused_process.test.ts
@@ -2,9 +2,9 @@
 import type { ChildProcess } from 'node:child_process';
 import { test } from 'node:test';
 import { FakeServices } from './support/fake_services.js';
+import { sendRequest } from './support/http.js';
 import {
   allocateAddress,
-  sendRequest,
   startController,
   WAIT_TIMEOUT_MS,
   waitUntil,
@@ -63,44 +63,43 @@
   return token;
 }
 
-test('a leader that a signal pauses for longer than its lease says nothing with its old token', async () => {
+test('a leader that a signal pauses for longer than its lease says nothing with its old token', async (t) => {
   const services = new FakeServices('north');
   const servicesPort = await services.start();
   const [first, second] = [await allocateAddress('node-a'), await allocateAddress('node-b')];
   const children: ChildProcess[] = [];
-  try {
-    const paused = startController(writeSettingsFile(first, [second], servicesPort, { leaseSeconds: LEASE_SECONDS }));
-    children.push(paused);
-    await waitUntil('node-a leads', () => services.leader() === 'node-a');
-    const worker = new HeartbeatSender('i-000001');
-    const oldToken = await fencingTokenOf(worker, first.port);
-    // Its machine is on record by now: nothing else would hold an answer back.
-    assert.equal(await fencingTokenOf(worker, first.port), oldToken);
-    children.push(startController(writeSettingsFile(second, [first], servicesPort, { leaseSeconds: LEASE_SECONDS })));
-    await waitUntil('node-b answers', async () => (await new HeartbeatSender('i-000002').send(second.port)) !== null);
-
-    paused.kill('SIGSTOP');
-    const queued = worker.send(first.port, WAIT_TIMEOUT_MS);
-    await waitUntil('node-b leads', () => services.leader() === 'node-b');
-    const newToken = await fencingTokenOf(new HeartbeatSender('i-000003'), second.port);
-    assert.ok(newToken > oldToken);
-
-    paused.kill('SIGCONT');
-    const told = await queued;
-    assert.ok(told?.status !== 200 || told.fencingToken === newToken, 'an answer with the old token');
-    const later = new HeartbeatSender('i-000004');
-    await waitUntil('node-a takes reports to the new leader', async () => {
-      const answer = await later.send(first.port);
-      assert.ok(answer?.status !== 200 || answer.fencingToken === newToken);
-      return answer !== null && (answer.status === 200 || answer.status === 421);
-    });
-    assert.equal(paused.exitCode, null);
-    assert.equal(services.leader(), 'node-b');
-  } finally {
+  t.after(() => {
     for (const child of children) {
       child.kill('SIGCONT');
       child.kill('SIGKILL');
     }
     services.stop();
-  }
+  });
+  const paused = startController(writeSettingsFile(first, [second], servicesPort, { leaseSeconds: LEASE_SECONDS }));
+  children.push(paused);
+  await waitUntil('node-a leads', () => services.leader() === 'node-a');
+  const worker = new HeartbeatSender('i-000001');
+  const oldToken = await fencingTokenOf(worker, first.port);
+  // Its machine is on record by now: nothing else would hold an answer back.
+  assert.equal(await fencingTokenOf(worker, first.port), oldToken);
+  children.push(startController(writeSettingsFile(second, [first], servicesPort, { leaseSeconds: LEASE_SECONDS })));
+  await waitUntil('node-b answers', async () => (await new HeartbeatSender('i-000002').send(second.port)) !== null);
+
+  paused.kill('SIGSTOP');
+  const queued = worker.send(first.port, WAIT_TIMEOUT_MS);
+  await waitUntil('node-b leads', () => services.leader() === 'node-b');
+  const newToken = await fencingTokenOf(new HeartbeatSender('i-000003'), second.port);
+  assert.ok(newToken > oldToken);
+
+  paused.kill('SIGCONT');
+  const response = await queued;
+  assert.ok(response?.status !== 200 || response.fencingToken === newToken, 'a response with the old fencing token');
+  const later = new HeartbeatSender('i-000004');
+  await waitUntil('node-a takes heartbeats to the new leader', async () => {
+    const answer = await later.send(first.port);
+    assert.ok(answer?.status !== 200 || answer.fencingToken === newToken);
+    return answer !== null && (answer.status === 200 || answer.status === 421);
+  });
+  assert.equal(paused.exitCode, null);
+  assert.equal(services.leader(), 'node-b');
 });
--- a/test/support/fake_worker.ts
+++ b/test/support/fake_worker.ts
@@ -1,7 +1,8 @@
 import { createServer, type IncomingMessage, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
-import { type ControllerAddress, pause, sendRequest } from './processes.js';
+import { sendRequest } from './http.js';
+import { type ControllerAddress, pause } from './processes.js';
 
 /* A stand-in worker in real time, by the names on the wire: reports, tokens, leases, sessions, commands, tasks that run. */
 
@@ -58,9 +59,14 @@
   runMs(job: string): number;
 }
 
-const RETRY_DELAY_MS = 200;
+/** After a heartbeat that failed. */
+export const RETRY_DELAY_MS = 200;
+/** The time between two heartbeats, as shares of the period. */
+export const SHORTEST_PERIOD_SHARE = 0.8;
+const LONGEST_PERIOD_SHARE = 1.2;
 const RESPONSE_TIMEOUT_MS = 4000;
 
+/** A worker in real time: heartbeats, leases, pushed commands, and tasks that end after their runtime. */
 export class FakeWorker {
   private readonly server: Server;
   private readonly tasks = new Map<string, FakeTask>();
@@ -73,6 +79,9 @@
   private listenAddress = '';
   private lastHeartbeatAt = 0;
   private hasUnreportedChange = false;
+  /** Heartbeats that a controller answered with commands, and heartbeats that nobody answered so. */
+  answeredHeartbeats = 0;
+  failedHeartbeats = 0;
 
   constructor(
     private readonly options: FakeWorkerOptions,
@@ -160,6 +169,8 @@
       this.hasUnreportedChange = false;
       this.lastHeartbeatAt = performance.now();
       const answered = await this.sendHeartbeat();
+      if (answered) this.answeredHeartbeats += 1;
+      else this.failedHeartbeats += 1;
       if (answered) await this.waitForNextHeartbeat();
       else await pause(RETRY_DELAY_MS);
     }
@@ -167,7 +178,10 @@
 
   /** A report falls due after its period, or half a second after the last one if something has changed. */
   private async waitForNextHeartbeat(): Promise<void> {
-    const due = this.lastHeartbeatAt + this.options.heartbeatMs * (0.8 + 0.4 * Math.random());
+    const due =
+      this.lastHeartbeatAt +
+      this.options.heartbeatMs *
+        (SHORTEST_PERIOD_SHARE + (LONGEST_PERIOD_SHARE - SHORTEST_PERIOD_SHARE) * Math.random());
     const early = this.lastHeartbeatAt + 500;
     while (this.isAlive && performance.now() < (this.hasUnreportedChange ? Math.min(early, due) : due)) await pause(20);
   }
--- a/test/support/processes.ts
+++ b/test/support/processes.ts
@@ -1,15 +1,15 @@
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtempSync, openSync, readFileSync, writeFileSync } from 'node:fs';
-import { request } from 'node:http';
 import { createServer } from 'node:net';
 import { tmpdir } from 'node:os';
 import { basename, dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
 
 /* Real controller processes on loopback, and what talks to them. */
 
 export const repositoryRoot = fileURLToPath(new URL('../../../../', import.meta.url));
+/** The program as the tests build it. */
+export const mainModule = join(repositoryRoot, 'target/check/src/main.js');
 const POLL_INTERVAL_MS = 50;
 export const WAIT_TIMEOUT_MS = 30_000;
 
@@ -82,7 +82,8 @@
   readonly heartbeatSeconds?: number;
 }
 
-function settingsText(
+function changedSettings(
+  text: string,
   own: ControllerAddress,
   others: readonly ControllerAddress[],
   servicesPort: number,
@@ -92,7 +93,7 @@
     ({ name, peerPort }) =>
       `[[siblings]]\nhost_name = "${name}"\narea = "north"\naddress = "127.0.0.1:${peerPort}"\n\n`,
   );
-  return readFileSync(join(repositoryRoot, 'test/settings.toml'), 'utf8')
+  return text
     .replace(/host_name = .*/, `host_name = "${own.name}"`)
     .replace('127.0.0.1:18080', `127.0.0.1:${own.port}`)
     .replace('127.0.0.1:18081', `127.0.0.1:${own.peerPort}`)
@@ -103,6 +104,13 @@
     .replace('[endpoints]', `${siblings.join('')}[endpoints]`);
 }
 
+/** Writes test/settings.toml with a change, and returns the file. */
+export function writeExampleSettings(change: (text: string) => string = (text) => text): string {
+  const file = join(mkdtempSync(join(tmpdir(), 'magpielift-')), 'settings.toml');
+  writeFileSync(file, change(readFileSync(join(repositoryRoot, 'test/settings.toml'), 'utf8')));
+  return file;
+}
+
 /** Writes the settings of one of several nodes, and returns the file. */
 export function writeSettingsFile(
   own: ControllerAddress,
@@ -110,9 +118,7 @@
   servicesPort: number,
   changes: SettingsOverrides,
 ): string {
-  const file = join(mkdtempSync(join(tmpdir(), 'magpielift-')), 'settings.toml');
-  writeFileSync(file, settingsText(own, others, servicesPort, changes));
-  return file;
+  return writeExampleSettings((text) => changedSettings(text, own, others, servicesPort, changes));
 }
 
 /** The program and arguments with which the platform runs a node. */
@@ -146,33 +152,3 @@
 }
 
 export const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
-
-export interface HttpResponse {
-  readonly status: number;
-  readonly body: Record<string, unknown>;
-}
-
-/** One request of its own connection; null: no answer in time. */
-export function sendRequest(
-  port: number,
-  method: 'GET' | 'POST',
-  path: string,
-  message: unknown,
-  timeoutMs: number,
-): Promise<HttpResponse | null> {
-  return new Promise((resolve) => {
-    const outgoing = request({ port, host: '127.0.0.1', method, path, agent: false }, (answer) => {
-      const parts: Buffer[] = [];
-      answer.on('data', (part: Buffer) => parts.push(part));
-      answer.on('error', () => resolve(null));
-      answer.on('end', () => {
-        const bytes = Buffer.concat(parts);
-        const body = bytes.length > 0 ? (decodeCbor(bytes) as Record<string, unknown>) : {};
-        resolve({ status: answer.statusCode ?? 0, body });
-      });
-    });
-    outgoing.on('error', () => resolve(null));
-    outgoing.setTimeout(timeoutMs, () => outgoing.destroy());
-    outgoing.end(message === undefined ? undefined : encodeCbor(message));
-  });
-}
--- a/test/support/sample_messages.ts
+++ b/test/support/sample_messages.ts
@@ -28,6 +28,27 @@
   due_s: 900.0,
 };
 
+/** The smallest submission that is accepted. */
+export const smallWireJob = {
+  ref: 'job-1',
+  flock: 'f',
+  crew: 'c',
+  shape: 'batch',
+  rank: 'low',
+  chicks: 2,
+  cpus: 1,
+  gpus: 0,
+  mem_gb: 1,
+  plumage: 'i',
+  image_gb: 1,
+  same_place: false,
+  apart: false,
+  loaners: false,
+  flight_s: 5,
+  cache_s: 0,
+  stash_s: 0,
+};
+
 /** A worker's report as it comes over the wire. */
 export const wireHeartbeat = {
   perch: 'i-000231',
