--- a/src/core/autoscaling/machine_list.ts
+++ b/src/core/autoscaling/machine_list.ts
@@ -76,13 +76,13 @@
     const machine = new Machine({ id, type, zone, spot, address, reconciled: true, phase: 'booting', now });
     this.cluster.machines.add(machine);
     this.cluster.previousTerms.recovery?.onUnregisteredMachine();
-    this.cluster.context.log('info', 'machine found in the list', { machine: id, phase });
+    this.cluster.context.log('unregistered machine listed', { machine: id, phase });
     return machine;
   }
 
   /** A failed machine has stopped by itself: nothing is on it any more. */
   private handleStopped(machine: Machine): void {
-    this.cluster.context.log('info', 'machine failed', { machine: machine.id, tasks: machine.allocations.taskCount });
+    this.cluster.context.log('machine stopped', { machine: machine.id, lostTasks: machine.allocations.taskCount });
     this.cluster.clearMachine(machine);
     this.cluster.markReconciled(machine, 'gone');
     this.onMachineStopped(machine);
--- a/src/core/autoscaling/scale_in.ts
+++ b/src/core/autoscaling/scale_in.ts
@@ -132,7 +132,7 @@
     if (reason === 'heartbeat overdue' || reason === 'stopped') this.onLost(machine);
     machine.cordon.drain(reason);
     if (reason === 'boot timeout') this.recordAbandonedBoot(machine);
-    this.cluster.context.log('info', 'returning machine', { machine: machine.id, type: machine.typeName, why: reason });
+    this.cluster.context.log('terminating machine', { machine: machine.id, type: machine.typeName, reason });
     this.queue.push(machine);
   }
 
--- a/src/core/autoscaling/scale_out.ts
+++ b/src/core/autoscaling/scale_out.ts
@@ -93,7 +93,13 @@
     this.pending.delete(requestId);
     if (ids.length < count) this.backOff(pool);
     else this.backoffs.delete(capacityPoolKey(pool));
-    this.cluster.context.log('info', 'rented', { type: type.name, zone, spot, asked: count, got: ids.length });
+    this.cluster.context.log('machines provisioned', {
+      type: type.name,
+      zone,
+      spot,
+      requested: count,
+      provisioned: ids.length,
+    });
     for (const id of ids) {
       if (this.cluster.machines.has(id) || this.cluster.machines.wasRemoved(id)) continue;
       const known = {
--- a/src/core/clients/state_store_client.ts
+++ b/src/core/clients/state_store_client.ts
@@ -179,7 +179,7 @@
       : limits.announcedRequestsPerSecond < limits.requestsPerSecond;
     if (this.usesAnnouncedRates || !isLowerAnnounced) return;
     this.usesAnnouncedRates = true;
-    this.outbox.log('info', 'state store limits lowered', {
+    this.outbox.log('state store limits lowered', {
       requestsPerSecond: limits.announcedRequestsPerSecond,
       writesPerSecond: limits.announcedWritesPerSecond,
     });
--- a/src/core/health/health_checks.ts
+++ b/src/core/health/health_checks.ts
@@ -91,7 +91,7 @@
       if (!machine.taskFailures.hasFailures || machine.cordon.isDraining) continue;
       if (!machine.taskFailures.isMachineAtFault(context.tuning.machines.error_limit, context.now.monotonic)) continue;
       machine.cordon.drain('task failures');
-      context.log('info', 'machine fails what it starts: taking it out of use', { machine: machine.id });
+      context.log('machine failing tasks', { machine: machine.id });
     }
   }
 
@@ -100,9 +100,9 @@
    * with a new session, and nothing of the old one counts.
    */
   private onLeaseExpired(machine: Machine): void {
-    this.cluster.context.log('info', 'machine silent for longer than its lease: its tasks are gone', {
+    this.cluster.context.log('agent lease expired', {
       machine: machine.id,
-      tasks: machine.allocations.taskCount,
+      lostTasks: machine.allocations.taskCount,
       reconciled: machine.reconciled,
     });
     this.cluster.clearMachine(machine);
@@ -133,7 +133,7 @@
       machine.cordon.drain('straggler');
       const allowance = Math.max(1, this.cluster.machines.size / MACHINES_PER_STRAGGLER_DRAIN);
       this.nextStragglerDrainAt = addMilliseconds(now, STRAGGLER_DRAIN_INTERVAL_MS / allowance);
-      this.cluster.context.log('info', 'machine is much slower than others: taking it out of use', {
+      this.cluster.context.log('straggler detected', {
         machine: machine.id,
       });
       this.scheduleRoundSoon();
--- a/src/core/jobs/job_cache.ts
+++ b/src/core/jobs/job_cache.ts
@@ -171,7 +171,7 @@
     if (known && known.version >= item.version) return known;
     const record = decodeJob(item.value);
     if (!record) {
-      if (!this.unreadableJobs.has(id)) this.context.log('error', 'job record not understood', { key: item.key });
+      if (!this.unreadableJobs.has(id)) this.context.log('job record not understood', { key: item.key });
       this.unreadableJobs.add(id);
       return null;
     }
--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -100,7 +100,7 @@
   stepDown(reason: StepDownReason): void {
     if (this.state.kind !== 'leader') return;
     const { fencingToken, leaseId } = this.state.lease.leadership;
-    this.context.log('info', 'stepping down as leader', { reason, fencingToken });
+    this.context.log('stepping down as leader', { reason, fencingToken });
     this.leaveOffice(this.state.lease);
     this.nextCandidacyAt = this.context.after(this.context.tuning.leadership.backoff_ms);
     this.revoke(leaseId);
@@ -109,7 +109,7 @@
 
   private onLeaseExpired(lease: LeaderLease): void {
     const { fencingToken } = lease.leadership;
-    this.context.log('info', 'leadership lost: lease expired', { fencingToken });
+    this.context.log('leadership lost: lease expired', { fencingToken });
     this.leaveOffice(lease);
     this.waitFor(IMMEDIATE_RETRY_MS);
   }
@@ -166,7 +166,7 @@
     this.electedAt = this.context.now.monotonic;
     this.observedRevision = fencingToken as bigint as Revision;
     this.leaderRecord = record;
-    this.context.log('info', 'elected leader', { fencingToken, term });
+    this.context.log('elected leader', { fencingToken, term });
     lease.start();
     this.callbacks.onElected(leadership);
   }
@@ -190,7 +190,7 @@
     }
     this.observeRevision(item.version);
     this.leaderRecord = decodeLeader(item.value);
-    if (!this.leaderRecord) this.context.log('error', 'leader key not understood', { key: LEADER_KEY });
+    if (!this.leaderRecord) this.context.log('leader key not understood', { key: LEADER_KEY });
     const ownLease = this.leaderRecord && this.leaseOfPreviousIncarnation(this.leaderRecord);
     if (ownLease) this.endPreviousIncarnation(ownLease);
     else this.watchLeaderKey();
@@ -198,7 +198,7 @@
 
   /** A previous process of this controller can't run beside this one, so the lease that it left can end now. */
   private endPreviousIncarnation(lease: LeaseId): void {
-    this.context.log('info', 'revoking lease of previous process', {});
+    this.context.log('revoking lease of previous process', {});
     this.revoke(lease, () => this.waitFor(IMMEDIATE_RETRY_MS));
   }
 
--- a/src/core/leadership/leader_lease.ts
+++ b/src/core/leadership/leader_lease.ts
@@ -87,7 +87,7 @@
     const hadLapsed = !this.isValid();
     this.extendValidity(sentAt);
     const { fencingToken } = this.leadership;
-    if (hadLapsed) this.context.log('info', 'leadership resumed after gap in renewals', { fencingToken });
+    if (hadLapsed) this.context.log('leadership resumed after gap in renewals', { fencingToken });
     this.start();
   }
 
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -232,8 +232,8 @@
     else this.maxValueBytes = Math.max(MIN_VALUE_BYTES, Math.floor(this.maxValueBytes * VALUE_SHRINK_FACTOR));
     this.registry.setValueLimit(this.maxValueBytes);
     this.pausedUntil = this.context.after(REJECTED_PAUSE_MS);
-    this.context.log('info', 'state service refuses a write for its size: writing less at a time', {
-      changes: this.maxChanges,
+    this.context.log('write refused for its size', {
+      maxChanges: this.maxChanges,
       maxValueBytes: this.maxValueBytes,
     });
   }
--- a/src/core/leadership/state_restorer.ts
+++ b/src/core/leadership/state_restorer.ts
@@ -23,7 +23,7 @@
     for (const job of this.jobCache.all()) this.cluster.applyJobRecord(job.record, job.version);
     for (const item of pages) this.restorePage(item);
     this.registry.splitOversizedPages();
-    context.log('info', 'state read', { jobs: this.jobCache.size, machines: machines.size });
+    context.log('state read', { jobs: this.jobCache.size, machines: machines.size });
     previousTerms.onLoaded(this.jobCache.unreadableJobs.size);
   }
 
@@ -32,7 +32,7 @@
     const page = this.registry.load(item);
     const { key } = item;
     if (!page.complete) {
-      context.log('error', 'registry page not understood: left as it is', { key });
+      context.log('registry page not understood', { key });
       previousTerms.onUnreadablePage();
     }
     for (const record of page.machines) this.restoreMachine(record, key);
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -1,3 +1,4 @@
+import type { LogEntry } from './log_events.js';
 import type {
   AgentEpoch,
   CloudMachine,
@@ -227,13 +228,6 @@
   | { readonly kind: 'commandPushReply'; readonly callId: CallId; readonly result: CommandPushResult }
   | { readonly kind: 'peerMessage'; readonly sender: ControllerName; readonly message: PeerMessage };
 
-export type LogLevel = 'error' | 'info' | 'debug';
-
-/** What a log line says beside its text. */
-export type LogFields = Readonly<
-  Record<string, string | number | bigint | boolean | null | readonly string[] | undefined>
->;
-
 /**
  * Until when an output may leave. What only the leader may say is worth nothing once its lease may have run out, and what
  * was confirmed of a job that isn't over may be old: the process may have been paused since the step that made it.
@@ -259,4 +253,4 @@
   | ({ readonly kind: 'cloudCall'; readonly callId: CallId; readonly operation: CloudOperation } & Expiring)
   | ({ readonly kind: 'commandPush'; readonly callId: CallId; readonly operation: CommandPush } & Expiring)
   | ({ readonly kind: 'peerMessage'; readonly recipient: ControllerName; readonly message: PeerMessage } & Expiring)
-  | { readonly kind: 'log'; readonly level: LogLevel; readonly event: string; readonly fields: LogFields };
+  | ({ readonly kind: 'log' } & LogEntry);
--- a/src/core/outbox.ts
+++ b/src/core/outbox.ts
@@ -1,14 +1,7 @@
 /** Collects what a step asks the outside to carry out, each with the time until which it may leave. */
 import type { LeadershipValidity } from './leadership_validity.js';
-import type {
-  HeartbeatResponse,
-  LogFields,
-  LogLevel,
-  Output,
-  PeerMessage,
-  RequestId,
-  UserResponse,
-} from './messages.js';
+import { type FieldsOf, type LogEvent, logEntry } from './log_events.js';
+import type { HeartbeatResponse, Output, PeerMessage, RequestId, UserResponse } from './messages.js';
 import type { StepClock } from './step_clock.js';
 import type { ControllerName, MonotonicTime } from './types.js';
 
@@ -39,9 +32,9 @@
     return outputs;
   }
 
-  /** Writes a log line; `event` is a constant phrase, what varies goes into `fields`. */
-  log(level: LogLevel, event: string, fields: LogFields = {}): void {
-    this.outputs.push({ kind: 'log', level, event, fields });
+  /** Logs an event of the catalogue, at its level. */
+  log<Event extends LogEvent>(event: Event, fields: FieldsOf<Event>): void {
+    this.outputs.push({ kind: 'log', ...logEntry(event, fields) });
   }
 
   /** Sends a message to another controller. */
--- a/src/core/scheduler/replica_move.ts
+++ b/src/core/scheduler/replica_move.ts
@@ -23,7 +23,7 @@
   if (!move) return;
   applyReplicaMove(cluster, move);
   const { job, machine } = placement;
-  cluster.context.log('info', 'replica migration', {
+  cluster.context.log('replica migration', {
     job: job.id,
     fromMachine: machine.id,
     toMachine: move.target.id,
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -33,7 +33,7 @@
 
   const startedTasks = applyStarts(cluster, [...plan.starts, ...backfilled], input);
   applyReservations(cluster, findOverdueGangReservations(cluster, plan.starts, input));
-  cluster.context.log('debug', 'planning round', {
+  cluster.context.log('planning round', {
     waitingJobs: ranked.length,
     plannedJobs: plannedInFull.length,
     machines: machines.length,
--- a/src/core/state/previous_terms.ts
+++ b/src/core/state/previous_terms.ts
@@ -145,7 +145,7 @@
   finishIfReconciled(): void {
     const { recovery } = this;
     if (!recovery?.finish(this.context.now.monotonic, () => this.countMissing())) return;
-    this.context.log('info', 'recovery finished', summaryFields(recovery.summary()));
+    this.context.log('recovery finished', summaryFields(recovery.summary()));
     this.updateUnreconciled();
   }
 
@@ -182,7 +182,7 @@
   /** `exists`: whether the store holds a record of the job; null: it didn't say. */
   onRecordLookedUp(job: JobId, exists: boolean | null): void {
     if (!this.recovery?.onRecordLookedUp(job, exists)) return;
-    this.context.log('error', 'worker runs a task of a job that is not on record: stopping it', { job });
+    this.context.log('task of a job not on record', { job });
   }
 }
 
--- a/src/core/step_context.ts
+++ b/src/core/step_context.ts
@@ -4,7 +4,8 @@
 import { StateStoreClient } from './clients/state_store_client.js';
 import { ALL_OFF, type Features } from './features.js';
 import { LeadershipValidity } from './leadership_validity.js';
-import type { LogFields, LogLevel, Output } from './messages.js';
+import type { FieldsOf, LogEvent } from './log_events.js';
+import type { Output } from './messages.js';
 import { Outbox } from './outbox.js';
 import type { Settings, Tuning } from './settings.js';
 import { StepClock } from './step_clock.js';
@@ -64,8 +65,8 @@
     this.stateStore.setIsLeader(isLeader);
   }
 
-  /** Writes a log line; `event` is a constant phrase, what varies goes into `fields`. */
-  log(level: LogLevel, event: string, fields: LogFields = {}): void {
-    this.outbox.log(level, event, fields);
+  /** Logs an event of the catalogue, at its level. */
+  log<Event extends LogEvent>(event: Event, fields: FieldsOf<Event>): void {
+    this.outbox.log(event, fields);
   }
 }
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -139,14 +139,14 @@
     const machine = new Machine({ id, type, zone, spot, address, reconciled: true, phase: 'up', now });
     this.cluster.machines.add(machine);
     this.cluster.previousTerms.recovery?.onUnregisteredMachine();
-    this.context.log('info', 'heartbeat from unregistered machine', { machine: id });
+    this.context.log('heartbeat from unregistered machine', { machine: id });
     return machine;
   }
 
   /** Nobody waits for the response to a duplicate; it is no sign of life and renews no lease. */
   private recordDuplicate(machine: Machine, { sequence }: Heartbeat): void {
     this.duplicates += 1;
-    this.context.log('debug', 'duplicate heartbeat', { machine: machine.id, sequence, duplicates: this.duplicates });
+    this.context.log('duplicate heartbeat', { machine: machine.id, sequence, duplicates: this.duplicates });
   }
 
   private hasStaleToken(heartbeat: Heartbeat): boolean {
@@ -192,7 +192,7 @@
     if (machine.lifecycle.isProvisionedByThisLeader) {
       this.cluster.bootTimeEstimator.recordBoot(type, zone, ageSeconds, monotonic);
     }
-    this.context.log('info', 'machine up', {
+    this.context.log('machine up', {
       machine: machine.id,
       type: type.name,
       zone,
--- a/src/core/workers/reconciler.ts
+++ b/src/core/workers/reconciler.ts
@@ -40,14 +40,14 @@
   /** Something that was sent has reached the machine: it may get work, again or for the first time. */
   onReachable(machine: Machine): void {
     if (!machine.reachability.confirm()) return;
-    this.context.log('info', 'machine reachable again', { machine: machine.id });
+    this.context.log('machine reachable again', { machine: machine.id });
     this.leader.schedulePlanningRoundSoon();
   }
 
   /** What is sent doesn't reach it, whatever is heard of it: no new work until a response to a command proves otherwise. */
   private markUnresponsive(machine: Machine): void {
     machine.reachability.markUnresponsive(this.context.now.monotonic);
-    this.context.log('info', 'machine unresponsive', { machine: machine.id });
+    this.context.log('machine unresponsive', { machine: machine.id });
     this.cluster.placements.releasePlanned(machine);
     this.leader.schedulePlanningRoundSoon();
   }
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -146,7 +146,7 @@
 function logDuplicateTask({ context }: Cluster, machine: Machine, task: TaskStatus, other: Placement | null): void {
   const { job, index, attempt } = task;
   if (machine.unexpectedTasks.get(taskKey(job, index))?.attempt === attempt) return;
-  context.log('error', 'task reported by two machines', {
+  context.log('task reported by two machines', {
     task: taskKey(job, index),
     machines: [machine.id, ...(other ? [other.machine.id] : [])],
     attempts: [String(attempt), ...(other ? [String(other.attempt)] : [])],
--- a/src/core/workers/status_reconciliation.ts
+++ b/src/core/workers/status_reconciliation.ts
@@ -76,7 +76,7 @@
     const { cluster, machine, status } = this;
     const change = machine.messages.recordStatus(status, cluster.context.now.monotonic);
     if (change !== 'newEpoch') return;
-    cluster.context.log('info', 'agent epoch began', {
+    cluster.context.log('agent epoch began', {
       machine: machine.id,
       agentEpoch: status.agentEpoch,
       lostTasks: machine.allocations.taskCount,
@@ -100,7 +100,7 @@
     if (interruptionNoticeSeconds === null) return;
     const interruptionAt = addMilliseconds(cluster.context.now.monotonic, interruptionNoticeSeconds * 1000);
     if (!machine.cordon.recordInterruptionNotice(interruptionAt)) return;
-    cluster.context.log('info', 'interruption notice', { machine: machine.id, interruptionNoticeSeconds });
+    cluster.context.log('interruption notice', { machine: machine.id, interruptionNoticeSeconds });
     this.planning = 'due';
   }
 
@@ -129,7 +129,7 @@
     for (const [key, placement] of [...this.cluster.placements.onMachine(machine)]) {
       if (live.has(key) || placement.phase === 'planned') continue;
       if (placement.phase !== 'sent') {
-        cluster.context.log('info', 'task missing from status', { task: key, machine: machine.id });
+        cluster.context.log('task missing from status', { task: key, machine: machine.id });
         cluster.placements.release(placement);
         this.planning = 'due';
       } else if (this.isStartDropped(placement)) {
@@ -199,7 +199,7 @@
 }
 
 function logRunning({ context }: Cluster, { job, index, machine, placedAt }: Placement): void {
-  context.log('debug', 'task running', {
+  context.log('task running', {
     task: taskKey(job.id, index),
     machine: machine.id,
     jobClass: job.spec.jobClass,
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -128,7 +128,7 @@
     return;
   }
   const { job, machine } = run;
-  cluster.context.log('info', 'task exited early', {
+  cluster.context.log('task exited early', {
     task: taskKey(task.job, task.index),
     machine: machine.id,
     exitReason,
--- a/src/io/controller_runtime.ts
+++ b/src/io/controller_runtime.ts
@@ -4,6 +4,7 @@
 import type { PlatformSettings } from '../config/platform.js';
 import { Controller } from '../core/controller.js';
 import type { Features } from '../core/features.js';
+import { logEntry } from '../core/log_events.js';
 import type { HeartbeatResponse, Input, Output, RequestId, UserResponse } from '../core/messages.js';
 import type { Tuning } from '../core/settings.js';
 import type { ClockReading, MonotonicTime, WallClockTime } from '../core/types.js';
@@ -90,11 +91,11 @@
     const { listenAddress, peerListenAddress, peers } = this.platform;
     const { host, port } = parseHostPort(listenAddress);
     this.httpServer.on('error', (error) => {
-      this.log('error', 'cannot listen', { listen: listenAddress, error: error.message });
+      this.log(logEntry('listen failed', { listenAddress, error: error.message }));
       process.exit(1);
     });
     this.httpServer.listen(port, host, () => {
-      this.log('info', 'started', { listen: listenAddress, peers: peers.length });
+      this.log(logEntry('started', { listenAddress, peers: peers.length }));
     });
     this.peers.listen(peerListenAddress);
     this.step({ kind: 'start' });
@@ -158,7 +159,7 @@
         this.peers.send(output.recipient, output.message);
         break;
       case 'log':
-        this.log(output.level, output.event, output.fields);
+        this.log(output);
         break;
     }
   }
--- a/src/io/log.ts
+++ b/src/io/log.ts
@@ -1,9 +1,9 @@
 /** Writes the log. */
 import pino from 'pino';
-import type { LogFields, LogLevel } from '../core/messages.js';
+import type { LogEntry, LogFields, LogLevel } from '../core/log_events.js';
 
-/** Writes one event: a constant phrase, and what varies in its fields. */
-export type Log = (level: LogLevel, event: string, fields?: LogFields) => void;
+/** Writes one line. */
+export type Log = (entry: LogEntry) => void;
 
 const LEVELS: readonly LogLevel[] = ['error', 'info', 'debug'];
 const DEFAULT_LEVEL: LogLevel = 'info';
@@ -20,7 +20,7 @@
     { level: configuredLevel(), base: { node: controller }, formatters: { level: (label) => ({ level: label }) } },
     pino.destination({ fd: STANDARD_ERROR, sync: true }),
   );
-  return (level, event, fields = {}) => {
+  return ({ level, event, fields }) => {
     if (!logger.isLevelEnabled(level)) return;
     logger[level](bigintsAsText(fields), event);
   };
--- a/src/io/malformed_messages.ts
+++ b/src/io/malformed_messages.ts
@@ -1,4 +1,5 @@
 /** Counts the messages that are dropped or refused for their form. */
+import { logEntry } from '../core/log_events.js';
 import type { Log } from './log.js';
 
 /** Takes a description of a malformed message: whose it was, and what is wrong with it. */
@@ -14,6 +15,6 @@
   readonly add: OnMalformedMessage = (description) => {
     this.count += 1;
     const isPowerOfTwo = (this.count & (this.count - 1)) === 0;
-    if (isPowerOfTwo) this.log('info', 'malformed message dropped', { what: description, count: this.count });
+    if (isPowerOfTwo) this.log(logEntry('malformed message dropped', { description, count: this.count }));
   };
 }
--- a/src/io/peers/inbound_connection.ts
+++ b/src/io/peers/inbound_connection.ts
@@ -1,5 +1,6 @@
 /** The connection that one peer opened: what comes in on it. */
 import type { Socket } from 'node:net';
+import { logEntry } from '../../core/log_events.js';
 import type { PeerMessage } from '../../core/messages.js';
 import type { ControllerName } from '../../core/types.js';
 import type { Log } from '../log.js';
@@ -34,7 +35,7 @@
     try {
       frames = this.splitter.push(part);
     } catch (error) {
-      this.log('info', 'peer connection dropped', { peer: this.sender, why: (error as Error).message });
+      this.log(logEntry('peer connection dropped', { peer: this.sender, reason: (error as Error).message }));
       this.socket.destroy();
       return;
     }
@@ -61,6 +62,6 @@
     const { skipped } = this.splitter;
     if (skipped < this.nextLoggedCount) return;
     this.nextLoggedCount = 2 * skipped + 1;
-    this.log('info', 'peer frames of unknown kind or version skipped', { peer: this.sender, count: skipped });
+    this.log(logEntry('unknown peer frames skipped', { peer: this.sender, count: skipped }));
   }
 }
--- a/src/io/peers/peer_connections.ts
+++ b/src/io/peers/peer_connections.ts
@@ -1,6 +1,7 @@
 /** The connections between this controller and its peers: one out to each for what this one says, one in from each. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { PeerAddress } from '../../config/platform.js';
+import { logEntry } from '../../core/log_events.js';
 import type { PeerMessage } from '../../core/messages.js';
 import type { ControllerName } from '../../core/types.js';
 import { parseHostPort } from '../address.js';
@@ -31,7 +32,7 @@
   /** Listens at `address` (`host:port`) and connects to all peers. A failure to listen is logged: the others still hear us. */
   listen(address: string): void {
     const { host, port } = parseHostPort(address);
-    this.server.on('error', (error) => this.log('error', 'peer listener failed', { error: error.message }));
+    this.server.on('error', (error) => this.log(logEntry('peer listener failed', { error: error.message })));
     this.server.listen(port, host);
     for (const connection of this.outbound.values()) connection.open();
   }
--- /dev/null
+++ b/test/log_events.test.ts
@@ -0,0 +1,40 @@
+import assert from 'node:assert/strict';
+import { readFileSync } from 'node:fs';
+import { describe, test } from 'node:test';
+import { LOG_EVENTS, type LogLevel, logEntry } from '../src/core/log_events.js';
+import type { FencingToken } from '../src/core/types.js';
+
+const operations = readFileSync(new URL('../../../docs/operations.md', import.meta.url), 'utf8');
+
+/** The events of each row in the operators' table, each with the level that the row names; `info` where it names none. */
+function documentedEvents(): Map<string, LogLevel> {
+  const table = operations.slice(operations.indexOf('## Log lines'), operations.indexOf('## Renewing'));
+  const events = new Map<string, LogLevel>();
+  for (const row of table.split('\n').filter((line) => line.startsWith('| `'))) {
+    const cell = row.split('|')[1] ?? '';
+    // A level after the last event of a cell is that of all events in it.
+    const level = (/\((error|debug)\)\s*$/.exec(cell)?.[1] ?? 'info') as LogLevel;
+    for (const [, event, own] of cell.matchAll(/`([^`]+)`(?: \((error|info|debug)\))?/g)) {
+      assert.ok(event !== undefined && !events.has(event), `${event} stands in two rows`);
+      events.set(event, (own as LogLevel | undefined) ?? level);
+    }
+  }
+  return events;
+}
+
+describe('log events', () => {
+  test("the operators' table names all events, no others, with their levels", () => {
+    const catalogue = Object.entries(LOG_EVENTS).map(([event, { level }]) => `${event} (${level})`);
+    const documented = [...documentedEvents()].map(([event, level]) => `${event} (${level})`);
+    assert.deepEqual(documented.sort(), catalogue.sort());
+  });
+
+  test('an event is a constant phrase in lower case', () => {
+    for (const event of Object.keys(LOG_EVENTS)) assert.match(event, /^[a-z][a-z: ]+$/);
+  });
+
+  test('a line has the level of its event', () => {
+    const fields = { fencingToken: 7n as FencingToken, term: 3 };
+    assert.deepEqual(logEntry('elected leader', fields), { level: 'info', event: 'elected leader', fields });
+  });
+});
--- a/test/runtime_close.test.ts
+++ b/test/runtime_close.test.ts
@@ -82,7 +82,7 @@
   await endOfTurn();
   const before = resources();
   const events = new EventEmitter();
-  const log: Log = (_level, event) => void events.emit(event);
+  const log: Log = ({ event }) => void events.emit(event);
   const runtime = new ControllerRuntime(platform, loadTuning(repositoryFile('deploy/tuning.toml')), ALL_OFF, log);
   // A call to the state store is open, the peer is connected, and there is one connection in of each kind.
   const running = [once(events, 'started'), once(stateStore.server, 'connection'), once(peer.server, 'connection')];
@@ -95,7 +95,7 @@
   await once(user, 'data');
   const inbound = await connected(platform.peerListenAddress);
   inbound.write(unknownFrame());
-  await once(events, 'peer frames of unknown kind or version skipped');
+  await once(events, 'unknown peer frames skipped');
   const ends = [slowUser, user, inbound, ...stateStore.sockets, ...peer.sockets].map(closed);
   runtime.close();
   const deadline = AbortSignal.timeout(CLOSED_WITHIN_MS);
--- a/test/sim/meters.ts
+++ b/test/sim/meters.ts
@@ -67,6 +67,6 @@
   /** What the leader says of its rounds and of machines at fault. */
   onLogEvent({ event, fields }: Extract<Output, { kind: 'log' }>): void {
     if (event === 'planning round') this.largestRoundSteps = Math.max(this.largestRoundSteps, Number(fields.planSteps));
-    else if (event === 'machine fails what it starts: taking it out of use') this.quarantinedMachines += 1;
+    else if (event === 'machine failing tasks') this.quarantinedMachines += 1;
   }
 }
