--- a/src/core/peers/cancellation_broadcasts.ts
+++ b/src/core/peers/cancellation_broadcasts.ts
@@ -1,36 +1,38 @@
+/** Tells whoever leads of cancellations that this controller has put on record. */
 import type { StepContext } from '../step_context.js';
 import type { Timer } from '../timers.js';
-import type { ControllerName, JobId, MonotonicTime } from '../types.js';
+import type { ControllerName, JobId } from '../types.js';
 import type { MessageIds } from './message_ids.js';
 import type { PeerTable } from './peer_table.js';
+import { PendingMessages } from './pending_messages.js';
 
-/** So long a user's answer waits for the leader's acknowledgement; users wait 5 s. */
-const ACKNOWLEDGEMENT_TIMEOUT_MS = 300;
+/** So long a user's response waits for the leader's acknowledgement; users wait 5 s. */
+const TIMEOUT_MS = 300;
 
 interface PendingBroadcast {
   readonly onDone: () => void;
   /** Leaders that have yet to acknowledge. */
   readonly unacknowledged: Set<ControllerName>;
-  readonly deadline: MonotonicTime;
 }
 
 /**
- * Tells whoever leads of a cancellation that this node has put on record. The state service may not tell the leader: one
- * that it refuses is entitled to start work until its validity ends (refusal-then-outage.txt).
+ * The state store may not tell the leader of a cancellation: one that it refuses is entitled to start work until its
+ * validity ends (refusal-then-outage.txt).
  */
 export class CancellationBroadcasts {
+  private readonly pending: PendingMessages<PendingBroadcast>;
   private readonly expiryTimer: Timer;
-  private readonly pending = new Map<number, PendingBroadcast>();
 
   constructor(
     private readonly context: StepContext,
     private readonly peers: PeerTable,
     private readonly messageIds: MessageIds,
   ) {
+    this.pending = new PendingMessages(context, TIMEOUT_MS);
     this.expiryTimer = context.timers.create(() => this.expire());
   }
 
-  /** `done` follows once every leader has acknowledged, or soon after in any case. */
+  /** `onDone` follows once every leader has acknowledged, or soon after in any case. */
   broadcast(job: JobId, onDone: () => void): void {
     const id = this.messageIds.next();
     const unacknowledged = new Set<ControllerName>();
@@ -44,28 +46,22 @@
       onDone();
       return;
     }
-    this.pending.set(id, { onDone, unacknowledged, deadline: this.context.after(ACKNOWLEDGEMENT_TIMEOUT_MS) });
-    this.expiryTimer.setIfUnset(this.context.after(ACKNOWLEDGEMENT_TIMEOUT_MS));
+    this.pending.add(id, { onDone, unacknowledged });
+    this.expiryTimer.setIfUnset(this.context.after(TIMEOUT_MS));
   }
 
-  onAcknowledged(from: ControllerName, id: number): void {
-    const notice = this.pending.get(id);
-    if (!notice?.unacknowledged.delete(from) || notice.unacknowledged.size > 0) return;
-    this.pending.delete(id);
-    notice.onDone();
+  /** A peer has taken in a broadcast. */
+  onAcknowledged(sender: ControllerName, id: number): void {
+    const broadcast = this.pending.get(id);
+    if (!broadcast?.unacknowledged.delete(sender) || broadcast.unacknowledged.size > 0) return;
+    this.pending.take(id);
+    broadcast.onDone();
   }
 
   /** Goes on without the acknowledgements that have not come in time. */
   private expire(): void {
-    let next: MonotonicTime | null = null;
-    for (const [id, notice] of this.pending) {
-      if (notice.deadline > this.context.now.monotonic) {
-        if (next === null || notice.deadline < next) next = notice.deadline;
-        continue;
-      }
-      this.pending.delete(id);
-      notice.onDone();
-    }
+    for (const { entry } of this.pending.takeOverdue()) entry.onDone();
+    const next = this.pending.nextDeadline();
     if (next !== null) this.expiryTimer.set(next);
   }
 }
--- a/src/core/peers/heartbeat_forwarding.ts
+++ b/src/core/peers/heartbeat_forwarding.ts
@@ -1,56 +1,54 @@
+/** Passes heartbeats that reached a follower to the leader, and the leader's responses back, both as they came. */
 import type { HeartbeatResponse } from '../messages.js';
 import type { StepContext } from '../step_context.js';
-import type { ControllerName, Heartbeat, MachineId, MonotonicTime } from '../types.js';
+import type { ControllerName, Heartbeat, MachineId } from '../types.js';
 import type { MessageIds } from './message_ids.js';
 import type { PeerTable } from './peer_table.js';
+import { PendingMessages } from './pending_messages.js';
 
-/** Workers wait 4 s for an answer, and the leader holds the reports of idle machines for up to 2.5 s. */
-const FORWARD_TIMEOUT_MS = 3200;
+/** Workers wait 4 s for a response, and the leader defers those to idle machines for up to 2.5 s. */
+const TIMEOUT_MS = 3200;
 
-type Respond = (answer: HeartbeatResponse) => void;
+type Respond = (response: HeartbeatResponse) => void;
 
 interface ForwardedHeartbeat {
-  readonly recipient: ControllerName;
+  readonly leader: ControllerName;
   readonly machine: MachineId;
   readonly respond: Respond;
-  readonly deadline: MonotonicTime;
 }
 
-/** Reports that reached a node which doesn't lead, passed on as they came; the leader's answers go back as they came. */
+/** Each forwarded heartbeat gets one response: the leader's, or 503. */
 export class HeartbeatForwarding {
-  private readonly pending = new Map<number, ForwardedHeartbeat>();
+  private readonly pending: PendingMessages<ForwardedHeartbeat>;
 
   constructor(
     private readonly context: StepContext,
     private readonly peers: PeerTable,
     private readonly messageIds: MessageIds,
-  ) {}
+  ) {
+    this.pending = new PendingMessages(context, TIMEOUT_MS);
+  }
 
-  forward(recipient: ControllerName, heartbeat: Heartbeat, respond: Respond): void {
+  forward(leader: ControllerName, heartbeat: Heartbeat, respond: Respond): void {
     const id = this.messageIds.next();
-    const deadline = this.context.after(FORWARD_TIMEOUT_MS);
-    this.pending.set(id, { recipient, machine: heartbeat.machine, respond, deadline });
-    this.context.outbox.sendToPeer(recipient, { kind: 'heartbeat', id, heartbeat });
+    this.pending.add(id, { leader, machine: heartbeat.machine, respond });
+    this.context.outbox.sendToPeer(leader, { kind: 'heartbeat', id, heartbeat });
   }
 
-  onResponse(from: ControllerName, id: number, machine: MachineId, answer: HeartbeatResponse): void {
+  /** Takes the leader's response. */
+  onResponse(sender: ControllerName, id: number, machine: MachineId, response: HeartbeatResponse): void {
     const forwarded = this.pending.get(id);
-    // An answer meant for another machine must never reach this one: its starts would run twice.
-    if (forwarded?.recipient !== from || forwarded.machine !== machine) return;
-    this.pending.delete(id);
-    forwarded.respond(answer);
+    // A response meant for another machine must never reach this one: its starts would run twice.
+    if (forwarded?.leader !== sender || forwarded.machine !== machine) return;
+    this.pending.take(id);
+    forwarded.respond(response);
   }
 
-  /** Answers 503 where the leader has not answered in time, or is not the leader any more. */
-  expire(leader: ControllerName | null): void {
-    const { monotonic } = this.context.now;
-    for (const [id, forwarded] of this.pending) {
-      const overdue = forwarded.deadline <= monotonic;
-      if (!overdue && forwarded.recipient === leader) continue;
-      this.pending.delete(id);
-      const peer = this.peers.get(forwarded.recipient);
-      if (peer && overdue) peer.heartbeatsPausedUntil = this.context.after(FORWARD_TIMEOUT_MS);
-      forwarded.respond({ status: 503 });
+  /** Answers 503 where the leader has not responded in time, or is not the leader any more. */
+  expire(currentLeader: ControllerName | null): void {
+    for (const { entry, isExpired } of this.pending.takeOverdue(({ leader }) => leader !== currentLeader)) {
+      if (isExpired) this.peers.pauseHeartbeats(entry.leader, TIMEOUT_MS);
+      entry.respond({ status: 503 });
     }
   }
 }
--- a/src/core/peers/message_ids.ts
+++ b/src/core/peers/message_ids.ts
@@ -1,3 +1,5 @@
+/** Numbers for messages between controllers. */
+
 const IDS_PER_PROCESS = 2 ** 20;
 
 /**
@@ -7,10 +9,12 @@
 export class MessageIds {
   private last: number;
 
+  /** `seed`: the random seed of the process. */
   constructor(seed: number) {
     this.last = (seed >>> 0) * IDS_PER_PROCESS;
   }
 
+  /** Returns a number that this process has not used yet. */
   next(): number {
     this.last += 1;
     return this.last;
--- a/src/core/workers/heartbeat_router.ts
+++ b/src/core/workers/heartbeat_router.ts
@@ -162,8 +162,7 @@
   }
 
   private mayForwardTo(peer: Peer): boolean {
-    const isPaused = peer.heartbeatsPausedUntil > this.context.now.monotonic;
-    return peer.status.isLeader && this.peers.isReachable(peer) && !isPaused;
+    return peer.status.isLeader && this.peers.isReachable(peer) && this.peers.takesHeartbeats(peer);
   }
 
   /** Whether the worker has not been redirected lately; if so, it counts as redirected now. */
