--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -178,9 +178,13 @@
     }
   }
 
-  private onUserRequest(req: RequestId, request: UserRequest): void {
+  private onUserRequest(requestId: RequestId, request: UserRequest): void {
     const deadline = this.context.after(request.op === 'query' ? STATUS_QUERY_TIMEOUT_MS : REQUEST_TIMEOUT_MS);
-    this.requestHandler.handle(request, (answer) => this.context.outbox.respondToUser(req, answer, deadline));
+    this.requestHandler.handle(
+      request,
+      (response) => this.context.outbox.respondToUser(requestId, response, deadline),
+      'user',
+    );
   }
 
   /** Once a second: peers hear how this controller is, and what they left without a response is given up. */
@@ -189,7 +193,7 @@
     this.statusExchange.sendStatus();
     this.requestForwarding.expire();
     this.heartbeatForwarding.expire(this.election.leaderName());
-    this.statusExchange.resignIfIsolated();
+    this.statusExchange.stepDownIfIsolated();
   }
 
   private onPeerMessage(from: ControllerName, message: PeerMessage): void {
@@ -201,7 +205,7 @@
         this.requestHandler.handle(
           message.request,
           (response) => this.context.outbox.sendToPeer(from, { kind: 'requestResponse', id: message.id, response }),
-          true,
+          'peer',
         );
         return;
       case 'requestResponse':
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -162,6 +162,12 @@
 /** What users are told of a job. */
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
+/** How many of a job's tasks are done and run, for display. */
+export interface TaskCounts {
+  readonly done: number;
+  readonly running: number;
+}
+
 /** What users are told, with its HTTP status. */
 export type UserResponse =
   | {
--- a/src/core/requests/job_reader.ts
+++ b/src/core/requests/job_reader.ts
@@ -1,80 +1,72 @@
+/** Reads single job records from the state store, and puts into words for users what they say. */
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
-import type { JobStatus, UserResponse } from '../messages.js';
+import type { JobStatus, TaskCounts, UserResponse } from '../messages.js';
 import { type JobRecord, jobKey } from '../records.js';
 import type { StepContext } from '../step_context.js';
 import type { JobId } from '../types.js';
+import type { RequestContinuation } from './responses.js';
 
 const READ_PRIORITY = 2;
-const READ_TIMEOUT_MS = 1000;
-const READ_QUEUE_MS = 700;
+const READ_OPTIONS = { timeoutMs: 1000, maxQueueTimeMs: 700, failFast: true } as const;
 
-export type Respond = (answer: UserResponse) => void;
-
-/** How many of a job's tasks are done and run, for display. */
-export interface TaskCounts {
-  readonly done: number;
-  readonly running: number;
-}
-
-export const STATE_STORE_UNAVAILABLE: UserResponse = {
-  status: 503,
-  problem: 'the state service does not answer',
-  retryAfterSeconds: 1,
-};
-export const JOB_NOT_FOUND: UserResponse = { status: 404, problem: 'no such job' };
-
-/** What becomes of a question about one job. */
-export interface StatusQuery {
+/** A question about one job. */
+export interface StatusQuery extends RequestContinuation {
   readonly id: JobId;
-  readonly respond: Respond;
-  /** What to answer where there is no such job. */
+  /** The response where there is no such job. */
   readonly responseIfMissing: UserResponse;
-  /** Called instead of `answer` where the state service gave no answer. */
+}
+
+/** How a read goes on. */
+export interface ReadContinuation {
+  readonly onFound: (job: CachedJob) => void;
+  readonly onMissing: () => void;
+  /** The state store gave no answer, or holds a value that is not understood. */
   readonly onUnavailable: () => void;
 }
 
-/** Reads single job records and says what users are told of them. */
+/** Answers questions about one job at a time. */
 export class JobReader {
-  /** `taskCounts`: null where this node doesn't lead. */
+  /** `taskCounts`: null where this controller doesn't lead. */
   constructor(
     private readonly context: StepContext,
     private readonly jobCache: JobCache,
     private readonly taskCounts: (id: JobId) => TaskCounts | null,
   ) {}
 
+  /** Returns what users are told of a job with this record. */
   statusResponse(record: JobRecord): UserResponse {
     const { id } = record.spec;
     if (record.state !== 'accepted') {
       return { status: 200, id, jobStatus: record.state, done: record.done.count, running: 0 };
     }
     const counts = this.taskCounts(id);
-    const started = counts ? counts.running > 0 : record.startTerm > 0;
-    const jobStatus: JobStatus = started ? 'running' : 'queued';
+    const isStarted = counts ? counts.running > 0 : record.startTerm > 0;
+    const jobStatus: JobStatus = isStarted ? 'running' : 'queued';
     return { status: 200, id, jobStatus, done: counts?.done ?? record.done.count, running: counts?.running ?? 0 };
   }
 
-  /** Answers with the job's state as the store holds it now. */
-  respond(question: StatusQuery): void {
-    this.read(
-      question.id,
-      (job) => question.respond(this.statusResponse(job.record)),
-      () => question.respond(question.responseIfMissing),
-      question.onUnavailable,
-    );
+  /** Answers with the job's state as the state store holds it now. */
+  respond({ id, respond, responseIfMissing, onUnavailable }: StatusQuery): void {
+    this.read(id, {
+      onFound: ({ record }) => respond(this.statusResponse(record)),
+      onMissing: () => respond(responseIfMissing),
+      onUnavailable,
+    });
   }
 
-  read(id: JobId, found: (job: CachedJob) => void, missing: () => void, failed: () => void): void {
+  /** Reads a job's record; the cache takes it in. */
+  read(id: JobId, { onFound, onMissing, onUnavailable }: ReadContinuation): void {
     this.context.stateStore.call(
       { op: 'get', key: jobKey(id) },
       READ_PRIORITY,
       (result) => {
-        if (!result.ok) return failed();
-        if (!result.value.item) return missing();
+        if (!result.ok) return onUnavailable();
+        if (!result.value.item) return onMissing();
         const job = this.jobCache.update(result.value.item);
-        if (job) found(job);
-        else failed();
+        if (job) onFound(job);
+        else onUnavailable();
       },
-      { timeoutMs: READ_TIMEOUT_MS, maxQueueTimeMs: READ_QUEUE_MS, failFast: true },
+      READ_OPTIONS,
     );
   }
 }
--- /dev/null
+++ b/src/core/requests/job_submission.ts
@@ -0,0 +1,90 @@
+/** Puts a submitted job on record, once however often it is submitted. */
+import type { JobCache } from '../jobs/job_cache.js';
+import { RangeSet } from '../jobs/range_set.js';
+import type { StateStoreResult } from '../messages.js';
+import { encodeJob, type JobRecord, jobKey } from '../records.js';
+import type { StepContext } from '../step_context.js';
+import { ABSENT_VERSION, type JobId, type JobSpec } from '../types.js';
+import type { JobReader } from './job_reader.js';
+import { type RequestContinuation, STATE_STORE_UNAVAILABLE } from './responses.js';
+
+const WRITE_PRIORITY = 2;
+const WRITE_OPTIONS = { timeoutMs: 1200, maxQueueTimeMs: 1500, failFast: true } as const;
+/** A new record leaves so much of a value's limit free for what is added to it later, beside the names of zones. */
+const RESERVED_BYTES = 64;
+
+/** The stored form of a new job, under its key. */
+interface NewEntry {
+  readonly id: JobId;
+  readonly key: string;
+  readonly value: unknown;
+}
+
+/** The job id is the idempotency key: a repeated submission is answered with the state of the job. */
+export class JobSubmission {
+  constructor(
+    private readonly context: StepContext,
+    private readonly jobCache: JobCache,
+    private readonly reader: JobReader,
+  ) {}
+
+  /** Writes the job's record and answers. Returns false, and does nothing, where the record would be too long. */
+  trySubmit(spec: JobSpec, continuation: RequestContinuation): boolean {
+    const { id } = spec;
+    const { maxValueBytes } = this.context.settings.stateStore;
+    const entry: NewEntry = { id, key: jobKey(id), value: encodeJob(this.newRecord(spec), maxValueBytes) };
+    if (JSON.stringify(entry.value).length > maxValueBytes - this.reservedBytes()) return false;
+    this.write(entry, continuation);
+    return true;
+  }
+
+  private write(entry: NewEntry, continuation: RequestContinuation): void {
+    const conditions = [{ key: entry.key, version: ABSENT_VERSION }];
+    const changes = [{ put: entry.key, value: entry.value }];
+    this.context.stateStore.call(
+      { op: 'compareAndSwap', conditions, changes },
+      WRITE_PRIORITY,
+      (result) => this.onResult(entry, result, continuation),
+      WRITE_OPTIONS,
+    );
+  }
+
+  private onResult({ id, key, value }: NewEntry, result: StateStoreResult, continuation: RequestContinuation): void {
+    if (result.ok) {
+      if (result.value.revision !== undefined) this.jobCache.update({ key, value, version: result.value.revision });
+      continuation.respond({ status: 201, id, jobStatus: 'queued', done: 0, running: 0 });
+      return;
+    }
+    switch (result.error.code) {
+      // Another submission was first, or this one may have been written: a read tells. If it shows nothing, the user asks
+      // again.
+      case 'conflict':
+      case 'outcomeUnknown':
+        this.reader.respond({ id, responseIfMissing: STATE_STORE_UNAVAILABLE, ...continuation });
+        return;
+      case 'throttled':
+      case 'unavailable':
+      case 'invalidRequest':
+      case 'gone':
+        continuation.onUnavailable();
+        return;
+    }
+  }
+
+  /** What a record may yet grow by: its first start, and the zones of all its starts. */
+  private reservedBytes(): number {
+    return RESERVED_BYTES + JSON.stringify(this.context.settings.zones).length;
+  }
+
+  private newRecord(spec: JobSpec): JobRecord {
+    return {
+      spec,
+      submittedAt: this.context.now.wallClock,
+      state: 'accepted',
+      startTerm: 0,
+      startZone: null,
+      startZones: null,
+      done: new RangeSet(),
+    };
+  }
+}
--- /dev/null
+++ b/src/core/requests/responses.ts
@@ -0,0 +1,20 @@
+/** How a user's request ends: what it is answered, and what becomes of it where the state store gives no answer. */
+import type { UserResponse } from '../messages.js';
+
+/** Answers a request; called once. */
+export type Respond = (response: UserResponse) => void;
+
+/** The ways in which a request goes on. */
+export interface RequestContinuation {
+  readonly respond: Respond;
+  /** The state store gave this controller no answer: another one may get one. */
+  readonly onUnavailable: () => void;
+}
+
+export const STATE_STORE_UNAVAILABLE: UserResponse = {
+  status: 503,
+  problem: 'the state service does not answer',
+  retryAfterSeconds: 1,
+};
+
+export const JOB_NOT_FOUND: UserResponse = { status: 404, problem: 'no such job' };
