--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -1,20 +1,16 @@
+/** The leader of one term: puts together the parts that act for it, and hands each input to the part it concerns. */
 import type { RecoverySummary } from '../../recovery/index.js';
 import { Autoscaler } from '../autoscaling/autoscaler.js';
 import { HealthChecks } from '../health/health_checks.js';
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
-import { maxJobViewAgeMs } from '../lease_bounds.js';
 import type { Machine } from '../machines/machine.js';
 import { MachineRegistry } from '../machines/machine_registry.js';
 import type { MachineTypes } from '../machines/machine_type_catalog.js';
 import type { StoredEntry, TaskCounts } from '../messages.js';
-import { migrateToCachedImages } from '../scheduler/migration.js';
-import { preempt } from '../scheduler/preemption.js';
-import { scheduleRound } from '../scheduler/round.js';
-import { placeServices } from '../scheduler/service_placement.js';
 import { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import type { Timer } from '../timers.js';
-import type { Heartbeat, JobId, MonotonicTime } from '../types.js';
+import type { Heartbeat, JobId, MachineId, MonotonicTime } from '../types.js';
 import { CommandDelivery } from '../workers/command_delivery.js';
 import { type CommandLeader, CommandPusher } from '../workers/command_pusher.js';
 import { HeartbeatHandler, type HeartbeatLeader } from '../workers/heartbeat_handler.js';
@@ -23,25 +19,26 @@
 import { StatusRequests } from '../workers/status_requests.js';
 import type { Election } from './election.js';
 import { JobRecordLookup } from './job_record_lookup.js';
+import { JobView } from './job_view.js';
 import type { Leadership } from './leadership.js';
+import { PlanningRounds } from './planning_rounds.js';
 import { RecordWriter } from './record_writer.js';
 import { StateLoader } from './state_loader.js';
 import { StateRestorer } from './state_restorer.js';
 
 const HEALTH_CHECK_INTERVAL_MS = 1000;
-const FIRST_PLANNING_ROUND_MS = 50;
 const FIRST_HEALTH_CHECK_MS = 500;
-/** A round that something calls for waits a moment for more of it. */
-const PLANNING_ROUND_BATCHING_MS = 20;
-/** Sets the random choices of one round apart from those of the next. */
-const PLANNING_ROUND_SEED_STEP = 7919;
-/** A start is based on a view of jobs that is at most so old: a cancellation may be on record since. */
-const MAX_JOB_VIEW_AGE_FOR_STARTS_MS = 4000;
-
-/**
- * The holder of the lead; a new one is made for every term. It ties the parts together: reports and commands (workers/),
- * records (record_writer.ts), machines (machines/), and the rounds of the scheduler.
- */
+
+/** How far a leader has come in its term; each state is followed by the next, or by `stopped`. */
+type LeaderState =
+  /** Reading what previous terms left: workers' leases are renewed, and nothing else is done. */
+  | 'loading'
+  /** Acts on everything. */
+  | 'active'
+  /** No longer the leader: whatever still arrives is ignored. */
+  | 'stopped';
+
+/** A new one is made for every term. */
 export class Leader implements HeartbeatLeader, CommandLeader, ReconciliationLeader {
   private readonly cluster: Cluster;
   private readonly autoscaler: Autoscaler;
@@ -52,45 +49,34 @@
   private readonly commandPusher: CommandPusher;
   private readonly healthChecks: HealthChecks;
   private readonly registry: MachineRegistry;
+  private readonly planningRounds: PlanningRounds;
+  private readonly jobView: JobView;
   private readonly stateLoader: StateLoader;
-  private readonly stateRestorer: StateRestorer;
   private readonly jobRecordLookup: JobRecordLookup;
-  private readonly electedAt: MonotonicTime;
   private readonly healthCheckTimer: Timer;
   private readonly statusRequestTimer: Timer;
-  private loaded = false;
-  private stopped = false;
-  private lastPlanningRoundAt = 0 as MonotonicTime;
-  private planningRounds = 0;
-  private lastPlanningRoundSteps = 0;
-  private unreachableSince: MonotonicTime | null = null;
+  private readonly electedAt: MonotonicTime;
+  private state: LeaderState = 'loading';
+  /** Since when most machines don't react to responses; null: they do. */
+  private isolatedSince: MonotonicTime | null = null;
 
+  /** `seed` is what all random choices of the scheduler come from. */
   constructor(
     private readonly context: StepContext,
     private readonly election: Election,
     private readonly jobCache: JobCache,
     leadership: Leadership,
     types: MachineTypes,
-    private readonly seed: number,
+    seed: number,
   ) {
+    const { fencingToken } = leadership;
     this.electedAt = context.now.monotonic;
     this.cluster = new Cluster(context, leadership.term, leadership.startZonesRecordedSince);
     this.cluster.machineTypes = types;
-    const { timers } = this.cluster;
-    timers.planningRound.handle(() => this.runPlanningRound());
-    timers.servicePlacement.handle(() => this.placeServices());
-    this.healthCheckTimer = timers.create(() => this.runHealthChecks());
-    this.statusRequestTimer = timers.create(() => this.requestAllStatuses());
+    this.healthCheckTimer = this.cluster.timers.create(() => this.runHealthChecks());
+    this.statusRequestTimer = this.cluster.timers.create(() => this.requestAllStatuses());
     this.registry = new MachineRegistry(context.settings.stateStore.maxValueBytes);
-    this.recordWriter = new RecordWriter(this.cluster, leadership, this.registry, {
-      mayWrite: () => this.isLeaseValid() && this.loaded,
-      onRecordRead: (item) => void this.jobCache.update(item),
-      onWriteFinished: () => {
-        this.heartbeatHandler.releaseDeferred();
-        this.commandPusher.pushDueCommands();
-      },
-    });
-    const { fencingToken } = leadership;
+    this.recordWriter = this.makeRecordWriter(leadership);
     const reconciler = new Reconciler(this.cluster, fencingToken, this);
     this.heartbeatHandler = new HeartbeatHandler(this.cluster, fencingToken, reconciler, this);
     this.commandDelivery = new CommandDelivery(this.cluster, fencingToken, reconciler);
@@ -98,27 +84,48 @@
     this.commandPusher = new CommandPusher(this.cluster, this.commandDelivery, this);
     this.healthChecks = new HealthChecks(this.cluster, () => this.schedulePlanningRoundSoon());
     this.autoscaler = new Autoscaler(this.cluster, this.recordWriter);
-    // Earlier leaders answered nobody after this one took the lead; it has itself answered some while it read the state.
-    this.stateRestorer = new StateRestorer(this.cluster, this.registry, jobCache, (machine) =>
-      this.heartbeatHandler.renewalsWhileLoading.lastRenewalAt(machine, this.electedAt),
-    );
+    this.planningRounds = this.makePlanningRounds(seed);
+    this.jobView = new JobView(context, jobCache);
     this.jobRecordLookup = new JobRecordLookup(context, jobCache, this.cluster.previousTerms);
     this.stateLoader = new StateLoader(context, this.cluster.timers, jobCache, (pages) => this.restoreState(pages));
     this.loadState();
     this.healthCheckTimer.set(context.after(HEALTH_CHECK_INTERVAL_MS));
   }
 
+  private makeRecordWriter(leadership: Leadership): RecordWriter {
+    return new RecordWriter(this.cluster, leadership, this.registry, {
+      mayWrite: () => this.mayAct(),
+      onRecordRead: (item) => void this.jobCache.update(item),
+      onWriteFinished: () => {
+        this.heartbeatHandler.releaseDeferred();
+        this.commandPusher.pushDueCommands();
+      },
+    });
+  }
+
+  private makePlanningRounds(seed: number): PlanningRounds {
+    return new PlanningRounds(this.cluster, this.autoscaler, seed, {
+      mayPlan: () => this.mayAct(),
+      flushRecords: () => this.recordWriter.flush(),
+      pushCommands: () => this.commandPusher.pushDueCommands(),
+      releaseDeferredResponses: () => this.heartbeatHandler.releaseDeferred(),
+    });
+  }
+
+  /** How many machines may exist. */
   get machineCount(): number {
     return this.cluster.machines.size;
   }
 
+  /** The cloud's list of machine types is there, or has changed. */
   setMachineTypes(types: MachineTypes): void {
     this.cluster.machineTypes = types;
     this.loadState();
   }
 
+  /** The role is lost: nothing more is done or answered. */
   stop(): void {
-    this.stopped = true;
+    this.state = 'stopped';
     this.stateLoader.stop();
     this.jobRecordLookup.stop();
     this.recordWriter.stop();
@@ -130,121 +137,113 @@
 
   // ---- what the parts ask
 
+  /** Returns whether no other controller can be the leader at this moment. */
   isLeaseValid(): boolean {
-    return !this.stopped && this.election.isLeaseValid();
+    return this.state !== 'stopped' && this.election.isLeaseValid();
+  }
+
+  /** Returns whether the state is loaded, and no other controller can be the leader at this moment. */
+  private mayAct(): boolean {
+    return this.state === 'active' && this.election.isLeaseValid();
   }
 
-  /**
-   * A leader whose lease is renewed while it hears nothing of jobs would keep cancelled tasks alive for ever: its answers
-   * count for nothing then, and it lets go of the lead (no-job-news.txt).
-   */
+  /** Returns whether the view of jobs is recent enough to renew workers' leases on. */
   hasRecentJobView(): boolean {
-    const knownAt = this.loaded ? this.jobCache.currentAsOf : this.electedAt;
-    return this.context.now.monotonic - knownAt < maxJobViewAgeMs(this.context.settings);
+    return this.jobView.mayRenewLeases(this.state === 'loading' ? this.electedAt : null);
   }
 
+  /** Returns whether the view of jobs is recent enough to start tasks on. */
   mayStartTasks(): boolean {
-    return this.context.now.monotonic - this.jobCache.currentAsOf < MAX_JOB_VIEW_AGE_FOR_STARTS_MS;
+    return this.jobView.mayStartTasks();
   }
 
+  /** Returns whether the state of previous terms has been read. */
   isLoaded(): boolean {
-    return this.loaded;
+    return this.state === 'active';
   }
 
+  /** Returns whether records are being written that a start may wait for. */
   hasWritesInFlight(): boolean {
     return this.recordWriter.hasWritesInFlight;
   }
 
+  /** Puts the machine on record. */
   registerMachine(machine: Machine): void {
     this.recordWriter.registerMachine(machine);
   }
 
+  /** Brings the next planning round forward. */
   schedulePlanningRoundSoon(): void {
-    this.cluster.servicePlacements.request();
-    const { spacing_ms, spacing_per_machine_ms, spacing_per_step_ms } = this.context.tuning.scheduler;
-    const costMs = spacing_per_machine_ms * this.machineCount + spacing_per_step_ms * this.lastPlanningRoundSteps;
-    const earliest = this.lastPlanningRoundAt + spacing_ms + costMs;
-    const at = Math.max(earliest, this.context.after(PLANNING_ROUND_BATCHING_MS)) as MonotonicTime;
-    this.cluster.timers.planningRound.bringForward(at);
+    this.planningRounds.scheduleSoon();
+  }
+
+  /** Looks up the records of jobs that only workers know of. */
+  lookUpSuspectedOrphans(): void {
+    this.jobRecordLookup.lookUpSuspectedOrphans();
   }
 
-  // ---- rebuilding from the store
+  // ---- failover
 
-  /** Begins, or begins again, to read what earlier leaders left. */
-  loadState(): void {
-    if (!this.loaded && this.cluster.machineTypes.size > 0) this.stateLoader.load();
+  /** Begins, or begins again, to read what previous terms left, once machine types are known. */
+  private loadState(): void {
+    if (this.state === 'loading' && this.cluster.machineTypes.size > 0) this.stateLoader.load();
   }
 
   private restoreState(pages: readonly StoredEntry[]): void {
-    this.stateRestorer.restore(pages);
-    this.loaded = true;
+    // Previous leaders answered nobody since this one was elected; it has itself renewed some leases while it read the state.
+    const renewals = this.heartbeatHandler.renewalsWhileLoading;
+    const lastLeaseRenewalAt = (machine: MachineId) => renewals.lastRenewalAt(machine, this.electedAt);
+    new StateRestorer(this.cluster, this.registry, this.jobCache, lastLeaseRenewalAt).restore(pages);
+    this.state = 'active';
     this.autoscaler.listMachines();
     if (this.cluster.previousTerms.recovery === null) this.statusRequests.requestAll();
     else this.statusRequestTimer.set(this.context.after(this.context.features.recovery.ask_after_ms));
-    this.cluster.timers.planningRound.set(this.context.after(FIRST_PLANNING_ROUND_MS));
+    this.planningRounds.start();
     this.healthCheckTimer.set(this.context.after(FIRST_HEALTH_CHECK_MS));
   }
 
+  // ---- jobs
+
   /** The cache has a newer record of a job: a submission, a cancellation, or what this leader wrote itself. */
   onJobRecord(job: CachedJob): void {
-    if (!this.loaded || this.stopped) return;
+    if (this.state !== 'active') return;
     const known = this.cluster.jobs.get(job.record.spec.id);
     if (known && known.stored.version >= job.version) return;
     this.cluster.applyJobRecord(job.record, job.version);
     this.schedulePlanningRoundSoon();
   }
 
-  /** A node has put a cancellation on record; the store's own news of it may take long to come through. */
+  /** A controller has put a cancellation on record; the state store's own news of it may take long to come through. */
   onCancellationBroadcast(id: JobId): void {
-    if (!this.stopped) this.cluster.applyCancellationBroadcast(id);
-  }
-
-  // ---- workers
-
-  onHeartbeat(report: Heartbeat, reply: HeartbeatResponder): void {
-    this.heartbeatHandler.onHeartbeat(report, reply);
+    if (this.state !== 'stopped') this.cluster.applyCancellationBroadcast(id);
   }
 
-  private requestAllStatuses(): void {
-    if (this.isLeaseValid()) this.statusRequests.requestAll();
-  }
-
-  lookUpSuspectedOrphans(): void {
-    this.jobRecordLookup.lookUpSuspectedOrphans();
+  /** Returns a job's counts for display; null where they are not known here. */
+  taskCounts(id: JobId): TaskCounts | null {
+    if (!this.mayAct()) return null;
+    const job = this.cluster.jobs.get(id);
+    return job ? { done: job.doneTasks.count, running: this.cluster.placements.runningCount(job) } : null;
   }
 
+  /** Returns what was found of previous terms; null where the recovery feature is off. */
   recoverySummary(): RecoverySummary | null {
     return this.cluster.previousTerms.summary();
   }
 
-  // ---- rounds
+  // ---- workers
 
-  /** Replicas that wait are given places at once, and their starts go out directly. */
-  private placeServices(): void {
-    if (!this.isLeaseValid() || !this.loaded) return;
-    this.cluster.servicePlacements.onPlacement();
-    if (placeServices(this.cluster) === 0) return;
-    this.recordWriter.flush();
-    this.commandPusher.pushDueCommands();
+  /** A worker's heartbeat has arrived, here or at a peer. `respond` is called once, at once or later. */
+  onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void {
+    this.heartbeatHandler.onHeartbeat(heartbeat, respond);
   }
 
-  /** One planning round, and what follows from it. */
-  private runPlanningRound(): void {
-    this.cluster.timers.planningRound.set(this.context.after(this.context.tuning.scheduler.period_ms));
-    this.lastPlanningRoundAt = this.context.now.monotonic;
-    if (!this.isLeaseValid() || !this.loaded) return;
-    this.planningRounds += 1;
-    this.placeServices();
-    const round = scheduleRound(this.cluster, (this.seed + this.planningRounds * PLANNING_ROUND_SEED_STEP) | 0);
-    this.lastPlanningRoundSteps = round.steps;
-    migrateToCachedImages(this.cluster);
-    preempt(this.cluster, round);
-    this.autoscaler.runScaleOut(round);
-    this.recordWriter.flush();
-    this.heartbeatHandler.releaseDeferred();
+  private requestAllStatuses(): void {
+    if (this.isLeaseValid()) this.statusRequests.requestAll();
   }
 
-  /** Once a second: silence, losses, returns. */
+  // ---- health
+
+  /** Once a second: overdue heartbeats, lost machines, scale-in, and whether this controller can go on leading. */
   private runHealthChecks(): void {
     this.healthCheckTimer.set(this.context.after(HEALTH_CHECK_INTERVAL_MS));
     if (!this.isLeaseValid()) return;
@@ -252,32 +251,25 @@
       this.election.stepDown('view of jobs too old');
       return;
     }
-    if (!this.loaded) return;
+    if (this.state !== 'active') return;
     this.healthChecks.run();
     this.cluster.previousTerms.finishIfReconciled();
     this.statusRequests.probe();
     this.autoscaler.runScaleIn(this.electedAt);
     this.registry.collectImageChanges();
     this.recordWriter.flush();
-    this.stepDownIfUnreachable();
+    this.stepDownIfIsolated();
   }
 
-  /** Where most machines report but don't hear this node, another should lead. */
-  private stepDownIfUnreachable(): void {
+  /** Where most machines report but don't react to responses, another controller should lead. */
+  private stepDownIfIsolated(): void {
     const now = this.context.now.monotonic;
     if (!this.healthChecks.isLeaderIsolated()) {
-      this.unreachableSince = null;
+      this.isolatedSince = null;
       return;
     }
-    this.unreachableSince ??= now;
-    if (now - this.unreachableSince < this.context.tuning.leadership.resign_after_ms) return;
+    this.isolatedSince ??= now;
+    if (now - this.isolatedSince < this.context.tuning.leadership.resign_after_ms) return;
     this.election.stepDown('responses do not reach machines');
   }
-
-  /** Counts for display, where this node knows them. */
-  taskCounts(id: JobId): TaskCounts | null {
-    if (!this.isLeaseValid() || !this.loaded) return null;
-    const job = this.cluster.jobs.get(id);
-    return job ? { done: job.doneTasks.count, running: this.cluster.placements.runningCount(job) } : null;
-  }
 }
