--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -1,19 +1,15 @@
+/** Writes the leader's records of jobs and machines to the state store. */
 import type { Job } from '../jobs/job.js';
 import { RangeSet } from '../jobs/range_set.js';
 import type { Machine } from '../machines/machine.js';
 import type { MachineRegistry, RegistryPage } from '../machines/machine_registry.js';
-import {
-  type StateChange,
-  type StateStoreResult,
-  type StoredEntry,
-  type VersionCondition,
-  wasNotExecuted,
-} from '../messages.js';
-import { encodeJob, type JobState, jobKey, pageKey } from '../records.js';
+import { type StateStoreResult, type StoredEntry, wasNotExecuted } from '../messages.js';
+import { jobKey, pageKey } from '../records.js';
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
-import { ABSENT_VERSION, type MonotonicTime, type Revision, type ZoneName } from '../types.js';
+import { ABSENT_VERSION, type MonotonicTime, type Revision } from '../types.js';
 import { type Leadership, leaderCondition } from './leadership.js';
+import { type JobSnapshot, WriteBatch, type WriteLimits } from './write_batch.js';
 
 /** Results that nobody waits for are written this rarely, and more rarely still where writes are scarce. */
 const LAZY_WRITE_INTERVAL_MS = 4000;
@@ -23,59 +19,42 @@
 const WRITE_RETRY_MS = 150;
 const REREAD_RETRY_MS = 200;
 const FLUSH_AFTER_REREAD_MS = 1;
-/** After a write that was refused for its size. */
+/** After a write that was rejected for its size. */
 const REJECTED_PAUSE_MS = 1000;
 const MIN_VALUE_BYTES = 512;
 const VALUE_SHRINK_FACTOR = 0.75;
-/** A transaction may have 64 KiB; sizes are estimated. */
-const MAX_TRANSACTION_BYTES = 48_000;
-const ESTIMATED_JOB_RECORD_BYTES = 700;
-const ESTIMATED_DONE_RANGE_BYTES = 14;
 const URGENT_PRIORITY = 1;
 const LAZY_PRIORITY = 3;
 
-/** A job's record as one transaction writes it. */
-interface JobSnapshot {
-  readonly job: Job;
-  readonly state: JobState;
-  readonly startTerm: number;
-  readonly startZones: readonly ZoneName[] | null;
-  readonly doneTasks: [number, number][];
-}
-
-/** A page of the registry as one transaction writes it. */
-interface PageSnapshot {
-  readonly page: RegistryPage;
-  readonly machines: readonly Machine[];
-}
-
-interface WriteBatch {
-  readonly conditions: VersionCondition[];
-  readonly changes: StateChange[];
-  readonly jobs: JobSnapshot[];
-  readonly pages: PageSnapshot[];
-  bytes: number;
-  isUrgent: boolean;
-}
-
+/** What follows from reads and writes. */
 export interface RecordWriterCallbacks {
+  /** Returns whether records may be written now: the state is loaded, and this controller is the leader. */
   mayWrite(): boolean;
-  /** A record as the store was found to hold it. */
+  /** A record as the state store was found to hold it. */
   onRecordRead(item: StoredEntry): void;
   /** Something that others may wait for is now on record, or has failed to be. */
   onWriteFinished(): void;
 }
 
+/** How a transaction ended. */
+type WriteOutcome =
+  | { readonly kind: 'written'; readonly version: Revision }
+  /** It was certainly not carried out. */
+  | { readonly kind: 'notExecuted' }
+  /** Its conditions did not hold, or nobody knows: what is stored has to be read. */
+  | { readonly kind: 'unknown' }
+  /** The state store calls it malformed: it may take less than was announced. */
+  | { readonly kind: 'rejected' };
+
 /**
- * Writes the leader's records of jobs and machines: many changes to a transaction, what others wait for first. Every
- * transaction depends on the leader key and on each changed key's version, so one that is carried out late changes nothing.
+ * Puts many changes into a transaction, what others wait for first. Every transaction depends on the leader key and on each
+ * changed key's version, so one that is carried out late changes nothing.
  */
 export class RecordWriter {
   private readonly context: StepContext;
   private writesInFlight = 0;
   private stopped = false;
-  private maxChanges: number;
-  private maxValueBytes: number;
+  private limits: WriteLimits;
   private pausedUntil = 0 as MonotonicTime;
 
   constructor(
@@ -86,23 +65,27 @@
   ) {
     this.context = cluster.context;
     cluster.timers.recordFlush.handle(() => this.flush());
-    this.maxChanges = this.context.settings.stateStore.maxChangesPerTransaction;
-    this.maxValueBytes = this.context.settings.stateStore.maxValueBytes;
+    const { maxChangesPerTransaction, maxValueBytes } = this.context.settings.stateStore;
+    this.limits = { maxChanges: maxChangesPerTransaction, maxValueBytes };
   }
 
+  /** Whether transactions have been sent that are not answered. */
   get hasWritesInFlight(): boolean {
     return this.writesInFlight > 0;
   }
 
+  /** Nothing more is written, and answers that still come are ignored. */
   stop(): void {
     this.stopped = true;
   }
 
+  /** Puts a machine on record: before that is done, no command goes to it. */
   registerMachine(machine: Machine): void {
     this.registry.add(machine);
     this.scheduleFlush();
   }
 
+  /** Takes a machine that is gone off the record. */
   unregisterMachine(machine: Machine): void {
     this.registry.remove(machine.id);
     this.scheduleFlush();
@@ -116,6 +99,8 @@
     this.cluster.timers.recordFlush.set(this.context.after(ms));
   }
 
+  // ---- writing
+
   /** Writes what is due. */
   flush(): void {
     if (this.stopped || !this.callbacks.mayWrite()) return;
@@ -131,75 +116,61 @@
     while (jobs.length > 0 || pages.length > 0) this.send(this.nextBatch(jobs, pages, now));
   }
 
-  /** Takes from both lists what fits into one transaction: urgent pages, then jobs, then other pages. */
-  private nextBatch(jobs: Job[], pages: RegistryPage[], now: MonotonicTime): WriteBatch {
-    const conditions = [leaderCondition(this.leadership)];
-    const batch: WriteBatch = { conditions, changes: [], jobs: [], pages: [], bytes: 0, isUrgent: false };
-    while (pages[0]?.urgent && this.hasSpace(batch)) this.addPage(batch, pages.shift() as RegistryPage);
-    while (jobs.length > 0 && this.hasSpace(batch)) this.addJob(batch, jobs.shift() as Job, now);
-    while (pages.length > 0 && this.hasSpace(batch)) this.addPage(batch, pages.shift() as RegistryPage);
-    return batch;
-  }
-
+  /** Jobs whose records are due, the urgent ones first. Those that need no attention any more are dropped on the way. */
   private dueJobs(now: MonotonicTime, hasSpareWrites: boolean): Job[] {
     const due: Job[] = [];
     const lazyMs = hasSpareWrites ? LAZY_WRITE_INTERVAL_MS : SCARCE_WRITES_INTERVAL_FACTOR * LAZY_WRITE_INTERVAL_MS;
     for (const job of this.cluster.jobs.active) {
-      const need = job.writeUrgency;
-      if (need === 'none') this.cluster.jobs.deactivateIfSettled(job);
-      else if (!job.stored.isCallInFlight && (need === 'immediate' || now - job.stored.lastWriteAt >= lazyMs))
+      const urgency = job.writeUrgency;
+      if (urgency === 'none') this.cluster.jobs.deactivateIfSettled(job);
+      else if (!job.stored.isCallInFlight && (urgency === 'immediate' || now - job.stored.lastWriteAt >= lazyMs))
         due.push(job);
     }
     return due.sort((a, b) => Number(b.writeUrgency === 'immediate') - Number(a.writeUrgency === 'immediate'));
   }
 
-  private hasSpace(batch: WriteBatch): boolean {
-    return batch.changes.length < this.maxChanges && batch.bytes < MAX_TRANSACTION_BYTES;
-  }
-
-  private addPage(batch: WriteBatch, page: RegistryPage): void {
-    if (page.urgent) batch.isUrgent = true;
-    const { change, bytes, machines } = this.registry.beginWrite(page, this.context.now.monotonic);
-    batch.bytes += bytes;
-    batch.pages.push({ page, machines });
-    batch.conditions.push({ key: pageKey(page.index), version: page.version });
-    batch.changes.push(change);
-  }
-
-  private addJob(batch: WriteBatch, job: Job, now: MonotonicTime): void {
-    if (job.writeUrgency === 'immediate') batch.isUrgent = true;
-    job.stored.beginWrite(now);
-    const { spec, submittedAt, state, startTerm, startZone, doneTasks } = job;
-    const startZones = job.startZones && [...job.startZones];
-    const value = encodeJob(
-      { spec, submittedAt, state, startTerm, startZone, startZones, done: doneTasks },
-      this.maxValueBytes,
-    );
-    batch.bytes += ESTIMATED_JOB_RECORD_BYTES + value.done.length * ESTIMATED_DONE_RANGE_BYTES;
-    batch.jobs.push({ job, state, startTerm, startZones, doneTasks: value.done });
-    batch.conditions.push({ key: jobKey(job.id), version: job.stored.version });
-    batch.changes.push({ put: jobKey(job.id), value });
+  /** Takes from both lists what fits into one transaction: urgent pages, then jobs, then other pages. */
+  private nextBatch(jobs: Job[], pages: RegistryPage[], now: MonotonicTime): WriteBatch {
+    const batch = new WriteBatch(leaderCondition(this.leadership), this.limits);
+    const addPage = (page: RegistryPage) => batch.addPage(page, this.registry, now);
+    while (pages[0]?.urgent && batch.hasSpace()) addPage(pages.shift() as RegistryPage);
+    while (jobs.length > 0 && batch.hasSpace()) batch.addJob(jobs.shift() as Job, now);
+    while (pages.length > 0 && batch.hasSpace()) addPage(pages.shift() as RegistryPage);
+    return batch;
   }
 
   private send(batch: WriteBatch): void {
     const { conditions, changes } = batch;
     this.writesInFlight += 1;
-    this.context.stateStore.call(
-      { op: 'compareAndSwap', conditions, changes },
-      batch.isUrgent ? URGENT_PRIORITY : LAZY_PRIORITY,
-      (result) => {
-        this.writesInFlight -= 1;
-        for (const { job } of batch.jobs) job.stored.endCall();
-        for (const { page } of batch.pages) page.writeInFlight = false;
-        if (this.stopped) return;
-        if (result.ok && result.value.revision !== undefined) this.onBatchWritten(batch, result.value.revision);
-        else this.onBatchFailed(batch, result);
-        this.callbacks.onWriteFinished();
-      },
-    );
+    const priority = batch.isUrgent ? URGENT_PRIORITY : LAZY_PRIORITY;
+    this.context.stateStore.call({ op: 'compareAndSwap', conditions, changes }, priority, (result) => {
+      this.writesInFlight -= 1;
+      batch.onEnded();
+      if (this.stopped) return;
+      this.onOutcome(batch, outcomeOf(result));
+      this.callbacks.onWriteFinished();
+    });
+  }
+
+  private onOutcome(batch: WriteBatch, outcome: WriteOutcome): void {
+    switch (outcome.kind) {
+      case 'written':
+        this.onWritten(batch, outcome.version);
+        return;
+      case 'notExecuted':
+        this.onFailed(batch, false);
+        return;
+      case 'unknown':
+        this.onFailed(batch, true);
+        return;
+      case 'rejected':
+        this.onFailed(batch, true);
+        this.reduceWriteSize(batch);
+        return;
+    }
   }
 
-  private onBatchWritten(batch: WriteBatch, version: Revision): void {
+  private onWritten(batch: WriteBatch, version: Revision): void {
     for (const snapshot of batch.jobs) this.onJobWritten(snapshot, version);
     for (const { page, machines } of batch.pages) {
       this.registry.onPageStored(page, machines, version);
@@ -213,32 +184,25 @@
     if (job.writeUrgency === 'immediate') this.scheduleFlush();
   }
 
-  private onBatchFailed(batch: WriteBatch, result: StateStoreResult): void {
-    // Only what was refused has certainly not been carried out.
-    const outcomeUnknown = result.ok || !wasNotExecuted(result.error);
+  private onFailed(batch: WriteBatch, isOutcomeUnknown: boolean): void {
     for (const { page } of batch.pages) {
       page.urgent = true;
-      page.versionUnknown = outcomeUnknown;
+      page.versionUnknown = isOutcomeUnknown;
     }
-    if (outcomeUnknown) for (const { job } of batch.jobs) this.rereadJob(job);
-    if (!result.ok && result.error.code === 'invalidRequest') this.reduceWriteSize(batch);
+    if (isOutcomeUnknown) for (const { job } of batch.jobs) this.rereadJob(job);
     this.rescheduleFlush(WRITE_RETRY_MS);
   }
 
-  /** The service calls a transaction malformed: it may take less than was announced. The same one is never sent again. */
+  /** The same transaction is never sent again. */
   private reduceWriteSize(batch: WriteBatch): void {
-    const changes = batch.changes.length;
-    if (changes > 1) this.maxChanges = Math.max(1, Math.floor(changes / 2));
-    else this.maxValueBytes = Math.max(MIN_VALUE_BYTES, Math.floor(this.maxValueBytes * VALUE_SHRINK_FACTOR));
-    this.registry.setValueLimit(this.maxValueBytes);
+    this.limits = reducedLimits(this.limits, batch.changes.length);
+    this.registry.setValueLimit(this.limits.maxValueBytes);
     this.pausedUntil = this.context.after(REJECTED_PAUSE_MS);
-    this.context.log('write refused for its size', {
-      maxChanges: this.maxChanges,
-      maxValueBytes: this.maxValueBytes,
-    });
+    this.context.log('write refused for its size', { ...this.limits });
   }
 
-  /** A write failed or has an unknown outcome: the store tells what holds now. */
+  // ---- reading what holds now
+
   private rereadJob(job: Job): void {
     job.stored.beginRead();
     this.context.stateStore.call({ op: 'get', key: jobKey(job.id) }, URGENT_PRIORITY, (result) => {
@@ -263,3 +227,19 @@
     });
   }
 }
+
+function outcomeOf(result: StateStoreResult): WriteOutcome {
+  if (result.ok) {
+    const { revision } = result.value;
+    return revision === undefined ? { kind: 'unknown' } : { kind: 'written', version: revision };
+  }
+  if (wasNotExecuted(result.error)) return { kind: 'notExecuted' };
+  return { kind: result.error.code === 'invalidRequest' ? 'rejected' : 'unknown' };
+}
+
+/** Fewer changes at a time first, then smaller values. */
+function reducedLimits({ maxChanges, maxValueBytes }: WriteLimits, rejectedChanges: number): WriteLimits {
+  if (rejectedChanges > 1) return { maxChanges: Math.max(1, Math.floor(rejectedChanges / 2)), maxValueBytes };
+  const reduced = Math.floor(maxValueBytes * VALUE_SHRINK_FACTOR);
+  return { maxChanges, maxValueBytes: Math.max(MIN_VALUE_BYTES, reduced) };
+}
--- /dev/null
+++ b/src/core/leadership/write_batch.ts
@@ -0,0 +1,92 @@
+/** What one transaction writes: records of jobs and pages of the machine registry, with the conditions that they depend on. */
+import type { Job } from '../jobs/job.js';
+import type { Machine } from '../machines/machine.js';
+import type { MachineRegistry, RegistryPage } from '../machines/machine_registry.js';
+import type { StateChange, VersionCondition } from '../messages.js';
+import { encodeJob, type JobState, jobKey, pageKey } from '../records.js';
+import type { MonotonicTime, ZoneName } from '../types.js';
+
+/** A transaction may have 64 KiB; sizes are estimated. */
+const MAX_TRANSACTION_BYTES = 48_000;
+const ESTIMATED_JOB_RECORD_BYTES = 700;
+const ESTIMATED_DONE_RANGE_BYTES = 14;
+
+/** A job's record as the transaction writes it. */
+export interface JobSnapshot {
+  readonly job: Job;
+  readonly state: JobState;
+  readonly startTerm: number;
+  readonly startZones: readonly ZoneName[] | null;
+  readonly doneTasks: [number, number][];
+}
+
+/** A page of the registry as the transaction writes it. */
+export interface PageSnapshot {
+  readonly page: RegistryPage;
+  readonly machines: readonly Machine[];
+}
+
+/** How much a transaction may write. */
+export interface WriteLimits {
+  readonly maxChanges: number;
+  /** Of one value. */
+  readonly maxValueBytes: number;
+}
+
+/** Filled while there is space, then sent as it is. */
+export class WriteBatch {
+  readonly conditions: VersionCondition[];
+  readonly changes: StateChange[] = [];
+  readonly jobs: JobSnapshot[] = [];
+  readonly pages: PageSnapshot[] = [];
+  private bytes = 0;
+  private urgent = false;
+
+  /** `leaderCondition`: without it the batch could be written by a leader that was deposed. */
+  constructor(
+    leaderCondition: VersionCondition,
+    private readonly limits: WriteLimits,
+  ) {
+    this.conditions = [leaderCondition];
+  }
+
+  /** Whether somebody waits for a change of the batch. */
+  get isUrgent(): boolean {
+    return this.urgent;
+  }
+
+  /** Returns whether one more change may be added. */
+  hasSpace(): boolean {
+    return this.changes.length < this.limits.maxChanges && this.bytes < MAX_TRANSACTION_BYTES;
+  }
+
+  /** Adds the page as it is now. */
+  addPage(page: RegistryPage, registry: MachineRegistry, now: MonotonicTime): void {
+    if (page.urgent) this.urgent = true;
+    const { change, bytes, machines } = registry.beginWrite(page, now);
+    this.bytes += bytes;
+    this.pages.push({ page, machines });
+    this.conditions.push({ key: pageKey(page.index), version: page.version });
+    this.changes.push(change);
+  }
+
+  /** Adds the job's record as it is now. */
+  addJob(job: Job, now: MonotonicTime): void {
+    if (job.writeUrgency === 'immediate') this.urgent = true;
+    job.stored.beginWrite(now);
+    const { spec, submittedAt, state, startTerm, startZone, doneTasks } = job;
+    const startZones = job.startZones && [...job.startZones];
+    const record = { spec, submittedAt, state, startTerm, startZone, startZones, done: doneTasks };
+    const value = encodeJob(record, this.limits.maxValueBytes);
+    this.bytes += ESTIMATED_JOB_RECORD_BYTES + value.done.length * ESTIMATED_DONE_RANGE_BYTES;
+    this.jobs.push({ job, state, startTerm, startZones, doneTasks: value.done });
+    this.conditions.push({ key: jobKey(job.id), version: job.stored.version });
+    this.changes.push({ put: jobKey(job.id), value });
+  }
+
+  /** The transaction has ended, however it did. */
+  onEnded(): void {
+    for (const { job } of this.jobs) job.stored.endCall();
+    for (const { page } of this.pages) page.writeInFlight = false;
+  }
+}
