--- a/src/core/health/health_checks.ts
+++ b/src/core/health/health_checks.ts
@@ -59,7 +59,7 @@
     if (unreconciled > 0 && previousTerms.recovery === null) return;
     for (const job of this.cluster.jobs.active) {
       const isIncomplete = job.isGang && job.placedCount > 0 && job.placedCount < job.spec.taskCount;
-      if (!isIncomplete || job.state !== 'accepted' || previousTerms.mayRunUnseen(job)) continue;
+      if (!isIncomplete || job.state !== 'accepted' || previousTerms.mayRunUnreconciled(job)) continue;
       this.cluster.placements.breakGang(job);
     }
   }
--- a/src/core/leadership/candidacy.ts
+++ b/src/core/leadership/candidacy.ts
@@ -106,9 +106,9 @@
     const { term, leaseId, grantSentAt } = lease;
     const leadership: Leadership = {
       fencingToken: acquiredAt as bigint as FencingToken,
-      term: term.n,
+      term: term.term,
       leaseId,
-      startZonesRecordedSince: term.zones ?? null,
+      startZonesRecordedSince: term.startZonesRecordedSince ?? null,
     };
     this.onOutcome({ kind: 'won', leadership, record: this.leaderRecord(lease), grantSentAt });
   }
@@ -120,6 +120,6 @@
 
   private leaderRecord({ term, leaseId }: GrantedLease): LeaderRecord {
     const { controller } = this.context.settings;
-    return { node: controller, incarnation: this.init.incarnation, lease: String(leaseId), term: term.n };
+    return { node: controller, incarnation: this.init.incarnation, lease: String(leaseId), term: term.term };
   }
 }
--- a/src/core/leadership/job_record_lookup.ts
+++ b/src/core/leadership/job_record_lookup.ts
@@ -1,3 +1,4 @@
+/** Looks up whether jobs that only workers know of are on record. */
 import type { JobCache } from '../jobs/job_cache.js';
 import { jobKey } from '../records.js';
 import type { PreviousTerms } from '../state/previous_terms.js';
@@ -7,7 +8,7 @@
 /** Nobody but workers' tasks waits for these reads. */
 const LOOKUP_PRIORITY = 2;
 
-/** Asks the store whether jobs that only workers know of are on record. */
+/** Reads the records of suspected orphans from the state store. */
 export class JobRecordLookup {
   private stopped = false;
 
@@ -17,10 +18,12 @@
     private readonly previousTerms: PreviousTerms,
   ) {}
 
+  /** Answers that still come are ignored. */
   stop(): void {
     this.stopped = true;
   }
 
+  /** Looks up each job that was suspected since the last time. */
   lookUpSuspectedOrphans(): void {
     for (const id of this.previousTerms.takeRecordsToLookUp()) this.lookUp(id);
   }
@@ -30,7 +33,8 @@
       if (this.stopped) return;
       const item = result.ok ? (result.value.item ?? null) : null;
       if (item) this.jobCache.update(item);
-      this.previousTerms.onRecordLookedUp(id, result.ok ? item !== null : null);
+      if (!result.ok) this.previousTerms.onRecordLookedUp(id, 'unavailable');
+      else this.previousTerms.onRecordLookedUp(id, item ? 'present' : 'absent');
     });
   }
 }
--- a/src/core/leadership/state_loader.ts
+++ b/src/core/leadership/state_loader.ts
@@ -1,3 +1,4 @@
+/** Reads the state that previous terms left in the state store, until it works. */
 import { readPrefix } from '../clients/state_store_reads.js';
 import type { JobCache } from '../jobs/job_cache.js';
 import type { StoredEntry } from '../messages.js';
@@ -7,7 +8,7 @@
 
 const RETRY_MS = 300;
 
-/** Reads what earlier leaders left: machines and jobs as they stand after the leader key was taken. */
+/** Machines and jobs are read as they stand after the leader key was acquired. */
 export class StateLoader {
   private isLoading = false;
   private isStopped = false;
@@ -23,11 +24,12 @@
     this.retryTimer = timers.create(() => this.load());
   }
 
+  /** Answers that still come are ignored. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Tried again until it works. */
+  /** Begins to read, or to read again after a failure. Without effect while it reads. */
   load(): void {
     if (this.isLoading || this.isStopped) return;
     this.isLoading = true;
--- a/src/core/leadership/state_restorer.ts
+++ b/src/core/leadership/state_restorer.ts
@@ -1,3 +1,4 @@
+/** Fills a new leader's cluster with what previous terms left in the state store. */
 import type { JobCache } from '../jobs/job_cache.js';
 import { Machine } from '../machines/machine.js';
 import type { MachineRegistry } from '../machines/machine_registry.js';
@@ -6,9 +7,9 @@
 import type { Cluster } from '../state/cluster.js';
 import type { MachineId, MonotonicTime } from '../types.js';
 
-/** Fills a new leader's cluster with what earlier ones left in the store. */
+/** Used once, when all records have been read. */
 export class StateRestorer {
-  /** `lastRenewalOf`: when anybody may last have renewed a machine's lease before this leader knows of the machine. */
+  /** `lastLeaseRenewalAt`: when anybody may last have renewed a machine's lease before this leader knew of the machine. */
   constructor(
     private readonly cluster: Cluster,
     private readonly registry: MachineRegistry,
@@ -16,7 +17,7 @@
     private readonly lastLeaseRenewalAt: (machine: MachineId) => MonotonicTime,
   ) {}
 
-  /** `pages`: the registry's. */
+  /** Adds the jobs of the cache and the machines of the registry's pages. */
   restore(pages: readonly StoredEntry[]): void {
     const { context, previousTerms, machines } = this.cluster;
     this.cluster.jobs.setUnreadable(this.jobCache.unreadableJobs);
@@ -53,7 +54,7 @@
     }
     const now = context.now.monotonic;
     const { id, zone, spot, address } = record;
-    // Rented by an earlier leader and not known to be up: it may still boot (boots-leader-change.txt), or have come up just
+    // Provisioned by a previous leader and not known to be up: it may still boot (boots-leader-change.txt), or have come up just
     // now, so that it counts as unreconciled all the same.
     const phase = address === '' ? 'booting' : 'up';
     const machine = new Machine({ id, type, zone, spot, address, reconciled: false, phase, now });
--- a/src/core/state/previous_terms.ts
+++ b/src/core/state/previous_terms.ts
@@ -1,6 +1,8 @@
+/** What this leader knows of the work of previous terms: which jobs must wait, and what counts against quotas meanwhile. */
 import {
   type PreviousTermJob,
   type ReconciledBy,
+  type RecordLookupResult,
   Recovery,
   type RecoverySummary,
   type StartZonesRecordedSince,
@@ -29,9 +31,9 @@
   readonly startZonesRecordedSince: StartZonesRecordedSince;
 }
 
-/** What a leader knows of the work of earlier ones: which jobs must wait, and what counts against teams' limits meanwhile. */
+/** Carries out what `src/recovery` decides, on the jobs, machines and quotas of this term. */
 export class PreviousTerms {
-  /** Null where the feature is off: then every job begun earlier waits until all machines have told their lists. */
+  /** Null where the feature is off: then every job begun in a previous term waits until all machines are reconciled. */
   readonly recovery: Recovery | null;
   /** Jobs begun in previous terms of which tasks may be anywhere. */
   private readonly jobs = new Set<Job>();
@@ -42,11 +44,11 @@
     private readonly context: StepContext,
     private readonly init: PreviousTermsInit,
   ) {
-    const recoveryInit = { term: init.term, now: context.now.monotonic };
+    const recoveryInit = { term: init.term, electedAt: context.now.monotonic };
     this.recovery = context.features.recovery.enabled ? new Recovery(recoveryInit) : null;
   }
 
-  /** Whether the zones in which the job is started go on record: asked as it is started for the first time. */
+  /** Returns whether the zones in which the job is started go on record: asked as it is started for the first time. */
   recordsStartZones(job: Job): boolean {
     if (this.init.startZonesRecordedSince === null) return false;
     const { zones, stateStore } = this.context.settings;
@@ -55,6 +57,7 @@
 
   // ---- what was stored
 
+  /** A job's record is known now. `startZones`: as recorded, whether or not to be trusted. */
   onJobAdded(job: Job, startZones: readonly ZoneName[] | null): void {
     this.recovery?.onRecorded(job.id);
     job.restoreStartZones(trustedStartZones(job.startTerm, startZones, this.init.startZonesRecordedSince));
@@ -65,14 +68,17 @@
     return startTerm > 0 && startTerm < this.init.term;
   }
 
+  /** A machine was on record when this leader was elected. */
   onMachineRestored({ id, type, zone, spot }: Machine): void {
     this.recovery?.addMachine({ id, type: type.name, zone, spot, cpus: type.cpus, gpus: type.gpus });
   }
 
+  /** Machines on a page that can't be read may run tasks until their leases have surely expired. */
   onUnreadablePage(): void {
     this.recovery?.onUnreadablePage(this.context.after(workerLeaseExpiryMs(this.context.settings)));
   }
 
+  /** All records have been read. */
   onLoaded(unreadableJobs: number): void {
     for (let i = 0; i < unreadableJobs; i++) this.recovery?.onUnreadableJob();
     this.recovery?.onLoaded();
@@ -80,16 +86,20 @@
     this.finishIfReconciled();
   }
 
-  // ---- what becomes certain
+  // ---- reconciliation of machines
 
+  /** What is on the machine is certain now. */
   onMachineReconciled(machine: Machine, how: ReconciledBy): void {
-    // What counts against teams' limits is reckoned anew before places are given; until then it is rather too much.
+    // What counts against quotas is reckoned anew before placements are made; until then it is rather too much.
     if (this.recovery) this.recovery.onMachineReconciled(machine.id, how);
     else this.updateUnreconciledCount();
     this.finishIfReconciled();
   }
 
-  /** Counts the machines that may hold anybody's tasks, and holds against each limited team what may be its own there. */
+  /**
+   * Counts the machines that may hold anybody's tasks, and holds against each limited team what may be its own there. Returns
+   * how many machines they are.
+   */
   updateUnreconciled(): number {
     if (this.recovery) this.updateExposure(this.recovery);
     else this.updateUnreconciledCount();
@@ -100,11 +110,10 @@
     const before = this.unreconciledCount;
     this.unreconciledCount = recovery.unreconciledMachines;
     if (before === 0 && this.unreconciledCount === 0 && recovery.isFinished) return;
+    const { quotas } = this.init;
     const { monotonic } = this.context.now;
-    this.init.quotas.unreconciledCapacity = recovery.unreconciledCapacity(monotonic) ?? UNKNOWN_CAPACITY;
-    this.init.quotas.exposure = this.init.quotas.hasLimits
-      ? recovery.teamExposure(this.previousTermJobs(), monotonic)
-      : null;
+    quotas.unreconciledCapacity = recovery.unreconciledCapacity(monotonic) ?? UNKNOWN_CAPACITY;
+    quotas.exposure = quotas.hasLimits ? recovery.teamExposure(this.previousTermJobs(), monotonic) : null;
   }
 
   private *previousTermJobs(): Iterable<PreviousTermJob> {
@@ -128,20 +137,7 @@
     this.init.quotas.unreconciledCapacity = { cpus, gpus };
   }
 
-  /** Notes whether tasks of a job may run unseen, and returns how many of it may be given places now. */
-  startableTasks(job: Job): number {
-    job.setMayRunUnreconciled(this.mayRunUnseen(job));
-    return job.startableCount;
-  }
-
-  /** Whether tasks of the job may be on a machine whose list has yet to come. */
-  mayRunUnseen(job: Job): boolean {
-    if (!this.isFromPreviousTerm(job)) return false;
-    if (!this.recovery) return this.unreconciledCount > 0;
-    return !this.recovery.isFinished && this.recovery.mayRunUnseen(toPreviousTermJob(job), this.context.now.monotonic);
-  }
-
-  /** Says once that everything is certain, and what was found. */
+  /** Logs once that all machines are reconciled, and what was found. */
   finishIfReconciled(): void {
     const { recovery } = this;
     if (!recovery?.finish(this.context.now.monotonic, () => this.countMissing())) return;
@@ -156,32 +152,50 @@
     return missing;
   }
 
+  // ---- starts
+
+  /** Notes whether tasks of a job may run unreconciled, and returns how many of it may be given placements now. */
+  startableTasks(job: Job): number {
+    job.setMayRunUnreconciled(this.mayRunUnreconciled(job));
+    return job.startableCount;
+  }
+
+  /** Returns whether tasks of the job may be on a machine that is not reconciled. */
+  mayRunUnreconciled(job: Job): boolean {
+    if (!this.isFromPreviousTerm(job)) return false;
+    if (!this.recovery) return this.unreconciledCount > 0;
+    if (this.recovery.isFinished) return false;
+    return this.recovery.mayRunUnreconciled(toPreviousTermJob(job), this.context.now.monotonic);
+  }
+
   /** A start goes out. */
   onTaskStarted(): void {
     this.recovery?.onTaskStarted(this.context.now.monotonic);
   }
 
+  /** Returns what has been found so far; null where the feature is off. */
   summary(): RecoverySummary | null {
     return this.recovery?.summary() ?? null;
   }
 
-  // ---- jobs that nobody recorded
+  // ---- orphans
 
-  /** A worker has a task of a job that isn't known: whether there is a record is asked for, once. */
-  suspectOrphan(job: JobId, machine: Machine): void {
-    if (this.recovery?.onUnknownJobReported(job, machine.id, this.context.now.monotonic))
-      this.recordsToLookUp.push(job);
+  /** A worker has a task of a job that isn't known: its record is to be looked up, once. */
+  suspectOrphan(job: JobId, { id }: Machine): void {
+    const isNew = this.recovery?.onUnknownJobReported(job, id, this.context.now.monotonic);
+    if (isNew) this.recordsToLookUp.push(job);
   }
 
+  /** Returns the jobs whose records are to be looked up, each once. */
   takeRecordsToLookUp(): JobId[] {
     const jobs = this.recordsToLookUp;
     this.recordsToLookUp = [];
     return jobs;
   }
 
-  /** `exists`: whether the store holds a record of the job; null: it didn't say. */
-  onRecordLookedUp(job: JobId, exists: boolean | null): void {
-    if (!this.recovery?.onRecordLookedUp(job, exists)) return;
+  /** A job's record was looked up. */
+  onRecordLookedUp(job: JobId, result: RecordLookupResult): void {
+    if (!this.recovery?.onRecordLookedUp(job, result)) return;
     this.context.log('task of a job not on record', { job });
   }
 }
@@ -192,13 +206,13 @@
   return {
     id,
     team,
-    types: allowedMachineTypes,
+    allowedMachineTypes,
     zone,
-    spotOk: toleratesSpot,
+    toleratesSpot,
     cpus,
     gpus,
     startTerm,
     startZones,
-    unaccountedTasks: unaccountedCount,
+    unaccountedCount,
   };
 }
--- a/src/core/state/quotas.ts
+++ b/src/core/state/quotas.ts
@@ -1,10 +1,11 @@
+/** What each team may have on machines, and what it has. */
 import type { TeamExposure } from '../../recovery/index.js';
 import type { JobSpec, TeamName, TeamQuota } from '../types.js';
 
 /** Sums of decimal amounts differ from what they should be by less than this. */
 const TOLERANCE = 1e-9;
 
-/** What a team's tasks take. */
+/** What a team's tasks take, or machines have. */
 interface Usage {
   cpus: number;
   gpus: number;
@@ -12,7 +13,7 @@
 
 const NO_USAGE: Usage = { cpus: 0, gpus: 0 };
 
-/** What each team may have on machines: everything sent, fetching, running or saving counts until proven gone. */
+/** Everything that was sent to a machine counts until it is proven gone. */
 export class Quotas {
   private readonly teams = new Map<TeamName, TeamQuota>();
   private readonly usage = new Map<TeamName, Usage>();
@@ -20,7 +21,7 @@
   unreconciledCapacity: Usage = { cpus: 0, gpus: 0 };
   /** Capacity of machines that hold tasks of jobs that aren't known: whose they are can't be told, so it counts alike. */
   readonly unattributedCapacity: Usage = { cpus: 0, gpus: 0 };
-  /** Of `unreconciled`, what each team's tasks may take at most; null: all of it. */
+  /** Of `unreconciledCapacity`, what each team's tasks may take at most; null: all of it. */
   exposure: TeamExposure | null = null;
 
   constructor(teams: readonly TeamQuota[]) {
@@ -30,11 +31,12 @@
     }
   }
 
+  /** Teams in the order of the settings. */
   teamsInOrder(): Iterable<TeamQuota> {
     return this.teams.values();
   }
 
-  /** Counts tasks that got a place, or with a negative number such as lost theirs. */
+  /** Counts tasks that got a placement, or with a negative number such as lost theirs. */
   recordUsage(spec: JobSpec, tasks: number): void {
     const use = this.usage.get(spec.team);
     if (!use) return;
@@ -42,7 +44,7 @@
     use.gpus += spec.gpus * tasks;
   }
 
-  /** How many more tasks of this kind the team's limit allows now. */
+  /** Returns how many more tasks like these the team's limit allows now; infinite where it has none. */
   remainingTasks(spec: JobSpec): number {
     const team = this.teams.get(spec.team);
     const use = this.usage.get(spec.team);
@@ -67,7 +69,7 @@
   }
 }
 
-/** Whether a job could ever run within its team's limit: one task of an array, all tasks of anything else. */
+/** Returns whether a job could ever run within its team's limit: one task of an array, all tasks of anything else. */
 export function fitsTeamLimit(team: TeamQuota, spec: JobSpec): boolean {
   const tasks = spec.kind === 'array' ? 1 : spec.taskCount;
   const fits = (limit: number, each: number) => limit <= 0 || each * tasks <= limit + TOLERANCE;
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -37,15 +37,15 @@
       if (job) logDuplicateTask(cluster, machine, task, elsewhere);
       unexpected.push(toUnexpectedTask(task, job, true));
       return null;
-    case 'readRecord':
+    case 'lookUpRecord':
       cluster.previousTerms.suspectOrphan(task.job, machine);
       unexpected.push(toUnexpectedTask(task, job, false));
       return null;
-    case 'leave':
+    case 'ignore':
     // These are for exited tasks: a live one is left alone.
     case 'recordResult':
     case 'requeue':
-    case 'forget':
+    case 'acknowledge':
       unexpected.push(toUnexpectedTask(task, job, false));
       return null;
   }
@@ -72,7 +72,7 @@
 /** Returns what an exited task without a placement is, whoever started it. */
 export function recoverExitedTask(cluster: Cluster, machine: Machine, task: TaskStatus): Classification {
   const classification = classifyTask(cluster, task, null);
-  if (classification.action === 'readRecord') cluster.previousTerms.suspectOrphan(task.job, machine);
+  if (classification.action === 'lookUpRecord') cluster.previousTerms.suspectOrphan(task.job, machine);
   return classification;
 }
 
--- a/src/recovery/heartbeat_backlog.ts
+++ b/src/recovery/heartbeat_backlog.ts
@@ -1,24 +1,26 @@
+/** Bounds how many heartbeats are processed in a time, and keeps the others waiting. */
 import type { MachineId, MonotonicTime } from '../core/types.js';
 
-/** Lists are counted in windows of so many milliseconds. */
+/** Heartbeats are counted in windows of so many milliseconds. */
 const WINDOW_MS = 50;
 
 /**
- * Evens out the storm of reports after a cold start. Of the lists that come with them only so many are looked at in a window;
- * the others wait here, the newest of each machine: never more than there are machines.
+ * Evens out the storm of heartbeats after a cold start: only so many are admitted in a window, the others wait here, the newest
+ * of each machine, so never more than there are machines.
  */
-export class HeartbeatBacklog<List> {
-  private readonly entries = new Map<MachineId, List>();
+export class HeartbeatBacklog<Entry> {
+  private readonly entries = new Map<MachineId, Entry>();
   private windowStart = Number.NEGATIVE_INFINITY as MonotonicTime;
   private admitted = 0;
 
   constructor(private readonly heartbeatsPerWindow: number) {}
 
+  /** How many wait. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** Whether one more list may be looked at now; if so it counts. */
+  /** Returns whether one more heartbeat may be processed now; if so it counts. */
   admit(now: MonotonicTime): boolean {
     if (now - this.windowStart >= WINDOW_MS) {
       this.windowStart = now;
@@ -29,35 +31,35 @@
     return true;
   }
 
-  /** A list that waits for its turn; an older one of the same machine says nothing more. */
-  add(machine: MachineId, list: List): void {
-    this.entries.set(machine, list);
+  /** Keeps a heartbeat until its turn, in place of an older one of the same machine. */
+  add(machine: MachineId, entry: Entry): void {
+    this.entries.set(machine, entry);
   }
 
-  /** A newer list of the machine has come: returns the one that waited, if any. */
-  remove(machine: MachineId): List | undefined {
-    const list = this.entries.get(machine);
+  /** Takes out the machine's heartbeat, as a newer one has come; returns undefined where none waits. */
+  remove(machine: MachineId): Entry | undefined {
+    const entry = this.entries.get(machine);
     this.entries.delete(machine);
-    return list;
+    return entry;
   }
 
-  /** Those that wait, the longest first. */
-  pending(): Iterable<List> {
+  /** Returns those that wait, the longest first. */
+  pending(): Iterable<Entry> {
     return this.entries.values();
   }
 
-  /** The lists whose turn it is now, those that have waited longest first. */
-  takeDue(now: MonotonicTime): List[] {
-    const due: List[] = [];
-    for (const [machine, list] of this.entries) {
+  /** Takes out those whose turn it is now, the ones that have waited longest first. */
+  takeDue(now: MonotonicTime): Entry[] {
+    const due: Entry[] = [];
+    for (const [machine, entry] of this.entries) {
       if (!this.admit(now)) break;
       this.entries.delete(machine);
-      due.push(list);
+      due.push(entry);
     }
     return due;
   }
 
-  /** When lists may be looked at again; null: none waits. */
+  /** Returns when more may be admitted; null: none waits. */
   nextDueAt(): MonotonicTime | null {
     return this.entries.size === 0 ? null : ((this.windowStart + WINDOW_MS) as MonotonicTime);
   }
--- a/src/recovery/index.ts
+++ b/src/recovery/index.ts
@@ -1,6 +1,6 @@
 /**
- * Recovery after a change of lead, a cold start above all: what earlier leaders left is matched against what workers report,
- * and only true disagreement is acted on. Decisions only; `src/core` carries them out. docs/design/cold-start.md.
+ * Recovery after a failover, a cold start above all: what previous terms left is matched against what workers report, and only
+ * true disagreement is acted on. Decisions only; `src/core` carries them out. docs/design/cold-start.md.
  */
 
 export { HeartbeatBacklog } from './heartbeat_backlog.js';
@@ -22,6 +22,7 @@
   OtherPlacement,
   PreviousTermJob,
   ReconciledBy,
+  RecordLookupResult,
   ReportedTask,
   StoredJob,
   TaskAction,
--- a/src/recovery/orphan_tracker.ts
+++ b/src/recovery/orphan_tracker.ts
@@ -1,7 +1,8 @@
+/** Keeps track of jobs that workers report and the state store was not found to hold. */
 import type { JobId, MachineId, MonotonicTime } from '../core/types.js';
-import type { Orphan } from './types.js';
+import type { Orphan, RecordLookupResult } from './types.js';
 
-/** So many tasks are listed for operators; beyond that they are handled alike and not listed. */
+/** So many tasks are listed for operators; any more are handled alike and not listed. */
 const MAX_LISTED_TASKS = 1000;
 /** So many jobs are kept; the tasks of any more are left alone until there is room. */
 const MAX_SUSPECTED_JOBS = 10_000;
@@ -14,7 +15,7 @@
 }
 
 /**
- * Jobs that workers report and the store was not found to hold. A start goes out only after the job's record was written, and
+ * A start goes out only after the job's record was written, and
  * a transaction that is carried out late can't have been answered before; so a record that justifies a start is there before
  * the task is, and a read sent after the report finds it whatever is still on its way.
  */
@@ -35,15 +36,15 @@
     return true;
   }
 
-  /** The answer to the read: true, false, or null where the store didn't say. Returns whether it is news that it is absent. */
-  onLookedUp(job: JobId, exists: boolean | null): boolean {
+  /** Its record was looked up. Returns whether it is news that the record is absent. */
+  onLookedUp(job: JobId, result: RecordLookupResult): boolean {
     const suspected = this.jobs.get(job);
     if (!suspected) return false;
     suspected.isLookupInFlight = false;
-    if (exists === true) this.jobs.delete(job);
-    const isNews = exists === false && !suspected.isConfirmed;
-    if (exists === false) suspected.isConfirmed = true;
-    return isNews;
+    if (result === 'present') this.jobs.delete(job);
+    if (result !== 'absent' || suspected.isConfirmed) return false;
+    suspected.isConfirmed = true;
+    return true;
   }
 
   /** The record has turned up: what runs is taken over. */
@@ -51,10 +52,12 @@
     this.jobs.delete(job);
   }
 
+  /** Returns whether the state store has confirmed that the job has no record. */
   isConfirmed(job: JobId): boolean {
     return this.jobs.get(job)?.isConfirmed ?? false;
   }
 
+  /** Returns the tasks of suspected jobs for operators, 1000 at most. */
   list(): Orphan[] {
     const orphans: Orphan[] = [];
     for (const [job, { machines, seenAt, isConfirmed }] of this.jobs) {
--- a/src/recovery/recovery.ts
+++ b/src/recovery/recovery.ts
@@ -1,19 +1,22 @@
+/** What a leader knows and doesn't know of what previous terms left, from its election on. */
 import type { JobId, MachineId, MonotonicTime } from '../core/types.js';
 import { OrphanTracker } from './orphan_tracker.js';
 import { type RecoverySummary, zeroReconciledByCounts, zeroTaskCounts } from './summary.js';
 import { type TeamExposure, teamExposure } from './team_exposure.js';
-import type { PreviousTermJob, ReconciledBy, TaskClass, UnreconciledMachine } from './types.js';
+import type { PreviousTermJob, ReconciledBy, RecordLookupResult, TaskClass, UnreconciledMachine } from './types.js';
 import { type Capacity, UnreconciledMachines } from './unreconciled_machines.js';
 
+/** What recovery begins with. */
 export interface RecoveryInit {
+  /** The term of this leader. */
   readonly term: number;
-  /** When this node took the lead. */
-  readonly now: MonotonicTime;
+  /** When this controller was elected. */
+  readonly electedAt: MonotonicTime;
 }
 
 /**
- * What a leader knows and doesn't know of what earlier ones left, from taking the lead on. It makes no calls and reads no
- * clock: what is stored, reported and read is told to it, and it says what each task is, and what must wait for whom.
+ * Makes no calls and reads no clock: what is stored, reported and looked up is told to it, and it says what must wait for which
+ * machines, and what was found.
  */
 export class Recovery {
   private readonly unreconciled = new UnreconciledMachines();
@@ -33,95 +36,103 @@
 
   // ---- what was stored
 
-  /** A machine is on record, and its list has yet to come. */
+  /** A machine is on record, and has yet to be reconciled. */
   addMachine(machine: UnreconciledMachine): void {
     this.unreconciled.add(machine);
     this.machines += 1;
   }
 
-  /** A page of the registry can't be read in full: what is on it may run until then without being known. */
+  /** A page of the registry can't be read in full: machines on it may run tasks unknown until their leases have ended. */
   onUnreadablePage(leasesEndAt: MonotonicTime): void {
     this.unreadableRecords += 1;
     this.unreconciled.setMayHaveUnregisteredUntil(leasesEndAt);
   }
 
+  /** A job's record can't be read. */
   onUnreadableJob(): void {
     this.unreadableRecords += 1;
   }
 
-  /** Everything that is on record has been told. */
+  /** Everything on record has been added. */
   onLoaded(): void {
     this.loaded = true;
   }
 
   // ---- machines
 
-  /** What is on the machine is certain from now on. */
+  /** What is on the machine is certain from now on. Without effect if it was before. */
   onMachineReconciled(machine: MachineId, how: ReconciledBy): void {
     if (this.unreconciled.remove(machine)) this.reconciledBy[how] += 1;
   }
 
+  /** A machine was found that no record shows. */
   onUnregisteredMachine(): void {
     this.unregisteredMachines += 1;
   }
 
+  /** How many machines on record have yet to be reconciled. */
   get unreconciledMachines(): number {
     return this.unreconciled.count;
   }
 
+  /** Returns whether it is certain what is on every machine. */
   isReconciled(now: MonotonicTime): boolean {
     return this.loaded && this.unreconciled.isEmpty(now);
   }
 
   // ---- jobs
 
-  /** Whether a task of the job that was not found may yet be on a machine that has told nothing. */
-  mayRunUnseen(job: PreviousTermJob, now: MonotonicTime): boolean {
-    if (job.startTerm <= 0 || job.startTerm >= this.init.term || job.unaccountedTasks <= 0) return false;
+  /** Returns whether a task of the job that was not found may be on a machine that is not reconciled. */
+  mayRunUnreconciled(job: PreviousTermJob, now: MonotonicTime): boolean {
+    if (job.startTerm <= 0 || job.startTerm >= this.init.term || job.unaccountedCount <= 0) return false;
     return this.unreconciled.isFeasible(job, now);
   }
 
-  /** What uncertain machines have; null: there may be others. */
+  /** Returns the capacity of machines that are not reconciled; null: there may be others. */
   unreconciledCapacity(now: MonotonicTime): Capacity | null {
     return this.unreconciled.capacity(now);
   }
 
-  /** What each team may have running unseen, of these jobs; null where there is no telling. */
+  /** Returns what each team's tasks of these jobs may take on machines not reconciled; null: it can't be told. */
   teamExposure(jobs: Iterable<PreviousTermJob>, now: MonotonicTime): TeamExposure | null {
     const capacity = this.unreconciled.capacity(now);
     if (capacity === null || this.unreadableRecords > 0) return null;
-    return teamExposure(jobs, this.unreconciled, (job) => this.mayRunUnseen(job, now), capacity);
+    return teamExposure(jobs, this.unreconciled, (job) => this.mayRunUnreconciled(job, now), capacity);
   }
 
   // ---- tasks
 
-  /** A reported task was found to be this; told once of each. */
+  /** Counts a reported task by what it was found to be; called once for each. */
   countTask(taskClass: TaskClass): void {
     this.tasks[taskClass] += 1;
   }
 
-  /** A task of a job that isn't known is reported. Returns whether the job's record is to be read. */
+  /** A task of a job that isn't known is reported. Returns whether the job's record is to be looked up now. */
   onUnknownJobReported(job: JobId, machine: MachineId, now: MonotonicTime): boolean {
     return this.orphans.onReported(job, machine, now);
   }
 
-  /** `exists`: whether the store holds a record; null: it didn't say. Returns whether it is news that there is none. */
-  onRecordLookedUp(job: JobId, exists: boolean | null): boolean {
-    return this.orphans.onLookedUp(job, exists);
+  /** The record of a job that wasn't known was looked up. Returns whether it is news that the record is absent. */
+  onRecordLookedUp(job: JobId, result: RecordLookupResult): boolean {
+    return this.orphans.onLookedUp(job, result);
   }
 
+  /** The job's record has turned up: it is no orphan. */
   onRecorded(job: JobId): void {
     this.orphans.onRecorded(job);
   }
 
+  /** Returns whether the state store has confirmed that the job has no record. */
   isOrphan(job: JobId): boolean {
     return this.orphans.isConfirmed(job);
   }
 
+  /** A start goes out. */
   onTaskStarted(now: MonotonicTime): void {
     this.firstStartAt ??= now;
   }
 
+  /** Notes how many heartbeats wait for their turn. */
   recordBacklogLength(length: number): void {
     this.longestBacklog = Math.max(this.longestBacklog, length);
   }
@@ -129,8 +140,8 @@
   // ---- the end
 
   /**
-   * Whether recovery has just ended: nothing is uncertain any more. `countMissing` counts the tasks of jobs begun earlier that
-   * were found nowhere.
+   * Returns whether recovery has just ended, as all machines are reconciled now. `countMissing` counts the tasks of jobs begun
+   * in previous terms that were found nowhere.
    */
   finish(now: MonotonicTime, countMissing: () => number): boolean {
     if (this.finishedAt !== null || !this.isReconciled(now)) return false;
@@ -139,14 +150,16 @@
     return true;
   }
 
+  /** Whether all machines have been reconciled. */
   get isFinished(): boolean {
     return this.finishedAt !== null;
   }
 
+  /** Returns what has been found so far. */
   summary(): RecoverySummary {
     return {
       term: this.init.term,
-      startedAt: this.init.now,
+      startedAt: this.init.electedAt,
       finishedAt: this.finishedAt,
       firstStartAt: this.firstStartAt,
       machines: this.machines,
--- a/src/recovery/task_classification.ts
+++ b/src/recovery/task_classification.ts
@@ -1,17 +1,18 @@
+/** What a task that a worker reports is, as far as this leader's records and placements tell, and what follows. */
 import type { Classification, OtherPlacement, ReportedTask, StoredJob } from './types.js';
 
 /**
- * What a task of a worker's list is, and what follows. A pure function of what was stored and what is reported, so that a
- * leader that repeats it after another one failed comes to the same result.
+ * Returns what a reported task is, and what follows. A pure function of what was stored and what is reported, so that a leader
+ * that repeats it after another one failed comes to the same result.
  */
 export function classify(task: ReportedTask): Classification {
   switch (task.job.kind) {
     case 'unreadable':
-      return { taskClass: 'unreadable', action: 'leave' };
+      return { taskClass: 'unreadable', action: 'ignore' };
     case 'unread':
-      return { taskClass: 'orphanSuspected', action: 'readRecord' };
+      return { taskClass: 'orphanSuspected', action: 'lookUpRecord' };
     case 'absent':
-      return { taskClass: 'orphan', action: task.exitReason === null ? 'stop' : 'forget' };
+      return { taskClass: 'orphan', action: task.exitReason === null ? 'stop' : 'acknowledge' };
     case 'recorded':
       return task.exitReason === null ? classifyLive(task, task.job) : classifyExited(task, task.job);
   }
@@ -22,8 +23,8 @@
 function classifyExited({ exitReason }: ReportedTask, job: RecordedJob): Classification {
   // A replica that ends has no result, whatever it says of itself.
   const hasResult = exitReason === 'done' && !job.isService;
-  if (!hasResult) return { taskClass: 'endedOtherwise', action: job.cancelled ? 'forget' : 'requeue' };
-  if (job.taskDone || job.cancelled) return { taskClass: 'finishedOnRecord', action: 'forget' };
+  if (!hasResult) return { taskClass: 'endedOtherwise', action: job.cancelled ? 'acknowledge' : 'requeue' };
+  if (job.taskDone || job.cancelled) return { taskClass: 'finishedOnRecord', action: 'acknowledge' };
   return { taskClass: 'finished', action: 'recordResult' };
 }
 
--- a/src/recovery/types.ts
+++ b/src/recovery/types.ts
@@ -1,3 +1,4 @@
+/** What goes into the decisions of recovery, and what comes out of them. */
 import type {
   Attempt,
   ExitReason,
@@ -10,7 +11,7 @@
   ZoneName,
 } from '../core/types.js';
 
-/** A machine on record whose list of tasks has yet to come: it may hold tasks of an earlier leader. */
+/** A machine on record that has not shown its tasks to this leader: it may hold tasks of previous terms. */
 export interface UnreconciledMachine extends Pick<Resources, 'cpus' | 'gpus'> {
   readonly id: MachineId;
   readonly type: MachineTypeName;
@@ -18,28 +19,28 @@
   readonly spot: boolean;
 }
 
-/** How it became certain what is on a machine. */
+/** How a machine was reconciled: what made certain which tasks are on it. */
 export type ReconciledBy =
-  /** A list with this leader's token. */
+  /** A status with this leader's fencing token. */
   | 'listed'
   /** Nobody can have renewed its lease for longer than the lease lasts. */
   | 'leaseEnded'
   /** Deleted, or stopped by itself as the cloud says. */
   | 'gone';
 
-/** A job as the store held it when the lead changed, and what has been found of it since. */
+/** A job as the state store held it at the failover, and what has been found of it since. */
 export interface PreviousTermJob extends Pick<Resources, 'cpus' | 'gpus'> {
   readonly id: JobId;
   readonly team: TeamName;
   /** The term of its first start; 0: never started. */
   readonly startTerm: number;
-  /** The only zones in which it may have been started; null: no record that may be believed says. */
+  /** The only zones in which it may have been started; null: there is no record that may be trusted. */
   readonly startZones: ReadonlySet<ZoneName> | null;
-  readonly types: readonly MachineTypeName[] | null;
+  readonly allowedMachineTypes: readonly MachineTypeName[] | null;
   readonly zone: ZoneName | null;
-  readonly spotOk: boolean;
+  readonly toleratesSpot: boolean;
   /** Tasks that are neither done nor known to be on a machine. */
-  readonly unaccountedTasks: number;
+  readonly unaccountedCount: number;
 }
 
 /** What the store says of the job that a reported task belongs to. */
@@ -52,13 +53,13 @@
   /** Confirmed by a read that was sent after the task had been reported. */
   | { readonly kind: 'absent' };
 
-/** A place of the same task on another machine. */
+/** A placement of the same task on another machine. */
 export interface OtherPlacement {
   readonly machine: MachineId;
   readonly attempt: Attempt;
 }
 
-/** One task of a worker's list, with all that decides what it is. */
+/** One task of a worker's status, with all that decides what it is. */
 export interface ReportedTask {
   readonly attempt: Attempt;
   /** Null for a task that has not ended. */
@@ -82,9 +83,9 @@
   | 'cancelled'
   /** Still there although its result is on record. */
   | 'alreadyDone'
-  /** Found on two machines, and the other place is the newer one. */
+  /** Found on two machines, and the other placement is the newer one. */
   | 'staleDuplicate'
-  /** Found on two machines, and this is the newer place. */
+  /** Found on two machines, and this is the newer placement. */
   | 'newerDuplicate'
   /** Its job is not among the records read; a read has to confirm that. */
   | 'orphanSuspected'
@@ -93,26 +94,26 @@
   /** Its job's record can't be read. */
   | 'unreadable';
 
-/** What is to be done about a task of a list. */
+/** What is to be done about a reported task. */
 export type TaskAction =
   /** Taken over where it runs. Nothing is sent. */
   | 'adopt'
-  /** Taken over, to be stopped as a cancelled job's task is. */
+  /** Taken over, and stopped as a cancelled job's task is. */
   | 'adoptAndStop'
-  /** Taken over here; the other place is stopped. */
+  /** Taken over here; the one on the other machine is stopped. */
   | 'adoptAndStopOther'
-  /** Stopped, and forgotten once it has ended. */
+  /** Stopped, and acknowledged once it has ended. */
   | 'stop'
-  /** The result is put on record; only then may the worker forget it. */
+  /** The result is put on record; only then is it acknowledged to the worker. */
   | 'recordResult'
-  /** Counted once; the worker may forget it, and the task waits for a place again. */
+  /** Counted once and acknowledged to the worker; the task waits for a placement again. */
   | 'requeue'
-  /** The worker may forget it. */
-  | 'forget'
-  /** The store is asked for the job's record; meanwhile the task is left alone. */
-  | 'readRecord'
-  /** Left alone and never concluded from. */
-  | 'leave';
+  /** Acknowledged to the worker, which drops it. */
+  | 'acknowledge'
+  /** The job's record is looked up in the state store; meanwhile the task is left alone. */
+  | 'lookUpRecord'
+  /** Left alone, and nothing is concluded from it. */
+  | 'ignore';
 
 /** A decision about one task, with its reason. */
 export interface Classification {
@@ -120,11 +121,18 @@
   readonly action: TaskAction;
 }
 
-/** A task on a worker whose job the store does not hold. */
+/** What the state store says of the record of a job that only workers know. */
+export type RecordLookupResult =
+  | 'present'
+  | 'absent'
+  /** It didn't answer. */
+  | 'unavailable';
+
+/** A task on a worker whose job the state store does not hold. */
 export interface Orphan {
   readonly job: JobId;
   readonly machine: MachineId;
   readonly seenAt: MonotonicTime;
-  /** Whether the store has confirmed that there is no record. */
+  /** Whether the state store has confirmed that there is no record. */
   readonly confirmed: boolean;
 }
--- a/src/recovery/unreconciled_machines.ts
+++ b/src/recovery/unreconciled_machines.ts
@@ -1,13 +1,14 @@
+/** The machines on record that have yet to be reconciled, grouped by what jobs can ask of a machine. */
 import type { MachineId, MonotonicTime } from '../core/types.js';
 import type { PreviousTermJob, UnreconciledMachine } from './types.js';
 
-/** What of the cluster may hold tasks that nobody has told of. */
+/** CPUs and GPUs of machines that may hold unknown tasks. */
 export interface Capacity {
   readonly cpus: number;
   readonly gpus: number;
 }
 
-/** Machines that no job's wishes can tell apart. */
+/** Machines that no job's constraints can tell apart. */
 interface MachineGroup {
   readonly sample: UnreconciledMachine;
   count: number;
@@ -15,10 +16,7 @@
 
 const groupKey = ({ type, zone, spot }: UnreconciledMachine): string => `${type}|${zone}|${spot}`;
 
-/**
- * The machines whose lists have yet to come, counted by what jobs can ask of a machine: a question about a job costs the few
- * groups, not the machines.
- */
+/** Grouped, so that a question about a job costs the few groups, not the machines. */
 export class UnreconciledMachines {
   private readonly machinesById = new Map<MachineId, UnreconciledMachine>();
   private readonly groups = new Map<string, MachineGroup>();
@@ -27,15 +25,17 @@
   /** Machines may exist that the registry doesn't show, until their leases have surely ended. */
   private unregisteredUntil: MonotonicTime | null = null;
 
+  /** How many machines on record are not reconciled. */
   get count(): number {
     return this.machinesById.size;
   }
 
-  /** Whether everything is certain. */
+  /** Returns whether no machine may hold unknown tasks. */
   isEmpty(now: MonotonicTime): boolean {
     return this.machinesById.size === 0 && !this.mayHaveUnregistered(now);
   }
 
+  /** Without effect for a machine that is there. */
   add(machine: UnreconciledMachine): void {
     if (this.machinesById.has(machine.id)) return;
     this.machinesById.set(machine.id, machine);
@@ -46,7 +46,7 @@
     this.gpus += machine.gpus;
   }
 
-  /** Returns whether the machine was uncertain. */
+  /** Returns whether the machine was there. */
   remove(id: MachineId): boolean {
     const machine = this.machinesById.get(id);
     if (!machine) return false;
@@ -65,23 +65,24 @@
     this.unregisteredUntil = until;
   }
 
+  /** Returns whether there may be machines that the registry doesn't show. */
   mayHaveUnregistered(now: MonotonicTime): boolean {
     return this.unregisteredUntil !== null && now < this.unregisteredUntil;
   }
 
-  /** All that may be in use on them; null: there is no telling. */
+  /** Returns the capacity that may be in use on them; null: it can't be told. */
   capacity(now: MonotonicTime): Capacity | null {
     return this.mayHaveUnregistered(now) ? null : { cpus: this.cpus, gpus: this.gpus };
   }
 
-  /** Whether a task of the job could be on one of them. */
+  /** Returns whether a task of the job could be on one of them. */
   isFeasible(job: PreviousTermJob, now: MonotonicTime): boolean {
     if (this.mayHaveUnregistered(now)) return true;
     for (const { sample } of this.groups.values()) {
       const { type, zone, spot } = sample;
-      if (job.types !== null && !job.types.includes(type)) continue;
+      if (job.allowedMachineTypes !== null && !job.allowedMachineTypes.includes(type)) continue;
       if (job.zone !== null && job.zone !== zone) continue;
-      if (spot && !job.spotOk) continue;
+      if (spot && !job.toleratesSpot) continue;
       if (job.startZones === null || job.startZones.has(zone)) return true;
     }
     return false;
--- a/test/recovery_properties.test.ts
+++ b/test/recovery_properties.test.ts
@@ -13,6 +13,7 @@
 } from '../src/core/types.js';
 import {
   classify,
+  encodeTerm,
   HeartbeatBacklog,
   nextTermRecord,
   type PreviousTermJob,
@@ -94,9 +95,9 @@
 
   elect(keepsZones: boolean): void {
     const value = nextTermRecord(this.term, keepsZones);
-    this.term = value;
-    this.leaderTerm = value.n;
-    this.zonesKeptSince = value.zones ?? null;
+    this.term = encodeTerm(value);
+    this.leaderTerm = value.term;
+    this.zonesKeptSince = value.startZonesRecordedSince ?? null;
     for (const job of this.jobs) {
       const believed = keepsZones ? trustedStartZones(job.startTerm, job.recordedZones, this.zonesKeptSince) : null;
       job.believedZones = believed && [...believed];
@@ -127,10 +128,10 @@
   factsOf(job: number, listed: ReadonlySet<number>): PreviousTermJob {
     const { startTerm, believedZones, machineByTask } = this.jobs[job] as JobState;
     const found = machineByTask.filter((place) => place !== null && listed.has(place)).length;
-    const asks = { types: null, zone: null, spotOk: true, cpus: 1, gpus: 0 };
+    const asks = { allowedMachineTypes: null, zone: null, toleratesSpot: true, cpus: 1, gpus: 0 };
     const startZones = believedZones && new Set(believedZones);
     const facts = { id: `job-${job}` as JobId, team: TEAM, startTerm, startZones };
-    return { ...facts, unaccountedTasks: TASKS - found, ...asks };
+    return { ...facts, unaccountedCount: TASKS - found, ...asks };
   }
 }
 
@@ -147,7 +148,7 @@
 );
 
 function recoveryWith(truth: ClusterModel, listed: ReadonlySet<number>): Recovery {
-  const recovery = new Recovery({ term: truth.leaderTerm, now: NOW });
+  const recovery = new Recovery({ term: truth.leaderTerm, electedAt: NOW });
   for (let machine = 0; machine < MACHINES; machine++) {
     const kind = { type: 'c8' as MachineTypeName, zone: zoneOf(machine), spot: false, cpus: CPUS, gpus: 0 };
     recovery.addMachine({ id: nameOf(machine), ...kind });
@@ -170,14 +171,14 @@
     const jobs = truth.jobs.map((_, job) => truth.factsOf(job, listed));
     jobs.forEach((job, i) => {
       const places = truth.unseenMachines(i, listed);
-      if (places.length > 0) assert.ok(recovery.mayRunUnseen(job, NOW), `${job.id} runs on ${places.join(' ')}`);
+      if (places.length > 0) assert.ok(recovery.mayRunUnreconciled(job, NOW), `${job.id} runs on ${places.join(' ')}`);
     });
     const unseen = jobs.reduce((sum, _, job) => sum + truth.unseenMachines(job, listed).length, 0);
     const counted = recovery.teamExposure(jobs, NOW)?.get(TEAM)?.cpus ?? 0;
     assert.ok(counted >= unseen, `${unseen} tasks run unseen, ${counted} count`);
     const isAllListed = listed.size === MACHINES;
     assert.equal(recovery.isReconciled(NOW), isAllListed);
-    if (isAllListed) assert.ok(jobs.every((job) => !recovery.mayRunUnseen(job, NOW)));
+    if (isAllListed) assert.ok(jobs.every((job) => !recovery.mayRunUnreconciled(job, NOW)));
   });
   checkProperty(property, 3000);
 });
@@ -218,9 +219,9 @@
     arbitraryOtherPlace,
     (attempt, reason, job, otherPlacement) => {
       const { action } = classify({ attempt, exitReason: reason, job, otherPlacement });
-      if (job.kind === 'unreadable') assert.equal(action, 'leave');
-      if (job.kind === 'unread') assert.equal(action, 'readRecord');
-      if (action === 'forget') assert.notEqual(reason, null);
+      if (job.kind === 'unreadable') assert.equal(action, 'ignore');
+      if (job.kind === 'unread') assert.equal(action, 'lookUpRecord');
+      if (action === 'acknowledge') assert.notEqual(reason, null);
       if (job.kind !== 'recorded') return;
       const isNewResult = reason === 'done' && !job.isService && !job.taskDone && !job.cancelled;
       assert.equal(action === 'recordResult', isNewResult);
