--- a/src/core/workers/backlogged_heartbeats.ts
+++ b/src/core/workers/backlogged_heartbeats.ts
@@ -20,7 +20,7 @@
 }
 
 /** What the backlog asks of the heartbeat handler. */
-export interface BacklogCallbacks {
+interface BacklogCallbacks {
   /** Reconciles a heartbeat whose turn has come, and responds to it unless that was done. */
   process(backlogged: BackloggedHeartbeat): void;
   /** Returns the response to a heartbeat whose deadline comes before its turn. */
--- a/src/core/workers/command_delivery.ts
+++ b/src/core/workers/command_delivery.ts
@@ -11,7 +11,7 @@
 const MAX_PUSHES_IN_FLIGHT = 64;
 
 /** Commands for one agent epoch of a machine's worker. */
-export interface Delivery {
+interface Delivery {
   readonly machine: Machine;
   readonly agentEpoch: AgentEpoch;
   /** None at all still raises the worker's fencing token, and its response is a status of the machine. */
@@ -21,7 +21,7 @@
 }
 
 /** What came of a delivery. */
-export type DeliveryOutcome =
+type DeliveryOutcome =
   | { readonly kind: 'executed' }
   /** Not executed: the worker has another agent epoch, or has seen a higher fencing token. */
   | { readonly kind: 'refused'; readonly agentEpoch: AgentEpoch }
--- a/src/core/workers/deferred_responses.ts
+++ b/src/core/workers/deferred_responses.ts
@@ -10,7 +10,7 @@
 const IMMINENT_ROUND_MS = 20;
 
 /** What a response waits for. */
-export type DeferralReason =
+type DeferralReason =
   /** A planning round, or records that a start depends on. */
   | 'startsPending'
   /** Work for a machine that has none. */
@@ -31,7 +31,7 @@
 }
 
 /** What deferred responses ask of the heartbeat handler. */
-export interface DeferralCallbacks {
+interface DeferralCallbacks {
   /** Whether a start on the machine waits for a record that is still being written. */
   awaitsWrites(machine: Machine): boolean;
   /** Puts the commands together and sends the response. */
--- a/src/core/workers/heartbeat_router.ts
+++ b/src/core/workers/heartbeat_router.ts
@@ -28,7 +28,7 @@
 const WORKER_SOCKET_SHARE = 0.5;
 
 /** What this controller knows of the election. */
-export interface LeadershipView {
+interface LeadershipView {
   /** When this controller last became leader, on the monotonic clock. */
   readonly electedAt: MonotonicTime;
   /** Whether this controller holds the leader lease at this moment. */
@@ -40,7 +40,7 @@
 }
 
 /** The leader, where this controller is it. */
-export interface HeartbeatReceiver {
+interface HeartbeatReceiver {
   readonly machineCount: number;
   onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void;
 }
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -19,7 +19,7 @@
 type EndedRun = Pick<Placement, 'job' | 'machine' | 'placedAt' | 'runningSince'>;
 
 /** What an exit changed: whether the task had a placement on its machine, which is free now. */
-export type ExitOutcome = 'placementReleased' | 'noPlacement';
+type ExitOutcome = 'placementReleased' | 'noPlacement';
 
 /** Takes in an exited task of a status. Workers repeat it until it is acknowledged: what was counted is not counted again. */
 export function reconcileExit(cluster: Cluster, machine: Machine, task: TaskStatus): ExitOutcome {
