--- a/src/core/autoscaling/scale_in.ts
+++ b/src/core/autoscaling/scale_in.ts
@@ -196,7 +196,7 @@
 
 /** Whether results are there that aren't on record; ends kept only against a late start go with the machine. */
 const holdsUnstoredResults = (machine: Machine): boolean =>
-  machine.exitedTasks.some(
+  machine.reportedTasks.exited.some(
     ({ job, index, attempt }) => !machine.commandChannel.isUnconfirmed(startKey(job, index, attempt)),
   );
 
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,6 +1,5 @@
-import type { Job } from '../jobs/job.js';
-import type { StartKey, TaskKey } from '../jobs/task_keys.js';
-import type { Attempt, JobId, MachineId, MachineType, MachineTypeName, MonotonicTime, ZoneName } from '../types.js';
+/** One provisioned machine and its worker, as the leader knows them: the parts of what is known, and judgements from several. */
+import type { JobId, MachineId, MachineType, MachineTypeName, MonotonicTime, ZoneName } from '../types.js';
 import { AgentMessages } from './agent_messages.js';
 import { Allocations } from './allocations.js';
 import { CommandChannel } from './command_channel.js';
@@ -8,92 +7,79 @@
 import { ImageCache } from './image_cache.js';
 import { Lifecycle, type MachinePhase } from './lifecycle.js';
 import { Reachability } from './reachability.js';
+import { ReportedTasks } from './reported_tasks.js';
 import { StragglerDetector } from './straggler_detector.js';
 import { TaskFailures } from './task_failures.js';
 
-/** A task that a report shows as ended. */
-export interface ExitedTask {
-  readonly job: JobId;
-  readonly index: number;
-  readonly attempt: Attempt;
-  /** Whether it has a result to be put on record. */
-  readonly isDone: boolean;
-}
-
-/** A task on a machine that has no place there. */
-export interface UnexpectedTask {
-  readonly job: JobId;
-  readonly index: number;
-  readonly attempt: Attempt;
-  /** Whether it is to be stopped; otherwise it is left alone until more is known. */
-  readonly shouldStop: boolean;
-  /** Null where the job isn't known. */
-  readonly knownJob: Job | null;
-}
-
+/** What is known of a machine when it becomes known here. */
 export interface MachineInit {
   readonly id: MachineId;
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
+  /** Where its agent takes commands; empty where that isn't known yet. */
   readonly address: string;
+  /** False where it may hold tasks of an earlier leader that are not known here. */
   readonly reconciled: boolean;
   readonly phase: MachinePhase;
-  /** What this leader rented itself can't be a late copy of something gone. A list may well show what is (listed-but-gone.txt). */
+  /**
+   * What this leader provisioned itself can't be a late copy of something gone. A list may well show what is
+   * (listed-but-gone.txt). False by default.
+   */
   readonly provisionedByThisLeader?: boolean;
   readonly now: MonotonicTime;
 }
 
-/** A rented machine and its worker, as the leader knows them. */
+/** Capacity that is kept for a job that is on its way. */
+interface Reservation {
+  readonly job: JobId;
+  readonly until: MonotonicTime;
+}
+
+/** A machine. Other folders change it by the methods of its parts. */
 export class Machine {
   readonly id: MachineId;
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  private currentAddress: string;
   /** Where it is between its provisioning and its termination. */
   readonly lifecycle: Lifecycle;
-  /** Whether it is kept from new work, and why. */
-  readonly cordon = new Cordon();
-  /** False while it may hold tasks of an earlier leader that are not known here: its own list has yet to come. */
-  reconciled: boolean;
-
   /** The order of its agent's messages, and when they came. */
   readonly messages: AgentMessages;
   /** Whether what is sent to it arrives. */
   readonly reachability: Reachability;
-
   /** Commands that are pushed to it. */
   readonly commandChannel = new CommandChannel();
+  /** Whether it is kept from new work, and why. */
+  readonly cordon = new Cordon();
   /** What its capacity is allocated to. */
   readonly allocations: Allocations;
+  /** What its newest status shows beside its placements. */
+  readonly reportedTasks = new ReportedTasks();
+  /** The images that it holds or pulls. */
+  readonly images: ImageCache;
   /** Failures since a task last did well here; after each it gets nothing new for a moment. */
   readonly taskFailures = new TaskFailures();
+  /** Whether it takes several times as long as expected for everything. */
   readonly stragglerDetector = new StragglerDetector();
 
-  /** Kept for a moment for a job that is on its way here. */
-  private reservation: { readonly job: JobId; readonly until: MonotonicTime } | null = null;
-  /** Tasks on it that have no place there: their jobs aren't known, or they are somewhere else too. */
-  unexpectedTasks: ReadonlyMap<TaskKey, UnexpectedTask> = new Map();
-  exitedTasks: ExitedTask[] = [];
-  /** The ends that the list before this one showed. */
-  previousExits: ReadonlySet<StartKey> = new Set();
-  readonly images: ImageCache;
+  private currentAddress: string;
+  private isReconciled: boolean;
+  private reservation: Reservation | null = null;
 
   constructor(init: MachineInit) {
-    const { now } = init;
-    this.id = init.id;
-    this.type = init.type;
-    this.zone = init.zone;
-    this.spot = init.spot;
-    this.currentAddress = init.address;
-    const isProvisionedByThisLeader = init.provisionedByThisLeader ?? false;
-    this.lifecycle = new Lifecycle(init.phase, now, isProvisionedByThisLeader);
-    this.reconciled = init.reconciled;
+    const { id, type, zone, spot, address, phase, now, provisionedByThisLeader = false } = init;
+    this.id = id;
+    this.type = type;
+    this.zone = zone;
+    this.spot = spot;
+    this.currentAddress = address;
+    this.isReconciled = init.reconciled;
+    this.lifecycle = new Lifecycle(phase, now, provisionedByThisLeader);
     this.messages = new AgentMessages(now);
-    this.reachability = new Reachability(isProvisionedByThisLeader);
-    this.images = new ImageCache(init.type);
-    this.allocations = new Allocations(init.type, now);
+    this.reachability = new Reachability(provisionedByThisLeader);
+    this.allocations = new Allocations(type, now);
+    this.images = new ImageCache(type);
   }
 
   get typeName(): MachineTypeName {
@@ -115,17 +101,29 @@
     if (address !== '') this.currentAddress = address;
   }
 
+  /** Whether it can't hold tasks of an earlier leader that are not known here: until then its own status has yet to come. */
+  get reconciled(): boolean {
+    return this.isReconciled;
+  }
+
+  /** No task of an earlier leader can be on it that isn't known here. */
+  markReconciled(): void {
+    this.isReconciled = true;
+  }
+
+  // ---- judgements
+
   /**
-   * Whether new work may be given to it. One whose reports don't come may never take what it is given, and its lease ends
-   * whatever it answers to direct commands (no-reports-machine.txt, property): those don't count here.
+   * Whether new work may be given to it. One whose heartbeats don't come may never take what it is given, and its lease
+   * expires whatever it responds to pushed commands (no-reports-machine.txt, property): those don't count here.
    */
-  isSchedulable(now: MonotonicTime, reportMs: number): boolean {
+  isSchedulable(now: MonotonicTime, heartbeatIntervalMs: number): boolean {
     return (
       this.phase === 'up' &&
-      !this.messages.isHeartbeatOverdue(now, reportMs) &&
-      this.reconciled &&
+      !this.messages.isHeartbeatOverdue(now, heartbeatIntervalMs) &&
+      this.isReconciled &&
       this.reachability.isUsable &&
-      this.unexpectedTasks.size === 0 &&
+      this.reportedTasks.unexpected.size === 0 &&
       !this.lifecycle.isTerminating &&
       !this.cordon.isCordoned(now)
     );
@@ -138,39 +136,44 @@
 
   /** Whether no task is on it, or on its way, as far as is known. */
   get isEmpty(): boolean {
-    return this.allocations.taskCount === 0 && this.unexpectedTasks.size === 0;
+    return this.allocations.taskCount === 0 && this.reportedTasks.unexpected.size === 0;
   }
 
-  /** Whether work that asks for GPUs is there, or the machine is kept for some. */
+  /** Whether a task that asks for GPUs is there, or the machine is kept for a job. */
   hasGpuWork(now: MonotonicTime): boolean {
     return this.reservedFor(now) !== null || this.allocations.hasGpuTask;
   }
 
+  /** Gives up pulls of images that no task waits for any more. */
+  dropAbandonedPulls(): void {
+    this.images.dropAbandonedPulls((image) => this.allocations.needsImage(image));
+  }
+
+  // ---- reservation
+
+  /** Keeps the machine for a job until a time, instead of for any other. */
   reserve(job: JobId, until: MonotonicTime): void {
     this.reservation = { job, until };
   }
 
-  /** The job that it is kept for now, if any. */
+  /** The job that it is kept for now; null: none. */
   reservedFor(now: MonotonicTime): JobId | null {
     return this.reservation && this.reservation.until > now ? this.reservation.job : null;
   }
 
+  /** Whether it is kept now, and not for this job. */
   isReservedForOther(job: JobId, now: MonotonicTime): boolean {
     const holder = this.reservedFor(now);
     return holder !== null && holder !== job;
   }
 
-  /** Whether it was ever kept for a job, until that took its place. */
+  /** Whether it was kept for a job that has not taken its place yet, be it that the time is over. */
   get hasReservation(): boolean {
     return this.reservation !== null;
   }
 
+  /** The job has taken its place; without effect if the machine is kept for another. */
   endReservation(job: JobId): void {
     if (this.reservation?.job === job) this.reservation = null;
   }
-
-  /** A fetch is given up once no task waits for it. */
-  dropAbandonedPulls(): void {
-    this.images.dropAbandonedPulls((image) => this.allocations.needsImage(image));
-  }
 }
--- a/src/core/state/cluster.ts
+++ b/src/core/state/cluster.ts
@@ -121,7 +121,7 @@
   clearMachine(machine: Machine): void {
     this.unexpectedTasks.drop(machine);
     this.placements.releaseAll(machine);
-    machine.exitedTasks = [];
+    machine.reportedTasks.clearExits();
   }
 
   /** The machine is proven gone, with everything on it. */
@@ -133,7 +133,7 @@
 
   /** Nothing of a previous term can be on the machine that isn't known here. */
   markReconciled(machine: Machine, how: ReconciledBy): void {
-    machine.reconciled = true;
+    machine.markReconciled();
     this.previousTerms.onMachineReconciled(machine, how);
   }
 }
--- a/src/core/state/unexpected_tasks.ts
+++ b/src/core/state/unexpected_tasks.ts
@@ -4,7 +4,8 @@
  * task is started nowhere.
  */
 import { type TaskKey, taskKey } from '../jobs/task_keys.js';
-import type { Machine, UnexpectedTask } from '../machines/machine.js';
+import type { Machine } from '../machines/machine.js';
+import type { UnexpectedTask } from '../machines/reported_tasks.js';
 import type { PendingCommands } from './pending_commands.js';
 import type { Quotas } from './quotas.js';
 
@@ -17,12 +18,12 @@
 
   /** Replaces the unexpected tasks of the machine by those that its newest status shows. */
   replace(machine: Machine, tasks: readonly UnexpectedTask[]): void {
-    if (tasks.length === 0 && machine.unexpectedTasks.size === 0) return;
-    const before = machine.unexpectedTasks;
-    machine.unexpectedTasks = new Map(tasks.map((task) => [unexpectedTaskKey(task), task]));
-    for (const task of machine.unexpectedTasks.values()) this.count(task, 1);
+    if (tasks.length === 0 && machine.reportedTasks.unexpected.size === 0) return;
+    const before = machine.reportedTasks.unexpected;
+    machine.reportedTasks.setUnexpected(new Map(tasks.map((task) => [unexpectedTaskKey(task), task])));
+    for (const task of machine.reportedTasks.unexpected.values()) this.count(task, 1);
     for (const task of before.values()) this.count(task, -1);
-    const change = Number(hasUnknownJob(machine.unexpectedTasks)) - Number(hasUnknownJob(before));
+    const change = Number(hasUnknownJob(machine.reportedTasks.unexpected)) - Number(hasUnknownJob(before));
     if (change !== 0) this.quotas.addUnattributed(machine.type, change > 0 ? 1 : -1);
     if (tasks.some(({ shouldStop }) => shouldStop)) this.pendingCommands.scheduleStops(machine);
   }
@@ -34,7 +35,7 @@
 
   /** Adds a task whose placement turned out to be left over from an earlier start: it counts until it is gone. */
   add(machine: Machine, task: UnexpectedTask): void {
-    this.replace(machine, [...machine.unexpectedTasks.values(), task]);
+    this.replace(machine, [...machine.reportedTasks.unexpected.values(), task]);
   }
 
   /** Tasks of known jobs count against their team's limit, and keep the same task from being started again. */
--- a/src/core/workers/commands.ts
+++ b/src/core/workers/commands.ts
@@ -59,7 +59,7 @@
 /** Exited tasks whose results are on record, or that have none. */
 function acknowledgeCommands(cluster: Cluster, machine: Machine): Command[] {
   const commands: Command[] = [];
-  for (const { job: id, index, attempt, isDone } of machine.exitedTasks) {
+  for (const { job: id, index, attempt, isDone } of machine.reportedTasks.exited) {
     // Once acknowledged, a start of the same attempt that is still on its way would run it again.
     if (machine.commandChannel.isUnconfirmed(startKey(id, index, attempt))) continue;
     const job = cluster.jobs.get(id);
@@ -81,7 +81,7 @@
     if (pendingStop === null || phase === 'planned' || !isDue(placement)) continue;
     commands.push({ op: 'stop', job: job.id, index, attempt, gracePeriodSeconds: pendingStop.gracePeriodSeconds });
   }
-  for (const { job, index, attempt, shouldStop } of machine.unexpectedTasks.values()) {
+  for (const { job, index, attempt, shouldStop } of machine.reportedTasks.unexpected.values()) {
     if (shouldStop) commands.push({ op: 'stop', job, index, attempt, gracePeriodSeconds: 0 });
   }
   return commands;
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -257,7 +257,7 @@
    * Nothing can change on an empty machine that the delay would hide, except an interruption notice.
    */
   private isIdle(machine: Machine, heartbeat: Heartbeat): boolean {
-    const hasNothing = machine.isEmpty && machine.exitedTasks.length === 0;
+    const hasNothing = machine.isEmpty && machine.reportedTasks.exited.length === 0;
     return hasNothing && heartbeat.fencingToken === this.fencingToken && !machine.cordon.isDraining;
   }
 
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -5,7 +5,8 @@
 import { type Classification, classify, type OtherPlacement, type StoredJob } from '../../recovery/index.js';
 import type { Job } from '../jobs/job.js';
 import { startKey, taskKey } from '../jobs/task_keys.js';
-import type { Machine, UnexpectedTask } from '../machines/machine.js';
+import type { Machine } from '../machines/machine.js';
+import type { UnexpectedTask } from '../machines/reported_tasks.js';
 import type { Cluster } from '../state/cluster.js';
 import type { Placement } from '../state/placement.js';
 import type { JobId, LiveTaskStatus, TaskStatus } from '../types.js';
@@ -137,7 +138,7 @@
   task: TaskStatus,
   { taskClass, action }: Classification,
 ): void {
-  const before = machine.unexpectedTasks.get(taskKey(task.job, task.index));
+  const before = machine.reportedTasks.unexpected.get(taskKey(task.job, task.index));
   const isRepeated = before?.attempt === task.attempt && before.shouldStop === (action === 'stop');
   if (!isRepeated) previousTerms.recovery?.countTask(taskClass);
 }
@@ -145,7 +146,7 @@
 /** Says once of each status that first shows it that a task is on two machines. */
 function logDuplicateTask({ context }: Cluster, machine: Machine, task: TaskStatus, other: Placement | null): void {
   const { job, index, attempt } = task;
-  if (machine.unexpectedTasks.get(taskKey(job, index))?.attempt === attempt) return;
+  if (machine.reportedTasks.unexpected.get(taskKey(job, index))?.attempt === attempt) return;
   context.log('task reported by two machines', {
     task: taskKey(job, index),
     machines: [machine.id, ...(other ? [other.machine.id] : [])],
@@ -155,5 +156,5 @@
 
 /** Whether an exit is news; workers repeat it until it is acknowledged. */
 export function isNewExit(machine: Machine, { job, index, attempt }: TaskStatus): boolean {
-  return !machine.previousExits.has(startKey(job, index, attempt));
+  return machine.reportedTasks.isNewExit(startKey(job, index, attempt));
 }
--- a/src/core/workers/status_reconciliation.ts
+++ b/src/core/workers/status_reconciliation.ts
@@ -1,7 +1,8 @@
 /** Brings what is known of one machine in line with a status of it: the tasks that its agent says are there. */
 
-import { type StartKey, startKey, startKeyOf, type TaskKey, taskKey } from '../jobs/task_keys.js';
-import type { Machine, UnexpectedTask } from '../machines/machine.js';
+import { startKeyOf, type TaskKey, taskKey } from '../jobs/task_keys.js';
+import type { Machine } from '../machines/machine.js';
+import type { UnexpectedTask } from '../machines/reported_tasks.js';
 import type { Cluster } from '../state/cluster.js';
 import type { Placement } from '../state/placement.js';
 import { addMilliseconds, type FencingToken, type Heartbeat, type LiveTaskStatus, type TaskStatus } from '../types.js';
@@ -22,9 +23,6 @@
 const APPLIED: StatusOutcome = { kind: 'applied', planning: 'notDue' };
 const APPLIED_PLANNING_DUE: StatusOutcome = { kind: 'applied', planning: 'due' };
 
-/** Most statuses show no exits: they share one empty set. */
-const NO_EXITS: ReadonlySet<StartKey> = new Set();
-
 const isLive = (task: TaskStatus): task is LiveTaskStatus => task.phase !== 'exited';
 
 /**
@@ -108,8 +106,7 @@
     const { cluster, machine } = this;
     const live = new Set<TaskKey>();
     const unexpected: UnexpectedTask[] = [];
-    machine.previousExits = exitKeysOf(machine);
-    machine.exitedTasks = [];
+    machine.reportedTasks.beginStatus();
     for (const task of this.status.tasks) {
       if (isLive(task)) {
         live.add(taskKey(task.job, task.index));
@@ -192,12 +189,6 @@
   }
 }
 
-/** The exits that the last status showed. */
-function exitKeysOf({ exitedTasks }: Machine): ReadonlySet<StartKey> {
-  if (exitedTasks.length === 0) return NO_EXITS;
-  return new Set(exitedTasks.map(({ job, index, attempt }) => startKey(job, index, attempt)));
-}
-
 function logRunning({ context }: Cluster, { job, index, machine, placedAt }: Placement): void {
   context.log('task running', {
     task: taskKey(job.id, index),
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -26,7 +26,7 @@
   const job = cluster.jobs.get(task.job);
   const { index, attempt } = task;
   const hasResult = task.exitReason === 'done' && !job?.isService;
-  machine.exitedTasks.push({ job: task.job, index, attempt, isDone: hasResult });
+  machine.reportedTasks.addExit({ job: task.job, index, attempt, isDone: hasResult });
   const found = cluster.placements.find(machine, task.job, index);
   const placement = found?.attempt === attempt ? found : null;
   if (!placement && cluster.previousTerms.recovery) recordMissedExit(cluster, machine, task);
