--- a/src/core/scheduler/apply.ts
+++ b/src/core/scheduler/apply.ts
@@ -3,7 +3,15 @@
 import type { Machine } from '../machines/machine.js';
 import type { Attempt } from '../types.js';
 import type { SchedulableCluster } from './cluster_state.js';
-import type { Eviction, GangMigration, Preemption, ReplicaMove, ReplicaStart, Reservation } from './decisions.js';
+import type {
+  Eviction,
+  GangMigration,
+  PlannedObjects,
+  Preemption,
+  ReplicaMove,
+  ReplicaStart,
+  Reservation,
+} from './decisions.js';
 import { canPlaceTask } from './placement_constraints.js';
 import type { PlannedStart } from './plan_types.js';
 
@@ -12,12 +20,6 @@
 
 const startsNow = ({ freeAtSeconds }: PlannedStart): boolean => freeAtSeconds <= START_NOW_SECONDS;
 
-/** The jobs and machines that the indices of planned starts refer to. */
-export interface PlannedObjects {
-  readonly jobs: readonly Job[];
-  readonly machines: readonly Machine[];
-}
-
 /**
  * Places the tasks that a plan starts now, in the plan's order: jobs ranked first have first call on their team's limit.
  * Each constraint is checked again, because earlier starts count against limits. Returns how many tasks were placed.
--- a/src/core/scheduler/backfill.ts
+++ b/src/core/scheduler/backfill.ts
@@ -87,7 +87,7 @@
     recordOffer(candidate, job, 0, taskCount, workspace.penalties.futureDiscount);
     offers.push(candidate);
   }
-  return offers.sort((a, b) => (precedes(a, b) ? -1 : 1));
+  return offers.sort((first, second) => (precedes(first, second) ? -1 : 1));
 }
 
 /** For jobs with and without GPUs, the least that any of them asks for of each resource. */
--- a/src/core/scheduler/candidates.ts
+++ b/src/core/scheduler/candidates.ts
@@ -96,17 +96,12 @@
   penalties: PlacementPenalties,
 ): Candidate[] {
   const found: Candidate[] = [];
-  /** By type, the share that one task takes; negative where it doesn't fit. */
-  const shares = new Map<MachineType, number>();
+  const taskShareOn = taskShares(job);
   for (const machineIndex of machineIndices) {
     const machine = machines[machineIndex] as PlanMachine;
     // Most machines with GPUs have nothing to spare: looking no further there is a third of the cost of small work.
     if (!isEligible(job, machine)) continue;
-    let share = shares.get(machine.type);
-    if (share === undefined) {
-      share = fitsType(job, machine.type) ? machineShare(job, machine.type) : -1;
-      shares.set(machine.type, share);
-    }
+    const share = taskShareOn(machine.type);
     if (share < 0) continue;
     found.push({
       machineIndex,
@@ -123,6 +118,19 @@
   return found;
 }
 
+/** By type, the part of a machine that one task takes; negative where it doesn't fit. Each type is reckoned once. */
+function taskShares(job: PlanJob): (type: MachineType) => number {
+  const shares = new Map<MachineType, number>();
+  return (type) => {
+    let share = shares.get(type);
+    if (share === undefined) {
+      share = fitsType(job, type) ? machineShare(job, type) : -1;
+      shares.set(type, share);
+    }
+    return share;
+  };
+}
+
 /** Records that the candidate takes so many tasks from a step on, and how good an offer that is. */
 export function recordOffer(
   candidate: Candidate,
--- a/src/core/scheduler/capacity_timeline.ts
+++ b/src/core/scheduler/capacity_timeline.ts
@@ -51,11 +51,11 @@
   let cpus = Number.POSITIVE_INFINITY;
   let gpus = Number.POSITIVE_INFINITY;
   let memoryGb = Number.POSITIVE_INFINITY;
-  for (let i = step; i < machine.stepTimesSeconds.length; i++) {
-    if (i > step && elementAt(machine.stepTimesSeconds, i) >= untilSeconds - TOLERANCE) break;
-    if (elementAt(machine.freeCpus, i) < cpus) cpus = elementAt(machine.freeCpus, i);
-    if (elementAt(machine.freeGpus, i) < gpus) gpus = elementAt(machine.freeGpus, i);
-    if (elementAt(machine.freeMemoryGb, i) < memoryGb) memoryGb = elementAt(machine.freeMemoryGb, i);
+  for (let later = step; later < machine.stepTimesSeconds.length; later++) {
+    if (later > step && elementAt(machine.stepTimesSeconds, later) >= untilSeconds - TOLERANCE) break;
+    if (elementAt(machine.freeCpus, later) < cpus) cpus = elementAt(machine.freeCpus, later);
+    if (elementAt(machine.freeGpus, later) < gpus) gpus = elementAt(machine.freeGpus, later);
+    if (elementAt(machine.freeMemoryGb, later) < memoryGb) memoryGb = elementAt(machine.freeMemoryGb, later);
     if (cpus + TOLERANCE < task.cpus || gpus + TOLERANCE < task.gpus || memoryGb + TOLERANCE < task.memoryGb) return 0;
   }
   return Math.min(countFitting(cpus, task.cpus), countFitting(gpus, task.gpus), countFitting(memoryGb, task.memoryGb));
--- a/src/core/scheduler/decisions.ts
+++ b/src/core/scheduler/decisions.ts
@@ -3,6 +3,12 @@
 import type { Machine } from '../machines/machine.js';
 import type { Placement } from '../state/placement.js';
 
+/** The jobs and machines that the indices of planned starts refer to. */
+export interface PlannedObjects {
+  readonly jobs: readonly Job[];
+  readonly machines: readonly Machine[];
+}
+
 /** Machines to keep for a job for some time. */
 export interface Reservation {
   readonly job: Job;
--- a/src/core/scheduler/eviction.ts
+++ b/src/core/scheduler/eviction.ts
@@ -67,7 +67,7 @@
     const ranSeconds = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000;
     victims.push({ placement, lostGpuSeconds: ranSeconds * gpuEquivalent(spec.gpus) });
   }
-  return victims.sort((a, b) => a.lostGpuSeconds - b.lostGpuSeconds);
+  return victims.sort((first, second) => first.lostGpuSeconds - second.lostGpuSeconds);
 }
 
 const gpuEquivalent = (gpus: number): number => Math.max(gpus, CPU_WORK_GPU_EQUIVALENT);
--- a/src/core/scheduler/evolutionary_search.ts
+++ b/src/core/scheduler/evolutionary_search.ts
@@ -59,7 +59,9 @@
     while (population.length < populationSize && this.hasStepsLeft()) population.push(evaluate(randomGenes()));
     for (let generation = 0; generation < generations && population.length > 1 && this.hasStepsLeft(); generation++) {
       const offspring = this.breed(population, jobs, evaluate);
-      population = [...population, ...offspring].sort((a, b) => a.plan.cost - b.plan.cost).slice(0, populationSize);
+      population = [...population, ...offspring]
+        .sort((first, second) => first.plan.cost - second.plan.cost)
+        .slice(0, populationSize);
     }
     const best = population.reduce((least, other) => (other.plan.cost < least.plan.cost ? other : least));
     return best.plan;
--- a/src/core/scheduler/gang_reservation.ts
+++ b/src/core/scheduler/gang_reservation.ts
@@ -2,9 +2,8 @@
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import type { ZoneName } from '../types.js';
-import type { PlannedObjects } from './apply.js';
 import type { ClusterState } from './cluster_state.js';
-import type { Reservation } from './decisions.js';
+import type { PlannedObjects, Reservation } from './decisions.js';
 import type { PlannedStart } from './plan_types.js';
 import { isOverdue, waitedSeconds } from './waiting_time.js';
 
@@ -23,7 +22,7 @@
   planned: PlannedObjects,
 ): Reservation[] {
   const machinesByGang = [...machinesOfOverdueGangs(cluster, starts, planned)];
-  machinesByGang.sort(([a], [b]) => waitedSeconds(cluster, b) - waitedSeconds(cluster, a));
+  machinesByGang.sort(([first], [second]) => waitedSeconds(cluster, second) - waitedSeconds(cluster, first));
   const reservations: Reservation[] = [];
   const servedZones = new Set<ZoneName>();
   for (const [job, machines] of machinesByGang) {
--- a/src/core/scheduler/gang_search.ts
+++ b/src/core/scheduler/gang_search.ts
@@ -118,7 +118,7 @@
       counted = taskCount;
     }
   }
-  return freed.sort((a, b) => a.atSeconds - b.atSeconds);
+  return freed.sort((first, second) => first.atSeconds - second.atSeconds);
 }
 
 /** A machine that takes some tasks of a gang at one time. */
@@ -131,7 +131,7 @@
   readonly slack: number;
 }
 
-/** What the candidates offer a gang from a time on, the best first; no two are equal, so that plans repeat. */
+/** What the candidates offer a gang from a time on, the best first. */
 function gangOptions(
   job: PlanJob,
   zone: ZoneName,
@@ -155,11 +155,12 @@
       slack: slackAfter(machine, step, job),
     });
   }
-  return options.sort(
-    (a, b) =>
-      a.zoneDistance - b.zoneDistance ||
-      a.delayRank - b.delayRank ||
-      a.slack - b.slack ||
-      a.candidate.machineIndex - b.candidate.machineIndex,
-  );
+  return options.sort(compareOptions);
 }
+
+/** Best fit in the preferred zone first; no two are equal, so that plans repeat. */
+const compareOptions = (first: GangOption, second: GangOption): number =>
+  first.zoneDistance - second.zoneDistance ||
+  first.delayRank - second.delayRank ||
+  first.slack - second.slack ||
+  first.candidate.machineIndex - second.candidate.machineIndex;
--- a/src/core/scheduler/machine_snapshot.ts
+++ b/src/core/scheduler/machine_snapshot.ts
@@ -66,7 +66,7 @@
 function expectedEnds(cluster: ClusterState, machine: Machine): ExpectedEnd[] {
   return [...cluster.placements.onMachine(machine).values()]
     .map((placement) => ({ atSeconds: remainingSeconds(cluster, placement), placement }))
-    .sort((a, b) => a.atSeconds - b.atSeconds);
+    .sort((first, second) => first.atSeconds - second.atSeconds);
 }
 
 /** Seconds until a task is expected to leave its machine: the d of the paper, with what it still pulls. */
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -65,7 +65,7 @@
   let lowestCost = Number.POSITIVE_INFINITY;
   for (const evictions of evictionsByZone(cluster, job)) {
     if (evictions.length < job.spec.taskCount) continue;
-    const chosen = evictions.sort((a, b) => a.cost - b.cost).slice(0, job.spec.taskCount);
+    const chosen = evictions.sort((first, second) => first.cost - second.cost).slice(0, job.spec.taskCount);
     const cost = chosen.reduce((sum, eviction) => sum + eviction.cost, 0);
     if (cost >= lowestCost) continue;
     cheapest = chosen;
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -49,7 +49,10 @@
   }
   return ranked
     .filter(({ job, group }) => group === RANK_GROUPS.overdue || !heldTeams.has(job.spec.team))
-    .sort((a, b) => b.group - a.group || a.score - b.score || (a.job.id < b.job.id ? -1 : 1));
+    .sort(
+      (first, second) =>
+        second.group - first.group || first.score - second.score || (first.job.id < second.job.id ? -1 : 1),
+    );
 }
 
 /** Whether a job waits for a start that may happen now, as far as it and work of previous terms go. */
--- a/src/core/scheduler/waiting_services.ts
+++ b/src/core/scheduler/waiting_services.ts
@@ -9,6 +9,9 @@
     (job) => !job.retries.isDelayed(now) && cluster.previousTerms.startableTasks(job) > 0,
   );
   return waiting.sort(
-    (a, b) => b.spec.priorityLevel - a.spec.priorityLevel || a.submittedAt - b.submittedAt || (a.id < b.id ? -1 : 1),
+    (first, second) =>
+      second.spec.priorityLevel - first.spec.priorityLevel ||
+      first.submittedAt - second.submittedAt ||
+      (first.id < second.id ? -1 : 1),
   );
 }
