--- a/src/core/workers/deferred_responses.ts
+++ b/src/core/workers/deferred_responses.ts
@@ -91,7 +91,7 @@
     if (deadline <= this.context.now.monotonic) return false;
     switch (reason) {
       case 'machineIdle':
-        // A place was given to the machine: from then on the response waits as for any other start.
+        // A task was placed on the machine: from then on the response waits as for any other start.
         return machine.allocations.taskCount === 0 || this.callbacks.awaitsWrites(machine);
       case 'startsPending':
         return isRoundImminent || this.callbacks.awaitsWrites(machine);
