--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -18,7 +18,7 @@
 } from './types.js';
 
 /** The call was not executed: the service refused it, or it was never sent. */
-export interface NotExecuted {
+interface NotExecuted {
   /** `throttled`: refused for coming too often (429). `unavailable`: refused for any other reason (503), or given up here. */
   readonly code: 'throttled' | 'unavailable';
 }
@@ -29,7 +29,7 @@
 }
 
 /** The service called the request malformed. */
-export interface InvalidRequest {
+interface InvalidRequest {
   readonly code: 'invalidRequest';
 }
 
@@ -52,7 +52,7 @@
   | { readonly code: 'noCapacity' };
 
 /** Why commands pushed to a worker brought no response. */
-export type CommandPushError = NotExecuted | OutcomeUnknown | InvalidRequest;
+type CommandPushError = NotExecuted | OutcomeUnknown | InvalidRequest;
 
 /** Whether the service certainly did not execute the call. */
 export const wasNotExecuted = ({ code }: StateStoreError | CloudError): boolean =>
--- a/src/core/scheduler/gang_search.ts
+++ b/src/core/scheduler/gang_search.ts
@@ -11,7 +11,7 @@
 const MIN_GAIN_SECONDS = 0.5;
 
 /** The tasks of a gang that one machine takes. */
-export interface GangAllocation {
+interface GangAllocation {
   readonly candidate: Candidate;
   readonly tasks: number;
 }
--- a/src/io/cloud/cloud_client.ts
+++ b/src/io/cloud/cloud_transport.ts
@@ -1,4 +1,4 @@
-/** The client of the cloud's API. */
+/** Carries calls to the cloud over HTTP. When they are made, core/clients decides. */
 import type { CloudOperation, CloudResult } from '../../core/messages.js';
 import { HttpClient } from '../http/http_client.js';
 import type { OnMalformedMessage } from '../malformed_messages.js';
@@ -9,7 +9,7 @@
 const SOCKETS = 4;
 
 /** Connections to the cloud, until it is closed. */
-export class CloudClient {
+export class CloudTransport {
   private readonly client: HttpClient;
 
   /** `address` is `host:port`. */
--- a/src/io/controller_runtime.ts
+++ b/src/io/controller_runtime.ts
@@ -9,7 +9,7 @@
 import type { Tuning } from '../core/settings.js';
 import type { ClockReading, MonotonicTime, WallClockTime } from '../core/types.js';
 import { parseHostPort } from './address.js';
-import { CloudClient } from './cloud/cloud_client.js';
+import { CloudTransport } from './cloud/cloud_transport.js';
 import { createHttpServer, type RequestHandlers } from './http/http_server.js';
 import type { Log } from './log.js';
 import { MalformedMessages } from './malformed_messages.js';
@@ -17,8 +17,8 @@
 import type { OnPeerMessage } from './peers/inbound_connection.js';
 import { PeerConnections } from './peers/peer_connections.js';
 import { PendingRequests } from './pending_requests.js';
-import { StateStoreClient } from './state_store/state_store_client.js';
-import { CommandPushClient } from './workers/command_push_client.js';
+import { StateStoreTransport } from './state_store/state_store_transport.js';
+import { CommandPushTransport } from './workers/command_push_transport.js';
 
 const SEED_BYTES = 4;
 const INCARNATION_BYTES = 8;
@@ -36,9 +36,9 @@
  */
 export class ControllerRuntime {
   private readonly controller: Controller;
-  private readonly stateStore: StateStoreClient;
-  private readonly cloud: CloudClient;
-  private readonly workers: CommandPushClient;
+  private readonly stateStore: StateStoreTransport;
+  private readonly cloud: CloudTransport;
+  private readonly workers: CommandPushTransport;
   private readonly peers: PeerConnections;
   private readonly httpServer: Server;
   private readonly malformedMessages: MalformedMessages;
@@ -61,9 +61,9 @@
     const incarnation = randomBytes(INCARNATION_BYTES).toString('hex');
     this.controller = new Controller(settings, tuning, incarnation, seed, readClocks(), features);
     this.malformedMessages = new MalformedMessages(log);
-    this.stateStore = new StateStoreClient(platform.stateStoreAddress, this.malformedMessages.add);
-    this.cloud = new CloudClient(platform.cloudAddress, this.malformedMessages.add);
-    this.workers = new CommandPushClient(this.malformedMessages.add);
+    this.stateStore = new StateStoreTransport(platform.stateStoreAddress, this.malformedMessages.add);
+    this.cloud = new CloudTransport(platform.cloudAddress, this.malformedMessages.add);
+    this.workers = new CommandPushTransport(this.malformedMessages.add);
     const onPeerMessage: OnPeerMessage = (sender, message) => this.step({ kind: 'peerMessage', sender, message });
     this.peers = new PeerConnections(settings.controller, platform.peers, onPeerMessage, log);
     this.httpServer = this.createServer();
--- a/src/io/state_store/state_store_client.ts
+++ b/src/io/state_store/state_store_transport.ts
@@ -1,4 +1,4 @@
-/** The client of the state store. */
+/** Carries calls to the state store over HTTP. When they are made, core/clients decides. */
 import type { StateStoreOperation, StateStoreResult } from '../../core/messages.js';
 import { HttpClient } from '../http/http_client.js';
 import type { OnMalformedMessage } from '../malformed_messages.js';
@@ -10,7 +10,7 @@
 const WATCH_SOCKETS = 4;
 
 /** Connections to the state store, until it is closed. */
-export class StateStoreClient {
+export class StateStoreTransport {
   private readonly client: HttpClient;
   private readonly watchClient: HttpClient;
 
--- a/src/io/workers/command_push_client.ts
+++ b/src/io/workers/command_push_transport.ts
@@ -1,4 +1,4 @@
-/** The client that pushes commands to workers. */
+/** Carries pushed commands to workers over HTTP. When they are pushed, the core decides. */
 import type { CommandPush, CommandPushResult } from '../../core/messages.js';
 import { HttpClient } from '../http/http_client.js';
 import type { OnMalformedMessage } from '../malformed_messages.js';
@@ -10,7 +10,7 @@
 const MAX_CLIENTS = 128;
 
 /** Connections to workers. Machines come and go: only the addresses that were opened last keep one. */
-export class CommandPushClient {
+export class CommandPushTransport {
   /** By address, the one opened first in front. */
   private readonly clients = new Map<string, HttpClient>();
 
--- a/src/recovery/index.ts
+++ b/src/recovery/index.ts
@@ -5,7 +5,7 @@
 
 export { HeartbeatBacklog } from './heartbeat_backlog.js';
 export { LeaseRenewals } from './lease_renewals.js';
-export { Recovery, type RecoveryInit } from './recovery.js';
+export { Recovery } from './recovery.js';
 export {
   encodeTerm,
   nextTermRecord,
@@ -18,15 +18,9 @@
 export type { TeamExposure } from './team_exposure.js';
 export type {
   Classification,
-  Orphan,
   OtherPlacement,
   PreviousTermJob,
   ReconciledBy,
   RecordLookupResult,
-  ReportedTask,
   StoredJob,
-  TaskAction,
-  TaskClass,
-  UnreconciledMachine,
 } from './types.js';
-export type { Capacity } from './unreconciled_machines.js';
--- a/src/recovery/types.ts
+++ b/src/recovery/types.ts
@@ -95,7 +95,7 @@
   | 'unreadable';
 
 /** What is to be done about a reported task. */
-export type TaskAction =
+type TaskAction =
   /** Taken over where it runs. Nothing is sent. */
   | 'adopt'
   /** Taken over, and stopped as a cancelled job's task is. */
--- a/test/settings_error.test.ts
+++ b/test/config/settings_error.test.ts
@@ -3,10 +3,10 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { describe, type TestContext, test } from 'node:test';
-import { loadFeatures } from '../src/config/features.js';
-import { SettingsError, type SettingsErrorCode } from '../src/config/settings_error.js';
-import { loadTuning } from '../src/config/tuning.js';
-import { ApplicationError } from '../src/errors.js';
+import { loadFeatures } from '../../src/config/features.js';
+import { SettingsError, type SettingsErrorCode } from '../../src/config/settings_error.js';
+import { loadTuning } from '../../src/config/tuning.js';
+import { ApplicationError } from '../../src/errors.js';
 
 /** A file in a folder of its own, which goes with the test. */
 function fileWith(t: TestContext, text: string): string {
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -2,6 +2,7 @@
 import './core/clients/call_queue.test.js';
 import './core/jobs/range_set.test.js';
 import './core/jobs/runtime_estimator.test.js';
+import './core/log_events.test.js';
 import './core/machines/machine.test.js';
 import './core/machines/machine_registry.test.js';
 import './core/machines/spot_interruption_rate.test.js';
--- a/test/log_events.test.ts
+++ b/test/core/log_events.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { describe, test } from 'node:test';
-import { LOG_EVENTS, type LogLevel, logEntry } from '../src/core/log_events.js';
-import type { FencingToken } from '../src/core/types.js';
+import { LOG_EVENTS, type LogLevel, logEntry } from '../../src/core/log_events.js';
+import type { FencingToken } from '../../src/core/types.js';
 
-const operations = readFileSync(new URL('../../../docs/operations.md', import.meta.url), 'utf8');
+const operations = readFileSync(new URL('../../../../docs/operations.md', import.meta.url), 'utf8');
 
 /** The events of each row in the operators' table, each with the level that the row names; `info` where it names none. */
 function documentedEvents(): Map<string, LogLevel> {
--- a/test/golden/samples.ts
+++ b/test/golden/samples.ts
@@ -46,7 +46,7 @@
   checkpointDurationSeconds: 4,
   deadlineSeconds: 900,
 };
-export const arraySpec: JobSpec = {
+const arraySpec: JobSpec = {
   ...gangSpec,
   id: 'job-18' as JobId,
   kind: 'array',
@@ -59,7 +59,7 @@
   toleratesSpot: false,
   deadlineSeconds: null,
 };
-export const serviceSpec: JobSpec = {
+const serviceSpec: JobSpec = {
   ...arraySpec,
   id: 'job-00019' as JobId,
   kind: 'service',
@@ -70,7 +70,7 @@
   checkpointIntervalSeconds: 0,
 };
 /** As submissions are read: its fields are in another order. */
-export const submittedSpec: JobSpec = decodeJobSpec(submission);
+const submittedSpec: JobSpec = decodeJobSpec(submission);
 
 const shapes: JobKind[] = ['array', 'gang', 'service'];
 const ranks: PriorityLevel[] = [0, 1, 2, 3];
@@ -187,7 +187,7 @@
 }
 
 /** Tasks in every phase, ended for every reason, with and without saved progress. */
-export const taskReports: readonly TaskStatus[] = flags.flatMap((saved) => [
+const taskReports: readonly TaskStatus[] = flags.flatMap((saved) => [
   ...phases.map((phase, i) => task(i, saved, phase, null)),
   ...reasons.map((reason, i) => task(10 + i, saved, 'exited', reason)),
 ]);
--- a/test/golden/service_cases.ts
+++ b/test/golden/service_cases.ts
@@ -38,7 +38,7 @@
 const MAX = (1n << 64n) - 1n;
 
 /** A call as it goes out; a body is bytes. */
-export const callEntry = ({ method, path, body }: HttpRequest): Golden =>
+const callEntry = ({ method, path, body }: HttpRequest): Golden =>
   body === undefined ? { line: `${method} ${path}` } : { line: `${method} ${path}`, body: cborEntry(encodeCbor(body)) };
 
 /** A body as it comes in. */
--- a/test/runtime_close.test.ts
+++ b/test/io/controller_runtime.test.ts
@@ -4,15 +4,15 @@
 import { join } from 'node:path';
 import { type TestContext, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { loadPlatform } from '../src/config/platform.js';
-import { loadTuning } from '../src/config/tuning.js';
-import { ALL_OFF } from '../src/core/features.js';
-import type { ControllerName } from '../src/core/types.js';
-import { ControllerRuntime } from '../src/io/controller_runtime.js';
-import type { Log } from '../src/io/log.js';
-import { encodeFrame } from '../src/io/peers/peer_codec.js';
+import { loadPlatform } from '../../src/config/platform.js';
+import { loadTuning } from '../../src/config/tuning.js';
+import { ALL_OFF } from '../../src/core/features.js';
+import type { ControllerName } from '../../src/core/types.js';
+import { ControllerRuntime } from '../../src/io/controller_runtime.js';
+import type { Log } from '../../src/io/log.js';
+import { encodeFrame } from '../../src/io/peers/peer_codec.js';
 
-const repositoryFile = (path: string): string => fileURLToPath(new URL(join('../../../', path), import.meta.url));
+const repositoryFile = (path: string): string => fileURLToPath(new URL(join('../../../../', path), import.meta.url));
 const PEER = 'node-b' as ControllerName;
 const FRAME_KIND_OFFSET = 5;
 
--- a/test/http_client.test.ts
+++ b/test/io/http_client.test.ts
@@ -2,8 +2,8 @@
 import { once } from 'node:events';
 import { type AddressInfo, createServer, type Server, type Socket } from 'node:net';
 import { describe, type TestContext, test } from 'node:test';
-import { HttpCallError, type HttpCallErrorCode, HttpClient } from '../src/io/http/http_client.js';
-import { encodeCbor } from '../src/io/wire/cbor.js';
+import { HttpCallError, type HttpCallErrorCode, HttpClient } from '../../src/io/http/http_client.js';
+import { encodeCbor } from '../../src/io/wire/cbor.js';
 
 const REQUEST = { method: 'GET', path: '/x' } as const;
 const TIMEOUT_MS = 5000;
--- a/test/sim/scenario/events/targets.ts
+++ b/test/sim/scenario/events/targets.ts
@@ -5,7 +5,7 @@
 /* What the words of an event refer to: controllers, workers, and how long a fault lasts. */
 
 /** Carries out an event now; `words` are those after its name. */
-export type ScenarioEvent = (world: World, words: string[]) => void;
+type ScenarioEvent = (world: World, words: string[]) => void;
 /** Events by their names in a scenario. */
 export type EventTable = Readonly<Record<string, ScenarioEvent>>;
 
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Everything that must hold before a change lands: lint, types, the build by deploy/service.toml's own line, tests.
+# Everything that must hold before a change lands: lint, nothing unused, types, the build by deploy/service.toml's own line, tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 npx biome check src test
+npx knip
 npx tsc -p tsconfig.test.json
 sh -c "$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/service.toml)"
 node target/main.js --version
