--- a/src/core/clients/call_queue.ts
+++ b/src/core/clients/call_queue.ts
@@ -1,3 +1,4 @@
+/** Queues calls to an outside service until its rate limits let them through. */
 import type { MonotonicTime } from '../types.js';
 import type { TokenBucket } from './token_bucket.js';
 
@@ -10,20 +11,21 @@
 
 /** A call that waits for tokens. */
 export interface QueuedCall {
-  /** Tokens of the bucket of changes that it takes. */
+  /** The tokens that it takes from the bucket of writes; a request token is taken for every call. */
   readonly writeTokens: number;
-  /** What has not been sent by then is given up. */
+  /** What has not been sent by then is refused. */
   readonly expiresAt: MonotonicTime;
   readonly send: () => void;
+  /** Called instead of `send`. */
   readonly refuse: () => void;
 }
 
 /** Calls to one outside service, let through in order of priority as its token buckets allow. */
 export class CallQueue {
   private readonly waiting: QueuedCall[][] = Array.from({ length: PRIORITY_COUNT }, () => []);
-  /** The changes that the waiting calls of each priority ask for. */
+  /** The write tokens that the waiting calls of each priority ask for. */
   private readonly waitingWriteTokens: number[] = Array(PRIORITY_COUNT).fill(0);
-  /** Calls that can't be sent in time, to be given up with the step in which they were made. */
+  /** Calls that can't be sent in time, to be refused at the end of the step in which they were made. */
   private refusedEarly: QueuedCall[] = [];
   private pausedUntil = 0 as MonotonicTime;
 
@@ -32,12 +34,13 @@
     private readonly writeTokens: TokenBucket | null,
   ) {}
 
+  /** Adds a call behind those of its priority. */
   add(priority: CallPriority, call: QueuedCall): void {
     this.waiting[priority]?.push(call);
     this.waitingWriteTokens[priority] = (this.waitingWriteTokens[priority] ?? 0) + call.writeTokens;
   }
 
-  /** Adds a call that somebody waits for: where it can't be sent before it expires, it is given up at once. */
+  /** Adds a call that somebody waits for: where it can't be sent before it expires, it is refused at once. */
   addOrRefuse(priority: CallPriority, call: QueuedCall, now: MonotonicTime): void {
     if (this.canSendInTime(priority, call, now)) this.add(priority, call);
     else this.refusedEarly.push(call);
@@ -61,18 +64,18 @@
     );
   }
 
-  /** The service refused a call: all but the first priority waits for a moment. */
+  /** The service refused a call: all but the first priority waits until then. */
   pause(until: MonotonicTime): void {
     if (until > this.pausedUntil) this.pausedUntil = until;
   }
 
-  /** Sends what the buckets allow; returns when to look again, or null if nothing waits. */
+  /** Sends what the buckets allow, and refuses what has expired; returns when to look again, null if nothing waits. */
   dispatch(now: MonotonicTime): MonotonicTime | null {
     const { refusedEarly } = this;
     this.refusedEarly = [];
     for (const call of refusedEarly) call.refuse();
     let next: MonotonicTime | null = null;
-    // Without tokens for calls nothing of a lower priority may pass, but what has waited too long is still given up.
+    // Without request tokens nothing of a lower priority may pass, but what has expired is still refused.
     let exhausted = false;
     this.waiting.forEach((queue, priority) => {
       for (
@@ -82,10 +85,10 @@
       ) {
         const wait = priority === UNTHROTTLED_PRIORITY ? null : this.requiredWait(first, exhausted, now);
         if (wait) {
-          const lookAt = Math.min(wait.until, first.expiresAt) as MonotonicTime;
-          if (next === null || lookAt < next) next = lookAt;
-          exhausted ||= wait.forCalls;
-          // Without tokens for changes reads may still go.
+          const retryAt = Math.min(wait.until, first.expiresAt) as MonotonicTime;
+          if (next === null || retryAt < next) next = retryAt;
+          exhausted ||= wait.isForRequests;
+          // Without write tokens reads may still go.
           return;
         }
         this.removeFirst(queue, priority);
@@ -97,7 +100,7 @@
     return next;
   }
 
-  /** The first call of a queue that has not expired; those before it are given up. */
+  /** The first call of a queue that has not expired; those before it are refused. */
   private firstUnexpired(queue: QueuedCall[], priority: number, now: MonotonicTime): QueuedCall | undefined {
     while (queue[0] && queue[0].expiresAt <= now) this.removeFirst(queue, priority)?.refuse();
     return queue[0];
@@ -109,19 +112,19 @@
     return call;
   }
 
-  /** Until when a call has to wait, and whether that is for the bucket of calls; null: it may go now. */
+  /** Until when a call has to wait, and whether that is for request tokens; null: it may go now. */
   private requiredWait(
     call: QueuedCall,
     exhausted: boolean,
     now: MonotonicTime,
-  ): { until: MonotonicTime; forCalls: boolean } | null {
-    if (now < this.pausedUntil) return { until: this.pausedUntil, forCalls: false };
+  ): { until: MonotonicTime; isForRequests: boolean } | null {
+    if (now < this.pausedUntil) return { until: this.pausedUntil, isForRequests: false };
     const callsMs = exhausted || !this.requestTokens.hasTokens(1, now) ? this.requestTokens.waitMs(1, now) : 0;
     const writesMs =
       this.writeTokens && !this.writeTokens.hasTokens(call.writeTokens, now)
         ? this.writeTokens.waitMs(call.writeTokens, now)
         : 0;
     if (!exhausted && callsMs === 0 && writesMs === 0) return null;
-    return { until: (now + Math.max(MIN_WAIT_MS, callsMs, writesMs)) as MonotonicTime, forCalls: callsMs > 0 };
+    return { until: (now + Math.max(MIN_WAIT_MS, callsMs, writesMs)) as MonotonicTime, isForRequests: callsMs > 0 };
   }
 }
--- a/src/core/clients/state_store_reads.ts
+++ b/src/core/clients/state_store_reads.ts
@@ -1,3 +1,4 @@
+/** Reads everything under a prefix of the state store. */
 import type { StoredEntry } from '../messages.js';
 import type { Revision } from '../types.js';
 import type { StateStoreClient } from './state_store_client.js';
@@ -5,14 +6,14 @@
 const PAGE_SIZE = 500;
 const READ_PRIORITY = 1;
 
-/** All values under a prefix, read page by page. */
+/** All values under a prefix. */
 export interface PrefixRead {
   readonly items: readonly StoredEntry[];
   /** Of the first page: changes made while later pages were read come again through a watch from here. */
   readonly revision: Revision | null;
 }
 
-/** Reads all values under a prefix; null where the state service gave no answer. */
+/** Reads all values under a prefix; `done` is given null where the state store gave no answer to one of the calls. */
 export function readPrefix(
   stateStore: StateStoreClient,
   prefix: string,
--- a/src/core/clients/token_bucket.ts
+++ b/src/core/clients/token_bucket.ts
@@ -1,6 +1,9 @@
+/** A rate limit with bursts. */
 import type { MonotonicTime } from '../types.js';
 
-/** A token bucket on the steady clock that it is given. */
+const MS_PER_SECOND = 1000;
+
+/** Fills at a rate per second up to a burst; what is taken beyond its content is a debt. Times are on the monotonic clock. */
 export class TokenBucket {
   private available: number;
   private refilledAt: MonotonicTime;
@@ -14,10 +17,10 @@
     this.refilledAt = now;
   }
 
-  /** A node's part of a shared limit changes with what it does: what is in the bucket stays, up to the new burst. */
-  resize(ratePerS: number, burst: number, now: MonotonicTime): void {
+  /** A controller's share of a limit changes with its role: what is in the bucket stays, up to the new burst. */
+  resize(ratePerSecond: number, burst: number, now: MonotonicTime): void {
     this.refill(now);
-    this.ratePerSecond = ratePerS;
+    this.ratePerSecond = ratePerSecond;
     this.burst = burst;
     this.available = Math.min(this.available, burst);
   }
@@ -28,27 +31,29 @@
     return this.available / this.burst;
   }
 
+  /** Whether so many tokens can be taken now. */
   hasTokens(tokens: number, now: MonotonicTime): boolean {
     if (tokens <= 0) return true;
     this.refill(now);
     return this.available >= this.cappedCost(tokens);
   }
 
+  /** Takes tokens, whether or not they are there. */
   take(tokens: number, now: MonotonicTime): void {
     this.refill(now);
     this.available -= tokens;
   }
 
-  /** How many tokens can be paid until then, one after the other. */
+  /** Returns how many tokens can be taken until then, one after the other. */
   availableBy(deadline: MonotonicTime, now: MonotonicTime): number {
     this.refill(now);
-    return this.available + (Math.max(0, deadline - now) / 1000) * this.ratePerSecond;
+    return this.available + (Math.max(0, deadline - now) / MS_PER_SECOND) * this.ratePerSecond;
   }
 
-  /** Milliseconds until so many tokens are there. */
+  /** Returns the milliseconds until so many tokens can be taken; 0: they can be now. */
   waitMs(tokens: number, now: MonotonicTime): number {
     this.refill(now);
-    return Math.max(0, ((this.cappedCost(tokens) - this.available) / this.ratePerSecond) * 1000);
+    return Math.max(0, ((this.cappedCost(tokens) - this.available) / this.ratePerSecond) * MS_PER_SECOND);
   }
 
   /** A charge above the burst could never be met: it waits for a full bucket and runs it into debt. */
@@ -58,8 +63,8 @@
 
   private refill(now: MonotonicTime): void {
     if (now <= this.refilledAt) return;
-    const elapsedS = (now - this.refilledAt) / 1000;
-    this.available = Math.min(this.burst, this.available + elapsedS * this.ratePerSecond);
+    const elapsedSeconds = (now - this.refilledAt) / MS_PER_SECOND;
+    this.available = Math.min(this.burst, this.available + elapsedSeconds * this.ratePerSecond);
     this.refilledAt = now;
   }
 }
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -1,10 +1,11 @@
+/** One controller as a state machine: hands each input to the part that deals with it. */
 import type { RecoverySummary } from '../recovery/index.js';
 import { ALL_OFF, type Features } from './features.js';
 import { JobCache } from './jobs/job_cache.js';
 import { Election } from './leadership/election.js';
 import { Leader } from './leadership/leader.js';
 import { MachineTypeCatalog } from './machines/machine_type_catalog.js';
-import type { Input, Output, PeerMessage, RequestId, UserRequest } from './messages.js';
+import type { Input, Output, PeerMessage, RequestId, UserRequest, UserResponse } from './messages.js';
 import { CancellationBroadcasts } from './peers/cancellation_broadcasts.js';
 import { HeartbeatForwarding } from './peers/heartbeat_forwarding.js';
 import { MessageIds } from './peers/message_ids.js';
@@ -20,17 +21,16 @@
 
 const STATUS_INTERVAL_MS = 1000;
 const FIRST_STATUS_DELAY_MS = 100;
-/** The state service may fail for so long before load balancers hear of it. */
+/** The state store may fail for so long before load balancers hear of it. */
 const UNHEALTHY_AFTER_MS = 3000;
 
-/** Users wait 2 s for the answer to a poll, and 5 s for others: what isn't final is not said after that. */
+/** Users wait 2 s for the response to a status query, and 5 s for others: what isn't final is not said after that. */
 const STATUS_QUERY_TIMEOUT_MS = 1900;
 const REQUEST_TIMEOUT_MS = 4900;
 
-/**
- * One controller node as a state machine: inputs in, outputs out; no clock, no sockets, no chance of its own. It hands each
- * input and each timer that is due to the part that deals with it.
- */
+type PeerMessageOf<K extends PeerMessage['kind']> = Extract<PeerMessage, { readonly kind: K }>;
+
+/** Inputs in, outputs out; it has no clock, no sockets and no chance of its own. */
 export class Controller {
   private readonly context: StepContext;
   private readonly election: Election;
@@ -44,12 +44,12 @@
   private readonly heartbeatRouter: HeartbeatRouter;
   private readonly statusTimer: Timer;
   private readonly statusExchange: StatusExchange;
-  /** While this node leads. */
+  /** Null while this controller doesn't lead. */
   private leader: Leader | null = null;
-  /** Of the last time that it led. */
+  /** What the last term of this controller found; null: it had none, or the feature is off. */
   private lastRecovery: RecoverySummary | null = null;
 
-  /** `incarnation` names this process; `seed` is what all of its random choices come from. */
+  /** `incarnation` names this process among those of the controller; all random choices come from `seed`. */
   constructor(
     settings: Settings,
     tuning: Tuning,
@@ -98,19 +98,19 @@
     });
   }
 
-  private setIsLeader(leading: boolean): void {
-    this.context.setIsLeader(leading);
-    this.jobCache.setIsLeader(leading);
+  private setIsLeader(isLeader: boolean): void {
+    this.context.setIsLeader(isLeader);
+    this.jobCache.setIsLeader(isLeader);
   }
 
   private makeRequestHandler(): RequestHandler {
     return new RequestHandler(this.context, this.jobCache, {
       machineTypes: () => this.catalog.types,
       taskCounts: (id) => this.leader?.taskCounts(id) ?? null,
-      forward: (request, answer) => this.requestForwarding.forward(request, answer),
-      broadcastCancellation: (id, done) => {
+      forward: (request, respond) => this.requestForwarding.forward(request, respond),
+      broadcastCancellation: (id, onDone) => {
         this.leader?.onCancellationBroadcast(id);
-        this.cancellationBroadcasts.broadcast(id, done);
+        this.cancellationBroadcasts.broadcast(id, onDone);
       },
     });
   }
@@ -125,19 +125,19 @@
     return this.context.endStep();
   }
 
-  /** When the next step is due even if no input comes. */
+  /** When the next step is due even if no input comes; null: never. */
   nextTimerAt(): MonotonicTime | null {
     return this.context.timers.nextDueAt();
   }
 
-  /** What load balancers are told. A node without the state service still serves while a peer can stand in. */
+  /** What load balancers are told. A controller without the state store still serves while a peer can stand in. */
   isHealthy(now: MonotonicTime): boolean {
     const since = this.context.stateStore.failingSince;
     if (since === null || now - since < UNHEALTHY_AFTER_MS) return true;
     return this.peers.isAnyAlive(now);
   }
 
-  /** What this node found when it last took the lead; null: it never did, or the feature is off. */
+  /** What this controller found when it was last elected; null: it never was, or the feature is off. */
   recoverySummary(): RecoverySummary | null {
     return this.leader?.recoverySummary() ?? this.lastRecovery;
   }
@@ -196,39 +196,43 @@
     this.statusExchange.stepDownIfIsolated();
   }
 
-  private onPeerMessage(from: ControllerName, message: PeerMessage): void {
+  private onPeerMessage(sender: ControllerName, message: PeerMessage): void {
     switch (message.kind) {
       case 'status':
-        this.peers.onStatus(from, message.status);
+        this.peers.onStatus(sender, message.status);
         return;
       case 'request':
-        this.requestHandler.handle(
-          message.request,
-          (response) => this.context.outbox.sendToPeer(from, { kind: 'requestResponse', id: message.id, response }),
-          'peer',
-        );
+        this.onForwardedRequest(sender, message);
         return;
       case 'requestResponse':
         this.requestForwarding.onResponse(message.id, message.response);
         return;
-      case 'heartbeat': {
-        const { id, heartbeat } = message;
-        const { machine } = heartbeat;
-        this.heartbeatRouter.onForwardedHeartbeat(heartbeat, (response) =>
-          this.context.outbox.sendToPeer(from, { kind: 'heartbeatResponse', id, machine, response }),
-        );
+      case 'heartbeat':
+        this.onForwardedHeartbeat(sender, message);
         return;
-      }
       case 'heartbeatResponse':
-        this.heartbeatForwarding.onResponse(from, message.id, message.machine, message.response);
+        this.heartbeatForwarding.onResponse(sender, message.id, message.machine, message.response);
         return;
       case 'cancellation':
         this.leader?.onCancellationBroadcast(message.job);
-        this.context.outbox.sendToPeer(from, { kind: 'cancellationAck', id: message.id });
+        this.context.outbox.sendToPeer(sender, { kind: 'cancellationAck', id: message.id });
         return;
       case 'cancellationAck':
-        this.cancellationBroadcasts.onAcknowledged(from, message.id);
+        this.cancellationBroadcasts.onAcknowledged(sender, message.id);
         return;
     }
   }
+
+  private onForwardedRequest(sender: ControllerName, { id, request }: PeerMessageOf<'request'>): void {
+    const respond = (response: UserResponse): void =>
+      this.context.outbox.sendToPeer(sender, { kind: 'requestResponse', id, response });
+    this.requestHandler.handle(request, respond, 'peer');
+  }
+
+  private onForwardedHeartbeat(sender: ControllerName, { id, heartbeat }: PeerMessageOf<'heartbeat'>): void {
+    const { machine } = heartbeat;
+    this.heartbeatRouter.onForwardedHeartbeat(heartbeat, (response) =>
+      this.context.outbox.sendToPeer(sender, { kind: 'heartbeatResponse', id, machine, response }),
+    );
+  }
 }
--- a/src/core/features.ts
+++ b/src/core/features.ts
@@ -1,4 +1,6 @@
-/** Parts that a deployment switches on; units and reasons stand in deploy/features.toml. */
+/** Parts of the service that a deployment switches on. */
+
+/** The keys are those of deploy/features.toml, where units and reasons stand. */
 export interface Features {
   readonly recovery: {
     readonly enabled: boolean;
@@ -8,6 +10,7 @@
   };
 }
 
+/** What holds where deploy/features.toml says nothing of recovery. */
 export const RECOVERY_OFF: Features['recovery'] = {
   enabled: false,
   record_zones: false,
@@ -15,4 +18,5 @@
   ask_after_ms: 0,
 };
 
+/** What holds without a file of features. */
 export const ALL_OFF: Features = { recovery: RECOVERY_OFF };
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -1,3 +1,4 @@
+/** What goes in and out of a controller's core: inputs, outputs, and what they carry. Nothing here is a wire name. */
 import type { LogEntry } from './log_events.js';
 import type {
   AgentEpoch,
@@ -65,30 +66,30 @@
 export type CloudResult = Result<CloudResponse, CloudError>;
 export type CommandPushResult = Result<CommandPushResponse, CommandPushError>;
 
-/** A value of the state service, with the revision of its last change. */
+/** A value of the state store, with the revision of its last change. */
 export interface StoredEntry {
   readonly key: string;
   readonly value: unknown;
   readonly version: Revision;
 }
 
-/** A key's version that a transaction depends on. */
+/** The version that a key must have for a compare-and-swap to be carried out. */
 export interface VersionCondition {
   readonly key: string;
   readonly version: Revision;
 }
 
-/** A change that a transaction makes. */
+/** A change of a compare-and-swap: a value put under a key, with the lease on which it depends, or a key dropped. */
 export type StateChange =
   | { readonly put: string; readonly value: unknown; readonly lease?: LeaseId }
   | { readonly drop: string };
 
-/** A change that a watch tells of. */
+/** A change that a watch tells of, with the version that the key has since. */
 export type WatchEvent =
   | { readonly put: string; readonly value: unknown; readonly version: Revision }
   | { readonly drop: string; readonly version: Revision };
 
-/** Calls to the state service. */
+/** Calls to the state store. `watch` waits so many milliseconds for changes after a revision. */
 export type StateStoreOperation =
   | { readonly op: 'get'; readonly key: string }
   | { readonly op: 'list'; readonly prefix: string; readonly after: string | null; readonly limit: number }
@@ -102,11 +103,12 @@
   | { readonly op: 'revoke'; readonly lease: LeaseId }
   | { readonly op: 'watch'; readonly prefix: string; readonly after: Revision; readonly waitMs: number };
 
-/** What the state service answers: the fields that belong to the call. */
+/** The state store's response: the fields that belong to the call. */
 export interface StateStoreResponse {
   /** get: null where the key does not exist. */
   readonly item?: StoredEntry | null;
   readonly items?: readonly StoredEntry[];
+  /** list: whether there are more after the last item. */
   readonly more?: boolean;
   readonly revision?: Revision;
   readonly lease?: LeaseId;
@@ -117,7 +119,7 @@
 export type OnCloudResult = (result: CloudResult) => void;
 export type OnCommandPushResult = (result: CommandPushResult) => void;
 
-/** Calls to the cloud. */
+/** Calls to the cloud. A provisioning repeated under the same idempotency key provisions nothing more. */
 export type CloudOperation =
   | { readonly op: 'types' }
   | { readonly op: 'list'; readonly after: MachineId | null }
@@ -131,7 +133,7 @@
     }
   | { readonly op: 'terminate'; readonly machines: readonly MachineId[] };
 
-/** What the cloud answers: the fields that belong to the call. */
+/** The cloud's response: the fields that belong to the call. */
 export interface CloudResponse {
   readonly machineTypes?: readonly MachineType[];
   readonly machines?: readonly CloudMachine[];
@@ -139,7 +141,7 @@
   readonly provisioned?: readonly MachineId[];
 }
 
-/** Direct commands to a worker; none at all still raises its token. */
+/** Commands pushed to a worker for one agent epoch; none at all still raises its fencing token. */
 export interface CommandPush {
   readonly address: string;
   readonly fencingToken: FencingToken;
@@ -147,7 +149,7 @@
   readonly commands: readonly Command[];
 }
 
-/** A worker's answer to direct commands. */
+/** A worker's response to pushed commands: whether it executed them, and its status. */
 export interface CommandPushResponse {
   readonly executed: boolean;
   readonly heartbeat: Heartbeat;
@@ -168,7 +170,7 @@
   readonly running: number;
 }
 
-/** What users are told, with its HTTP status. */
+/** What users are told, with its HTTP status. `problem`: one line for the user. */
 export type UserResponse =
   | {
       readonly status: 200 | 201;
@@ -179,34 +181,34 @@
     }
   | { readonly status: 400 | 404 | 422 | 503; readonly problem: string; readonly retryAfterSeconds?: number };
 
-/** What a worker is told in answer to its report, with its HTTP status. */
+/** What a worker is told in response to its heartbeat, with its HTTP status. 421: heartbeats go to another controller. */
 export type HeartbeatResponse =
   | { readonly status: 200; readonly fencingToken: FencingToken; readonly commands: readonly Command[] }
   | { readonly status: 421; readonly redirectTo: ControllerName | null }
   | { readonly status: 503 };
 
-/** What a node tells its peers of itself once a second. */
+/** What a controller tells its peers of itself once a second. */
 export interface PeerStatus {
-  /** Whether the sender holds the lead, as far as it knows. */
+  /** Whether the sender leads, as far as it knows. */
   readonly isLeader: boolean;
-  /** Whether the state service answered the sender lately. */
+  /** Whether the state store answered the sender lately. */
   readonly stateStoreReachable: boolean;
   /** Milliseconds since a worker last reached the sender; negative: never. */
   readonly sinceLastHeartbeatMs: number;
-  /** Workers' reports a second that reach the sender itself. */
+  /** Heartbeats a second that reach the sender from the workers themselves. */
   readonly heartbeatsPerSecond: number;
-  /** The sender leads and would rather have workers' reports from the workers themselves. */
+  /** The sender leads, and would rather have heartbeats from the workers themselves. */
   readonly prefersDirectHeartbeats: boolean;
   /** The sender knows `cancellation` and `cancellationAck`: releases before them end the connection over one. */
   readonly acknowledgesCancellations: boolean;
 }
 
-/** What nodes tell each other. */
+/** What controllers tell each other; a response repeats the id of what it answers. */
 export type PeerMessage =
   | { readonly kind: 'status'; readonly status: PeerStatus }
   | { readonly kind: 'request'; readonly id: number; readonly request: UserRequest }
   | { readonly kind: 'requestResponse'; readonly id: number; readonly response: UserResponse }
-  /** A worker's report that reached a node that doesn't lead, passed on as it came; and the leader's answer to it. */
+  /** A heartbeat that reached a follower, passed on as it came; and the leader's response to it. */
   | { readonly kind: 'heartbeat'; readonly id: number; readonly heartbeat: Heartbeat }
   | {
       readonly kind: 'heartbeatResponse';
@@ -214,16 +216,16 @@
       readonly machine: MachineId;
       readonly response: HeartbeatResponse;
     }
-  /** The sender has put a cancellation on record: that is never undone, so the notice alone may be acted on. */
+  /** The sender has put a cancellation on record: that is never undone, so the broadcast alone may be acted on. */
   | { readonly kind: 'cancellation'; readonly id: number; readonly job: JobId }
   | { readonly kind: 'cancellationAck'; readonly id: number };
 
-/** Numbers a request from outside that awaits an answer. */
+/** Numbers a request from outside that awaits a response. */
 export type RequestId = number;
 /** Numbers a call to an outside service that awaits a reply. */
 export type CallId = number;
 
-/** What a step of the core takes. */
+/** What a step of the core takes. `timer`: the time that `nextTimerAt` gave has come. */
 export type Input =
   | { readonly kind: 'start' }
   | { readonly kind: 'timer' }
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -1,25 +1,35 @@
+/** The forms in which the state store holds what has to outlast a process, and their codec. */
 import { RangeSet } from './jobs/range_set.js';
 import type { ImageName, JobId, JobSpec, MachineId, MachineTypeName, WallClockTime, ZoneName } from './types.js';
 
-/**
- * What the state service holds; nothing else survives a process. The stored names and versions are read by earlier and
- * later releases while a deployment is renewed: they don't change with names in the code.
+/*
+ * Nothing else survives a process. The stored names and versions are read by earlier and later releases while a deployment
+ * is renewed: they don't change with names in the code.
  */
+
+/** Holds who leads; it is there as long as the leader's lease. */
 export const LEADER_KEY = 'leader';
+/** Holds the counter of terms. */
 export const TERM_KEY = 'term';
+/** Jobs' records are under keys that begin so. */
 export const JOB_PREFIX = 'j/';
+/** Pages of the machine registry are under keys that begin so. */
 export const MACHINE_PREFIX = 'm/';
+/** Returns the key of a job's record. */
 export const jobKey = (id: JobId): string => JOB_PREFIX + id;
-export const pageKey = (no: number): string => MACHINE_PREFIX + no;
+/** Returns the key of a page of the machine registry; pages are numbered from 0. */
+export const pageKey = (index: number): string => MACHINE_PREFIX + index;
 
 const JOB_RECORD_VERSION = 1;
 const PAGE_VERSION = 2;
-/** The service may count the text of a value somewhat otherwise than it is counted here. */
+/** The state store may count the bytes of a value somewhat otherwise than they are counted here. */
 const SPARE_BYTES = 48;
 
+/** What is durable of a job's progress; that it runs is not. */
 export type JobState = 'accepted' | 'done' | 'cancelled';
 const JOB_STATES: readonly unknown[] = ['accepted', 'done', 'cancelled'] satisfies JobState[];
 
+/** What is durable of a job. */
 export interface JobRecord {
   readonly spec: JobSpec;
   readonly submittedAt: WallClockTime;
@@ -33,18 +43,20 @@
   readonly done: RangeSet;
 }
 
+/** What is durable of a machine. */
 export interface MachineRecord {
   readonly id: MachineId;
   readonly address: string;
   readonly type: MachineTypeName;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  /** Images it is known to hold, and how fast it fetches: hints that save a new leader from finding out again. */
+  /** Images that it is known to hold: a hint that saves a new leader from finding out again. */
   readonly images: readonly ImageName[];
+  /** How fast it pulls images, relative to its type's nominal speed: a hint too. */
   readonly imagePullSpeed: number;
 }
 
-/** Who holds the lead, on which lease. */
+/** Who leads, on which lease, in which term. */
 export interface LeaderRecord {
   readonly node: string;
   readonly incarnation: string;
--- a/src/core/requests/linearizable_reads.ts
+++ b/src/core/requests/linearizable_reads.ts
@@ -1,3 +1,4 @@
+/** Confirms cached job records with the state store, many in one call. */
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
 import type { StateStoreResult } from '../messages.js';
 import { JOB_PREFIX, jobKey } from '../records.js';
@@ -6,26 +7,24 @@
 import type { JobId } from '../types.js';
 import type { JobReader, StatusQuery } from './job_reader.js';
 
-/** Polls that come within so many milliseconds are confirmed by one call. Users wait 2 s for an answer. */
+/** Queries that come within this time are confirmed by one call. Users wait 2 s for a response. */
 const GATHER_MS = 120;
 const NEXT_BATCH_MS = 1;
-/** The state service takes so many times as many conditions as changes in a transaction. */
+/** The state store takes so many times as many conditions as changes in a compare-and-swap. */
 const CONDITIONS_PER_CHANGE = 4;
 const MAX_CONCURRENT = 2;
 const CONFIRM_PRIORITY = 2;
-const CONFIRM_TIMEOUT_MS = 1000;
-const CONFIRM_QUEUE_MS = 600;
+const CONFIRM_OPTIONS = { timeoutMs: 1000, maxQueueTimeMs: 600, failFast: true } as const;
 
-/** A cached record, and the questions that its confirmation answers. */
+/** A cached record, and the queries that its confirmation answers. */
 interface BatchedJob {
   readonly job: CachedJob;
   readonly queries: StatusQuery[];
 }
 
 /**
- * Confirms many cached records by one transaction that only compares their versions: begun after the questions arrived, it
- * says as much as a read of each. One that fails confirms nothing: the records that it names are read, and the others go
- * with the next.
+ * A compare-and-swap without changes only compares versions: begun after the queries arrived, it says as much as a read of
+ * each record. One that fails confirms nothing: the records that it names are read, and the others go with the next.
  */
 export class LinearizableReads {
   private waiting: StatusQuery[] = [];
@@ -40,13 +39,13 @@
     this.batchTimer = context.timers.create(() => this.sendBatch());
   }
 
-  /** A question about a job that the cache knows waits for the next confirmation; any other is read. */
-  enqueue(question: StatusQuery): void {
-    if (!this.jobCache.get(question.id)) {
-      this.reader.respond(question);
+  /** A query about a job that the cache knows waits for the next confirmation; for any other the record is read. */
+  enqueue(query: StatusQuery): void {
+    if (!this.jobCache.get(query.id)) {
+      this.reader.respond(query);
       return;
     }
-    this.waiting.push(question);
+    this.waiting.push(query);
     this.schedule(GATHER_MS);
   }
 
@@ -70,23 +69,23 @@
         if (this.waiting.length > 0) this.schedule(NEXT_BATCH_MS);
         this.onResult(batch, result);
       },
-      { timeoutMs: CONFIRM_TIMEOUT_MS, maxQueueTimeMs: CONFIRM_QUEUE_MS, failFast: true },
+      CONFIRM_OPTIONS,
     );
   }
 
-  /** As many jobs as one transaction can compare; what needs no confirmation is answered at once. */
+  /** As many jobs as one call can compare; what needs no confirmation is answered at once. */
   private takeBatch(): Map<JobId, BatchedJob> {
     const limit = CONDITIONS_PER_CHANGE * this.context.settings.stateStore.maxChangesPerTransaction;
     const batch = new Map<JobId, BatchedJob>();
     const later: StatusQuery[] = [];
-    for (const question of this.waiting) {
-      const batched = batch.get(question.id);
-      const job = this.jobCache.get(question.id);
-      if (batched) batched.queries.push(question);
-      else if (!job) this.reader.respond(question);
-      else if (job.record.state !== 'accepted') question.respond(this.reader.statusResponse(job.record));
-      else if (batch.size < limit) batch.set(question.id, { job, queries: [question] });
-      else later.push(question);
+    for (const query of this.waiting) {
+      const batched = batch.get(query.id);
+      const job = this.jobCache.get(query.id);
+      if (batched) batched.queries.push(query);
+      else if (!job) this.reader.respond(query);
+      else if (job.record.state !== 'accepted') query.respond(this.reader.statusResponse(job.record));
+      else if (batch.size < limit) batch.set(query.id, { job, queries: [query] });
+      else later.push(query);
     }
     this.waiting = later;
     return batch;
--- a/src/core/requests/request_handler.ts
+++ b/src/core/requests/request_handler.ts
@@ -9,7 +9,7 @@
 import { JobSubmission } from './job_submission.js';
 import { LinearizableReads } from './linearizable_reads.js';
 import { JOB_NOT_FOUND, type RequestContinuation, type Respond, STATE_STORE_UNAVAILABLE } from './responses.js';
-import { infeasibilityReason } from './submission_validation.js';
+import { INFEASIBILITY_PROBLEMS, infeasibilityReason } from './submission_validation.js';
 
 /** The state store has refused this controller for so long: a peer is asked first, or nobody. */
 const FORWARD_AFTER_MS = 300;
@@ -126,7 +126,7 @@
     const reason = infeasibilityReason(spec, types, this.context.settings.teamQuotas);
     return reason === null
       ? { kind: 'valid', spec }
-      : { kind: 'refused', spec, response: { status: 422, problem: reason } };
+      : { kind: 'refused', spec, response: { status: 422, problem: INFEASIBILITY_PROBLEMS[reason] } };
   }
 
   private submit(id: JobId, submission: Submission, continuation: RequestContinuation): void {
--- a/src/core/settings.ts
+++ b/src/core/settings.ts
@@ -1,9 +1,11 @@
+/** What operators say about a deployment, as the core needs it. */
 import type { ControllerName, TeamQuota, ZoneName } from './types.js';
 
 /** What the operators expect of a class of jobs; only what bears on order is kept. */
 export interface ServiceLevelObjective {
   readonly kind: 'wait' | 'finished' | 'deadline';
   readonly jobClass: string;
+  /** For `wait` and `finished`. */
   readonly withinSeconds: number;
   /** For deadlines: how many times the deadline. */
   readonly deadlineFactor: number;
@@ -11,21 +13,29 @@
 
 /** What the platform says about this deployment, as the core needs it. */
 export interface Settings {
+  /** This controller. */
   readonly controller: ControllerName;
   readonly zone: ZoneName;
+  /** The other controllers that are known at start. */
   readonly peers: readonly { readonly name: ControllerName; readonly zone: ZoneName }[];
+  /** All controllers with this one: they share the limits of the state store. */
   readonly controllerCount: number;
-  /** What a node may use: its part of a core, and its sockets. */
+  /** What a controller may use: its share of a core, and its sockets. */
   readonly limits: { readonly cpuShare: number; readonly maxConnections: number };
   readonly zones: readonly ZoneName[];
+  /** How far the clocks of two machines may be apart. */
   readonly clockSkewMs: number;
   readonly teamQuotas: readonly TeamQuota[];
   readonly objectives: readonly ServiceLevelObjective[];
   readonly workers: {
     readonly heartbeatIntervalMs: number;
+    /** How long a worker goes on without a response to its heartbeats. */
     readonly leaseMs: number;
+    /** How long the tasks of a gang wait for each other before they exit. */
     readonly gangBarrierTimeoutMs: number;
+    /** How soon the tasks of a running gang notice that one is gone. */
     readonly gangPeerTimeoutMs: number;
+    /** Within this time after a cancellation no task of the job may run. */
     readonly cancellationTimeoutMs: number;
   };
   readonly stateStore: {
@@ -37,6 +47,7 @@
     readonly maxValueBytes: number;
     readonly maxChangesPerTransaction: number;
   };
+  /** `listStalenessMs`: by how much the list of machines usually lags. */
   readonly cloud: { readonly requestsPerSecond: number; readonly listStalenessMs: number };
 }
 
