--- a/test/golden/problem_cases.ts
+++ b/test/golden/problem_cases.ts
@@ -6,8 +6,6 @@
   JobId,
   JobSpec,
   MachineId,
-  MachineType,
-  MachineTypeName,
   MonotonicTime,
   TeamName,
   TeamQuota,
@@ -20,6 +18,7 @@
 import { CURRENT_BUILD } from '../sim/build.js';
 import { LIMITS } from '../sim/deployment.js';
 import { type JobOptions, makeJobSpec } from '../sim/job_options.js';
+import { C8 } from '../sim/machine_types.js';
 import { World } from '../sim/world.js';
 import { cborEntry, type Golden, GoldenFile, hex } from './golden_file.js';
 
@@ -32,20 +31,7 @@
 }
 
 function makeWorld(controllers: number): World {
-  const types: MachineType[] = [
-    {
-      name: 'c8' as MachineTypeName,
-      cpus: 8,
-      gpus: 0,
-      memoryGb: 32,
-      imageCacheGb: 50,
-      imagePullGbPerSecond: 0.5,
-      pricePerHour: 0.4,
-      spotPricePerHour: 0.1,
-      bootSeconds: 20,
-      zones,
-    },
-  ];
+  const types = [{ ...C8, zones }];
   const teams = [teamOf('crew', 0, 0), teamOf('tight', 2, 0)];
   const limits = { ...LIMITS, maxValueBytes: 1024 };
   return new World({ seed: 3, controllers, zones, teams, types, capacity: 2, tuning: CURRENT_BUILD.tuning, limits });
--- a/test/measure/cold_start.ts
+++ b/test/measure/cold_start.ts
@@ -1,9 +1,10 @@
 import { type Histogram, build as makeHistogram } from 'hdr-histogram-js';
-import type { JobId, MachineId, MachineTypeName, TeamName, ZoneName } from '../../src/core/types.js';
+import type { JobId, MachineId, TeamName, ZoneName } from '../../src/core/types.js';
 import { type Build, CURRENT_BUILD, FEATURES_OFF } from '../sim/build.js';
 import { ControllerProcess } from '../sim/controller_process.js';
 import { LIMITS } from '../sim/deployment.js';
 import { type JobOptions, makeJobSpec } from '../sim/job_options.js';
+import { C8 } from '../sim/machine_types.js';
 import { loadOldVersions } from '../sim/old_versions.js';
 import { crashControllers } from '../sim/scenario/events/controllers.js';
 import { World } from '../sim/world.js';
@@ -21,20 +22,12 @@
 const SHORTEST_RUN_SECONDS = 25;
 const RUN_STEP_SECONDS = 5;
 const RUN_LENGTHS = 10;
-const TASKS_PER_MACHINE = 8;
+/** Tasks take a core each. */
+const TASKS_PER_MACHINE = C8.cpus;
 const VANISHING_SHARE = 0.01;
 const SAMPLE_INTERVAL_MS = 20;
 const ZONES = ['a', 'b', 'c'] as ZoneName[];
-const C8 = {
-  name: 'c8' as MachineTypeName,
-  cpus: TASKS_PER_MACHINE,
-  gpus: 0,
-  memoryGb: 32,
-  imageCacheGb: 50,
-  imagePullGbPerSecond: 0.5,
-  pricePerHour: 0.4,
-};
-const TYPES = [{ ...C8, spotPricePerHour: 0.1, bootSeconds: 20, zones: ZONES }];
+const TYPES = [{ ...C8, zones: ZONES }];
 const TEAMS = [{ name: 'crew' as TeamName, guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: 0, gpuLimit: 0 }];
 
 /** Processor time of the controllers' steps, in microseconds. */
--- a/test/paused_process.test.ts
+++ b/test/paused_process.test.ts
@@ -19,10 +19,10 @@
 /** The workers' lease: that of the leader is 3 s. */
 const LEASE_SECONDS = 10;
 
-/** What a worker is told; null: no answer. */
+/** The response to a heartbeat; null: there was none. */
 type HeartbeatReply = { readonly status: number; readonly fencingToken: bigint } | null;
 
-/** A worker that shows one task as ended, so that its reports are answered at once. */
+/** A worker that shows one task as ended, so that its heartbeats are answered at once. */
 class HeartbeatSender {
   private sequence = 0;
   private highestFencingToken = 0n;
@@ -31,10 +31,10 @@
 
   async send(port: number, timeoutMs = 2000): Promise<HeartbeatReply> {
     this.sequence += 1;
-    const told = await postHeartbeat(port, this.heartbeat(), timeoutMs);
-    if (told?.status === 200 && told.fencingToken > this.highestFencingToken)
-      this.highestFencingToken = told.fencingToken;
-    return told;
+    const response = await postHeartbeat(port, this.heartbeat(), timeoutMs);
+    if (response?.status === 200 && response.fencingToken > this.highestFencingToken)
+      this.highestFencingToken = response.fencingToken;
+    return response;
   }
 
   private heartbeat(): unknown {
@@ -52,13 +52,13 @@
   );
 }
 
-/** The token with which a node answers the worker's reports. */
+/** The fencing token in a controller's responses to the worker. */
 async function fencingTokenOf(worker: HeartbeatSender, port: number): Promise<bigint> {
   let token = 0n;
-  await waitUntil('reports are answered', async () => {
-    const told = await worker.send(port);
-    token = told?.fencingToken ?? 0n;
-    return told?.status === 200;
+  await waitUntil('heartbeats are answered', async () => {
+    const response = await worker.send(port);
+    token = response?.fencingToken ?? 0n;
+    return response?.status === 200;
   });
   return token;
 }
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -1,45 +1,23 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand';
-import type { ImageName, JobId, MachineId, MachineTypeName, TeamName, TeamQuota, ZoneName } from '../src/core/types.js';
+import type { ImageName, JobId, MachineId, TeamName, TeamQuota, ZoneName } from '../src/core/types.js';
 import { type Build, CURRENT_BUILD } from './sim/build.js';
 import { LIMITS } from './sim/deployment.js';
 import { type JobOptions, makeJobSpec } from './sim/job_options.js';
+import { C8, G4 } from './sim/machine_types.js';
 import { loadOldVersions } from './sim/old_versions.js';
 import { upgradeControllers } from './sim/scenario/events/controllers.js';
 import { events } from './sim/scenario/events/index.js';
+import { lateLargestJobs, servedShares } from './sim/served_jobs.js';
 import { World } from './sim/world.js';
 
 const FAULTS_SECONDS = 260;
 const QUIET_SECONDS = 420;
 
 const zones = ['a', 'b'] as ZoneName[];
-const machineTypes = [
-  {
-    name: 'c8' as MachineTypeName,
-    cpus: 8,
-    gpus: 0,
-    memoryGb: 32,
-    imageCacheGb: 20,
-    imagePullGbPerSecond: 0.5,
-    pricePerHour: 0.4,
-    spotPricePerHour: 0.1,
-    bootSeconds: 15,
-    zones,
-  },
-  {
-    name: 'g4' as MachineTypeName,
-    cpus: 24,
-    gpus: 4,
-    memoryGb: 144,
-    imageCacheGb: 20,
-    imagePullGbPerSecond: 0.5,
-    pricePerHour: 10,
-    spotPricePerHour: 3,
-    bootSeconds: 15,
-    zones,
-  },
-];
+/** Small caches and short boots, so that images are evicted and machines come and go within a day. */
+const machineTypes = [C8, G4].map((type) => ({ ...type, imageCacheGb: 20, bootSeconds: 15, zones }));
 const makeTeam = (name: string, guaranteedGpus: number, gpuLimit: number): TeamQuota => ({
   name: name as TeamName,
   guaranteedCpus: 0,
@@ -49,9 +27,9 @@
 });
 const teams = [makeTeam('red', 4, 8), makeTeam('blue', 0, 0)];
 
-/** A day of random jobs and random troubles: whatever happens, no rule breaks, and once all is quiet all work ends. */
+/** A day of random jobs and random faults: whatever happens, every invariant holds, and once all is quiet all work ends. */
 function runRandomDay(seed: number): World {
-  // On every other day leaders have cores enough to take workers' reports themselves.
+  // On every other day leaders have cores enough to take workers' heartbeats themselves.
   const limits = { ...LIMITS, cpuShare: seed % 2 === 0 ? 0.8 : 0.3 };
   const options = {
     seed,
@@ -63,7 +41,7 @@
     tuning: CURRENT_BUILD.tuning,
     limits,
   };
-  // On every fourth day nodes begin with old versions, drawn for each, and are replaced in some order while troubles come.
+  // On every fourth day controllers begin with old versions, drawn for each, and are replaced in some order while faults come.
   const rolled = seed % 4 === 1;
   const world = new World(
     rolled ? { ...options, builds: drawBuilds(seed, options.controllers), oldVersions } : options,
@@ -200,7 +178,7 @@
   });
 }
 
-/** Which part of each service was up when it was called off, long after all troubles. */
+/** Which part of each service was up when it was cancelled, long after all faults. */
 const availabilityAtEnd = new WeakMap<World, string[]>();
 
 function injectRandomFault(world: World, atS: number): void {
@@ -290,9 +268,9 @@
       (id: JobId) => world.invariants.isAccepted(id) && !world.invariants.finalStateOf(id),
     );
     assert.deepEqual(open, [], `seed ${seed} left accepted jobs without an end`);
-    const unserved = [...world.invariants.servedShares()].filter(([, share]) => share < 1);
+    const unserved = [...servedShares(world.invariants)].filter(([, share]) => share < 1);
     assert.deepEqual(unserved, [], `seed ${seed} did not serve everybody`);
-    assert.deepEqual(world.invariants.lateLargestJobs(), [], `seed ${seed} let the largest wait`);
+    assert.deepEqual(lateLargestJobs(world.invariants), [], `seed ${seed} let the largest wait`);
   }
 });
 
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -11,7 +11,7 @@
   phase: 'booting' | 'running' | 'failed';
 }
 
-/** Machines rented before `until` take so many times as long to come up, and that share of them never does. */
+/** Machines provisioned before `until` take so many times as long to come up, and that share of them never does. */
 export interface BootFault {
   readonly factor: number;
   readonly neverBootsShare: number;
@@ -27,7 +27,7 @@
   onTermination(id: MachineId): void;
 }
 
-/** Our stand-in for the cloud: rentals by request name, lists that lag and go backwards, machines that never come up. */
+/** A cloud by its protocol: idempotent provisioning, lists that lag and go backwards, machines that never boot. */
 export class SimulatedCloud {
   readonly machines = new Map<MachineId, ProvisionedMachine>();
   private readonly provisionedByRequest = new Map<string, MachineId[]>();
@@ -109,18 +109,18 @@
     if (this.machines.delete(id)) this.events.onGone(id);
   }
 
-  addBootFault(trouble: BootFault): void {
-    this.bootFaults.push(trouble);
+  addBootFault(fault: BootFault): void {
+    this.bootFaults.push(fault);
   }
 
   /** How long a machine takes to come up; null: for ever. */
   private bootMs(type: MachineType, zone: ZoneName): number | null {
     const usual = type.bootSeconds * 1000 * this.clock.randomBetween(0.6, 1.5);
-    const trouble = this.bootFaults.find(
+    const fault = this.bootFaults.find(
       (each) => this.clock.now < each.until && (each.zone === null || each.zone === zone),
     );
-    if (!trouble) return usual;
-    return this.clock.randomBetween(0, 1) < trouble.neverBootsShare ? null : usual * trouble.factor;
+    if (!fault) return usual;
+    return this.clock.randomBetween(0, 1) < fault.neverBootsShare ? null : usual * fault.factor;
   }
 
   private provision(op: Extract<CloudOperation, { op: 'provision' }>): CloudResult {
--- a/test/sim/idle_capacity.ts
+++ b/test/sim/idle_capacity.ts
@@ -6,7 +6,7 @@
 const LONGEST_WAIT_MS = 90_000;
 
 /**
- * Once all troubles are over, no job waits 90 s while machines that fit have room and its team is under its limit. Only
+ * Once all faults are over, no job waits 90 s while feasible machines have free capacity and its team is within its quota. Only
  * jobs with nothing on any machine are judged, and only room that is there for all that would have to start together.
  */
 export class IdleCapacityCheck {
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -8,21 +8,10 @@
 }
 
 const LONGEST_UNANSWERED_MS = 75_000;
-const LONGEST_WAIT_OF_LARGEST_MS = 240_000;
 
 const isFinal = (status: JobStatus): boolean => status === 'done' || status === 'cancelled';
 
-/** The largest tenth of the jobs of each class, one at least. */
-function largestOfClasses(specs: readonly JobSpec[]): JobSpec[] {
-  const byClass = new Map<string, JobSpec[]>();
-  for (const spec of specs) byClass.set(spec.jobClass, [...(byClass.get(spec.jobClass) ?? []), spec]);
-  return [...byClass.values()].flatMap((jobs) => {
-    const largestFirst = jobs.sort((a, b) => b.taskCount - a.taskCount);
-    return largestFirst.slice(0, Math.ceil(largestFirst.length / 10));
-  });
-}
-
-/** Watches everything that happens and writes down every broken rule. */
+/** Watches everything that happens, and records each violation of what must always hold. */
 export class Invariants {
   readonly violations: string[] = [];
   readonly submitted = new Map<JobId, JobSpec>();
@@ -52,7 +41,7 @@
   private readonly firstStartAt = new Map<JobId, number>();
   private readonly completionToldAt = new Map<JobId, number>();
   private readonly answeredAt = new Map<JobId, number>();
-  /** When the last trouble known of is over. */
+  /** When the last known fault is over. */
   faultsUntil = 0;
 
   constructor(
@@ -93,44 +82,21 @@
     return this.firstStartAt.has(job);
   }
 
-  /** A question about a job got no answer: after all troubles, 75 s of that is a job forgotten, however others fare. */
+  /** A request about a job got no response: after all faults, 75 s of that is a job forgotten, however others fare. */
   onNoResponse(job: JobId): void {
     if (!this.accepted.has(job)) return;
     const since = Math.max(this.answeredAt.get(job) ?? 0, this.faultsUntil);
     if (this.clock.now - since > LONGEST_UNANSWERED_MS) this.report('forgotten', `${job}: no answer for 75 s`);
   }
 
-  /** Of accepted jobs that nobody cancelled, the shares that were served: by class, by team, and of each class's largest. */
-  servedShares(): Map<string, number> {
-    const counts = new Map<string, { asked: number; served: number }>();
-    const count = (key: string, served: boolean): void => {
-      const tally = counts.get(key) ?? { asked: 0, served: 0 };
-      tally.asked += 1;
-      if (served) tally.served += 1;
-      counts.set(key, tally);
-    };
-    const finite = this.wantedJobs().filter((spec) => spec.kind !== 'service');
-    for (const spec of finite) {
-      count(`class ${spec.jobClass}`, this.isDone(spec.id));
-      count(`team ${spec.team}`, this.isDone(spec.id));
-    }
-    for (const spec of largestOfClasses(finite)) count(`largest of ${spec.jobClass}`, this.isDone(spec.id));
-    return new Map([...counts].map(([key, { asked, served }]) => [key, served / asked]));
-  }
-
-  /** Of each class's largest jobs those that waited over four minutes to begin, troubles not counted. */
-  lateLargestJobs(): string[] {
-    const isLate = ({ id }: JobSpec): boolean => {
-      const from = Math.max(this.submittedAt.get(id) ?? 0, this.faultsUntil);
-      return (this.firstStartAt.get(id) ?? this.clock.now) - from > LONGEST_WAIT_OF_LARGEST_MS;
-    };
-    return largestOfClasses(this.wantedJobs())
-      .filter(isLate)
-      .map((spec) => spec.id);
+  /** How long a job waited for its first start from its submission or a later time on; until now if there was none. */
+  waitMsSince(job: JobId, since: number): number {
+    const from = Math.max(this.submittedAt.get(job) ?? 0, since);
+    return (this.firstStartAt.get(job) ?? this.clock.now) - from;
   }
 
   /** The accepted jobs that nobody cancelled. */
-  private wantedJobs(): JobSpec[] {
+  wantedJobs(): JobSpec[] {
     return [...this.submitted.values()].filter(
       (spec) => this.accepted.has(spec.id) && !this.cancellationRequested.has(spec.id),
     );
@@ -140,7 +106,7 @@
     this.report('unregistered', `${machine} is rented and no longer on record`);
   }
 
-  /** A job has waited beside room for it, long after all troubles. */
+  /** A job has waited beside free capacity for it, long after all faults. */
   onIdleCapacity(job: JobId, machine: MachineId): void {
     this.report('idle_room', `${job} waits while ${machine} has room`);
   }
@@ -255,7 +221,7 @@
     if (team.gpuLimit > 0 && gpus > team.gpuLimit + 1e-6) this.report('quota', `${team.name}: ${gpus} gpus`);
   }
 
-  /** An answer that reached a user. One that a node gave before the user was told of an end may still say otherwise. */
+  /** A response that reached a user. One that a controller gave before the user was told of an end may still say otherwise. */
   onResponse(job: JobId, answer: UserResponse, givenAt = this.clock.now): void {
     if (!('jobStatus' in answer)) this.onErrorResponse(job, answer.status);
     else if (this.infeasibleJobs.has(job)) this.report('taken', `${job} can't run or lacks a field`);
--- a/test/sim/registry_check.ts
+++ b/test/sim/registry_check.ts
@@ -2,7 +2,7 @@
 import type { MachineId } from '../../src/core/types.js';
 import type { World } from './world.js';
 
-/** Checks that a machine once on record stays there for as long as it is rented, whatever is rewritten on the way. */
+/** Checks that a machine once on record stays there for as long as it is provisioned, whatever is rewritten on the way. */
 export class RegistryCheck {
   /** Keys whose values were made unreadable on purpose. */
   readonly corruptedKeys = new Set<string>();
--- a/test/sim/scenario/checks/controllers.ts
+++ b/test/sim/scenario/checks/controllers.ts
@@ -59,6 +59,7 @@
     const meter = METERS[what ?? ''];
     if (!meter) return `no meter ${what}`;
     const used = meter(world);
+    if (used === 0) return `${what}: nothing was measured`;
     return used <= Number(wanted) ? null : `${what}: ${used}, more than ${wanted}`;
   },
 };
--- a/test/sim/scenario/checks/jobs.ts
+++ b/test/sim/scenario/checks/jobs.ts
@@ -1,4 +1,5 @@
 import type { JobId } from '../../../../src/core/types.js';
+import { servedShares } from '../../served_jobs.js';
 import type { CheckTable } from './check.js';
 
 /** What became of jobs. */
@@ -72,7 +73,7 @@
   },
   /** served SHARE: of every class, every team and every class's largest jobs */
   served(world, [share]) {
-    const low = [...world.invariants.servedShares()].filter(([, part]) => part < Number(share));
+    const low = [...servedShares(world.invariants)].filter(([, part]) => part < Number(share));
     return low.length === 0 ? null : low.map(([key, part]) => `${key}: ${part.toFixed(2)} served`).join(', ');
   },
   /** no-tasks: no machine has any at the end */
--- a/test/sim/scenario/checks/machines.ts
+++ b/test/sim/scenario/checks/machines.ts
@@ -24,12 +24,11 @@
       ? null
       : `${world.cloud.provisionedCount} machines rented, more than ${wanted}`;
   },
-  /** quarantined at-most N: machines that a leader quarantined because tasks failed there */
-  quarantined(world, [, wanted]) {
+  /** quarantined at-most|at-least N: machines that a leader quarantined because tasks failed there */
+  quarantined(world, [bound, wanted]) {
     const { quarantinedMachines } = world.meters;
-    return quarantinedMachines <= Number(wanted)
-      ? null
-      : `${quarantinedMachines} machines taken out of use, more than ${wanted}`;
+    const holds = bound === 'at-most' ? quarantinedMachines <= Number(wanted) : quarantinedMachines >= Number(wanted);
+    return holds ? null : `${quarantinedMachines} machines quarantined, not ${bound} ${wanted}`;
   },
   /** terminated-busy at-most N: machines that were terminated with tasks on them */
   'terminated-busy'(world, [, wanted]) {
--- a/test/sim/scenario/runner.ts
+++ b/test/sim/scenario/runner.ts
@@ -1,8 +1,9 @@
 import { basename } from 'node:path';
-import type { MachineType, MachineTypeName, TeamName, TeamQuota, ZoneName } from '../../../src/core/types.js';
+import type { TeamName, TeamQuota, ZoneName } from '../../../src/core/types.js';
 import { type Build, CURRENT_BUILD } from '../build.js';
 import { LIMITS, type Limits } from '../deployment.js';
 import { numberOption, readOptions } from '../job_options.js';
+import { C8, G4 } from '../machine_types.js';
 import { World } from '../world.js';
 import { checks } from './checks/index.js';
 import { buildNamed, NO_OLD_VERSIONS } from './events/controllers.js';
@@ -11,33 +12,8 @@
 
 /* Plays scenarios: makes their world, schedules their events and judges the end. */
 
-/** What `machines` can name: eight cores without GPUs, and four GPUs. */
-const MACHINE_TYPES: MachineType[] = [
-  {
-    name: 'c8',
-    cpus: 8,
-    gpus: 0,
-    memoryGb: 32,
-    imageCacheGb: 50,
-    imagePullGbPerSecond: 0.5,
-    pricePerHour: 0.4,
-    spotPricePerHour: 0.1,
-    bootSeconds: 20,
-    zones: [],
-  },
-  {
-    name: 'g4',
-    cpus: 24,
-    gpus: 4,
-    memoryGb: 144,
-    imageCacheGb: 60,
-    imagePullGbPerSecond: 0.5,
-    pricePerHour: 10,
-    spotPricePerHour: 3,
-    bootSeconds: 25,
-    zones: [],
-  },
-].map((t) => ({ ...t, name: t.name as MachineTypeName }));
+/** What `machines` can name. */
+const MACHINE_TYPES = [C8, G4];
 
 /** The builds that its controllers run at first; none: all run the current one. */
 const versionNames = (scenario: Scenario): readonly string[] =>
--- a/test/sim/state_store.ts
+++ b/test/sim/state_store.ts
@@ -23,7 +23,7 @@
 const readsJobs = (op: StateStoreOperation): boolean =>
   ((op.op === 'watch' || op.op === 'list') && op.prefix === 'j/') || (op.op === 'get' && op.key.startsWith('j/'));
 
-/** Our stand-in for the state service, by its protocol: versions, leases, watches, outages, and refusals of one node. */
+/** A state store by its protocol: versions, leases, watches, outages, and refusals of one controller. */
 export class SimulatedStateStore {
   private currentRevision = 100n;
   private leases = new Map<bigint, Lease>();
@@ -43,7 +43,7 @@
   /** Called when a transaction is refused for its size. */
   onOversizedTransaction: (from: string) => void = () => {};
   readonly refusedHosts = new Set<string>();
-  /** Nodes that are told nothing of jobs. */
+  /** Controllers whose reads of jobs are refused. */
   readonly jobReadsRefusedFor = new Set<string>();
   changesApplied = 0;
   /** The longest value that was written, as text. */
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -7,7 +7,7 @@
 import type { World } from './world.js';
 
 const USER_TIMEOUT_MS = 5000;
-/** Looks of each user at each node, and within which time. */
+/** Requests of a burst to each controller, and the time within which they are sent. */
 const POLLS_PER_BURST = 4;
 const POLL_BURST_MS = 60;
 /** Within this time a leader hears that a job's last task has ended. */
@@ -42,53 +42,53 @@
 
   private sendUserRequest(
     request: UserRequest,
-    done: (answer: UserResponse | null, asked?: Build, givenAt?: number, leftAt?: number) => void,
+    done: (response: UserResponse | null, asked?: Build, givenAt?: number, leftAt?: number) => void,
   ): void {
-    // As the load balancer sees it: healthy nodes, else any that is up.
-    const up = this.world.controllers.filter((node) => node.isRunning);
-    const healthy = up.filter((node) => node.isHealthy);
-    const node =
+    // As the load balancer sees it: healthy controllers, else any that is up.
+    const up = this.world.controllers.filter((controller) => controller.isRunning);
+    const healthy = up.filter((controller) => controller.isHealthy);
+    const controller =
       healthy.length > 0
         ? this.clock.pickRandom(healthy)
         : up.length > 0
           ? this.clock.pickRandom(up)
           : this.world.controllers[0];
-    if (!node) {
+    if (!controller) {
       done(null);
       return;
     }
-    const { build } = node;
-    this.sendUserRequestTo(node, request, (answer, givenAt, leftAt) => done(answer, build, givenAt, leftAt));
+    const { build } = controller;
+    this.sendUserRequestTo(controller, request, (response, givenAt, leftAt) => done(response, build, givenAt, leftAt));
   }
 
   private sendUserRequestTo(
-    node: ControllerProcess,
+    controller: ControllerProcess,
     request: UserRequest,
-    done: (answer: UserResponse | null, givenAt: number, leftAt: number) => void,
+    done: (response: UserResponse | null, givenAt: number, leftAt: number) => void,
   ): void {
     let givenAt = this.clock.now;
-    const serve = (reply: (answer: UserResponse) => void): void =>
-      node.receiveUserRequest(request, (answer) => {
+    const serve = (reply: (response: UserResponse) => void): void =>
+      controller.receiveUserRequest(request, (response) => {
         givenAt = this.clock.now;
-        reply(answer);
+        reply(response);
       });
-    // With one question at a time an answer that arrives is the newest; only close looks overtake each other.
-    const closeLooks = this.pollBurstsUntil > 0;
-    this.world.network.request<UserResponse>('users', node.name, USER_TIMEOUT_MS, serve, (answer) =>
-      done(answer, closeLooks ? givenAt : this.clock.now, givenAt),
+    // With one request at a time a response that arrives is the newest; only the polls of a burst overtake each other.
+    const sendsBursts = this.pollBurstsUntil > 0;
+    this.world.network.request<UserResponse>('users', controller.name, USER_TIMEOUT_MS, serve, (response) =>
+      done(response, sendsBursts ? givenAt : this.clock.now, givenAt),
     );
   }
 
-  /** Users ask all nodes, again and again within milliseconds, and repeat the submission. */
+  /** Users poll all controllers, again and again within milliseconds, and repeat the submission. */
   private sendPollBurst(id: JobId): void {
     const spec = this.invariants.submitted.get(id);
     if (this.clock.now >= this.pollBurstsUntil || !spec) return;
-    for (const node of this.world.controllers) {
-      for (let look = 0; look < POLLS_PER_BURST; look++) {
-        const request: UserRequest = look === 0 ? { op: 'submit', id, spec, problem: '' } : { op: 'query', id };
+    for (const controller of this.world.controllers) {
+      for (let poll = 0; poll < POLLS_PER_BURST; poll++) {
+        const request: UserRequest = poll === 0 ? { op: 'submit', id, spec, problem: '' } : { op: 'query', id };
         this.clock.schedule(this.clock.randomBetween(0, POLL_BURST_MS), () =>
-          this.sendUserRequestTo(node, request, (answer, givenAt) => {
-            if (answer) this.invariants.onResponse(id, answer, givenAt);
+          this.sendUserRequestTo(controller, request, (response, givenAt) => {
+            if (response) this.invariants.onResponse(id, response, givenAt);
           }),
         );
       }
@@ -102,16 +102,16 @@
   }
 
   private retrySubmission(spec: JobSpec, until: number): void {
-    this.sendUserRequest({ op: 'submit', id: spec.id, spec, problem: '' }, (answer, _, givenAt) => {
-      if (answer) this.invariants.onResponse(spec.id, answer, givenAt);
-      if (answer && 'jobStatus' in answer) return this.poll(spec.id);
-      if ((answer === null || answer.status === 503) && this.clock.now < until) {
+    this.sendUserRequest({ op: 'submit', id: spec.id, spec, problem: '' }, (response, _, givenAt) => {
+      if (response) this.invariants.onResponse(spec.id, response, givenAt);
+      if (response && 'jobStatus' in response) return this.poll(spec.id);
+      if ((response === null || response.status === 503) && this.clock.now < until) {
         this.clock.schedule(1000, () => this.retrySubmission(spec, until));
       }
     });
   }
 
-  /** A user asks for the job from now on, whoever submitted it. */
+  /** A user polls the job from now on, whoever submitted it. */
   follow(spec: JobSpec, runMs: number): void {
     this.invariants.onSubmitted(spec);
     this.world.progress.setSubmittedRunMs(spec.id, runMs);
@@ -120,9 +120,9 @@
 
   private poll(id: JobId): void {
     this.clock.schedule(this.clock.randomBetween(4000, 6000), () => {
-      this.sendUserRequest({ op: 'query', id }, (answer, _, givenAt) => {
-        if (answer) this.invariants.onResponse(id, answer, givenAt);
-        if (!answer || !('jobStatus' in answer)) this.invariants.onNoResponse(id);
+      this.sendUserRequest({ op: 'query', id }, (response, _, givenAt) => {
+        if (response) this.invariants.onResponse(id, response, givenAt);
+        if (!response || !('jobStatus' in response)) this.invariants.onNoResponse(id);
         // Users may ask again at any later time: every final state is asked for twice more.
         if (this.invariants.finalStateOf(id))
           this.clock.schedule(10_000, () =>
@@ -139,21 +139,21 @@
   cancel(id: JobId): void {
     this.invariants.cancellationRequested.add(id);
     const again = (until: number): void => {
-      this.sendUserRequest({ op: 'cancel', id }, (answer, _, givenAt, leftAt) => {
-        // A user who calls off what has yet to be accepted may be told 404 just before the submission gets through.
-        const isEarlier404 = answer?.status === 404 && this.invariants.wasAcceptedAfter(id, leftAt ?? this.clock.now);
-        if (answer && !isEarlier404) this.invariants.onResponse(id, answer, givenAt);
-        if ((answer === null || answer.status === 503) && this.clock.now < until)
+      this.sendUserRequest({ op: 'cancel', id }, (response, _, givenAt, leftAt) => {
+        // A user who cancels what has yet to be accepted may be answered 404 just before the submission gets through.
+        const isEarlier404 = response?.status === 404 && this.invariants.wasAcceptedAfter(id, leftAt ?? this.clock.now);
+        if (response && !isEarlier404) this.invariants.onResponse(id, response, givenAt);
+        if ((response === null || response.status === 503) && this.clock.now < until)
           this.clock.schedule(1000, () => again(until));
       });
     };
     again(this.clock.now + 60_000);
   }
 
-  /** Any node may be asked; what it says is judged by the rules, unless `excused` says that its build knows no better. */
+  /** Any controller may be asked; what it answers is checked by the invariants, unless `excused` says that its build knows no better. */
   request(request: UserRequest, excused: (asked: Build) => boolean = () => false): void {
-    this.sendUserRequest(request, (answer, asked) => {
-      if (answer && asked && !excused(asked)) this.invariants.onResponse(request.id, answer);
+    this.sendUserRequest(request, (response, asked) => {
+      if (response && asked && !excused(asked)) this.invariants.onResponse(request.id, response);
     });
   }
 }
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -28,15 +28,15 @@
   private controllerIndex: number;
   private nextHeartbeatAt: number;
   private isHeartbeatPending = false;
-  /** Something has changed that the next report should tell soon. */
+  /** Something has changed that the next heartbeat should tell soon. */
   hasUnreportedChange = true;
   private lastHeartbeatAt = Number.NEGATIVE_INFINITY;
   private fencingTokenChangedAt = Number.NEGATIVE_INFINITY;
   interruptionAt: number | null = null;
   hungUntil = 0;
-  /** Until then it reaches no controller, while direct commands reach it. */
+  /** Until then it reaches no controller, while pushed commands reach it. */
   heartbeatsLostUntil = 0;
-  /** Reports sent before then are held, and reach whoever leads afterwards; nobody waits for those answers. */
+  /** Heartbeats sent before then are delayed, and reach whoever leads afterwards; nobody waits for those responses. */
   heartbeatsDelayedUntil = 0;
   failsTasks = false;
   speed = 1;
@@ -178,7 +178,7 @@
   }
 
   private followRedirect(name: ControllerName): void {
-    const index = this.world.controllers.findIndex((node) => node.name === name);
+    const index = this.world.controllers.findIndex((controller) => controller.name === name);
     if (index < 0 || index === this.controllerIndex) {
       this.tryNextController();
       return;
@@ -211,7 +211,7 @@
     this.hasUnreportedChange = true;
   }
 
-  /** A direct command; a hanging machine takes it when it goes on. */
+  /** Commands that are pushed to it; a hanging machine takes them when it goes on. */
   receivePushedCommands(push: CommandPush, reply: (value: CommandPushResponse) => void): void {
     if (!this.isAlive) return;
     if (this.isHung) {
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -34,9 +34,9 @@
   readonly types: readonly MachineType[];
   readonly capacity: number;
   readonly tuning: Tuning;
-  /** What the nodes run at first, where it isn't the present build: one for each, in turn. Peers then speak over bytes. */
+  /** The builds that the controllers run at first, in turn, where it isn't the current one. Peers then speak over bytes. */
   readonly builds?: readonly Build[];
-  /** Earlier builds that nodes may be put back to. */
+  /** Earlier builds that controllers may be put back to. */
   readonly oldVersions?: ReadonlyMap<string, Build>;
 }
 
@@ -60,11 +60,11 @@
   readonly registryCheck = new RegistryCheck(this);
   readonly availability = new ServiceAvailability(this);
   readonly commandCounts = new CommandCounts();
-  /** Until then every report is delivered once more, late. */
+  /** Until then every heartbeat is delivered once more, late. */
   duplicateHeartbeatsUntil = 0;
-  /** Transactions of the present build that were refused for their size: earlier builds don't know of announced limits. */
+  /** Transactions of the current build that were refused for their size: earlier builds don't know of announced limits. */
   oversizedTransactions = 0;
-  /** Leases that ran out on workers with tasks. */
+  /** Leases that expired on workers with tasks. */
   expiredLeases = 0;
   /** Peers' messages go through the codecs of both ends. */
   readonly encodesPeerMessages: boolean;
@@ -89,7 +89,8 @@
     this.users = new SimulatedUsers(this);
     this.stateStore.onChanged = (keys) => this.registryCheck.onChanged(keys);
     this.stateStore.onOversizedTransaction = (from) => {
-      if (this.controllers.some((node) => node.name === from && isCurrent(node.build))) this.oversizedTransactions += 1;
+      if (this.controllers.some((controller) => controller.name === from && isCurrent(controller.build)))
+        this.oversizedTransactions += 1;
     };
     new IdleCapacityCheck(this);
     this.availability.start();
@@ -114,7 +115,8 @@
   }
 
   startControllers(): void {
-    for (const node of this.controllers) this.clock.schedule(this.clock.randomBetween(0, 300), () => node.start());
+    for (const controller of this.controllers)
+      this.clock.schedule(this.clock.randomBetween(0, 300), () => controller.start());
   }
 
   addWorker(id: MachineId, type: MachineType, zone: ZoneName, spot: boolean): void {
@@ -124,6 +126,6 @@
   /** The leader as the store knows it. */
   leader(): ControllerProcess | undefined {
     const value = this.stateStore.item('leader')?.value as { node?: string } | undefined;
-    return this.controllers.find((node) => node.name === value?.node);
+    return this.controllers.find((controller) => controller.name === value?.node);
   }
 }
--- a/test/support/fake_services.ts
+++ b/test/support/fake_services.ts
@@ -3,7 +3,7 @@
 import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
 
 /*
- * Stand-ins for the state service and the cloud that real processes can talk to: as little as a node needs to lead, in real
+ * Stand-ins for the state store and the cloud that real processes can talk to: as little as a controller needs to lead, in real
  * time and by the names on the wire.
  */
 
@@ -60,13 +60,13 @@
     this.server.close();
   }
 
-  /** Who holds the lead; null: nobody. */
+  /** The leader's name; null: there is none. */
   leader(): string | null {
     const data = this.entries.get('leader')?.data as { node?: string } | undefined;
     return data?.node ?? null;
   }
 
-  /** The fencing token of whoever holds the lead; null: nobody. */
+  /** The leader's fencing token; null: there is no leader. */
   leaderFencingToken(): bigint | null {
     const entry = this.entries.get('leader');
     return entry ? BigInt(entry.version) : null;
--- a/test/support/fake_worker.ts
+++ b/test/support/fake_worker.ts
@@ -4,7 +4,7 @@
 import { sendRequest } from './http.js';
 import { type ControllerAddress, pause } from './processes.js';
 
-/* A stand-in worker in real time, by the names on the wire: reports, tokens, leases, sessions, commands, tasks that run. */
+/* A stand-in worker in real time, by the names on the wire: heartbeats, fencing tokens, leases, commands, tasks that run. */
 
 type Fields = Record<string, unknown>;
 
@@ -176,7 +176,7 @@
     }
   }
 
-  /** A report falls due after its period, or half a second after the last one if something has changed. */
+  /** A heartbeat is due after its period, or half a second after the last one if something has changed. */
   private async waitForNextHeartbeat(): Promise<void> {
     const due =
       this.lastHeartbeatAt +
--- a/test/support/processes.ts
+++ b/test/support/processes.ts
@@ -121,17 +121,17 @@
   return writeExampleSettings((text) => changedSettings(text, own, others, servicesPort, changes));
 }
 
-/** The program and arguments with which the platform runs a node. */
+/** The program and arguments with which the platform runs a controller. */
 function runCommand(): readonly string[] {
   const run = /^run = "(.*)"$/m.exec(readFileSync(join(repositoryRoot, 'deploy/service.toml'), 'utf8'))?.[1];
   if (!run) throw new Error('deploy/service.toml names no run line');
   return run.split(' ');
 }
 
-/** Starts a node as the platform does: the settings file is the last argument. */
+/** Starts a controller as the platform does: the settings file is the last argument. */
 export function startController(file: string): ChildProcess {
   const [program = '', ...args] = runCommand();
-  // What nodes log goes where NODE_LOGS says, a file for each process.
+  // What controllers log goes where NODE_LOGS says, a file for each process.
   const directory = process.env.NODE_LOGS;
   const log = directory
     ? openSync(join(directory, `${basename(dirname(file))}-${performance.now()}.log`), 'w')
--- a/test/support/sample_messages.ts
+++ b/test/support/sample_messages.ts
@@ -49,7 +49,7 @@
   stash_s: 0,
 };
 
-/** A worker's report as it comes over the wire. */
+/** A worker's heartbeat as it comes over the wire. */
 export const wireHeartbeat = {
   perch: 'i-000231',
   addr: '10.1.0.232:9000',
