--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -5,15 +5,24 @@
 import { PlanInput } from './plan_input.js';
 import type { PlanJob, PlannedStart } from './plan_types.js';
 import { Planner } from './planner.js';
-import { roundPolicy } from './policy.js';
+import { type RoundPolicy, roundPolicy } from './policy.js';
 import { rankWaitingJobs } from './ranking.js';
 import { addWaitingReplicas } from './replica_demand.js';
 import type { RoundResult, UnplannedTasks } from './round_result.js';
-import { searchZones } from './zone_search.js';
+import { type SearchResult, searchZones } from './zone_search.js';
 
 /** Jobs beyond those planned in full that a round offers what is free now. */
 const MAX_BACKFILL_JOBS = 250;
 
+/** Search, plan and backfill: all that a round decides from the snapshot alone. */
+interface PlannedRound extends SearchResult {
+  readonly plannedJobs: number;
+  /** Starts of jobs beyond those planned in full. */
+  readonly backfilled: readonly PlannedStart[];
+  readonly unplannedTasks: readonly UnplannedTasks[];
+  readonly steps: number;
+}
+
 /** Plans the waiting jobs and starts what can start now. The same state and seed give the same result. */
 export function scheduleRound(cluster: SchedulableCluster, seed: number): RoundResult {
   const policy = roundPolicy(cluster.context.tuning.scheduler);
@@ -21,28 +30,30 @@
   const ranked = rankWaitingJobs(cluster);
   const input = new PlanInput(cluster, ranked);
   for (const job of ranked.slice(0, policy.jobsPlanned + MAX_BACKFILL_JOBS)) input.addJob(job);
-  const { planMachines, machines, jobs, planJobs } = input;
-  const plannedInFull = planJobs.slice(0, policy.jobsPlanned);
-  const others = planJobs.slice(policy.jobsPlanned);
-
-  const planner = new Planner(policy.weights, policy.penalties);
-  const search = { machines: planMachines, jobs: plannedInFull, seed };
-  const { plan, capacityPlan } = searchZones(planner, search, policy.search);
-  const backfilled = others.length > 0 ? planner.backfill(plan, others, policy.maxBackfillSteps) : [];
-  const capacityWithReplicas = addWaitingReplicas(cluster, input, capacityPlan);
-
-  const startedTasks = applyStarts(cluster, [...plan.starts, ...backfilled], input);
-  applyReservations(cluster, findOverdueGangReservations(cluster, plan.starts, input));
+  const planned = planRound(input, policy, seed);
+  const capacityPlan = addWaitingReplicas(cluster, input, planned.capacityPlan);
+  const startedTasks = applyRound(cluster, input, planned);
   cluster.context.log('planning round', {
     waitingJobs: ranked.length,
-    plannedJobs: plannedInFull.length,
-    machines: machines.length,
-    planSteps: planner.steps,
+    plannedJobs: planned.plannedJobs,
+    machines: input.machines.length,
+    planSteps: planned.steps,
     startedTasks,
-    cost: plan.cost,
+    cost: planned.plan.cost,
   });
+  const { jobs, planJobs, machines } = input;
+  const { unplannedTasks, steps } = planned;
+  return { capacityPlan, jobs, planJobs, machines, unplannedTasks, steps };
+}
+
+function planRound({ planMachines, planJobs }: PlanInput, policy: RoundPolicy, seed: number): PlannedRound {
+  const planner = new Planner(policy.weights, policy.penalties);
+  const jobs = planJobs.slice(0, policy.jobsPlanned);
+  const others = planJobs.slice(policy.jobsPlanned);
+  const found = searchZones(planner, { machines: planMachines, jobs, seed }, policy.search);
+  const backfilled = others.length > 0 ? planner.backfill(found.plan, others, policy.maxBackfillSteps) : [];
   const unplannedTasks = findUnplannedTasks(others, backfilled);
-  return { capacityPlan: capacityWithReplicas, jobs, planJobs, machines, unplannedTasks, steps: planner.steps };
+  return { ...found, plannedJobs: jobs.length, backfilled, unplannedTasks, steps: planner.steps };
 }
 
 function findUnplannedTasks(jobs: readonly PlanJob[], starts: readonly PlannedStart[]): UnplannedTasks[] {
@@ -52,3 +63,10 @@
     .map((job) => ({ job, tasks: job.tasks - (started.get(job.index) ?? 0) }))
     .filter(({ tasks }) => tasks > 0);
 }
+
+/** Returns how many tasks were started. */
+function applyRound(cluster: SchedulableCluster, input: PlanInput, { plan, backfilled }: PlannedRound): number {
+  const startedTasks = applyStarts(cluster, [...plan.starts, ...backfilled], input);
+  applyReservations(cluster, findOverdueGangReservations(cluster, plan.starts, input));
+  return startedTasks;
+}
