--- a/src/core/workers/backlogged_heartbeats.ts
+++ b/src/core/workers/backlogged_heartbeats.ts
@@ -19,6 +19,9 @@
   respond: HeartbeatResponder | null;
 }
 
+/** Whether a heartbeat is reconciled now, or waits in the backlog. */
+export type Turn = 'due' | 'queued';
+
 /** What the backlog asks of the heartbeat handler. */
 interface BacklogCallbacks {
   /** Reconciles a heartbeat whose turn has come, and responds to it unless that was done. */
@@ -46,16 +49,16 @@
     return this.backlog.size;
   }
 
-  /** Returns whether the heartbeat was put in line; otherwise it is its turn now. */
-  mustWait(backlogged: BackloggedHeartbeat): boolean {
+  /** Puts the heartbeat in line unless it is its turn now. An older one of the machine that waits is answered 503. */
+  takeTurn(backlogged: BackloggedHeartbeat): Turn {
     const { machine, heartbeat } = backlogged;
     const replaced = this.backlog.remove(machine.id);
     replaced?.respond?.(UNAVAILABLE);
-    if (this.backlog.admit(this.context.now.monotonic)) return false;
+    if (this.backlog.admit(this.context.now.monotonic)) return 'due';
     this.backlog.add(machine.id, backlogged);
     machine.messages.recordHeartbeatSequence(heartbeat.sequence);
     this.turnTimer.setIfUnset(this.backlog.nextDueAt() ?? this.context.now.monotonic);
-    return true;
+    return 'queued';
   }
 
   /** Processes the heartbeats whose turn it is, and renews the leases of those whose deadline has come. */
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -8,7 +8,7 @@
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import type { FencingToken, Heartbeat } from '../types.js';
-import { type BackloggedHeartbeat, BackloggedHeartbeats } from './backlogged_heartbeats.js';
+import { type BackloggedHeartbeat, BackloggedHeartbeats, type Turn } from './backlogged_heartbeats.js';
 import { responseCommands } from './commands.js';
 import { DeferredResponses, type PendingResponse } from './deferred_responses.js';
 import { type HeartbeatResponder, leaseRenewal, UNAVAILABLE } from './heartbeat_response.js';
@@ -161,7 +161,7 @@
     if (!machine.lifecycle.isRegistered) this.leader.registerMachine(machine);
     const deadline = this.context.after(MAX_DEFERRAL_MS);
     const pending: BackloggedHeartbeat = { machine, heartbeat, respond, isFirst, deadline };
-    if (!this.mustJoinBacklog(pending)) this.reconcileAndRespond(pending);
+    if (this.takeTurn(pending) === 'due') this.reconcileAndRespond(pending);
   }
 
   /** Signs that the last responses have not arrived: an old token after one, or a lease that expired all the same. */
@@ -203,13 +203,13 @@
 
   // ---- put in line
 
-  /** Whether the heartbeat waits in the backlog. Once everything is certain, none has to wait for its turn. */
-  private mustJoinBacklog(pending: BackloggedHeartbeat): boolean {
+  /** Once everything is certain of what previous terms left, no heartbeat has to wait for its turn. */
+  private takeTurn(pending: BackloggedHeartbeat): Turn {
     const { recovery } = this.cluster.previousTerms;
-    if (!recovery || recovery.isFinished || pending.heartbeat.fencingToken !== this.fencingToken) return false;
-    const waits = this.backlog.mustWait(pending);
+    if (!recovery || recovery.isFinished || pending.heartbeat.fencingToken !== this.fencingToken) return 'due';
+    const turn = this.backlog.takeTurn(pending);
     recovery.recordBacklogLength(this.backlog.size);
-    return waits;
+    return turn;
   }
 
   private processBacklogged(backlogged: BackloggedHeartbeat): void {
@@ -271,7 +271,7 @@
 
   private responseWithCommands(machine: Machine, sequence: PendingResponse['sequence']): HeartbeatResponse {
     if (!machine.reconciled) return leaseRenewal(this.fencingToken);
-    // A newer status has been processed meanwhile: what it says of starts is not known to the one who waits for this.
+    // Starts go out in the response to the newest status alone: the next heartbeat tells whether that one was dropped.
     const mayStartTasks = this.leader.mayStartTasks() && machine.messages.latestSequence === sequence;
     const commands = responseCommands(this.cluster, machine, mayStartTasks ? sequence : null);
     return { status: 200, fencingToken: this.fencingToken, commands };
