--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -1,3 +1,4 @@
+/** Keeps as many machines as work and guarantees need: puts scale out, scale in and the list of machines together. */
 import type { Machine } from '../machines/machine.js';
 import type { RoundResult } from '../scheduler/round_result.js';
 import type { Cluster } from '../state/cluster.js';
@@ -8,20 +9,22 @@
 import { ScaleOut } from './scale_out.js';
 import { ScaleOutDemand } from './scale_out_demand.js';
 
-/** Losses of spot machines are reckoned over at most so many seconds at once. */
+/** Interruptions of spot machines are reckoned over at most so many seconds at once. */
 const MAX_OBSERVED_SECONDS = 5;
-/** So much of a machine's worth of work on demand is worth a spot machine ... */
+/** So many machines' worth of work that might run on spot machines is worth one of them ... */
 const MIN_SPOT_ELIGIBLE_MACHINES = 0.7;
-/** ... where its price is at most this part of the other. */
+/** ... where its price is at most this part of the price on demand. */
 const MAX_SPOT_PRICE_RATIO = 0.6;
 
-/** Keeps the record of machines that the store holds. */
+/** Keeps the machines on record in the state store. */
 export interface MachineRegistrar {
+  /** Puts a machine on record. */
   registerMachine(machine: Machine): void;
+  /** Takes a machine off the record. */
   unregisterMachine(machine: Machine): void;
 }
 
-/** Rents machines for planned need, returns those that are of no use, and keeps the list of machines true. */
+/** Provisions machines for planned work, terminates those that are of no use, and keeps the list of machines true. */
 export class Autoscaler {
   private readonly machineList: MachineList;
   private readonly scaleOut: ScaleOut;
@@ -48,18 +51,19 @@
     this.spotObservedAt = cluster.context.now.monotonic;
   }
 
+  /** Reads the cloud's list of machines now. */
   listMachines(): void {
     this.machineList.read();
   }
 
-  /** Once a second: returns machines that should go. */
+  /** Once a second: terminates machines that should go. */
   runScaleIn(leadingSince: MonotonicTime): void {
     this.machineList.readIfDue();
     this.observeSpotMachines();
     this.scaleIn.run(leadingSince, this.guaranteedCapacity.deficit());
   }
 
-  /** Once a round: rents what would start waiting work sooner than the plan can. */
+  /** Once a round: provisions what would start waiting work sooner than the plan can. */
   runScaleOut(round: RoundResult): void {
     this.guaranteedCapacity.noteActiveWork();
     // Without the list, machines may be there that nobody knows of here.
@@ -69,6 +73,7 @@
     this.provisionSpotReplacements();
   }
 
+  /** Counts the loss of a spot machine, once for each. */
   private recordInterruption(machine: Machine): void {
     if (machine.spot && machine.cordon.countInterruption()) this.cluster.spotInterruptions.recordInterruption();
   }
@@ -88,7 +93,7 @@
 
   /**
    * Work that may run on spot machines but sits on others is paid several times over: while there is a machine's worth of
-   * it, a spot machine is asked for. New work then prefers it, and the others fall idle and are returned.
+   * it, a spot machine is requested. New work then prefers it, and the others fall idle and are terminated.
    */
   private provisionSpotReplacements(): void {
     for (const [name, share] of this.spotEligibleMachinesByType()) {
@@ -120,6 +125,7 @@
     return shares;
   }
 
+  /** Whether a spot machine of the type is requested or booting. */
   private isSpotProvisioning(type: MachineType): boolean {
     for (const { pool } of this.scaleOut.pendingRequests()) if (pool.spot && pool.type.name === type.name) return true;
     for (const { typeName, spot, phase } of this.cluster.machines.values()) {
--- a/src/core/autoscaling/guaranteed_capacity.ts
+++ b/src/core/autoscaling/guaranteed_capacity.ts
@@ -1,13 +1,14 @@
+/** Keeps capacity for the teams' guaranteed quotas while there is work. */
 import type { CapacityPool } from '../machines/capacity_pool.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MachineType, MonotonicTime } from '../types.js';
 import type { ScaleOut } from './scale_out.js';
 
-/** Capacity for guarantees is given back when there has been no work at all for so long. */
+/** Capacity for guarantees is kept until there has been no work at all for so long. */
 const KEEP_WHILE_IDLE_MS = 30_000;
-/** Guarantees are met up to a rest that comes of decimal amounts. */
+/** Guarantees count as met up to this many cores or GPUs: amounts are decimal, and their sums leave a rest. */
 export const CAPACITY_TOLERANCE = 0.5;
-/** A guarantee is not left to spot machines while others can be had. */
+/** Added to the price of a core or GPU: a guarantee is not left to spot machines while others can be had. */
 const SPOT_PENALTY = 1000;
 
 /** Cores and GPUs; changed in place while machines are judged. */
@@ -16,7 +17,7 @@
   gpus: number;
 }
 
-/** Keeps capacity for all teams' guarantees while there is work: guaranteed teams need not wait for machines to boot. */
+/** The capacity that all teams' guarantees ask for, so that guaranteed teams need not wait for machines to boot. */
 export class GuaranteedCapacity {
   private lastWorkAt: MonotonicTime;
 
@@ -27,14 +28,15 @@
     this.lastWorkAt = cluster.context.after(-KEEP_WHILE_IDLE_MS);
   }
 
+  /** Notes whether there is work now: while there was some lately, guarantees are kept. */
   noteActiveWork(): void {
     if (this.cluster.jobs.active.size > 0) this.lastWorkAt = this.cluster.context.now.monotonic;
   }
 
-  /** What the guarantees ask for beyond what is there; negative: to spare; minus infinity where none is given. */
+  /** What the guarantees ask for beyond what is there; negative: to spare; minus infinity where nothing is guaranteed. */
   deficit(): Capacity {
-    const asked = this.required();
-    const missing: Capacity = { ...asked };
+    const required = this.required();
+    const missing: Capacity = { ...required };
     const subtract = (type: MachineType, count: number): void => {
       missing.cpus -= type.cpus * count;
       missing.gpus -= type.gpus * count;
@@ -45,34 +47,35 @@
     }
     for (const { pool, count } of this.scaleOut.pendingRequests()) subtract(pool.type, count);
     return {
-      cpus: asked.cpus > 0 ? missing.cpus : Number.NEGATIVE_INFINITY,
-      gpus: asked.gpus > 0 ? missing.gpus : Number.NEGATIVE_INFINITY,
+      cpus: required.cpus > 0 ? missing.cpus : Number.NEGATIVE_INFINITY,
+      gpus: required.gpus > 0 ? missing.gpus : Number.NEGATIVE_INFINITY,
     };
   }
 
+  /** What the guarantees ask for now: nothing while there is no work, or where they are not to be kept. */
   private required(): Capacity {
-    const asked: Capacity = { cpus: 0, gpus: 0 };
+    const required: Capacity = { cpus: 0, gpus: 0 };
     const { context, quotas } = this.cluster;
     const workMs = context.now.monotonic - this.lastWorkAt;
-    if (!context.tuning.machines.keep_guarantees || workMs >= KEEP_WHILE_IDLE_MS) return asked;
+    if (!context.tuning.machines.keep_guarantees || workMs >= KEEP_WHILE_IDLE_MS) return required;
     for (const { guaranteedCpus, guaranteedGpus } of quotas.teamsInOrder()) {
-      asked.cpus += guaranteedCpus;
-      asked.gpus += guaranteedGpus;
+      required.cpus += guaranteedCpus;
+      required.gpus += guaranteedGpus;
     }
-    return asked;
+    return required;
   }
 
-  /** Rents what is missing, of the kind that brings most for its price. */
+  /** Provisions what is missing, from the pool that gives most for its price. Waits for requests that are pending. */
   provisionDeficit(): void {
-    const missing = this.deficit();
-    const lacksGpus = missing.gpus >= CAPACITY_TOLERANCE;
-    if (!lacksGpus && missing.cpus < CAPACITY_TOLERANCE) return;
+    const deficit = this.deficit();
+    const lacksGpus = deficit.gpus >= CAPACITY_TOLERANCE;
+    if (!lacksGpus && deficit.cpus < CAPACITY_TOLERANCE) return;
     if (this.scaleOut.hasPendingRequests()) return;
     const gain = (type: MachineType): number => (lacksGpus ? type.gpus : type.cpus);
-    const kind = this.cheapestPool(gain);
-    if (!kind) return;
-    const missingAmount = lacksGpus ? missing.gpus : missing.cpus;
-    this.scaleOut.provision(kind, Math.ceil(missingAmount / gain(kind.type)));
+    const pool = this.cheapestPool(gain);
+    if (!pool) return;
+    const missingAmount = lacksGpus ? deficit.gpus : deficit.cpus;
+    this.scaleOut.provision(pool, Math.ceil(missingAmount / gain(pool.type)));
   }
 
   private cheapestPool(gain: (type: MachineType) => number): CapacityPool | null {
@@ -80,10 +83,10 @@
     let lowestCost = Number.POSITIVE_INFINITY;
     for (const type of this.cluster.machineTypes.values()) {
       if (gain(type) <= 0) continue;
-      for (const kind of poolsOf(type)) {
-        const cost = type.pricePerHour / gain(type) + (kind.spot ? SPOT_PENALTY : 0);
-        if (cost >= lowestCost || this.scaleOut.isBackedOff(kind)) continue;
-        cheapest = kind;
+      for (const pool of poolsOf(type)) {
+        const cost = type.pricePerHour / gain(type) + (pool.spot ? SPOT_PENALTY : 0);
+        if (cost >= lowestCost || this.scaleOut.isBackedOff(pool)) continue;
+        cheapest = pool;
         lowestCost = cost;
       }
     }
--- a/src/core/autoscaling/machine_list.ts
+++ b/src/core/autoscaling/machine_list.ts
@@ -1,3 +1,4 @@
+/** Reads the cloud's list of machines, and squares what is known of machines with it. */
 import { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { CloudMachine, MachineId, MonotonicTime } from '../types.js';
@@ -6,13 +7,13 @@
 const LIST_PRIORITY = 2;
 const MAX_LISTED_MACHINES = 20_000;
 
-/** Reads the cloud's list of machines, which is late: what it lacks proves nothing, what it has may be news. */
+/** The cloud's list of machines, which is late: what it lacks proves nothing, what it has may be news. */
 export class MachineList {
   private readInFlight = false;
   private lastReadAt = 0 as MonotonicTime;
   private complete = false;
 
-  /** `onFailed` is told of machines that have stopped by themselves, `onApplied` when a list has been taken in. */
+  /** `onMachineStopped` is told of machines that have stopped by themselves; `onApplied` is called after each whole list. */
   constructor(
     private readonly cluster: Cluster,
     private readonly onMachineStopped: (machine: Machine) => void,
@@ -24,10 +25,12 @@
     return this.complete;
   }
 
+  /** Reads the list unless it was read a short time ago. */
   readIfDue(): void {
     if (this.cluster.context.now.monotonic - this.lastReadAt > LIST_PERIOD_MS) this.read();
   }
 
+  /** Reads the list, unless that is under way. */
   read(): void {
     if (this.readInFlight) return;
     this.readInFlight = true;
@@ -55,8 +58,8 @@
     const machine = this.cluster.machines.get(listed.id) ?? this.addUnknown(listed);
     if (!machine) return;
     if (machine.address === '') machine.learnAddress(listed.address);
-    const rentedAt = (this.cluster.context.now.monotonic - listed.ageSeconds * 1000) as MonotonicTime;
-    machine.lifecycle.recordProvisionedAt(rentedAt);
+    const provisionedAt = (this.cluster.context.now.monotonic - listed.ageSeconds * 1000) as MonotonicTime;
+    machine.lifecycle.recordProvisionedAt(provisionedAt);
     if (listed.phase === 'running' && machine.lifecycle.isInheritedUnreported) this.onListedRunning(machine);
     if (listed.phase === 'failed' && !machine.lifecycle.isTerminating) this.handleStopped(machine);
   }
@@ -68,7 +71,7 @@
     machine.messages.expectHeartbeats(now);
   }
 
-  /** Rented by an earlier leader, or by a request carried out late: taken into use like any other. */
+  /** Provisioned by an earlier leader, or by a request carried out late: taken into use like any other. */
   private addUnknown({ id, type: typeName, zone, spot, address, phase }: CloudMachine): Machine | null {
     const type = this.cluster.machineTypes.get(typeName);
     if (!type || this.cluster.machines.wasRemoved(id)) return null;
--- a/src/core/autoscaling/scale_in.ts
+++ b/src/core/autoscaling/scale_in.ts
@@ -1,3 +1,4 @@
+/** Terminates machines: those that stand idle, are drained and empty, or will not be heard again. */
 import { startKey, startKeyOf } from '../jobs/task_keys.js';
 import { HEARTBEAT_OVERDUE_AFTER_PERIODS } from '../machines/agent_messages.js';
 import type { DrainReason } from '../machines/cordon.js';
@@ -11,16 +12,18 @@
 const MAX_CONCURRENT_TERMINATIONS = 2;
 const TERMINATION_PRIORITY = 1;
 const ROUND_AFTER_TERMINATION_MS = 20;
-/** So many silent machines, or such a share of all, are few: the fault is theirs. */
+/** So many machines with overdue heartbeats, or such a share of all, are few: the fault is theirs. */
 const FEW_OVERDUE_MACHINES = 2;
 const FEW_OVERDUE_SHARE = 0.03;
-/** A new leader judges silence only after so many report periods. */
+/** A new leader judges heartbeats only after so many of their intervals. */
 const JUDGE_HEARTBEATS_AFTER_PERIODS = 3;
+/** A spot machine that is silent for so many intervals is taken for lost. */
 const SPOT_LOST_AFTER_PERIODS = 4;
 /** A machine that stays silent or unresponsive for this long beyond a lease is given up. */
 const GIVE_UP_AFTER_LEASE_MS = 15_000;
+/** No boot is given up sooner. */
 const MIN_BOOT_TIMEOUT_SECONDS = 30;
-/** A machine is charged for a minute whatever happens: it is not returned much sooner. */
+/** A machine is charged for a minute whatever happens: it is not terminated much sooner. */
 const MIN_CHARGED_SECONDS = 55;
 
 /** What one look at all machines needs to judge each of them. */
@@ -30,27 +33,31 @@
   readonly leaseMs: number;
   /** Most machines are heard, and have been for long enough: one that isn't is at fault itself. */
   readonly mayJudgeHeartbeats: boolean;
-  /** Few are silent. More, and the cut may be a wider one that ends before their leases do. */
+  /** Few are not heard. If more are, the network may be cut widely, and heal before their leases expire. */
   readonly fewOverdue: boolean;
 }
 
-/** Returns machines to the cloud: those that stand idle, are out of use and empty, or will not be heard again. */
+/** Judges machines and terminates them, in batches. */
 export class ScaleIn {
   private queue: Machine[] = [];
   private requestsInFlight = 0;
 
+  /** `unregister` is told of machines that are terminated, `onLost` of those that were lost before. */
   constructor(
     private readonly cluster: Cluster,
     private readonly unregister: (machine: Machine) => void,
     private readonly onLost: (machine: Machine) => void,
   ) {}
 
-  /** Looks at all machines once. `missing`: what guarantees ask for beyond what is there; negative: to spare. */
-  run(leadingSince: MonotonicTime, missing: Capacity): void {
+  /**
+   * Judges all machines once. `deficit`: what guarantees ask for beyond what is there, negative where there is some to spare;
+   * it is changed in place.
+   */
+  run(leadingSince: MonotonicTime, deficit: Capacity): void {
     const overview = this.overview(leadingSince);
     for (const machine of [...this.cluster.machines.values()]) {
       if (machine.lifecycle.isTerminating) continue;
-      const reason = this.terminationReason(machine, overview) ?? this.idleReason(machine, missing);
+      const reason = this.terminationReason(machine, overview) ?? this.idleReason(machine, deficit);
       if (reason !== null) this.requestTermination(machine, reason);
     }
     this.sendTerminations();
@@ -76,6 +83,7 @@
     };
   }
 
+  /** Why the machine should go, whatever capacity is needed; null: it may stay. */
   private terminationReason(machine: Machine, overview: FleetOverview): DrainReason | null {
     const { cordon, isEmpty, lifecycle } = machine;
     if (cordon.isDraining) return isEmpty || lifecycle.wasTerminationRequested ? cordon.drainReason : null;
@@ -102,14 +110,14 @@
   }
 
   /** Where the machine stands idle and no guarantee needs it; takes it off what is to spare. */
-  private idleReason(machine: Machine, missing: Capacity): DrainReason | null {
+  private idleReason(machine: Machine, deficit: Capacity): DrainReason | null {
     if (machine.cordon.isDraining || machine.phase === 'booting') return null;
     if (!machine.isEmpty || holdsUnstoredResults(machine) || !this.isIdle(machine)) return null;
     const { cpus, gpus } = machine.type;
-    const neededForGuarantees = missing.gpus >= CAPACITY_TOLERANCE - gpus || missing.cpus >= CAPACITY_TOLERANCE - cpus;
-    if (neededForGuarantees) return null;
-    missing.gpus += gpus;
-    missing.cpus += cpus;
+    const isGuaranteed = deficit.gpus >= CAPACITY_TOLERANCE - gpus || deficit.cpus >= CAPACITY_TOLERANCE - cpus;
+    if (isGuaranteed) return null;
+    deficit.gpus += gpus;
+    deficit.cpus += cpus;
     return 'idle';
   }
 
@@ -125,7 +133,7 @@
     return (now - idleSince) / 1000 >= this.cluster.context.tuning.machines.idle_return_s;
   }
 
-  /** Marks a machine to be returned; `send` does it. */
+  /** Drains a machine and queues its termination; `sendTerminations` sends it. Without effect if that is under way. */
   requestTermination(machine: Machine, reason: DrainReason): void {
     if (machine.lifecycle.isTerminating) return;
     machine.lifecycle.beginTermination();
@@ -145,7 +153,7 @@
     );
   }
 
-  /** Returns what was marked, as many to a request as the cloud takes. */
+  /** Sends what is queued, as many to a request as the cloud takes. */
   sendTerminations(): void {
     while (this.queue.length > 0 && this.requestsInFlight < MAX_CONCURRENT_TERMINATIONS) {
       this.sendBatch(this.queue.splice(0, TERMINATION_BATCH_SIZE));
@@ -163,9 +171,9 @@
     });
   }
 
-  private onTerminationAnswered(machine: Machine, deleted: boolean): void {
+  private onTerminationAnswered(machine: Machine, terminated: boolean): void {
     if (!this.cluster.machines.isCurrent(machine)) return;
-    if (!deleted) {
+    if (!terminated) {
       machine.lifecycle.failTermination();
       return;
     }
@@ -174,18 +182,18 @@
   }
 }
 
-/** Why a machine that has not been heard for some time is returned. */
+/** Why a machine that has not been heard for some time is terminated; null: it may come back. */
 function overdueHeartbeatReason(
   machine: Machine,
   { now, heartbeatIntervalMs, leaseMs, fewOverdue }: FleetOverview,
 ): DrainReason | null {
   const silentMs = now - machine.messages.lastContactAt;
-  const missesReports = silentMs > HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs;
-  if (machine.spot && machine.cordon.interruptionAt !== null && missesReports) return 'spot interruption';
-  // Deleting it proves it empty sooner than its lease would.
+  const isOverdue = silentMs > HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs;
+  if (machine.spot && machine.cordon.interruptionAt !== null && isOverdue) return 'spot interruption';
+  // Terminating it proves it empty sooner than its lease would.
   if (machine.spot && silentMs > SPOT_LOST_AFTER_PERIODS * heartbeatIntervalMs) return 'heartbeat overdue';
   // Users of a service wait until it is proven that the replica is gone.
-  if (fewOverdue && missesReports && machine.allocations.hasReplica) return 'heartbeat overdue';
+  if (fewOverdue && isOverdue && machine.allocations.hasReplica) return 'heartbeat overdue';
   return silentMs > leaseMs + GIVE_UP_AFTER_LEASE_MS ? 'heartbeat overdue' : null;
 }
 
@@ -194,13 +202,13 @@
   return unresponsiveSince !== null && now - unresponsiveSince > leaseMs + GIVE_UP_AFTER_LEASE_MS;
 }
 
-/** Whether results are there that aren't on record; ends kept only against a late start go with the machine. */
+/** Whether results are there that aren't on record; exits kept only against a late start go with the machine. */
 const holdsUnstoredResults = (machine: Machine): boolean =>
   machine.reportedTasks.exited.some(
     ({ job, index, attempt }) => !machine.commandChannel.isUnconfirmed(startKey(job, index, attempt)),
   );
 
-/** Nothing is there but starts of replicas that are no longer needed, whose direct commands were never answered. */
+/** Whether nothing is there but starts of replicas that are no longer needed, and whose pushed commands were never answered. */
 function holdsOnlyUnconfirmedStarts(cluster: Cluster, machine: Machine): boolean {
   const { commandChannel } = machine;
   if (!commandChannel.hasUnconfirmedStarts || commandChannel.isBusy) return false;
--- a/src/core/autoscaling/scale_out.ts
+++ b/src/core/autoscaling/scale_out.ts
@@ -1,3 +1,4 @@
+/** Provisions machines: requests to the cloud, and the pools that lately had no capacity. */
 import { type CapacityPool, capacityPoolKey } from '../machines/capacity_pool.js';
 import { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
@@ -5,15 +6,15 @@
 
 /** What the cloud takes in one request. */
 const MAX_MACHINES_PER_REQUEST = 50;
-/** So many requests are open at once; more would only wait for tokens. */
+/** So many requests are pending at once; more would only wait for tokens of the rate limit. */
 const MAX_PENDING_REQUESTS = 12;
 const PROVISION_PRIORITY = 1;
-/** A request without an answer is repeated for so long; its name makes that safe. */
+/** A request without an answer is repeated for so long; its id makes that safe. */
 const RETRY_WINDOW_MS = 20_000;
 const BACKOFF_FACTOR = 1.5;
 const MAX_BACKOFF_STEPS = 4;
 
-/** A request for machines that has yet to be answered. */
+/** A request for machines that has yet to be answered. Its id makes it idempotent: it can be sent again. */
 export interface ProvisioningRequest {
   readonly pool: CapacityPool;
   readonly requestId: string;
@@ -21,55 +22,59 @@
   readonly requestedAt: MonotonicTime;
 }
 
+/** A pool that lately had no capacity: it is asked again after `until`. */
 interface CapacityBackoff {
   readonly until: MonotonicTime;
   readonly refusalCount: number;
 }
 
-/** Requests to rent machines, and the kinds of which the cloud lately had none. */
+/** Requests to provision machines, and the pools that lately had none. */
 export class ScaleOut {
   private readonly pending = new Map<string, ProvisioningRequest>();
   private readonly backoffs = new Map<string, CapacityBackoff>();
   private requestCount = 0;
 
+  /** `register` is told of each machine that was provisioned: it has to be put on record before it is used. */
   constructor(
     private readonly cluster: Cluster,
     private readonly register: (machine: Machine) => void,
   ) {}
 
+  /** Returns the requests that have yet to be answered. */
   pendingRequests(): Iterable<ProvisioningRequest> {
     return this.pending.values();
   }
 
+  /** Whether any request has yet to be answered. */
   hasPendingRequests(): boolean {
     return this.pending.size > 0;
   }
 
-  /** Whether the cloud lately had no machine of this kind. */
-  isBackedOff(kind: CapacityPool): boolean {
-    const refusal = this.backoffs.get(capacityPoolKey(kind));
-    return refusal !== undefined && refusal.until > this.cluster.context.now.monotonic;
+  /** Whether the pool lately had no machine, so that it is not asked now. */
+  isBackedOff(pool: CapacityPool): boolean {
+    const backoff = this.backoffs.get(capacityPoolKey(pool));
+    return backoff !== undefined && backoff.until > this.cluster.context.now.monotonic;
   }
 
-  /** Asks for so many machines, in as many requests as it takes; what is left is asked for in the next round. */
-  provision(kind: CapacityPool, count: number): void {
+  /** Requests so many machines, in as many requests as it takes; what is left over is requested in a later round. */
+  provision(pool: CapacityPool, count: number): void {
     for (let left = count; left > 0 && this.pending.size < MAX_PENDING_REQUESTS; left -= MAX_MACHINES_PER_REQUEST) {
-      this.request(kind, Math.min(left, MAX_MACHINES_PER_REQUEST));
+      this.startRequest(pool, Math.min(left, MAX_MACHINES_PER_REQUEST));
     }
   }
 
-  private request(pool: CapacityPool, count: number): void {
+  private startRequest(pool: CapacityPool, count: number): void {
     this.requestCount += 1;
-    // The term makes the name unique among all nodes; a name is never used for a second request.
+    // The term makes the id unique among all leaders; an id is never used for a second request.
     const requestId = `r-${this.cluster.term}-${this.requestCount}`;
     const requestedAt = this.cluster.context.now.monotonic;
-    const rental: ProvisioningRequest = { pool, requestId, count, requestedAt };
-    this.pending.set(requestId, rental);
-    this.send(rental);
+    const request: ProvisioningRequest = { pool, requestId, count, requestedAt };
+    this.pending.set(requestId, request);
+    this.send(request);
   }
 
-  private send(rental: ProvisioningRequest): void {
-    const { pool, requestId, count, requestedAt } = rental;
+  private send(request: ProvisioningRequest): void {
+    const { pool, requestId, count, requestedAt } = request;
     const { context } = this.cluster;
     const op = {
       op: 'provision',
@@ -80,9 +85,9 @@
       count,
     } as const;
     context.cloud.call(op, PROVISION_PRIORITY, (result) => {
-      if (result.ok) return this.onProvisioned(rental, result.value.provisioned ?? []);
+      if (result.ok) return this.onProvisioned(request, result.value.provisioned ?? []);
       if (result.error.code === 'outcomeUnknown' && context.now.monotonic - requestedAt < RETRY_WINDOW_MS)
-        return this.send(rental);
+        return this.send(request);
       this.pending.delete(requestId);
       if (result.error.code === 'noCapacity') this.backOff(pool);
     });
@@ -119,8 +124,8 @@
   }
 
   /** Each refusal in a row makes the pause before the next request longer. */
-  private backOff(kind: CapacityPool): void {
-    const key = capacityPoolKey(kind);
+  private backOff(pool: CapacityPool): void {
+    const key = capacityPoolKey(pool);
     const refusalCount = Math.min(MAX_BACKOFF_STEPS, (this.backoffs.get(key)?.refusalCount ?? 0) + 1);
     const { refused_backoff_s } = this.cluster.context.tuning.machines;
     const pauseMs = refused_backoff_s * 1000 * BACKOFF_FACTOR ** (refusalCount - 1);
--- /dev/null
+++ b/src/core/health/straggler_checks.ts
@@ -0,0 +1,64 @@
+/** Finds machines that take several times as long as expected for everything, and drains one at a time. */
+import type { Machine } from '../machines/machine.js';
+import { STRAGGLER_LOG_RATIO, type StragglerEvidence } from '../machines/straggler_detector.js';
+import type { Cluster } from '../state/cluster.js';
+import type { Placement } from '../state/placement.js';
+import { addMilliseconds, type JobId, type MonotonicTime } from '../types.js';
+
+/** One suspicion at a time: if everything seems slow, it isn't the machines. Of more machines, more may be replaced. */
+const STRAGGLER_DRAIN_INTERVAL_MS = 30_000;
+const MACHINES_PER_STRAGGLER_DRAIN = 30;
+
+const NO_EVIDENCE: ReadonlyMap<JobId, StragglerEvidence> = new Map();
+
+/** Judges machines by tasks that have completed there and by those that already run longer than expected. */
+export class StragglerChecks {
+  private nextDrainAt = 0 as MonotonicTime;
+
+  constructor(private readonly cluster: Cluster) {}
+
+  /** Drains the first straggler found, unless one was drained a short time ago. Returns whether it did. */
+  drainOneStraggler(now: MonotonicTime): boolean {
+    if (now < this.nextDrainAt) return false;
+    const straggler = this.findStraggler(now);
+    if (!straggler) return false;
+    straggler.cordon.drain('straggler');
+    const drainsPerInterval = Math.max(1, this.cluster.machines.size / MACHINES_PER_STRAGGLER_DRAIN);
+    this.nextDrainAt = addMilliseconds(now, STRAGGLER_DRAIN_INTERVAL_MS / drainsPerInterval);
+    this.cluster.context.log('straggler detected', { machine: straggler.id });
+    return true;
+  }
+
+  private findStraggler(now: MonotonicTime): Machine | null {
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.phase !== 'up' || machine.cordon.isDraining || machine.lifecycle.isTerminating) continue;
+      if (machine.stragglerDetector.isStraggler(this.overrunEvidence(machine, now))) return machine;
+    }
+    return null;
+  }
+
+  /** What tasks show that still run on a machine and have already taken longer than expected; each job speaks once. */
+  private overrunEvidence(machine: Machine, now: MonotonicTime): ReadonlyMap<JobId, StragglerEvidence> {
+    let evidence: Map<JobId, StragglerEvidence> | null = null;
+    for (const placement of this.cluster.placements.onMachine(machine).values()) {
+      const logRatio = this.overrunLogRatio(placement, now);
+      const { job } = placement;
+      if (logRatio <= (evidence?.get(job.id)?.logRatio ?? 0)) continue;
+      evidence ??= new Map();
+      const logStandardDeviation = this.cluster.runtimeEstimator.logStandardDeviation(job.spec);
+      evidence.set(job.id, { logRatio, logStandardDeviation });
+      if (logRatio > STRAGGLER_LOG_RATIO) job.recordSlowMachine(machine.id);
+    }
+    return evidence ?? NO_EVIDENCE;
+  }
+
+  /** log(time run / time expected) of a task that has run too long already; 0 where it says nothing of its machine. */
+  private overrunLogRatio({ job, phase, runningSince }: Placement, now: MonotonicTime): number {
+    if (phase !== 'running' || runningSince === null) return 0;
+    // A service runs for as long as its user wants, and a gang is as slow as its slowest machine.
+    if (job.isService || (job.isGang && job.spec.taskCount > 1)) return 0;
+    if (job.isMisestimated) return 0;
+    const ranSeconds = (now - runningSince) / 1000;
+    return Math.max(0, Math.log(ranSeconds / this.cluster.runtimeEstimator.expectedSeconds(job.spec)));
+  }
+}
--- a/src/core/jobs/job_cache.ts
+++ b/src/core/jobs/job_cache.ts
@@ -1,3 +1,4 @@
+/** Keeps a controller's copy of the job records up to date by a watch. */
 import { type PrefixRead, readPrefix } from '../clients/state_store_reads.js';
 import { CLOCK_DRIFT, maxJobViewAgeMs } from '../lease_bounds.js';
 import type { StateStoreResponse, StateStoreResult, StoredEntry, WatchEvent } from '../messages.js';
@@ -6,12 +7,13 @@
 import type { Timer } from '../timers.js';
 import { addMilliseconds, type JobId, type MonotonicTime, type Revision } from '../types.js';
 
+/** For how long a watch without news waits at the state store. */
 const FOLLOWER_WATCH_MS = 4000;
 /** The leader asks more often: what starts depends on how fresh its view of cancellations is. */
 const LEADER_WATCH_MS = 1000;
 /** So many watches fit into the greatest age that the leader's view may have. */
 const WATCHES_PER_MAX_VIEW_AGE = 4;
-/** How long after one answer of the watch the next is asked for: each costs a call, and brings all that came meanwhile. */
+/** How long after one response of the watch the next is sent: each costs a call, and brings all that came meanwhile. */
 const LEADER_WATCH_PAUSE_MS = 120;
 const FOLLOWER_WATCH_PAUSE_MS = 800;
 const WATCH_GRACE_MS = 2000;
@@ -19,21 +21,23 @@
 const WATCH_RETRY_MS = 250;
 const READ_RETRY_MS = 300;
 
+/** A job's record, and the version of its key that it was read at. */
 export interface CachedJob {
   readonly record: JobRecord;
   readonly version: Revision;
 }
 
-type OnRead = (ok: boolean) => void;
+/** Hears whether a read of all records has worked. */
+type OnRead = (succeeded: boolean) => void;
 
 /**
- * A node's copy of the job records, kept up by a watch. It may lag, so nothing that isn't final is told from it alone: it
- * saves reads, as one compare-only transaction then confirms many records at once (poll_confirmation.ts).
+ * A controller's copy of the job records. It may lag, so nothing that isn't final is told from it alone: it saves reads, as
+ * one compare-only transaction then confirms many records at once (linearizable_reads.ts).
  */
 export class JobCache {
   private readonly jobs = new Map<JobId, CachedJob>();
   /** Jobs on record whose records aren't understood: a later release may have written them. */
-  readonly unreadableJobs = new Set<JobId>();
+  private readonly unreadableIds = new Set<JobId>();
   /** The revision from which the watch goes on; null: all has to be read first. */
   private watchRevision: Revision | null = null;
   private readInFlight = false;
@@ -43,8 +47,7 @@
   private readonly watchTimer: Timer;
   private isLeader = false;
   private readonly leaderWatchMs: number;
-  /** What the store held before this is known: when the last answered watch was sent, or when one without news ended. */
-  currentAsOf: MonotonicTime;
+  private asOf: MonotonicTime;
 
   /** `onRecord` is told of each record that is newer than what was known. */
   constructor(
@@ -54,26 +57,40 @@
     this.watchTimer = context.timers.create(() => this.watchOrReadAll());
     // Where `cancel_s` leaves little time, the view has to be the fresher (tight-cancel.txt).
     this.leaderWatchMs = Math.min(LEADER_WATCH_MS, maxJobViewAgeMs(context.settings) / WATCHES_PER_MAX_VIEW_AGE);
-    this.currentAsOf = context.now.monotonic;
+    this.asOf = context.now.monotonic;
   }
 
+  /** Everything that the state store held at this time is known here. */
+  get currentAsOf(): MonotonicTime {
+    return this.asOf;
+  }
+
+  /** Jobs on record whose records aren't understood: a later release may have written them. */
+  get unreadableJobs(): ReadonlySet<JobId> {
+    return this.unreadableIds;
+  }
+
+  /** Returns undefined for a job of which no record is known here. */
   get(id: JobId): CachedJob | undefined {
     return this.jobs.get(id);
   }
 
+  /** Returns all jobs, in no order. */
   all(): Iterable<CachedJob> {
     return this.jobs.values();
   }
 
+  /** How many jobs are known. */
   get size(): number {
     return this.jobs.size;
   }
 
-  setIsLeader(leading: boolean): void {
-    this.isLeader = leading;
+  /** A leader watches more often. */
+  setIsLeader(isLeader: boolean): void {
+    this.isLeader = isLeader;
   }
 
-  /** Reads everything anew, beginning after this moment; `done` hears once that has worked or failed. */
+  /** Reads all records anew, beginning after this moment; `done` hears once whether that has worked. */
   read(done: OnRead = () => {}): void {
     this.readCallbacks.push(done);
     // A reading under way may have begun too early for this caller.
@@ -100,7 +117,7 @@
     for (const item of items) this.update(item);
     if (revision !== null && (this.watchRevision === null || revision > this.watchRevision))
       this.watchRevision = revision;
-    if (sentAt > this.currentAsOf) this.currentAsOf = sentAt;
+    if (sentAt > this.asOf) this.asOf = sentAt;
   }
 
   private onReadDone(ok: boolean): void {
@@ -143,7 +160,7 @@
     // A watch without news has waited for its whole time first.
     const knownAt = events.length > 0 ? sentAt : addMilliseconds(sentAt, waitMs * (1 - CLOCK_DRIFT));
     const currentAsOf = Math.min(knownAt, this.context.now.monotonic) as MonotonicTime;
-    if (currentAsOf > this.currentAsOf) this.currentAsOf = currentAsOf;
+    if (currentAsOf > this.asOf) this.asOf = currentAsOf;
     for (const event of events) this.applyEvent(event);
     if (revision !== undefined && this.watchRevision !== null && revision > this.watchRevision)
       this.watchRevision = revision;
@@ -164,18 +181,18 @@
     this.update({ key: event.put, value: event.value, version: event.version });
   }
 
-  /** A record as the store holds or held it; one older than what is known is ignored. Null: it isn't understood. */
+  /** Takes over a record as the store holds or held it; one older than what is known is ignored. Null: it isn't understood. */
   update(item: StoredEntry): CachedJob | null {
     const id = item.key.slice(JOB_PREFIX.length) as JobId;
     const known = this.jobs.get(id);
     if (known && known.version >= item.version) return known;
     const record = decodeJob(item.value);
     if (!record) {
-      if (!this.unreadableJobs.has(id)) this.context.log('job record not understood', { key: item.key });
-      this.unreadableJobs.add(id);
+      if (!this.unreadableIds.has(id)) this.context.log('job record not understood', { key: item.key });
+      this.unreadableIds.add(id);
       return null;
     }
-    this.unreadableJobs.delete(id);
+    this.unreadableIds.delete(id);
     const job = { record, version: item.version };
     this.jobs.set(id, job);
     this.onRecord(job);
--- a/src/core/jobs/range_set.ts
+++ b/src/core/jobs/range_set.ts
@@ -1,14 +1,15 @@
+/** Sets of task numbers that take little space: sorted, disjoint, inclusive ranges. */
 type Range = [first: number, last: number];
 
 /** What a range's text takes beside its numbers. */
 const RANGE_PUNCTUATION_BYTES = 4;
 
-/** A set of task numbers kept as sorted, disjoint, inclusive ranges: what the store holds of a job's completions. */
+/** A set of task numbers: what the state store holds of a job's completions. */
 export class RangeSet {
   private readonly ranges: Range[] = [];
   private size = 0;
 
-  /** The pairs must be sorted and disjoint. */
+  /** Makes a set of ranges as `pairs` returns them: they must be sorted and disjoint. */
   static from(pairs: readonly (readonly [number, number])[]): RangeSet {
     const set = new RangeSet();
     for (const [first, last] of pairs) {
@@ -36,12 +37,13 @@
     return low;
   }
 
+  /** Whether the number is in the set. */
   has(number: number): boolean {
     const range = this.ranges[this.lowerBound(number)];
     return range !== undefined && range[0] <= number;
   }
 
-  /** Returns whether the number is new. */
+  /** Adds a number. Returns whether it is new. */
   add(number: number): boolean {
     const index = this.lowerBound(number);
     const next = this.ranges[index];
@@ -63,11 +65,12 @@
     return true;
   }
 
+  /** Adds all numbers of another set. */
   addAll(other: RangeSet): void {
     for (const [first, last] of other.ranges) for (let number = first; number <= last; number++) this.add(number);
   }
 
-  /** The first ranges, as many as fit into so many bytes of text: a record must fit the store's limit for a value. */
+  /** Returns the first ranges, as many as fit into so many bytes of text: a record must fit the store's limit for a value. */
   pairs(bytes = Number.POSITIVE_INFINITY): [number, number][] {
     const fitting: [number, number][] = [];
     let left = bytes;
--- a/src/core/jobs/runtime_estimator.ts
+++ b/src/core/jobs/runtime_estimator.ts
@@ -1,6 +1,7 @@
+/** Estimates run times: how far the estimates of job owners are off, by class of jobs. */
 import type { JobSpec } from '../types.js';
 
-/** As long as any plan looks ahead: room that a replica has taken doesn't come free. */
+/** As long as any plan looks ahead: capacity that a replica has taken doesn't come free. */
 const UNBOUNDED_RUNTIME_SECONDS = 3600;
 const MIN_RUNTIME_SECONDS = 0.5;
 /** The prior counts as so many tasks that ran as estimated, give or take half. */
@@ -31,17 +32,20 @@
 export class RuntimeEstimator {
   private readonly classes = new Map<string, ClassHistory>();
 
-  /** Returns how much longer than expected it took, as a logarithm: 0 is as expected. */
-  observe(spec: JobSpec, actualS: number): number {
-    if (!(actualS > 0) || !(spec.estimatedRuntimeSeconds > 0)) return 0;
-    const ratio = Math.min(MAX_LOG_RATIO, Math.max(-MAX_LOG_RATIO, Math.log(actualS / spec.estimatedRuntimeSeconds)));
+  /** A task of the job took so many seconds. Returns how much longer than expected that is, as a logarithm: 0 is as expected. */
+  observe(spec: JobSpec, actualSeconds: number): number {
+    if (!(actualSeconds > 0) || !(spec.estimatedRuntimeSeconds > 0)) return 0;
+    const ratio = Math.min(
+      MAX_LOG_RATIO,
+      Math.max(-MAX_LOG_RATIO, Math.log(actualSeconds / spec.estimatedRuntimeSeconds)),
+    );
     const history = this.historyOf(spec.jobClass);
-    const surprise = ratio - meanLogRatio(history);
+    const logError = ratio - meanLogRatio(history);
     history.taskCount += 1;
     history.logRatioSum += ratio;
-    history.squaredErrorSum += surprise * surprise;
+    history.squaredErrorSum += logError * logError;
     if (history.taskCount > MAX_REMEMBERED_TASKS) decay(history);
-    return surprise;
+    return logError;
   }
 
   private historyOf(jobClass: string): ClassHistory {
@@ -52,7 +56,7 @@
     return history;
   }
 
-  /** Expected run time of one task, in seconds. A service's replicas run until they are called off. */
+  /** Returns the expected run time of one task, in seconds. A service's replicas run until they are cancelled. */
   expectedSeconds(spec: JobSpec): number {
     if (spec.kind === 'service') return UNBOUNDED_RUNTIME_SECONDS;
     return Math.max(
@@ -61,7 +65,7 @@
     );
   }
 
-  /** How uncertain that is: the spread of log(actual / expected). */
+  /** Returns how uncertain that is: the standard deviation of log(actual / expected). */
   logStandardDeviation(spec: JobSpec): number {
     const { taskCount, squaredErrorSum } = this.classes.get(spec.jobClass) ?? emptyHistory();
     const prior = PRIOR_TASKS * PRIOR_STANDARD_DEVIATION ** 2;
--- a/src/core/machines/boot_time_estimator.ts
+++ b/src/core/machines/boot_time_estimator.ts
@@ -1,3 +1,4 @@
+/** Estimates how long machines take to come up, from those seen lately. */
 import type { MachineType, MonotonicTime, ZoneName } from '../types.js';
 
 /** The nominal boot time counts as so many boots seen. */
@@ -15,7 +16,7 @@
 const LATE_SHARE = 0.5;
 /** The least time that a boot is expected to take. */
 const MIN_BOOT_SECONDS = 1;
-/** With each machine given up in a row, rented after the one before, the next is given so many times as long. */
+/** With each machine given up in a row, provisioned after the one before, the next is given so many times as long. */
 const TIMEOUT_BACKOFF_FACTOR = 1.5;
 const MAX_TIMEOUT_FACTOR = 4;
 
@@ -25,7 +26,7 @@
   private logRatioSum = 0;
   private overdueCount = 0;
   private updatedAt: MonotonicTime;
-  /** How many times as long machines are given that were rented since, or before, the last one that was given up. */
+  /** How many times as long machines are given that were provisioned since, or before, the last one that was given up. */
   private timeoutFactor = 1;
   private previousTimeoutFactor = 1;
   private lastAbandonedAt = Number.NEGATIVE_INFINITY as MonotonicTime;
@@ -54,8 +55,8 @@
     this.overdueCount += 1;
   }
 
-  recordAbandoned(rentedAt: MonotonicTime, now: MonotonicTime): void {
-    if (rentedAt < this.lastAbandonedAt) return;
+  recordAbandoned(provisionedAt: MonotonicTime, now: MonotonicTime): void {
+    if (provisionedAt < this.lastAbandonedAt) return;
     this.lastAbandonedAt = now;
     this.previousTimeoutFactor = this.timeoutFactor;
     this.timeoutFactor = Math.min(MAX_TIMEOUT_FACTOR, this.timeoutFactor * TIMEOUT_BACKOFF_FACTOR);
@@ -73,8 +74,8 @@
     return this.overdueCount / (this.bootCount + this.overdueCount + PRIOR_BOOTS);
   }
 
-  timeoutFactorFor(rentedAt: MonotonicTime): number {
-    return rentedAt < this.lastAbandonedAt ? this.previousTimeoutFactor : this.timeoutFactor;
+  timeoutFactorFor(provisionedAt: MonotonicTime): number {
+    return provisionedAt < this.lastAbandonedAt ? this.previousTimeoutFactor : this.timeoutFactor;
   }
 }
 
@@ -92,7 +93,7 @@
     return history;
   }
 
-  /** A machine is up, so long after it was rented. */
+  /** A machine is up, so many seconds after it was provisioned. */
   recordBoot(type: MachineType, zone: ZoneName, seconds: number, now: MonotonicTime): void {
     this.history(type, zone, now).recordBoot(Math.max(MIN_BOOT_SECONDS, seconds) / type.bootSeconds, now);
   }
@@ -102,12 +103,12 @@
     this.history(type, zone, now).recordOverdue(now);
   }
 
-  /** A machine is returned because it did not come up. */
-  recordAbandoned(type: MachineType, zone: ZoneName, rentedAt: MonotonicTime, now: MonotonicTime): void {
-    this.history(type, zone, now).recordAbandoned(rentedAt, now);
+  /** A machine is given up because it did not come up. */
+  recordAbandoned(type: MachineType, zone: ZoneName, provisionedAt: MonotonicTime, now: MonotonicTime): void {
+    this.history(type, zone, now).recordAbandoned(provisionedAt, now);
   }
 
-  /** Seconds that a machine rented now is expected to take. */
+  /** Returns the seconds that a machine provisioned now is expected to take. */
   expectedSeconds(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
     return Math.max(
       MIN_BOOT_SECONDS,
@@ -115,34 +116,37 @@
     );
   }
 
-  /** Seconds after which a machine is overdue. Where boots are quick lately, one rented before may take the usual time. */
+  /** Seconds after which a machine is overdue. Where boots are quick lately, one provisioned before may still take the usual time. */
   private overdueAfterSeconds(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
     return OVERDUE_FACTOR * Math.max(type.bootSeconds, this.expectedSeconds(type, zone, now));
   }
 
-  isOverdue(type: MachineType, zone: ZoneName, ageS: number, now: MonotonicTime): boolean {
-    return ageS > this.overdueAfterSeconds(type, zone, now);
+  /** Whether a machine of that age should have been up. */
+  isOverdue(type: MachineType, zone: ZoneName, ageSeconds: number, now: MonotonicTime): boolean {
+    return ageSeconds > this.overdueAfterSeconds(type, zone, now);
   }
 
-  /** Seconds until a machine of that age is expected to be up. */
-  remainingSeconds(type: MachineType, zone: ZoneName, ageS: number, now: MonotonicTime): number {
-    const expectedS = this.expectedSeconds(type, zone, now);
-    const usualS =
-      ageS > OVERDUE_FACTOR * expectedS ? Math.max(type.bootSeconds * EXPECTED_FACTOR, expectedS) : expectedS;
-    if (ageS < usualS * (1 - SOON_SHARE)) return usualS - ageS;
-    const lateS = Math.max(0, ageS - usualS);
-    const overdueS = ageS - this.overdueAfterSeconds(type, zone, now);
-    // Beyond what is usual a machine rented now would be up sooner.
-    return overdueS > 0 ? usualS + overdueS : usualS * SOON_SHARE + lateS * LATE_SHARE;
+  /** Returns the seconds until a machine of that age is expected to be up. */
+  remainingSeconds(type: MachineType, zone: ZoneName, ageSeconds: number, now: MonotonicTime): number {
+    const expectedSeconds = this.expectedSeconds(type, zone, now);
+    const usualSeconds =
+      ageSeconds > OVERDUE_FACTOR * expectedSeconds
+        ? Math.max(type.bootSeconds * EXPECTED_FACTOR, expectedSeconds)
+        : expectedSeconds;
+    if (ageSeconds < usualSeconds * (1 - SOON_SHARE)) return usualSeconds - ageSeconds;
+    const lateSeconds = Math.max(0, ageSeconds - usualSeconds);
+    const overdueSeconds = ageSeconds - this.overdueAfterSeconds(type, zone, now);
+    // Beyond what is usual a machine provisioned now would be up sooner.
+    return overdueSeconds > 0 ? usualSeconds + overdueSeconds : usualSeconds * SOON_SHARE + lateSeconds * LATE_SHARE;
   }
 
-  /** How many times as long as usual a machine may take before it is given up. */
-  timeoutFactor(type: MachineType, zone: ZoneName, rentedAt: MonotonicTime, now: MonotonicTime): number {
+  /** Returns how many times as long as usual a machine may take before it is given up. */
+  timeoutFactor(type: MachineType, zone: ZoneName, provisionedAt: MonotonicTime, now: MonotonicTime): number {
     const history = this.history(type, zone, now);
-    return Math.max(1, history.bootTimeRatio(now)) * history.timeoutFactorFor(rentedAt);
+    return Math.max(1, history.bootTimeRatio(now)) * history.timeoutFactorFor(provisionedAt);
   }
 
-  /** The part of the machines rented lately that did not come up in time. */
+  /** Returns the part, 0 to 1, of the machines provisioned lately that did not come up in time. */
   overdueShare(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
     return this.history(type, zone, now).overdueShare(now);
   }
--- a/src/core/machines/image_cache.ts
+++ b/src/core/machines/image_cache.ts
@@ -1,42 +1,55 @@
+/** Follows which images one machine holds, and how fast it pulls them. */
 import type { ImageName, JobSpec, MachineType, MonotonicTime } from '../types.js';
 
-/** Bounds of what is believed of a machine's fetch speed, and the weight of each new observation. */
+/** Bounds of what is believed of a machine's pull speed, and the weight of each new observation. */
 const MIN_PULL_SPEED = 0.5;
 const MAX_PULL_SPEED = 1.6;
 const OBSERVATION_WEIGHT = 0.6;
-/** A shorter fetch tells nothing: it was mostly waiting for reports. */
+/** A shorter pull tells nothing: it was mostly waiting for heartbeats. */
 const MIN_OBSERVED_PULL_SECONDS = 2;
-/** What is left of a fetch that should be over. */
+/** What is left of a pull that should be over. */
 const MIN_REMAINING_PULL_SECONDS = 1;
+/** No rate is taken to be lower. */
 const MIN_PULL_GB_PER_SECOND = 0.01;
 
+/** An image on a machine, whole or on its way. */
 interface CachedImage {
   readonly sizeGb: number;
   lastUsedAt: MonotonicTime;
-  /** While it is being fetched: since when. */
+  /** While it is being pulled: since when; null: it is there whole. */
   pullingSince: MonotonicTime | null;
-  /** Whether the fetch was seen from its beginning. */
+  /** Whether the pull was seen from its beginning. */
   pullObserved: boolean;
 }
 
-/** Seconds that a whole fetch takes at a rate. */
-export const pullSeconds = (gb: number, gbPerS: number): number => gb / Math.max(MIN_PULL_GB_PER_SECOND, gbPerS);
+/** Returns the seconds that a whole pull takes at a rate. */
+export const pullSeconds = (sizeGb: number, gbPerSecond: number): number =>
+  sizeGb / Math.max(MIN_PULL_GB_PER_SECOND, gbPerSecond);
 
-/** The images that a machine holds or fetches, as far as its reports tell, and how fast it fetches. */
+/** The images that a machine holds or pulls, as far as its statuses tell, and how fast it pulls. */
 export class ImageCache {
-  /** Whether the images held have changed since they were last written down. */
-  isDirty = false;
+  private hasUnwrittenChanges = false;
   private speed = 1;
   private readonly images = new Map<ImageName, CachedImage>();
 
   constructor(private readonly type: MachineType) {}
 
-  /** How fast the machine fetches, against the nominal rate of its type. */
+  /** Whether the images that are there whole have changed since they were last written. */
+  get isDirty(): boolean {
+    return this.hasUnwrittenChanges;
+  }
+
+  /** The images go to the state store as they are now. */
+  markWritten(): void {
+    this.hasUnwrittenChanges = false;
+  }
+
+  /** How fast the machine pulls: 1 is the nominal rate of its type. */
   get pullSpeed(): number {
     return this.speed;
   }
 
-  /** Seconds until the image would be there if a task asked for it now. */
+  /** Returns the seconds until the image would be there if a task asked for it now. */
   remainingPullSeconds(image: ImageName, gb: number, now: MonotonicTime): number {
     const full = pullSeconds(gb, this.type.imagePullGbPerSecond * this.speed);
     const cached = this.images.get(image);
@@ -50,28 +63,33 @@
     return this.images.get(image)?.pullingSince === null;
   }
 
-  /** The images that are there whole, in no order. */
+  /** Yields the images that are there whole, in no order. */
   *presentImages(): Iterable<ImageName> {
     for (const [name, { pullingSince }] of this.images) if (pullingSince === null) yield name;
   }
 
-  /** The images that are there whole, those used last at the end. */
+  /** Returns the images that are there whole, those used last at the end. */
   presentImagesByLastUse(): ImageName[] {
-    const held = [...this.images].filter(([, image]) => image.pullingSince === null);
-    return held.sort((a, b) => a[1].lastUsedAt - b[1].lastUsedAt).map(([name]) => name);
+    const present = [...this.images].filter(([, image]) => image.pullingSince === null);
+    return present.sort((a, b) => a[1].lastUsedAt - b[1].lastUsedAt).map(([name]) => name);
   }
 
-  /** Takes over what an earlier leader wrote down. */
-  restore(names: readonly ImageName[], speed: number, gbOf: ReadonlyMap<ImageName, number>, now: MonotonicTime): void {
+  /** Takes over what an earlier leader has written. Images whose size is not in `sizesGb` are left out. */
+  restore(
+    names: readonly ImageName[],
+    speed: number,
+    sizesGb: ReadonlyMap<ImageName, number>,
+    now: MonotonicTime,
+  ): void {
     this.speed = speed;
     for (const name of names) {
-      const sizeGb = gbOf.get(name);
+      const sizeGb = sizesGb.get(name);
       if (sizeGb === undefined || this.images.has(name)) continue;
       this.images.set(name, { sizeGb, lastUsedAt: now, pullingSince: null, pullObserved: false });
     }
   }
 
-  /** A task waits for its image. `observed`: its start was seen just before, so the fetch begins now. */
+  /** A task waits for its image. `observed`: its start was seen just before, so the pull begins now. */
   onPulling({ image, imageGb: sizeGb }: JobSpec, observed: boolean, now: MonotonicTime): void {
     if (this.images.has(image)) return;
     this.images.set(image, { sizeGb, lastUsedAt: now, pullingSince: now, pullObserved: observed });
@@ -82,32 +100,32 @@
     const cached = this.images.get(image);
     if (!cached) {
       this.images.set(image, { sizeGb, lastUsedAt: now, pullingSince: null, pullObserved: false });
-      this.isDirty = true;
+      this.hasUnwrittenChanges = true;
     } else {
       if (cached.pullingSince !== null) this.onPulled(cached, now);
       cached.lastUsedAt = now;
     }
-    if (this.isDirty) this.evict();
+    if (this.hasUnwrittenChanges) this.evict();
   }
 
   private onPulled(cached: CachedImage, now: MonotonicTime): void {
     const since = cached.pullingSince ?? now;
     if (cached.pullObserved) this.observePull(cached.sizeGb, (now - since) / 1000);
     cached.pullingSince = null;
-    this.isDirty = true;
+    this.hasUnwrittenChanges = true;
   }
 
-  /** A fetch seen from beginning to end tells how fast this machine is; one among several tells nothing. */
-  private observePull(gb: number, tookS: number): void {
-    let fetching = 0;
-    for (const image of this.images.values()) if (image.pullingSince !== null) fetching += 1;
-    if (fetching > 1 || tookS < MIN_OBSERVED_PULL_SECONDS) return;
-    const observed = gb / this.type.imagePullGbPerSecond / tookS;
+  /** A pull seen from beginning to end tells how fast this machine is; one among several tells nothing. */
+  private observePull(sizeGb: number, tookSeconds: number): void {
+    let pulling = 0;
+    for (const image of this.images.values()) if (image.pullingSince !== null) pulling += 1;
+    if (pulling > 1 || tookSeconds < MIN_OBSERVED_PULL_SECONDS) return;
+    const observed = sizeGb / this.type.imagePullGbPerSecond / tookSeconds;
     const smoothed = (1 - OBSERVATION_WEIGHT) * this.speed + OBSERVATION_WEIGHT * observed;
     this.speed = Math.min(MAX_PULL_SPEED, Math.max(MIN_PULL_SPEED, smoothed));
   }
 
-  /** A fetch is given up once no task waits for it. */
+  /** The worker gives up a pull once no task waits for it. */
   dropAbandonedPulls(isWanted: (image: ImageName) => boolean): void {
     for (const [name, image] of this.images) {
       if (image.pullingSince !== null && !isWanted(name)) this.images.delete(name);
--- a/src/core/machines/machine_registry.ts
+++ b/src/core/machines/machine_registry.ts
@@ -1,3 +1,4 @@
+/** Spreads the records of machines over pages of the state store, and tells which pages have to be written. */
 import type { StateChange, StoredEntry } from '../messages.js';
 import {
   type DecodedMachinePage,
@@ -10,16 +11,16 @@
 import { ABSENT_VERSION, type MachineId, type MonotonicTime, type Revision } from '../types.js';
 import type { Machine } from './machine.js';
 
-/** What a page's text may take of the store's limit for a value, without and with the images that machines hold. */
+/** What a page's text may take of the state store's limit for a value, without and with the images that machines hold. */
 const PAGE_SHARE = 0.95;
 const PAGE_SHARE_WITH_IMAGES = 0.97;
-/** What one machine with its images is reckoned at. */
+/** What one machine with its images is estimated at. */
 const ESTIMATED_MACHINE_BYTES = 190;
 const MAX_IMAGES = 16;
 /** Changes of images alone are written this rarely. */
 const IMAGE_WRITE_INTERVAL_MS = 8000;
 
-/** A page of the registry: a value of the store that lists many machines. */
+/** A page of the registry: a value of the state store that lists many machines. */
 export interface RegistryPage {
   readonly index: number;
   readonly machines: Set<Machine>;
@@ -68,8 +69,8 @@
 }
 
 /**
- * The machines that may ever be sent a command, as the store holds them: pages of many machines each, so that renting a
- * hundred costs a few changes and a new leader reads a few records.
+ * The machines that may ever be sent a command, as the state store holds them: pages of many machines each, so that
+ * provisioning a hundred costs a few changes and a new leader reads a few records.
  */
 export class MachineRegistry {
   private readonly pages = new Map<number, RegistryPage>();
@@ -79,7 +80,7 @@
   private machinesPerPage = 1;
   private valueBytes = 0;
 
-  /** `valueBytes`: the store's limit for one value. */
+  /** `valueBytes`: the state store's limit for one value. */
   constructor(valueBytes: number) {
     this.setValueLimit(valueBytes);
   }
@@ -124,7 +125,7 @@
     this.splitOversizedPages();
   }
 
-  /** Earlier releases, or other limits, may have left pages larger than may be written now. */
+  /** Spreads pages that are larger than may be written now: earlier releases, or other limits, may have left them. */
   splitOversizedPages(): void {
     for (const page of [...this.pages.values()]) this.splitIfOversized(page);
   }
@@ -148,7 +149,7 @@
     return JSON.stringify(encodePage(machines.map(recordOf), 0)).length <= this.valueBytes * PAGE_SHARE;
   }
 
-  /** Puts a machine on the fullest page with room, other than `except`; the page is written before long. */
+  /** Puts a machine on the fullest page that takes it, other than `except`; the page is written before long. */
   private assignPage(machine: Machine, except: RegistryPage | null): RegistryPage {
     const page = this.fullestPageFor(machine, except) ?? this.newPage();
     page.machines.add(machine);
@@ -177,10 +178,12 @@
 
   // ---- machines
 
+  /** Puts a new machine on a page, to be written soon; without effect for one that is on a page already. */
   add(machine: Machine): void {
     if (!machine.lifecycle.isRegistered && !this.pageOf.has(machine.id)) this.assignPage(machine, null).urgent = true;
   }
 
+  /** Takes a machine that is gone off its page. */
   remove(id: MachineId): void {
     const page = this.pageOf.get(id);
     if (!page) return;
@@ -198,7 +201,7 @@
     from.needsRewrite = true;
   }
 
-  /** Notes on which pages the images held have changed. */
+  /** Notes on which pages the images of machines have changed. */
   collectImageChanges(): void {
     for (const page of this.pages.values()) {
       page.imagesChanged ||= [...page.machines].some((machine) => machine.images.isDirty);
@@ -207,7 +210,7 @@
 
   // ---- writing
 
-  /** Pages to write, the most pressing first; without spare writes only what can't wait. */
+  /** Returns the pages to write, the most pressing first; without spare writes only what can't wait. */
   duePages(now: MonotonicTime, hasSpareWrites: boolean): RegistryPage[] {
     const due = [...this.pages.values()].filter((page) => this.isDue(page, now, hasSpareWrites));
     return due.sort((a, b) => Number(b.urgent) - Number(a.urgent) || Number(b.needsRewrite) - Number(a.needsRewrite));
@@ -220,11 +223,12 @@
     return page.imagesChanged && hasSpareWrites && now - page.writtenAt > IMAGE_WRITE_INTERVAL_MS;
   }
 
+  /** Returns the pages whose version has to be read before they can be written again. */
   pagesToReread(): RegistryPage[] {
     return [...this.pages.values()].filter((page) => page.versionUnknown && !page.writeInFlight);
   }
 
-  /** The change that brings the store up to date with a page. */
+  /** Begins a write of a page: returns the change that brings the state store up to date with it. */
   beginWrite(page: RegistryPage, now: MonotonicTime): PageWrite {
     page.writeInFlight = true;
     page.writtenAt = now;
@@ -233,12 +237,12 @@
     page.imagesChanged = false;
     const machines = [...page.machines];
     const records = [...page.keptRecords, ...machines.map(recordOf)];
-    for (const machine of machines) machine.images.isDirty = false;
+    for (const machine of machines) machine.images.markWritten();
     const value = this.encode(records);
     return { change: { put: pageKey(page.index), value: value.page }, bytes: value.bytes, machines };
   }
 
-  /** With as many of the images as there is room for: a hint less is no loss, a page that the store refuses would be. */
+  /** With as many of the images as fit: they are hints, and one less is no loss; a page that the store refuses would be. */
   private encode(records: readonly MachineRecord[]): { page: unknown; bytes: number } {
     for (let images = MAX_IMAGES; ; images = Math.floor(images / 2)) {
       const page = encodePage(records, images);
--- a/src/core/machines/straggler_detector.ts
+++ b/src/core/machines/straggler_detector.ts
@@ -1,6 +1,7 @@
+/** Tells a machine that is slow from jobs whose run times were estimated wrongly. */
 import type { JobId } from '../types.js';
 
-/** What one job says of a machine's speed. */
+/** What one job shows of a machine's speed. */
 export interface StragglerEvidence {
   /** log(actual / expected), or at least so much for work that still runs. */
   readonly logRatio: number;
@@ -12,16 +13,17 @@
 const MIN_JOBS = 2;
 /** The mean must be so many of its own standard errors above zero. */
 const MIN_STANDARD_ERRORS = 3;
-/** A machine is slow that takes twice as long as expected, as a logarithm. */
+/** A machine is a straggler that takes twice as long as expected, as a logarithm. */
 export const STRAGGLER_LOG_RATIO = Math.log(2);
 
 /**
- * Tells a slow machine from wrong estimates. Each job speaks once, weighed by how sure the estimates of its class are, and
+ * The evidence against one machine. Each job speaks once, weighed by how sure the estimates of its class are, and
  * it takes at least two jobs: one job's estimate may be wrong wherever it runs.
  */
 export class StragglerDetector {
   private readonly evidenceByJob = new Map<JobId, StragglerEvidence>();
 
+  /** A task of the job has completed here; the newest of each job counts, and only the last few jobs. */
   record(job: JobId, evidence: StragglerEvidence): void {
     this.evidenceByJob.delete(job);
     this.evidenceByJob.set(job, evidence);
@@ -30,7 +32,7 @@
     if (!oldest.done) this.evidenceByJob.delete(oldest.value);
   }
 
-  /** `running`: what work that still runs there says by now. */
+  /** Whether the machine is a straggler. `running`: what tasks that still run there show by now. */
   isStraggler(running: ReadonlyMap<JobId, StragglerEvidence>): boolean {
     if (this.evidenceByJob.size + running.size < MIN_JOBS) return false;
     const evidence = new Map([...this.evidenceByJob, ...running]);
--- a/src/core/machines/task_failures.ts
+++ b/src/core/machines/task_failures.ts
@@ -1,3 +1,4 @@
+/** Tells whether a machine is at fault for the tasks that fail on it. */
 import type { FailureHistory } from '../jobs/failure_history.js';
 import type { MonotonicTime } from '../types.js';
 
@@ -19,27 +20,30 @@
 
   private lastFailureAt = 0 as MonotonicTime;
 
+  /** A task of a job failed here. */
   record(job: FailureHistory, now: MonotonicTime): void {
     this.lastFailureAt = now;
     this.taskCountByJob.set(job, (this.taskCountByJob.get(job) ?? 0) + 1);
   }
 
+  /** A task did well here: earlier failures don't count any more. */
   clear(): void {
     this.taskCountByJob.clear();
   }
 
+  /** Whether a task has failed since one last did well. */
   get hasFailures(): boolean {
     return this.taskCountByJob.size > 0;
   }
 
-  /** How long the machine gets no new work after a failure: longer with each further job. */
+  /** For how long, in milliseconds, the machine is quarantined after a failure: longer with each further job. */
   get quarantineMs(): number {
     return INITIAL_QUARANTINE_MS * 2 ** Math.min(MAX_QUARANTINE_DOUBLINGS, this.taskCountByJob.size - 1);
   }
 
   /** Whether jobs other than this one have failed here that aren't at fault themselves. */
-  hasFailuresOfOtherJobs(than: FailureHistory): boolean {
-    for (const job of this.taskCountByJob.keys()) if (job !== than && !job.isFaulty) return true;
+  hasFailuresOfOtherJobs(thisJob: FailureHistory): boolean {
+    for (const job of this.taskCountByJob.keys()) if (job !== thisJob && !job.isFaulty) return true;
     return false;
   }
 
