--- a/src/core/leadership/candidacy.ts
+++ b/src/core/leadership/candidacy.ts
@@ -50,6 +50,7 @@
     private readonly onOutcome: (outcome: CandidacyOutcome) => void,
   ) {}
 
+  /** Begins by reading the term. */
   start(): void {
     this.context.stateStore.call({ op: 'get', key: TERM_KEY }, ELECTION_PRIORITY, (result) => {
       if (!result.ok) return this.onOutcome({ kind: 'unavailable' });
--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -92,6 +92,7 @@
 
   // ---- transitions
 
+  /** Begins to follow the leader key. */
   start(): void {
     this.follow();
   }
--- a/src/core/leadership/state_loader.ts
+++ b/src/core/leadership/state_loader.ts
@@ -8,10 +8,12 @@
 
 const RETRY_MS = 300;
 
+/** `ended`: everything has been read, or the term is over. */
+type LoaderState = 'idle' | 'reading' | 'ended';
+
 /** Machines and jobs are read as they stand after the leader key was acquired. */
 export class StateLoader {
-  private isLoading = false;
-  private isStopped = false;
+  private state: LoaderState = 'idle';
   private readonly retryTimer: Timer;
 
   /** `onLoaded` is given the registry's pages once jobs and machines are read. */
@@ -26,17 +28,17 @@
 
   /** Answers that still come are ignored. */
   stop(): void {
-    this.isStopped = true;
+    this.state = 'ended';
   }
 
   /** Begins to read, or to read again after a failure. Without effect while it reads. */
   load(): void {
-    if (this.isLoading || this.isStopped) return;
-    this.isLoading = true;
+    if (this.state !== 'idle') return;
+    this.state = 'reading';
     let pages: readonly StoredEntry[] | null = null;
     let jobsRead = false;
     const onPart = (ok: boolean): void => {
-      if (this.isStopped || !this.isLoading) return;
+      if (this.state !== 'reading') return;
       if (!ok) this.retry();
       else if (pages !== null && jobsRead) this.finish(pages);
     };
@@ -51,13 +53,12 @@
   }
 
   private retry(): void {
-    this.isLoading = false;
+    this.state = 'idle';
     this.retryTimer.set(this.context.after(RETRY_MS));
   }
 
   private finish(pages: readonly StoredEntry[]): void {
-    this.isLoading = false;
-    this.isStopped = true;
+    this.state = 'ended';
     this.onLoaded(pages);
   }
 }
--- a/src/core/state/image_usage.ts
+++ b/src/core/state/image_usage.ts
@@ -8,6 +8,7 @@
   /** What the largest task seen takes that uses an image. */
   readonly largestTasks = new Map<ImageName, Resources>();
 
+  /** A job uses its image. */
   record(spec: JobSpec): void {
     this.sizesGb.set(spec.image, spec.imageGb);
     const largest = this.largestTasks.get(spec.image);
--- a/src/core/state/machine_table.ts
+++ b/src/core/state/machine_table.ts
@@ -14,6 +14,7 @@
     private readonly bootTimeEstimator: BootTimeEstimator,
   ) {}
 
+  /** How many machines are known. */
   get size(): number {
     return this.byId.size;
   }
@@ -28,10 +29,12 @@
     return this.byId.get(id);
   }
 
+  /** Returns whether the machine is known, and not proven gone. */
   has(id: MachineId): boolean {
     return this.byId.has(id);
   }
 
+  /** Adds a machine, in place of one that had its id. */
   add(machine: Machine): void {
     this.byId.set(machine.id, machine);
   }
--- a/src/core/state/placement.ts
+++ b/src/core/state/placement.ts
@@ -60,6 +60,7 @@
     this.running = this.foundRunning ? placedAt : null;
   }
 
+  /** How far the task has come on its machine. */
   get phase(): PlacementPhase {
     return this.currentPhase;
   }
--- a/src/core/state/term_timers.ts
+++ b/src/core/state/term_timers.ts
@@ -17,6 +17,7 @@
     this.commandPush = this.scope.create();
   }
 
+  /** Creates a timer that ends with the term. */
   create(work?: () => void): Timer {
     return this.scope.create(work);
   }
--- a/src/recovery/orphan_tracker.ts
+++ b/src/recovery/orphan_tracker.ts
@@ -4,7 +4,7 @@
 
 /** So many tasks are listed for operators; any more are handled alike and not listed. */
 const MAX_LISTED_TASKS = 1000;
-/** So many jobs are kept; the tasks of any more are left alone until there is room. */
+/** So many jobs are kept; the tasks of any more are left alone until fewer are kept. */
 const MAX_SUSPECTED_JOBS = 10_000;
 
 interface SuspectedOrphan {
