--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -13,3 +13,5 @@
 import './core/scheduler/planner.test.js';
 import './core/scheduler/plans.test.js';
 import './core/scheduler/priority.test.js';
+import './core/workers/deferred_responses.test.js';
+import './core/workers/heartbeat_router.test.js';
--- a/test/sim/availability.ts
+++ b/test/sim/availability.ts
@@ -9,6 +9,7 @@
 
   constructor(private readonly world: World) {}
 
+  /** Samples from now on. */
   start(): void {
     const look = (): void => {
       this.sample();
--- a/test/sim/build.ts
+++ b/test/sim/build.ts
@@ -32,6 +32,7 @@
 
 const deployFile = (name: string): string => fileURLToPath(new URL(`../../../../deploy/${name}`, import.meta.url));
 
+/** The build of this version, with the features as they are deployed. */
 export const CURRENT_BUILD: Build = {
   name: 'present',
   controllerClass: Controller,
@@ -51,4 +52,5 @@
 /** The builds of this version. */
 export const CURRENT_BUILDS: readonly Build[] = [CURRENT_BUILD, FEATURES_OFF];
 
+/** Whether a build is of this version. */
 export const isCurrent = (build: Build): boolean => CURRENT_BUILDS.includes(build);
--- a/test/sim/clock.ts
+++ b/test/sim/clock.ts
@@ -8,6 +8,7 @@
 
 /** Virtual time and the only source of chance: a run with the same seed is the same run. */
 export class Clock {
+  /** Milliseconds since the beginning. */
   now = 0;
   private readonly random: RandomGenerator;
   private queue: ScheduledEvent[] = [];
@@ -22,10 +23,12 @@
     return low + (unsafeUniformIntDistribution(0, 1_000_000, this.random) / 1_000_000) * (high - low);
   }
 
+  /** One of them, each as likely as the others. */
   pickRandom<T>(from: readonly T[]): T {
     return from[unsafeUniformIntDistribution(0, from.length - 1, this.random)] as T;
   }
 
+  /** Runs a function so many milliseconds from now; those of the same time run in the order in which they were scheduled. */
   schedule(ms: number, run: () => void): void {
     const event: ScheduledEvent = { at: this.now + Math.max(0, ms), nextOrder: this.nextOrder++, run };
     const heap = this.queue;
@@ -58,6 +61,7 @@
     return first;
   }
 
+  /** Runs all that falls due up to `end`, which is the time afterwards. */
   runUntil(end: number): void {
     while (this.queue.length > 0 && (this.queue[0] as ScheduledEvent).at <= end) {
       const event = this.pop() as ScheduledEvent;
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -20,6 +20,7 @@
   readonly zone: string | null;
 }
 
+/** What a world is told of its machines. */
 export interface CloudEvents {
   onBooted(id: MachineId, type: MachineType, zone: ZoneName, spot: boolean): void;
   onGone(id: MachineId): void;
@@ -29,13 +30,17 @@
 
 /** A cloud by its protocol: idempotent provisioning, lists that lag and go backwards, machines that never boot. */
 export class SimulatedCloud {
+  /** What is provisioned at present. */
   readonly machines = new Map<MachineId, ProvisionedMachine>();
   private readonly provisionedByRequest = new Map<string, MachineId[]>();
   private listHistory: { at: number; currentList: CloudMachine[] }[] = [];
   private lastMachineNumber = 0;
+  /** Whether every call is refused. */
   isDown = false;
+  /** So many of the next machines that are provisioned never boot. */
   neverBootCount = 0;
   private bootFaults: BootFault[] = [];
+  /** Machines that were provisioned on request. */
   provisionedCount = 0;
 
   constructor(
@@ -67,6 +72,7 @@
       .sort((a, b) => (a.id < b.id ? -1 : 1));
   }
 
+  /** Adds a machine that boots in so many milliseconds; null: never. */
   addMachine(type: MachineType, zone: ZoneName, spot: boolean, bootMs: number | null): MachineId {
     const id = `i-${String(this.lastMachineNumber++).padStart(6, '0')}` as MachineId;
     const machine: ProvisionedMachine = { id, type, zone, spot, provisionedAt: this.clock.now, phase: 'booting' };
@@ -81,10 +87,12 @@
     return id;
   }
 
+  /** Takes a machine back, without notice. */
   interrupt(id: MachineId): void {
     if (this.machines.delete(id)) this.events.onGone(id);
   }
 
+  /** Lets a machine stop; it is listed as failed until it is terminated. */
   failMachine(id: MachineId): void {
     const machine = this.machines.get(id);
     if (!machine) return;
@@ -92,6 +100,7 @@
     this.events.onGone(id);
   }
 
+  /** Executes a call after a random latency. */
   serve(op: CloudOperation, reply: (result: CloudResult) => void): void {
     this.clock.schedule(this.clock.randomBetween(50, 250), () => reply(this.execute(op)));
   }
@@ -109,6 +118,7 @@
     if (this.machines.delete(id)) this.events.onGone(id);
   }
 
+  /** Machines provisioned from now on are subject to the fault. */
   addBootFault(fault: BootFault): void {
     this.bootFaults.push(fault);
   }
--- a/test/sim/command_counts.ts
+++ b/test/sim/command_counts.ts
@@ -1,6 +1,7 @@
 import type { CommandPush } from '../../src/core/messages.js';
 import type { Command } from '../../src/core/types.js';
 
+/** A kind of command; `inquiry` is a push without commands, which asks for the status alone. */
 export type CommandKind = Command['op'] | 'inquiry';
 
 /** What workers are told to do, by kind: every command that reaches one and is entitled, whether or not it has an effect. */
@@ -12,10 +13,12 @@
     this.counts.clear();
   }
 
+  /** How many of the kind reached workers since the counts were reset. */
   count(kind: CommandKind): number {
     return this.counts.get(kind) ?? 0;
   }
 
+  /** A worker carries out a command. */
   onCommand({ op }: Command): void {
     this.add(op);
   }
--- a/test/sim/controller_process.ts
+++ b/test/sim/controller_process.ts
@@ -59,15 +59,18 @@
     this.build = build;
   }
 
+  /** Whether there is a process. */
   get isRunning(): boolean {
     return this.controller !== null;
   }
 
+  /** What the load balancer is told. */
   get isHealthy(): boolean {
     if (this.world.clock.now < this.frozenUntil) return false;
     return this.controller?.isHealthy(this.clockReading().monotonic) ?? false;
   }
 
+  /** Starts the process unless it runs. */
   start(): void {
     if (this.controller) return;
     this.startCount += 1;
@@ -84,6 +87,7 @@
     this.step({ kind: 'start' });
   }
 
+  /** Ends the process at once, with all that it knew. */
   crash(): void {
     this.controller = null;
     this.splitters.clear();
@@ -115,6 +119,7 @@
     });
   }
 
+  /** Hands the controller an input, and carries out what it returns. */
   step(input: Input): void {
     const { controller } = this;
     if (!controller) return;
@@ -252,10 +257,12 @@
     if (level === 'error') world.errors.push(`${event} ${JSON.stringify(fields)}`);
   }
 
+  /** What recovery found in the present term; null: nothing, or the build keeps no summary. */
   recoverySummary(): RecoverySummary | null {
     return this.controller?.recoverySummary?.() ?? null;
   }
 
+  /** A message of a peer arrives. */
   receivePeerMessage(sender: ControllerName, message: PeerMessage): void {
     this.step({ kind: 'peerMessage', sender, message });
   }
@@ -276,6 +283,7 @@
     for (const frame of frames) if (frame.kind !== 'hello') this.receivePeerMessage(from, frame);
   }
 
+  /** A heartbeat arrives; `reply` is never called if the process ends before it responds. */
   receiveHeartbeat(heartbeat: Heartbeat, reply: (answer: HeartbeatResponse) => void): void {
     if (!this.controller) return;
     const requestId = ++this.lastRequestId;
@@ -283,6 +291,7 @@
     this.step({ kind: 'heartbeat', requestId, heartbeat });
   }
 
+  /** A user's request arrives; `reply` is never called if the process ends before it responds. */
   receiveUserRequest(request: UserRequest, reply: (answer: UserResponse) => void): void {
     if (!this.controller) return;
     const requestId = ++this.lastRequestId;
--- a/test/sim/deployment.ts
+++ b/test/sim/deployment.ts
@@ -29,6 +29,7 @@
   readonly cpuShare: number;
 }
 
+/** The limits of a scenario that names no others. */
 export const LIMITS: Limits = {
   requestsPerSecond: 200,
   writesPerSecond: 20,
--- a/test/sim/gang_index.ts
+++ b/test/sim/gang_index.ts
@@ -17,11 +17,13 @@
     return this.membersByAttempt.get(`${job}#${attempt}`) ?? [];
   }
 
+  /** A task of the gang is on the worker from now on. */
   add(worker: SimulatedWorker, task: SimulatedTask): void {
     const key = `${task.job}#${task.attempt}`;
     this.membersByAttempt.set(key, [...(this.membersByAttempt.get(key) ?? []), { worker, task }]);
   }
 
+  /** The task is no longer on the worker. */
   remove(worker: SimulatedWorker, task: SimulatedTask): void {
     const key = `${task.job}#${task.attempt}`;
     const left = this.members(task.job, task.attempt).filter(
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -13,29 +13,39 @@
 
 /** Watches everything that happens, and records each violation of what must always hold. */
 export class Invariants {
+  /** What did not hold, each with its time and its rule. */
   readonly violations: string[] = [];
+  /** What users submitted. */
   readonly submitted = new Map<JobId, JobSpec>();
   /** Tasks on machines: by job, then task number. */
   readonly tasksOnMachines = new Map<JobId, Map<number, TaskPlace[]>>();
+  /** Numbers of the tasks that were completed, by job. */
   readonly completedTasks = new Map<JobId, Set<number>>();
   private readonly accepted = new Set<JobId>();
   private readonly acceptanceToldAt = new Map<JobId, number>();
   private readonly finalStates = new Map<JobId, 'done' | 'cancelled'>();
+  /** Jobs whose users asked for their cancellation. */
   readonly cancellationRequested = new Set<JobId>();
   private readonly cancellationToldAt = new Map<JobId, number>();
   private readonly lastTaskLeftAt = new Map<JobId, number>();
+  /** Tasks that began to run. */
   starts = 0;
   /** Starts after the user was told that the job is cancelled: allowed only for what was on its way. */
   startsAfterCancellation = 0;
   /** Submissions that can never run or lack a field. */
   readonly infeasibleJobs = new Set<JobId>();
+  /** Called when the last task of a job is completed. */
   onCompleted: (job: JobId) => void = () => {};
   /** Called when a user is told for the first time that a job is accepted, done or cancelled. */
   onStatusChange: (job: JobId) => void = () => {};
   private readonly finalStateToldAt = new Map<JobId, number>();
+  /** Jobs whose users were answered that they can never run. */
   readonly refusedJobs = new Set<JobId>();
+  /** When a task of the job was last started. */
   readonly lastStartAt = new Map<JobId, number>();
+  /** How many tasks of the job began to run. */
   readonly startsByJob = new Map<JobId, number>();
+  /** Machines on which some task began to run. */
   readonly usedMachines = new Set<string>();
   private readonly submittedAt = new Map<JobId, number>();
   private readonly firstStartAt = new Map<JobId, number>();
@@ -58,6 +68,7 @@
     return this.submitted.get(job) ?? this.injectedJobs.get(job);
   }
 
+  /** A user submits a job. */
   onSubmitted(spec: JobSpec): void {
     this.submitted.set(spec.id, spec);
     this.submittedAt.set(spec.id, this.clock.now);
@@ -78,6 +89,7 @@
     return (this.completionToldAt.get(job) ?? this.clock.now) - (this.submittedAt.get(job) ?? this.clock.now);
   }
 
+  /** Whether any task of the job began to run. */
   hasStarted(job: JobId): boolean {
     return this.firstStartAt.has(job);
   }
@@ -102,6 +114,7 @@
     );
   }
 
+  /** A machine is no longer on record, though it is provisioned. */
   onUnregistered(machine: string): void {
     this.report('unregistered', `${machine} is rented and no longer on record`);
   }
@@ -115,6 +128,7 @@
     this.violations.push(`${(this.clock.now / 1000).toFixed(2)} ${rule}: ${what}`);
   }
 
+  /** A task begins to run on a machine. */
   onTaskStarted(job: JobId, index: number, machine: MachineId, type: MachineType, zone: ZoneName, spot: boolean): void {
     this.starts += 1;
     this.usedMachines.add(machine);
@@ -161,6 +175,7 @@
     if (tooMany) this.report('wrong_place', `${id} has too many tasks in zone ${zone}`);
   }
 
+  /** A task is no longer on a machine. */
   onTaskEnded(job: JobId, index: number, machine: MachineId): void {
     const tasks = this.tasksOnMachines.get(job);
     const places = tasks?.get(index)?.filter((place) => place.machine !== machine) ?? [];
@@ -175,6 +190,7 @@
     return (there ? this.clock.now : (this.lastTaskLeftAt.get(job) ?? 0)) - (this.cancellationToldAt.get(job) ?? 0);
   }
 
+  /** A task has its result. */
   onTaskCompleted(job: JobId, index: number): void {
     let set = this.completedTasks.get(job);
     if (!set) {
@@ -186,16 +202,19 @@
     if (this.isDone(job)) this.onCompleted(job);
   }
 
+  /** Whether all tasks of the job are completed. */
   isDone(job: JobId): boolean {
     return (
       (this.completedTasks.get(job)?.size ?? 0) >= (this.submitted.get(job)?.taskCount ?? Number.POSITIVE_INFINITY)
     );
   }
 
+  /** The final state that the job's user was told; undefined: none yet. */
   finalStateOf(job: JobId): string | undefined {
     return this.finalStates.get(job);
   }
 
+  /** Whether the job's user was told that it is accepted. */
   isAccepted(job: JobId): boolean {
     return this.accepted.has(job);
   }
--- a/test/sim/job_options.ts
+++ b/test/sim/job_options.ts
@@ -30,6 +30,7 @@
   'checkpointDuration',
   'faulty',
 ] as const;
+/** Options of a job, as words of a scenario; each has a default. */
 export type JobOptions = { [Name in (typeof JOB_OPTIONS)[number]]?: string };
 
 /** Words of the form `key=value`, or `key` for `key=yes`. */
--- a/test/sim/meters.ts
+++ b/test/sim/meters.ts
@@ -25,41 +25,50 @@
   private openCommands = 0;
   /** Plan steps of the dearest round. */
   largestRoundSteps = 0;
+  /** The most pushed commands without a response at any time. */
   peakOpenCommands = 0;
   /** Machines that a leader took out of use because tasks failed there. */
   quarantinedMachines = 0;
+  /** The longest frame to a peer. */
   largestFrameBytes = 0;
   /** Machines that were returned with tasks on them. */
   terminatedWhileBusy = 0;
 
   constructor(private readonly clock: Clock) {}
 
+  /** Calls of the state store in the busiest second. */
   get peakStoreCalls(): number {
     return this.storeCalls.peak;
   }
 
+  /** Changes in transactions of the busiest second. */
   get peakStoreChanges(): number {
     return this.storeChanges.peak;
   }
 
+  /** Calls of the cloud in the busiest second. */
   get peakCloudCalls(): number {
     return this.cloudCalls.peak;
   }
 
+  /** A call of the state store leaves. */
   onStoreCall(op: StateStoreOperation): void {
     this.storeCalls.add(this.clock.now, 1);
     if (op.op === 'compareAndSwap') this.storeChanges.add(this.clock.now, op.changes.length);
   }
 
+  /** A call of the cloud leaves. */
   onCloudCall(): void {
     this.cloudCalls.add(this.clock.now, 1);
   }
 
+  /** So many more pushed commands are without a response; negative: fewer. */
   addOpenCommands(n: number): void {
     this.openCommands += n;
     this.peakOpenCommands = Math.max(this.peakOpenCommands, this.openCommands);
   }
 
+  /** A message to a peer leaves. */
   onPeerMessage(message: PeerMessage): void {
     this.largestFrameBytes = Math.max(this.largestFrameBytes, encodeFrame(message).length);
   }
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -43,6 +43,7 @@
     this.clock.schedule(ms, () => this.addedLatencyMs.delete(host));
   }
 
+  /** Delivers a message after a random latency, unless a partition is in its way. */
   send(from: string, to: string, deliver: () => void): void {
     for (const cut of this.partitions) {
       if (!isPartitioned(cut, to, from) && (cut.oneWay || !isPartitioned(cut, from, to))) continue;
--- a/test/sim/old_names.ts
+++ b/test/sim/old_names.ts
@@ -321,6 +321,7 @@
     cloud: (limits) => toOld(limits, RATES),
   });
 
+/** A clock reading, with its old names. */
 export const oldClockReading = (now: ClockReading): unknown => toOld(now, CLOCK);
 
 /** A job's record in memory, with its old names. */
--- a/test/sim/state_store.ts
+++ b/test/sim/state_store.ts
@@ -42,9 +42,11 @@
   delayedWritesApplied = 0;
   /** Called when a transaction is refused for its size. */
   onOversizedTransaction: (from: string) => void = () => {};
+  /** Controllers that are answered 503. */
   readonly refusedHosts = new Set<string>();
   /** Controllers whose reads of jobs are refused. */
   readonly jobReadsRefusedFor = new Set<string>();
+  /** Changes that transactions made. */
   changesApplied = 0;
   /** The longest value that was written, as text. */
   largestValueLength = 0;
@@ -61,6 +63,7 @@
     this.writeRate = this.callRate;
   }
 
+  /** Refuses every call for a while; leases do not expire meanwhile. */
   outage(ms: number): void {
     this.isDown = true;
     this.clock.schedule(ms, () => {
@@ -70,10 +73,12 @@
     });
   }
 
+  /** What is stored under a key; null: nothing. */
   item(key: string): StoredEntry | null {
     return this.items.get(key)?.item ?? null;
   }
 
+  /** The keys that begin so, in order. */
   keys(prefix: string): string[] {
     return [...this.items.keys()].filter((key) => key.startsWith(prefix)).sort();
   }
@@ -86,6 +91,7 @@
     });
   }
 
+  /** Every call takes so many times as long, for a while. */
   slowDown(factor: number, ms: number): void {
     this.latencyFactor = factor;
     this.clock.schedule(ms, () => {
@@ -121,6 +127,7 @@
     this.execute('late', op, () => {});
   }
 
+  /** Executes a call after a random latency, unless a fault keeps it from that. */
   serve(from: string, op: StateStoreOperation, reply: Reply): void {
     const latency = this.clock.randomBetween(1, 6) * this.latencyFactor;
     this.clock.schedule(latency, () => {
--- a/test/sim/task_progress.ts
+++ b/test/sim/task_progress.ts
@@ -13,6 +13,7 @@
     return this.submittedRunMs.get(job) ?? this.injectedRunMs.get(job) ?? DEFAULT_RUN_MS;
   }
 
+  /** For jobs that a user submitted. */
   setSubmittedRunMs(job: JobId, ms: number): void {
     this.submittedRunMs.set(job, ms);
   }
@@ -27,6 +28,7 @@
     return this.checkpoints.get(`${job}/${index}`) ?? 0;
   }
 
+  /** A checkpoint of a task is complete; an earlier one never replaces it. */
   saveCheckpoint(job: JobId, index: number, ms: number): void {
     const key = `${job}/${index}`;
     this.checkpoints.set(key, Math.max(ms, this.checkpoints.get(key) ?? 0));
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -95,6 +95,7 @@
     }
   }
 
+  /** A user submits a job, again for a minute until it is accepted or refused, and polls it from then on. */
   submit(spec: JobSpec, runMs: number): void {
     this.invariants.onSubmitted(spec);
     this.world.progress.setSubmittedRunMs(spec.id, runMs);
@@ -136,6 +137,7 @@
     });
   }
 
+  /** A user asks for the cancellation of a job, again for a minute until that is answered. */
   cancel(id: JobId): void {
     this.invariants.cancellationRequested.add(id);
     const again = (until: number): void => {
--- a/test/sim/wire_trace.ts
+++ b/test/sim/wire_trace.ts
@@ -70,6 +70,7 @@
     return file ? new WireTrace(file) : null;
   }
 
+  /** Adds what a controller sends out. */
   add(atMs: number, from: string, build: Build, output: Output): void {
     const sent = sentOutput(build, output);
     if (sent === null) return;
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -20,9 +20,12 @@
 
 /** A worker by the protocol: heartbeats, leases, fencing tokens and pushed commands; its tasks are the executor's. */
 export class SimulatedWorker {
+  /** Counts its leases. */
   agentEpoch = 1n;
   private sequence = 0n;
+  /** It obeys nobody with a lower one. */
   highestFencingToken = 0n;
+  /** Runs its tasks. */
   readonly executor: TaskExecutor;
   private leaseRenewedAt: number;
   private controllerIndex: number;
@@ -32,15 +35,21 @@
   hasUnreportedChange = true;
   private lastHeartbeatAt = Number.NEGATIVE_INFINITY;
   private fencingTokenChangedAt = Number.NEGATIVE_INFINITY;
+  /** When the cloud takes the machine; null: no notice was given. */
   interruptionAt: number | null = null;
+  /** Until then it neither executes nor answers anything. */
   hungUntil = 0;
   /** Until then it reaches no controller, while pushed commands reach it. */
   heartbeatsLostUntil = 0;
   /** Heartbeats sent before then are delayed, and reach whoever leads afterwards; nobody waits for those responses. */
   heartbeatsDelayedUntil = 0;
+  /** Whether every task that starts here fails. */
   failsTasks = false;
+  /** Progress of tasks in a millisecond; 1 is usual. */
   speed = 1;
+  /** Whether there is still a machine. */
   isAlive = true;
+  /** Images that were pulled. */
   readonly images = new Set<string>();
 
   constructor(
@@ -71,10 +80,12 @@
     return this.world.clock.now;
   }
 
+  /** Whether it neither executes nor answers anything. */
   get isHung(): boolean {
     return this.now < this.hungUntil;
   }
 
+  /** The machine is gone with everything on it. */
   terminate(): void {
     this.isAlive = false;
     this.executor.dropAll();
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -30,6 +30,7 @@
 /** What a world is made of, and the seed of all chance in it. */
 export interface WorldOptions extends DeploymentOptions {
   readonly seed: number;
+  /** In the order of their names. */
   readonly controllers: number;
   readonly types: readonly MachineType[];
   readonly capacity: number;
@@ -48,8 +49,11 @@
   readonly cloud: SimulatedCloud;
   readonly invariants: Invariants;
   readonly controllers: ControllerProcess[] = [];
+  /** By machine; those that are gone are not in it. */
   readonly workers = new Map<MachineId, SimulatedWorker>();
+  /** Jobs that fail wherever they run. */
   readonly faultyJobs = new Set<JobId>();
+  /** Log events of level `error`, and what else must not happen. */
   readonly errors: string[] = [];
   readonly limits: Limits;
   readonly workerTiming: Settings['workers'];
@@ -68,6 +72,7 @@
   expiredLeases = 0;
   /** Peers' messages go through the codecs of both ends. */
   readonly encodesPeerMessages: boolean;
+  /** Whether log events are printed. */
   verbose = process.env.SIM_LOG === '1';
   /** Null: nothing is traced. */
   readonly trace = WireTrace.fromEnvironment();
@@ -114,11 +119,13 @@
     });
   }
 
+  /** Starts each controller within a fraction of a second. */
   startControllers(): void {
     for (const controller of this.controllers)
       this.clock.schedule(this.clock.randomBetween(0, 300), () => controller.start());
   }
 
+  /** A machine has booted. */
   addWorker(id: MachineId, type: MachineType, zone: ZoneName, spot: boolean): void {
     this.workers.set(id, new SimulatedWorker(this, id, type, zone, spot));
   }
--- a/test/support/fake_services.ts
+++ b/test/support/fake_services.ts
@@ -49,11 +49,13 @@
     this.server = createServer((request, response) => void this.serve(request, response));
   }
 
+  /** Listens on a free port of 127.0.0.1, which is returned. */
   async start(): Promise<number> {
     await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     return (this.server.address() as AddressInfo).port;
   }
 
+  /** Ends all connections. */
   stop(): void {
     for (const { expiry } of this.leases.values()) clearTimeout(expiry);
     this.server.closeAllConnections();
@@ -77,6 +79,7 @@
     this.machines.set(id, { addr, addedAt: performance.now(), onTerminated });
   }
 
+  /** The cloud shows the machine no longer. */
   removeMachine(id: string): void {
     this.machines.delete(id);
   }
--- a/test/support/fake_worker.ts
+++ b/test/support/fake_worker.ts
@@ -18,18 +18,24 @@
 
 /** What happened on all workers together, written down apart from any controller. */
 export class WorkLog {
+  /** Commands that reached workers, by their names on the wire. */
   readonly commands = { run: 0, stop: 0, reap: 0 };
   /** Starts that had an effect, by task. */
   readonly startsByTask = new Map<string, number>();
+  /** Tasks that ran to their end, by task. */
   readonly completionsByTask = new Map<string, number>();
+  /** Machines whose lease expired under their tasks. */
   readonly expiredLeases: string[] = [];
+  /** Tasks that ran in two places at once. */
   readonly concurrentRuns: string[] = [];
   private readonly runningOn = new Map<string, string>();
 
+  /** Counts commands from now on. */
   resetCommands(): void {
     Object.assign(this.commands, { run: 0, stop: 0, reap: 0 });
   }
 
+  /** A task begins on a machine. */
   onStarted(task: string, machine: string): void {
     const other = this.runningOn.get(task);
     if (other !== undefined) this.concurrentRuns.push(`${task} on ${other} and ${machine}`);
@@ -37,19 +43,23 @@
     this.startsByTask.set(task, (this.startsByTask.get(task) ?? 0) + 1);
   }
 
+  /** A task is no longer on a machine. */
   onEnded(task: string, machine: string): void {
     if (this.runningOn.get(task) === machine) this.runningOn.delete(task);
   }
 
+  /** A task has run to its end. */
   onCompleted(task: string): void {
     this.completionsByTask.set(task, (this.completionsByTask.get(task) ?? 0) + 1);
   }
 
+  /** How many tasks run on all machines. */
   runningTasks(): number {
     return this.runningOn.size;
   }
 }
 
+/** A machine and its timing. */
 export interface FakeWorkerOptions {
   readonly id: string;
   readonly zone: string;
@@ -96,14 +106,17 @@
     });
   }
 
+  /** The name of its machine. */
   get id(): string {
     return this.options.id;
   }
 
+  /** Where commands are pushed to. */
   get address(): string {
     return this.listenAddress;
   }
 
+  /** Listens for pushed commands, and sends heartbeats from now on. */
   async start(): Promise<void> {
     await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     this.listenAddress = `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
@@ -123,10 +136,12 @@
     return this.highestFencingToken === token;
   }
 
+  /** How many leases it has had. */
   get currentAgentEpoch(): number {
     return this.agentEpoch;
   }
 
+  /** The tasks that it shows, exited ones with them. */
   get taskNames(): string[] {
     return [...this.tasks.keys()];
   }
--- a/test/support/http.ts
+++ b/test/support/http.ts
@@ -3,6 +3,7 @@
 
 /* Requests over HTTP with CBOR bodies, as users and workers send them. */
 
+/** A response that came in whole. */
 export interface HttpResponse {
   readonly status: number;
   readonly headers: NodeJS.Dict<string | string[]>;
@@ -10,6 +11,7 @@
   readonly body: Record<string, unknown>;
 }
 
+/** The methods that are tried. */
 export type HttpMethod = 'GET' | 'POST' | 'DELETE';
 
 interface ExchangeOptions {
--- a/test/support/machine_fixtures.ts
+++ b/test/support/machine_fixtures.ts
@@ -1,11 +1,14 @@
 import { Machine } from '../../src/core/machines/machine.js';
 import type { MachineId, MachineType, MachineTypeName, MonotonicTime, ZoneName } from '../../src/core/types.js';
 
-/** Machine types and machines as unit tests need them. */
-export const zoneA = 'a' as ZoneName;
+/* Machine types and machines as unit tests need them. */
 
+/** The zone of all machines of these. */
+export const zoneA = 'a' as ZoneName;
+/** A second zone, in which no machine type of these is offered. */
 export const zoneB = 'b' as ZoneName;
 
+/** A machine type in zone a, by its name, cores and GPUs. */
 export const makeMachineType = (name: string, cpus: number, gpus: number): MachineType => ({
   name: name as MachineTypeName,
   cpus,
@@ -19,6 +22,7 @@
   zones: ['a' as ZoneName],
 });
 
+/** A machine with four GPUs in zone a. */
 export const makeMachine = (
   id: string,
   address: string,
--- a/test/support/plan_fixtures.ts
+++ b/test/support/plan_fixtures.ts
@@ -2,7 +2,9 @@
 import { Planner } from '../../src/core/scheduler/planner.js';
 import type { ImageName, MachineType, ZoneName } from '../../src/core/types.js';
 
-/** Jobs, machines and planners as the planner's unit tests need them. */
+/* Jobs, machines and planners as the planner's unit tests need them. */
+
+/** A machine, of whose cores `freeCpus` are free now and all after 20 s; `fetchS`: seconds to pull any image. */
 export function makePlanMachine(
   index: number,
   zone: string,
@@ -28,6 +30,7 @@
   };
 }
 
+/** A small job in zone a, otherwise as `over` says. */
 export function makePlanJob(index: number, over: Partial<PlanJob>): PlanJob {
   return {
     index,
@@ -55,4 +58,5 @@
   };
 }
 
+/** A planner with equal weights and no penalties. */
 export const makePlanner = (): Planner => new Planner({ averageWait: 1, maximumWait: 1, idleShare: 1 });
--- a/test/support/processes.ts
+++ b/test/support/processes.ts
@@ -7,12 +7,15 @@
 
 /* Real controller processes on loopback, and what talks to them. */
 
+/** The root of the repository. */
 export const repositoryRoot = fileURLToPath(new URL('../../../../', import.meta.url));
 /** The program as the tests build it. */
 export const mainModule = join(repositoryRoot, 'target/check/src/main.js');
 const POLL_INTERVAL_MS = 50;
+/** How long `waitUntil` waits unless it is told otherwise. */
 export const WAIT_TIMEOUT_MS = 30_000;
 
+/** A controller and its ports on 127.0.0.1. */
 export interface ControllerAddress {
   readonly name: string;
   readonly port: number;
@@ -72,6 +75,7 @@
   throw new Error(`a test process has ${PORTS_PER_PROCESS} ports at most`);
 }
 
+/** Gives a controller two ports that nobody else is given. */
 export async function allocateAddress(name: string): Promise<ControllerAddress> {
   return { name, port: await allocatePort(), peerPort: await allocatePort() };
 }
@@ -139,6 +143,7 @@
   return spawn(program, [...args, file], { cwd: repositoryRoot, stdio: ['ignore', 'ignore', log] });
 }
 
+/** Waits until a condition holds; throws, saying what was waited for, if it does not in time. */
 export async function waitUntil(
   what: string,
   holds: () => boolean | Promise<boolean>,
@@ -151,4 +156,5 @@
   }
 }
 
+/** Resolves after so many milliseconds. */
 export const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
--- a/test/support/sample_messages.ts
+++ b/test/support/sample_messages.ts
@@ -66,6 +66,7 @@
   ],
 };
 
+/** The submission as the core has it. */
 export const jobSpec = decodeJobSpec(wireJob);
 /** Frames between nodes of every kind, with every shape of their payloads. */
 export const peerFrames: PeerFrame[] = [
