--- a/src/io/peers/inbound_connection.ts
+++ b/src/io/peers/inbound_connection.ts
@@ -49,11 +49,11 @@
       if (this.sender !== null) this.onMessage(this.sender, frame);
       return true;
     }
-    if (!this.isPeer(frame.node)) {
+    if (!this.isPeer(frame.sender)) {
       this.socket.destroy();
       return false;
     }
-    this.sender = frame.node;
+    this.sender = frame.sender;
     return true;
   }
 
--- a/src/io/peers/outbound_connection.ts
+++ b/src/io/peers/outbound_connection.ts
@@ -39,7 +39,7 @@
     socket.on('connect', () => {
       clearTimeout(connectTimer);
       this.isConnected = true;
-      socket.write(encodeFrame({ kind: 'hello', node: this.self }));
+      socket.write(encodeFrame({ kind: 'hello', sender: this.self }));
     });
     // 'close' follows every error.
     socket.on('error', () => {});
--- a/src/io/peers/peer_codec.ts
+++ b/src/io/peers/peer_codec.ts
@@ -32,7 +32,7 @@
 const MIN_FRAME_BYTES = 2;
 
 /** What a frame holds: who the sender is, once at the start of a connection, and then its messages. */
-export type PeerFrame = { readonly kind: 'hello'; readonly node: ControllerName } | PeerMessage;
+export type PeerFrame = { readonly kind: 'hello'; readonly sender: ControllerName } | PeerMessage;
 
 /** A kind's number on the wire is its index here. */
 const KINDS = [
@@ -77,7 +77,7 @@
 
 function writePayload(writer: FrameWriter, frame: PeerFrame): void {
   if (frame.kind === 'hello') {
-    writer.text(frame.node);
+    writer.text(frame.sender);
     return;
   }
   if (frame.kind === 'status') {
@@ -119,7 +119,7 @@
   const reader = new FrameReader(payload);
   switch (KINDS[kind]) {
     case 'hello':
-      return { kind: 'hello', node: reader.text() };
+      return { kind: 'hello', sender: reader.text() };
     case 'status':
       return { kind: 'status', status: readStatus(reader) };
     case 'request':
--- a/src/io/state_store/state_store_transport.ts
+++ b/src/io/state_store/state_store_transport.ts
@@ -27,7 +27,7 @@
   call(operation: StateStoreOperation, timeoutMs: number): Promise<StateStoreResult> {
     const client = operation.op === 'watch' ? this.watchClient : this.client;
     const call = {
-      service: 'state service',
+      service: 'state store',
       request: encodeStateStoreRequest(operation),
       timeoutMs,
       decode: (status: number, body: unknown) => decodeStateStoreResponse(operation, status, body),
--- a/src/io/wire/fields.ts
+++ b/src/io/wire/fields.ts
@@ -67,9 +67,9 @@
   return isMissing(fields, key) ? null : amountField(fields, key);
 }
 
-/** Reads a word on the wire and returns the value that it stands for in `values`. */
+/** Reads a name on the wire and returns the value that it stands for in `values`. */
 export function enumField<T>(fields: WireMap, key: string, values: Readonly<Record<string, T>>): T {
-  const word = fields[key];
-  if (typeof word === 'string' && Object.hasOwn(values, word)) return values[word] as T;
+  const name = fields[key];
+  if (typeof name === 'string' && Object.hasOwn(values, name)) return values[name] as T;
   throw new WireError(`${key} has an unknown value`);
 }
--- a/src/io/workers/heartbeat_route.ts
+++ b/src/io/workers/heartbeat_route.ts
@@ -22,7 +22,7 @@
     heartbeat = decodeHeartbeat(await readCborMap(context.env.incoming));
   } catch (error) {
     const problem = problemOf(error);
-    handlers.onMalformedMessage(`report: ${problem}`);
+    handlers.onMalformedMessage(`heartbeat: ${problem}`);
     return cborResponse(400, { error: problem });
   }
   const response = await handlers.handleHeartbeat(heartbeat);
--- a/test/golden/peer_cases.ts
+++ b/test/golden/peer_cases.ts
@@ -68,7 +68,7 @@
 ];
 
 const frames: readonly PeerFrame[] = [
-  { kind: 'hello', node: 'perch-1' as ControllerName },
+  { kind: 'hello', sender: 'perch-1' as ControllerName },
   ...statusFrames,
   ...requestFrames,
   ...userAnswers.map((response, i): PeerFrame => ({ kind: 'requestResponse', id: 20 + i, response })),
--- a/test/io/controller_runtime.test.ts
+++ b/test/io/controller_runtime.test.ts
@@ -20,7 +20,7 @@
 const CLOSED_WITHIN_MS = 1000;
 
 function unknownFrame(): Buffer {
-  const frame = encodeFrame({ kind: 'hello', node: PEER });
+  const frame = encodeFrame({ kind: 'hello', sender: PEER });
   frame.writeUInt8(99, FRAME_KIND_OFFSET);
   return frame;
 }
--- a/test/sim/old_names.ts
+++ b/test/sim/old_names.ts
@@ -130,7 +130,7 @@
   },
 };
 const MESSAGE: Renaming = {
-  fields: { report: 'heartbeat', answer: 'response' },
+  fields: { node: 'sender', report: 'heartbeat', answer: 'response' },
   words: { kind: { requestAnswer: 'requestResponse', report: 'heartbeat', reportAnswer: 'heartbeatResponse' } },
 };
 const SETTINGS: Renaming = {
--- a/test/support/sample_messages.ts
+++ b/test/support/sample_messages.ts
@@ -70,7 +70,7 @@
 export const jobSpec = decodeJobSpec(wireJob);
 /** Frames between nodes of every kind, with every shape of their payloads. */
 export const peerFrames: PeerFrame[] = [
-  { kind: 'hello', node: 'perch-1' as ControllerName },
+  { kind: 'hello', sender: 'perch-1' as ControllerName },
   {
     kind: 'status',
     status: {
