--- a/src/core/autoscaling/machine_list.ts
+++ b/src/core/autoscaling/machine_list.ts
@@ -43,7 +43,7 @@
         this.readInFlight = false;
         return;
       }
-      const all = [...before, ...(result.value.machines ?? [])];
+      const all = [...before, ...result.value.machines];
       const last = all[all.length - 1];
       if (result.value.more && last && all.length < MAX_LISTED_MACHINES) return this.readPage(last.id, all);
       this.readInFlight = false;
--- a/src/core/autoscaling/scale_out.ts
+++ b/src/core/autoscaling/scale_out.ts
@@ -85,7 +85,7 @@
       count,
     } as const;
     context.cloud.call(op, PROVISION_PRIORITY, (result) => {
-      if (result.ok) return this.onProvisioned(request, result.value.provisioned ?? []);
+      if (result.ok) return this.onProvisioned(request, result.value.provisioned);
       if (result.error.code === 'outcomeUnknown' && context.now.monotonic - requestedAt < RETRY_WINDOW_MS)
         return this.send(request);
       this.pending.delete(requestId);
--- a/src/core/clients/cloud_client.ts
+++ b/src/core/clients/cloud_client.ts
@@ -1,6 +1,6 @@
 /** Calls to the cloud: their rate limit, and that only the leader changes anything there. */
 import type { LeadershipValidity } from '../leadership_validity.js';
-import type { CallId, CloudOperation, CloudResult, OnCloudResult } from '../messages.js';
+import type { CallId, CloudOperation, CloudOperationName, CloudResult, CloudResultOf } from '../messages.js';
 import type { Outbox } from '../outbox.js';
 import type { Settings } from '../settings.js';
 import type { StepClock } from '../step_clock.js';
@@ -14,11 +14,14 @@
 /** What could not be sent for so long is refused. */
 const MAX_QUEUE_TIME_MS = 5000;
 
-const NOT_SENT: CloudResult = { ok: false, error: { code: 'unavailable' } };
+const NOT_SENT = { ok: false, error: { code: 'unavailable' } } as const;
+
+/** The codec has read the reply by the operation, so that it is a response to that. */
+type OnResult = (result: CloudResultOf<never>) => void;
 
 /** Sends calls to the cloud in order of priority, and hands their results back. */
 export class CloudClient {
-  private readonly openCalls = new OpenCalls<OnCloudResult>();
+  private readonly openCalls = new OpenCalls<OnResult>();
   private readonly queue: CallQueue;
   /** Only brings a step about, at the end of which queued calls go out. */
   private readonly queueTimer: Timer;
@@ -36,7 +39,11 @@
   }
 
   /** Queues a call. `onResult` follows once, in a later step or at the end of this one. */
-  call(operation: CloudOperation, priority: CallPriority, onResult: OnCloudResult): void {
+  call<Op extends CloudOperationName>(
+    operation: CloudOperation & { readonly op: Op },
+    priority: CallPriority,
+    onResult: (result: CloudResultOf<Op>) => void,
+  ): void {
     this.queue.add(priority, {
       writeTokens: 0,
       expiresAt: this.clock.after(MAX_QUEUE_TIME_MS),
@@ -46,7 +53,7 @@
   }
 
   /** What changes anything goes out only while this controller leads: the cloud has no token that would refuse it later. */
-  private send(operation: CloudOperation, onResult: OnCloudResult): void {
+  private send(operation: CloudOperation, onResult: OnResult): void {
     const isChange = operation.op === 'provision' || operation.op === 'terminate';
     if (isChange && this.clock.now.monotonic >= this.leadership.validUntil) {
       onResult(NOT_SENT);
@@ -64,6 +71,6 @@
 
   /** Takes the cloud's reply to a call. */
   onReply(callId: CallId, result: CloudResult): void {
-    this.openCalls.take(callId)?.(result);
+    this.openCalls.take(callId)?.(result as CloudResultOf<never>);
   }
 }
--- a/src/core/clients/state_store_client.ts
+++ b/src/core/clients/state_store_client.ts
@@ -1,10 +1,11 @@
 /** Calls to the state store: their rate limits, what a reply says of its health, and lower limits that come into force. */
 import type {
   CallId,
-  OnStateStoreResult,
   StateStoreError,
   StateStoreOperation,
+  StateStoreOperationName,
   StateStoreResult,
+  StateStoreResultOf,
 } from '../messages.js';
 import { wasNotExecuted } from '../messages.js';
 import type { Outbox } from '../outbox.js';
@@ -30,7 +31,8 @@
 
 /** A call that was sent. */
 interface SentCall {
-  readonly onResult: OnStateStoreResult;
+  /** The codec has read the reply by the operation, so that it is a response to that. */
+  readonly onResult: (result: StateStoreResultOf<never>) => void;
   readonly isWrite: boolean;
 }
 
@@ -44,7 +46,7 @@
 /** With less of the burst left than this share, writes that can wait should. */
 const SPARE_WRITES_RATIO = 0.5;
 
-const NOT_SENT: StateStoreResult = { ok: false, error: { code: 'unavailable' } };
+const NOT_SENT = { ok: false, error: { code: 'unavailable' } } as const;
 
 /** The changes that a call makes, each of which takes a write token. */
 const writeTokensOf = (operation: StateStoreOperation): number =>
@@ -119,10 +121,10 @@
   }
 
   /** Queues a call. `onResult` follows once, in a later step or at the end of this one. */
-  call(
-    operation: StateStoreOperation,
+  call<Op extends StateStoreOperationName>(
+    operation: StateStoreOperation & { readonly op: Op },
     priority: CallPriority,
-    onResult: OnStateStoreResult,
+    onResult: (result: StateStoreResultOf<Op>) => void,
     options: StateStoreCallOptions = {},
   ): void {
     const {
@@ -156,7 +158,7 @@
     if (!sent) return;
     if (!result.ok && result.error.code === 'throttled') this.onThrottled(sent.isWrite);
     this.trackHealth(result);
-    sent.onResult(result);
+    sent.onResult(result as StateStoreResultOf<never>);
   }
 
   private trackHealth(result: StateStoreResult): void {
--- a/src/core/clients/state_store_reads.ts
+++ b/src/core/clients/state_store_reads.ts
@@ -10,7 +10,7 @@
 export interface PrefixRead {
   readonly items: readonly StoredEntry[];
   /** Of the first page: changes made while later pages were read come again through a watch from here. */
-  readonly revision: Revision | null;
+  readonly revision: Revision;
 }
 
 /** Reads all values under a prefix; `done` is given null where the state store gave no answer to one of the calls. */
@@ -27,8 +27,8 @@
         done(null);
         return;
       }
-      items.push(...(result.value.items ?? []));
-      revision ??= result.value.revision ?? null;
+      items.push(...result.value.items);
+      revision ??= result.value.revision;
       const last = items[items.length - 1];
       if (result.value.more && last) readPage(last.key);
       else done({ items, revision });
--- a/src/core/jobs/job_cache.ts
+++ b/src/core/jobs/job_cache.ts
@@ -1,7 +1,7 @@
 /** Keeps a controller's copy of the job records up to date by a watch. */
 import { type PrefixRead, readPrefix } from '../clients/state_store_reads.js';
 import { CLOCK_DRIFT, maxJobViewAgeMs } from '../lease_bounds.js';
-import type { StateStoreResponse, StateStoreResult, StoredEntry, WatchEvent } from '../messages.js';
+import type { StateStoreResponses, StateStoreResultOf, StoredEntry, WatchEvent } from '../messages.js';
 import { decodeJob, JOB_PREFIX, type JobRecord } from '../records.js';
 import type { StepContext } from '../step_context.js';
 import type { Timer } from '../timers.js';
@@ -115,8 +115,7 @@
 
   private onAllRead({ items, revision }: PrefixRead, sentAt: MonotonicTime): void {
     for (const item of items) this.update(item);
-    if (revision !== null && (this.watchRevision === null || revision > this.watchRevision))
-      this.watchRevision = revision;
+    if (this.watchRevision === null || revision > this.watchRevision) this.watchRevision = revision;
     if (sentAt > this.asOf) this.asOf = sentAt;
   }
 
@@ -142,7 +141,7 @@
     this.watchInFlight = true;
     const waitMs = this.isLeader ? this.leaderWatchMs : FOLLOWER_WATCH_MS;
     let sentAt = this.context.now.monotonic;
-    const onResult = (result: StateStoreResult): void => {
+    const onResult = (result: StateStoreResultOf<'watch'>): void => {
       this.watchInFlight = false;
       if (result.ok) this.onWatchAnswered(result.value, sentAt, waitMs);
       else this.onWatchFailed(result.error.code === 'gone');
@@ -156,14 +155,17 @@
     });
   }
 
-  private onWatchAnswered({ events = [], revision }: StateStoreResponse, sentAt: MonotonicTime, waitMs: number): void {
+  private onWatchAnswered(
+    { events, revision }: StateStoreResponses['watch'],
+    sentAt: MonotonicTime,
+    waitMs: number,
+  ): void {
     // A watch without news has waited for its whole time first.
     const knownAt = events.length > 0 ? sentAt : addMilliseconds(sentAt, waitMs * (1 - CLOCK_DRIFT));
     const currentAsOf = Math.min(knownAt, this.context.now.monotonic) as MonotonicTime;
     if (currentAsOf > this.asOf) this.asOf = currentAsOf;
     for (const event of events) this.applyEvent(event);
-    if (revision !== undefined && this.watchRevision !== null && revision > this.watchRevision)
-      this.watchRevision = revision;
+    if (this.watchRevision !== null && revision > this.watchRevision) this.watchRevision = revision;
     this.scheduleNextWatch(this.isLeader ? LEADER_WATCH_PAUSE_MS : FOLLOWER_WATCH_PAUSE_MS);
   }
 
--- a/src/core/leadership/candidacy.ts
+++ b/src/core/leadership/candidacy.ts
@@ -1,6 +1,6 @@
 /** One try to become the leader: reads the term, requests a lease, and acquires the leader key on it. */
 import { encodeTerm, nextTermRecord, type TermRecord } from '../../recovery/index.js';
-import type { StateChange, StateStoreResult, VersionCondition } from '../messages.js';
+import type { StateChange, StateStoreResultOf, VersionCondition } from '../messages.js';
 import { decodeLeader, encodeLeader, LEADER_KEY, type LeaderRecord, TERM_KEY } from '../records.js';
 import type { StepContext } from '../step_context.js';
 import { ABSENT_VERSION, type FencingToken, type LeaseId, type MonotonicTime, type Revision } from '../types.js';
@@ -54,7 +54,7 @@
   start(): void {
     this.context.stateStore.call({ op: 'get', key: TERM_KEY }, ELECTION_PRIORITY, (result) => {
       if (!result.ok) return this.onOutcome({ kind: 'unavailable' });
-      const item = result.value.item ?? null;
+      const { item } = result.value;
       const { enabled, record_zones } = this.context.features.recovery;
       const term = nextTermRecord(item?.value, enabled && record_zones);
       this.requestLease(term, item ? item.version : ABSENT_VERSION);
@@ -63,10 +63,9 @@
 
   private requestLease(term: TermRecord, termVersion: Revision): void {
     let grantSentAt = this.context.now.monotonic;
-    const onResult = (result: StateStoreResult): void => {
-      const leaseId = result.ok ? result.value.lease : undefined;
-      if (leaseId === undefined) this.onOutcome({ kind: 'unavailable' });
-      else this.acquireLeaderKey({ term, leaseId, grantSentAt }, termVersion);
+    const onResult = (result: StateStoreResultOf<'grant'>): void => {
+      if (result.ok) this.acquireLeaderKey({ term, leaseId: result.value.lease, grantSentAt }, termVersion);
+      else this.onOutcome({ kind: 'unavailable' });
     };
     this.context.stateStore.call({ op: 'grant', ttlMs: this.init.leaseDurationMs }, ELECTION_PRIORITY, onResult, {
       onSend: (at) => {
@@ -86,8 +85,8 @@
       { put: TERM_KEY, value: encodeTerm(term) },
     ];
     this.context.stateStore.call({ op: 'compareAndSwap', conditions, changes }, ELECTION_PRIORITY, (result) => {
-      if (result.ok && result.value.revision !== undefined) this.win(lease, result.value.revision);
-      else if (!result.ok && result.error.code === 'outcomeUnknown') this.confirmAcquisition(lease);
+      if (result.ok) this.win(lease, result.value.revision);
+      else if (result.error.code === 'outcomeUnknown') this.confirmAcquisition(lease);
       else this.giveUp(leaseId, { kind: 'lost' });
     });
   }
@@ -95,7 +94,7 @@
   /** The transaction may have been carried out: the key itself tells. */
   private confirmAcquisition(lease: GrantedLease): void {
     this.context.stateStore.call({ op: 'get', key: LEADER_KEY }, ELECTION_PRIORITY, (result) => {
-      const item = result.ok ? (result.value.item ?? null) : null;
+      const item = result.ok ? result.value.item : null;
       const holder = item ? decodeLeader(item.value) : null;
       const isOwn = holder?.lease === String(lease.leaseId) && holder.incarnation === this.init.incarnation;
       if (item && isOwn) this.win(lease, item.version);
--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -1,6 +1,6 @@
 /** Which controller is the leader: follows the leader key, and stands for election when it is free. */
 import { leaderLeaseMs } from '../lease_bounds.js';
-import type { StateStoreResult, StoredEntry } from '../messages.js';
+import type { StateStoreResultOf, StoredEntry } from '../messages.js';
 import { decodeLeader, LEADER_KEY, type LeaderRecord } from '../records.js';
 import type { StepContext } from '../step_context.js';
 import type { Timer } from '../timers.js';
@@ -179,7 +179,7 @@
       if (!result.ok) return this.waitFor(RETRY_MS);
       this.leaderRecordReadAt = this.context.now.monotonic;
       this.observeRevision(result.value.revision);
-      this.onLeaderKey(result.value.item ?? null);
+      this.onLeaderKey(result.value.item);
     });
   }
 
@@ -214,13 +214,13 @@
     this.context.stateStore.call(watch, ELECTION_PRIORITY, (result) => this.onWatchAnswered(result), options);
   }
 
-  private onWatchAnswered(result: StateStoreResult): void {
+  private onWatchAnswered(result: StateStoreResultOf<'watch'>): void {
     if (!result.ok) {
       this.waitFor(result.error.code === 'gone' ? IMMEDIATE_RETRY_MS : RETRY_MS);
       return;
     }
-    if (result.value.revision !== undefined) this.observedRevision = result.value.revision;
-    this.waitFor(result.value.events?.length ? RETRY_AFTER_EVENT_MS : SHORT_RETRY_MS);
+    this.observedRevision = result.value.revision;
+    this.waitFor(result.value.events.length > 0 ? RETRY_AFTER_EVENT_MS : SHORT_RETRY_MS);
   }
 
   private observeRevision(revision: Revision | undefined): void {
--- a/src/core/leadership/job_record_lookup.ts
+++ b/src/core/leadership/job_record_lookup.ts
@@ -31,7 +31,7 @@
   private lookUp(id: JobId): void {
     this.context.stateStore.call({ op: 'get', key: jobKey(id) }, LOOKUP_PRIORITY, (result) => {
       if (this.stopped) return;
-      const item = result.ok ? (result.value.item ?? null) : null;
+      const item = result.ok ? result.value.item : null;
       if (item) this.jobCache.update(item);
       if (!result.ok) this.previousTerms.onRecordLookedUp(id, 'unavailable');
       else this.previousTerms.onRecordLookedUp(id, item ? 'present' : 'absent');
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -3,7 +3,7 @@
 import { RangeSet } from '../jobs/range_set.js';
 import type { Machine } from '../machines/machine.js';
 import type { MachineRegistry, RegistryPage } from '../machines/machine_registry.js';
-import { type StateStoreResult, type StoredEntry, wasNotExecuted } from '../messages.js';
+import { type StateStoreResultOf, type StoredEntry, wasNotExecuted } from '../messages.js';
 import { jobKey, pageKey } from '../records.js';
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
@@ -228,11 +228,8 @@
   }
 }
 
-function outcomeOf(result: StateStoreResult): WriteOutcome {
-  if (result.ok) {
-    const { revision } = result.value;
-    return revision === undefined ? { kind: 'unknown' } : { kind: 'written', version: revision };
-  }
+function outcomeOf(result: StateStoreResultOf<'compareAndSwap'>): WriteOutcome {
+  if (result.ok) return { kind: 'written', version: result.value.revision };
   if (wasNotExecuted(result.error)) return { kind: 'notExecuted' };
   return { kind: result.error.code === 'invalidRequest' ? 'rejected' : 'unknown' };
 }
--- a/src/core/machines/machine_type_catalog.ts
+++ b/src/core/machines/machine_type_catalog.ts
@@ -41,7 +41,7 @@
   read(): void {
     const priority = this.knownTypes.size === 0 ? 0 : 3;
     this.context.cloud.call({ op: 'types' }, priority, (result) => {
-      if (!result.ok || !result.value.machineTypes) {
+      if (!result.ok) {
         this.refreshTimer.set(this.context.after(RETRY_MS));
         return;
       }
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -103,20 +103,28 @@
   | { readonly op: 'revoke'; readonly lease: LeaseId }
   | { readonly op: 'watch'; readonly prefix: string; readonly after: Revision; readonly waitMs: number };
 
-/** The state store's response: the fields that belong to the call. */
-export interface StateStoreResponse {
-  /** get: null where the key does not exist. */
-  readonly item?: StoredEntry | null;
-  readonly items?: readonly StoredEntry[];
-  /** list: whether there are more after the last item. */
-  readonly more?: boolean;
-  readonly revision?: Revision;
-  readonly lease?: LeaseId;
-  readonly events?: readonly WatchEvent[];
+/** What the state store responds to each call. */
+export interface StateStoreResponses {
+  /** `item`: null where the key does not exist; only then `revision` is there, the present one. */
+  readonly get: { readonly item: StoredEntry | null; readonly revision?: Revision };
+  /** `more`: whether there are more after the last item. */
+  readonly list: { readonly items: readonly StoredEntry[]; readonly more: boolean; readonly revision: Revision };
+  /** `revision`: the version of all changed keys. */
+  readonly compareAndSwap: { readonly revision: Revision };
+  readonly grant: { readonly lease: LeaseId };
+  readonly renew: Readonly<Record<string, never>>;
+  readonly revoke: Readonly<Record<string, never>>;
+  /** `revision`: changes up to there are among the events. */
+  readonly watch: { readonly events: readonly WatchEvent[]; readonly revision: Revision };
 }
 
-export type OnStateStoreResult = (result: StateStoreResult) => void;
-export type OnCloudResult = (result: CloudResult) => void;
+/** The name of a call to the state store. */
+export type StateStoreOperationName = StateStoreOperation['op'];
+/** The response to one of the calls. */
+export type StateStoreResponse = StateStoreResponses[StateStoreOperationName];
+/** What a call of one kind brought. */
+export type StateStoreResultOf<Op extends StateStoreOperationName> = Result<StateStoreResponses[Op], StateStoreError>;
+
 export type OnCommandPushResult = (result: CommandPushResult) => void;
 
 /** Calls to the cloud. A provisioning repeated under the same idempotency key provisions nothing more. */
@@ -133,14 +141,23 @@
     }
   | { readonly op: 'terminate'; readonly machines: readonly MachineId[] };
 
-/** The cloud's response: the fields that belong to the call. */
-export interface CloudResponse {
-  readonly machineTypes?: readonly MachineType[];
-  readonly machines?: readonly CloudMachine[];
-  readonly more?: boolean;
-  readonly provisioned?: readonly MachineId[];
+/** What the cloud responds to each call. */
+export interface CloudResponses {
+  readonly types: { readonly machineTypes: readonly MachineType[] };
+  /** `more`: whether there are more after the last machine. */
+  readonly list: { readonly machines: readonly CloudMachine[]; readonly more: boolean };
+  /** As many as were asked for, or fewer. */
+  readonly provision: { readonly provisioned: readonly MachineId[] };
+  readonly terminate: Readonly<Record<string, never>>;
 }
 
+/** The name of a call to the cloud. */
+export type CloudOperationName = CloudOperation['op'];
+/** The response to one of the calls. */
+export type CloudResponse = CloudResponses[CloudOperationName];
+/** What a call of one kind brought. */
+export type CloudResultOf<Op extends CloudOperationName> = Result<CloudResponses[Op], CloudError>;
+
 /** Commands pushed to a worker for one agent epoch; none at all still raises its fencing token. */
 export interface CommandPush {
   readonly address: string;
--- a/src/core/requests/job_cancellation.ts
+++ b/src/core/requests/job_cancellation.ts
@@ -1,6 +1,6 @@
 /** Puts a cancellation on record, and tells the leader of it before the user hears that it holds. */
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
-import { type StateStoreResult, wasNotExecuted } from '../messages.js';
+import { type StateStoreResultOf, wasNotExecuted } from '../messages.js';
 import { encodeJob, type JobRecord, jobKey } from '../records.js';
 import type { StepContext } from '../step_context.js';
 import type { JobId } from '../types.js';
@@ -75,10 +75,14 @@
     );
   }
 
-  private onResult(entry: CancelledEntry, result: StateStoreResult, continuation: RequestContinuation): void {
+  private onResult(
+    entry: CancelledEntry,
+    result: StateStoreResultOf<'compareAndSwap'>,
+    continuation: RequestContinuation,
+  ): void {
     const { key, value, record, attempt } = entry;
     if (result.ok) {
-      if (result.value.revision !== undefined) this.jobCache.update({ key, value, version: result.value.revision });
+      this.jobCache.update({ key, value, version: result.value.revision });
       this.respondCancelled(record, continuation);
       return;
     }
--- a/src/core/requests/job_submission.ts
+++ b/src/core/requests/job_submission.ts
@@ -1,7 +1,7 @@
 /** Puts a submitted job on record, once however often it is submitted. */
 import type { JobCache } from '../jobs/job_cache.js';
 import { RangeSet } from '../jobs/range_set.js';
-import type { StateStoreResult } from '../messages.js';
+import type { StateStoreResultOf } from '../messages.js';
 import { encodeJob, type JobRecord, jobKey } from '../records.js';
 import type { StepContext } from '../step_context.js';
 import { ABSENT_VERSION, type JobId, type JobSpec } from '../types.js';
@@ -49,9 +49,13 @@
     );
   }
 
-  private onResult({ id, key, value }: NewEntry, result: StateStoreResult, continuation: RequestContinuation): void {
+  private onResult(
+    { id, key, value }: NewEntry,
+    result: StateStoreResultOf<'compareAndSwap'>,
+    continuation: RequestContinuation,
+  ): void {
     if (result.ok) {
-      if (result.value.revision !== undefined) this.jobCache.update({ key, value, version: result.value.revision });
+      this.jobCache.update({ key, value, version: result.value.revision });
       continuation.respond({ status: 201, id, jobStatus: 'queued', done: 0, running: 0 });
       return;
     }
--- a/src/core/requests/linearizable_reads.ts
+++ b/src/core/requests/linearizable_reads.ts
@@ -1,6 +1,6 @@
 /** Confirms cached job records with the state store, many in one call. */
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
-import type { StateStoreResult } from '../messages.js';
+import type { StateStoreResultOf } from '../messages.js';
 import { JOB_PREFIX, jobKey } from '../records.js';
 import type { StepContext } from '../step_context.js';
 import type { Timer } from '../timers.js';
@@ -91,7 +91,7 @@
     return batch;
   }
 
-  private onResult(batch: ReadonlyMap<JobId, BatchedJob>, result: StateStoreResult): void {
+  private onResult(batch: ReadonlyMap<JobId, BatchedJob>, result: StateStoreResultOf<'compareAndSwap'>): void {
     if (result.ok) {
       this.respondConfirmed(batch);
     } else if (result.error.code === 'conflict') {
--- a/test/codec.test.ts
+++ b/test/codec.test.ts
@@ -95,7 +95,7 @@
     value: { item: null, revision: revision(431) },
   });
   const found = decodeStateStoreResponse(get, 200, { k: 'a/b', data: { x: 1 }, feather: 412, tether: 7 });
-  assert.ok(found.ok && found.value.item?.version === 412n);
+  assert.ok(found.ok && 'item' in found.value && found.value.item?.version === 412n);
   const txn = { op: 'compareAndSwap', conditions: [], changes: [] } as const;
   for (const [status, code] of [
     [503, 'unavailable'],
