--- a/src/io/http/http_client.ts
+++ b/src/io/http/http_client.ts
@@ -1,5 +1,5 @@
 /** Calls one outside service: CBOR over HTTP/1.1, on connections that persist. */
-import { Agent, request } from 'node:http';
+import { Agent, type ClientRequest, request } from 'node:http';
 import { ApplicationError } from '../../errors.js';
 import { parseHostPort } from '../address.js';
 import { encodeCbor } from '../wire/cbor.js';
@@ -39,13 +39,40 @@
 
 const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
+/**
+ * One call that has been started. Handing an `AbortSignal` to Node's request instead costs half as much again as the whole
+ * call.
+ */
+class OpenCall {
+  readonly response: Promise<RawResponse>;
+  private reject: (error: unknown) => void = () => {};
+
+  /** Listens to everything before anything can happen: an event that is missed would leave the call open. */
+  constructor(private readonly outgoing: ClientRequest) {
+    this.response = new Promise((resolve, reject) => {
+      this.reject = reject;
+      outgoing.on('error', reject);
+      outgoing.on('response', (response) => {
+        const status = response.statusCode ?? 0;
+        readBody(response, MAX_RESPONSE_BYTES, 'destroy').then((bytes) => resolve({ status, bytes }), reject);
+      });
+    });
+  }
+
+  /** Ends the call with an error, and its connection if it has one. Not for a call that has ended: that connection is kept. */
+  abort(error: HttpCallError): void {
+    this.reject(error);
+    this.outgoing.destroy();
+  }
+}
+
 /** Connections to one service. Its owner closes it; until then idle connections are kept for the next call. */
 export class HttpClient {
   private readonly agent: Agent;
   private readonly host: string;
   private readonly port: number;
-  /** One for each call that has not ended, also for those that wait for a connection. */
-  private readonly openCalls = new Set<AbortController>();
+  /** The calls that have not ended, also those that wait for a connection. */
+  private readonly openCalls = new Set<OpenCall>();
 
   /** `address` is `host:port`; calls beyond `sockets` wait for a connection, within their own time. */
   constructor(address: string, sockets: number) {
@@ -60,37 +87,29 @@
    * no usable response came by then, or sooner. Either way nothing of the call is left open.
    */
   async send(httpRequest: HttpRequest, timeoutMs: number): Promise<HttpResponse> {
-    const call = new AbortController();
+    const call = new OpenCall(this.open(httpRequest));
     this.openCalls.add(call);
     const timer = setTimeout(() => call.abort(new HttpCallError('timedOut')), timeoutMs);
     try {
-      const { status, bytes } = await this.exchange(httpRequest, call.signal);
+      const { status, bytes } = await call.response;
       return { status, body: bytes.length > 0 ? decodeBody(bytes) : null };
     } catch (error) {
-      throw callError(call.signal, error);
+      throw toCallError(error);
     } finally {
       clearTimeout(timer);
       this.openCalls.delete(call);
     }
   }
 
-  /** Listens to everything before anything can happen: an event that is missed would leave the call open. */
-  private exchange({ method, path, body }: HttpRequest, signal: AbortSignal): Promise<RawResponse> {
+  private open({ method, path, body }: HttpRequest): ClientRequest {
     const payload = body === undefined ? null : encodeCbor(body);
     const headers = payload
       ? { 'content-type': 'application/cbor', 'content-length': payload.length }
       : { 'content-length': 0 };
-    return new Promise((resolve, reject) => {
-      const outgoing = request({ host: this.host, port: this.port, method, path, agent: this.agent, headers, signal });
-      signal.addEventListener('abort', () => reject(signal.reason), { once: true });
-      outgoing.on('error', reject);
-      outgoing.on('response', (response) => {
-        const status = response.statusCode ?? 0;
-        readBody(response, MAX_RESPONSE_BYTES, 'destroy').then((bytes) => resolve({ status, bytes }), reject);
-      });
-      if (payload) outgoing.end(payload);
-      else outgoing.end();
-    });
+    const outgoing = request({ host: this.host, port: this.port, method, path, agent: this.agent, headers });
+    if (payload) outgoing.end(payload);
+    else outgoing.end();
+    return outgoing;
   }
 
   /** Ends all calls that are open, with `clientClosed`, and all connections. */
@@ -100,7 +119,7 @@
   }
 }
 
-function callError(signal: AbortSignal, error: unknown): HttpCallError {
-  if (signal.reason instanceof HttpCallError) return signal.reason;
+function toCallError(error: unknown): HttpCallError {
+  if (error instanceof HttpCallError) return error;
   return new HttpCallError(error instanceof WireError ? 'unusableBody' : 'connectionFailed', error);
 }
