--- a/src/core/scheduler/candidate_heap.ts
+++ b/src/core/scheduler/candidate_heap.ts
@@ -1,7 +1,7 @@
 /** A heap of candidates: the one with the best offer is on top. */
 import { type Candidate, precedes } from './candidates.js';
 
-/** Binary heap in an array: an array job takes many places one after the other, from hundreds of machines. */
+/** Binary heap in an array: an array job takes many offers one after the other, from hundreds of machines. */
 export class CandidateHeap {
   /** Takes over and reorders the array. */
   constructor(private readonly items: Candidate[]) {
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -16,7 +16,7 @@
 const MAX_GANGS_PER_ROUND = 4;
 
 /**
- * Gangs of higher priority that would wait take the places of arrays of lower priority, where least work is lost. The plan
+ * Gangs of higher priority that would wait preempt tasks of arrays of lower priority, where least work is lost. The plan
  * itself never stops anything (Eq. (11) of the paper); this only frees the capacity, keeps it for the gang, and leaves the
  * start to the next round.
  */
--- a/src/core/scheduler/replica_move.ts
+++ b/src/core/scheduler/replica_move.ts
@@ -35,7 +35,7 @@
   const { job, machine: from } = placement;
   if (!mayMoveReplica(cluster, job)) return null;
   const allowance = zoneAllowance(cluster, job);
-  // Its own place comes free with the move.
+  // Its present machine counts against the zone until the move.
   useZoneAllowance(allowance, from.zone, job, -1);
   const mayUseGpuMachine = gpuMachineCheck(cluster, job);
   const mayUse = (machine: Machine): boolean =>
--- a/test/core/scheduler/plans.test.ts
+++ b/test/core/scheduler/plans.test.ts
@@ -10,8 +10,8 @@
 import type { ImageName, MachineType, MachineTypeName, ZoneName } from '../../../src/core/types.js';
 
 /**
- * Plans of seeded inputs, compared with the digests in golden/plans.txt (one line a seed) that were recorded before the
- * scheduler's modules were renamed and split. A change that is meant to plan otherwise replaces the file.
+ * Plans of seeded inputs, compared with the recorded digests in golden/plans.txt (one line a seed). A change that is meant
+ * to plan otherwise replaces the file.
  */
 const GOLDEN = 'test/golden/plans.txt';
 const SEEDS = 300;
@@ -165,14 +165,22 @@
   ]),
 ];
 
-/** All plans that one input gives: over all zones, by the search, and the backfill behind it. */
+/** Any write to the object or its lists throws from here on. */
+function freeze<T extends object>(value: T): T {
+  for (const part of Object.values(value)) if (Array.isArray(part)) Object.freeze(part);
+  return Object.freeze(value);
+}
+
+/** All plans that one input gives, which is frozen: over all zones, by the search, and the backfill behind it. */
 function plansOf(seed: number): string {
   const draw = new Draw(seed);
   const isLargeFleet = seed % LARGE_FLEET_EVERY === 0;
   const fleet = isLargeFleet ? draw.int(900, 1300) : draw.int(1, 60);
-  const machines = Array.from({ length: fleet }, (_, index) => drawMachine(draw, index));
-  const jobs = Array.from({ length: draw.int(1, isLargeFleet ? 10 : 25) }, (_, index) => drawJob(draw, index, fleet));
-  const others = Array.from({ length: draw.int(1, 20) }, (_, i) => drawJob(draw, jobs.length + i, fleet));
+  const machines = Array.from({ length: fleet }, (_, index) => freeze(drawMachine(draw, index)));
+  const jobs = Array.from({ length: draw.int(1, isLargeFleet ? 10 : 25) }, (_, index) =>
+    freeze(drawJob(draw, index, fleet)),
+  );
+  const others = Array.from({ length: draw.int(1, 20) }, (_, i) => freeze(drawJob(draw, jobs.length + i, fleet)));
   const planner = new Planner(
     { averageWait: 1, maximumWait: draw.int(0, 2), idleShare: draw.int(0, 50) },
     drawPenalties(draw),
@@ -197,7 +205,7 @@
 }
 
 describe('plans', () => {
-  test('the same inputs and seeds give the same plans, byte for byte', () => {
+  test('the same inputs and seeds give the same plans, byte for byte, and leave the inputs as they are', () => {
     const lines: string[] = [];
     for (let seed = 1; seed <= SEEDS; seed++) {
       lines.push(`${seed} ${createHash('sha256').update(plansOf(seed)).digest('hex')}`);
