--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -145,7 +145,7 @@
     const priority = batch.isUrgent ? URGENT_PRIORITY : LAZY_PRIORITY;
     this.context.stateStore.call({ op: 'compareAndSwap', conditions, changes }, priority, (result) => {
       this.writesInFlight -= 1;
-      batch.onEnded();
+      batch.onEnded(this.registry);
       if (this.stopped) return;
       this.onOutcome(batch, outcomeOf(result));
       this.callbacks.onWriteFinished();
@@ -185,10 +185,7 @@
   }
 
   private onFailed(batch: WriteBatch, isOutcomeUnknown: boolean): void {
-    for (const { page } of batch.pages) {
-      page.urgent = true;
-      page.versionUnknown = isOutcomeUnknown;
-    }
+    for (const { page } of batch.pages) this.registry.onWriteFailed(page, isOutcomeUnknown);
     if (isOutcomeUnknown) for (const { job } of batch.jobs) this.rereadJob(job);
     this.rescheduleFlush(WRITE_RETRY_MS);
   }
@@ -215,14 +212,10 @@
 
   /** Only the version matters: the page is written anew, on the condition that nothing has come in between. */
   private rereadPage(page: RegistryPage): void {
-    page.writeInFlight = true;
+    this.registry.beginReread(page);
     this.context.stateStore.call({ op: 'get', key: pageKey(page.index) }, URGENT_PRIORITY, (result) => {
-      page.writeInFlight = false;
+      this.registry.endReread(page, result.ok ? (result.value.item?.version ?? ABSENT_VERSION) : null);
       if (this.stopped) return;
-      if (result.ok) {
-        page.version = result.value.item ? result.value.item.version : ABSENT_VERSION;
-        page.versionUnknown = false;
-      }
       this.rescheduleFlush(result.ok ? FLUSH_AFTER_REREAD_MS : REREAD_RETRY_MS);
     });
   }
--- a/src/core/leadership/write_batch.ts
+++ b/src/core/leadership/write_batch.ts
@@ -85,8 +85,8 @@
   }
 
   /** The transaction has ended, however it did. */
-  onEnded(): void {
+  onEnded(registry: MachineRegistry): void {
     for (const { job } of this.jobs) job.stored.endCall();
-    for (const { page } of this.pages) page.writeInFlight = false;
+    for (const { page } of this.pages) registry.endWrite(page);
   }
 }
--- a/src/core/machines/machine_registry.ts
+++ b/src/core/machines/machine_registry.ts
@@ -251,6 +251,30 @@
     }
   }
 
+  /** The write of a page has ended, however it did. */
+  endWrite(page: RegistryPage): void {
+    page.writeInFlight = false;
+  }
+
+  /** A write of the page failed. `isOutcomeUnknown`: its version has to be read before it is written again. */
+  onWriteFailed(page: RegistryPage, isOutcomeUnknown: boolean): void {
+    page.urgent = true;
+    page.versionUnknown = isOutcomeUnknown;
+  }
+
+  /** Begins to read the version of a page: meanwhile it is not written. */
+  beginReread(page: RegistryPage): void {
+    page.writeInFlight = true;
+  }
+
+  /** The read has ended. Null: the version could not be read. */
+  endReread(page: RegistryPage, version: Revision | null): void {
+    page.writeInFlight = false;
+    if (version === null) return;
+    page.version = version;
+    page.versionUnknown = false;
+  }
+
   /** A page is on record as it was with these machines: those that came from other pages may leave them. */
   onPageStored(page: RegistryPage, machines: readonly Machine[], version: Revision): void {
     if (version > page.version) page.version = version;
--- a/src/core/scheduler/apply.ts
+++ b/src/core/scheduler/apply.ts
@@ -137,7 +137,7 @@
 /** Places a replica, whose start command is then pushed rather than left to the machine's next heartbeat. */
 export function applyReplicaStart(cluster: SchedulableCluster, { job, index, machine }: ReplicaStart): void {
   placeTask(cluster, job, index, machine, cluster.nextAttempt());
-  cluster.pendingCommands.machinesWithStarts.add(machine);
+  cluster.pendingCommands.requestStarts(machine);
   machine.endReservation(job.id);
 }
 
--- a/src/core/scheduler/cluster_state.ts
+++ b/src/core/scheduler/cluster_state.ts
@@ -36,7 +36,7 @@
   readonly term: number;
   readonly previousTerms: Pick<PreviousTerms, 'startableTasks' | 'updateUnreconciled' | 'recordsStartZones'>;
   readonly placements: ClusterState['placements'] & Pick<PlacementTable, 'add' | 'evict' | 'stop' | 'breakGang'>;
-  readonly pendingCommands: Pick<PendingCommands, 'machinesWithStarts'>;
+  readonly pendingCommands: Pick<PendingCommands, 'requestStarts'>;
   /** Returns an attempt number higher than any before. */
   nextAttempt(): Attempt;
 }
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -45,9 +45,8 @@
   /** Pushes what is due, and sets the timer to look again as long as something is left. */
   pushDueCommands(): void {
     if (!this.leader.isLeaseValid()) return;
-    const { machinesWithStops, machinesWithStarts } = this.cluster.pendingCommands;
     let isAnyLeft = false;
-    for (const machine of new Set([...machinesWithStops, ...machinesWithStarts])) {
+    for (const machine of this.cluster.pendingCommands.machines()) {
       const stops = this.dueStops(machine);
       const replicas = this.plannedReplicas(machine);
       if (stops.length === 0 && replicas.length === 0) continue;
@@ -67,22 +66,22 @@
 
   /** Returns the stops that the machine has yet to carry out. Without any it is not looked at again. */
   private dueStops(machine: Machine): Command[] {
-    const { machinesWithStops } = this.cluster.pendingCommands;
-    if (!machinesWithStops.has(machine)) return [];
+    const { pendingCommands } = this.cluster;
+    if (!pendingCommands.hasStops(machine)) return [];
     const stops = this.cluster.machines.isCurrent(machine) ? stopCommands(this.cluster, machine, isStopDue) : [];
-    if (stops.length === 0) machinesWithStops.delete(machine);
+    if (stops.length === 0) pendingCommands.clearStops(machine);
     return stops;
   }
 
   /** Returns the replicas placed there that are yet to be started. Without any the machine is not looked at again. */
   private plannedReplicas(machine: Machine): Placement[] {
-    const { machinesWithStarts } = this.cluster.pendingCommands;
-    if (!machinesWithStarts.has(machine)) return [];
+    const { pendingCommands } = this.cluster;
+    if (!pendingCommands.hasStarts(machine)) return [];
     const placements = this.cluster.machines.isCurrent(machine)
       ? [...this.cluster.placements.onMachine(machine).values()]
       : [];
     const planned = placements.filter(({ job, phase }) => job.isService && phase === 'planned');
-    if (planned.length === 0) machinesWithStarts.delete(machine);
+    if (planned.length === 0) pendingCommands.clearStarts(machine);
     return planned;
   }
 
