--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -2,7 +2,8 @@
 import type { Job } from '../jobs/job.js';
 import { RangeSet } from '../jobs/range_set.js';
 import type { Machine } from '../machines/machine.js';
-import type { MachineRegistry, RegistryPage } from '../machines/machine_registry.js';
+import type { MachineRegistry } from '../machines/machine_registry.js';
+import type { RegistryPage } from '../machines/registry_page.js';
 import { type StateStoreResultOf, type StoredEntry, wasNotExecuted } from '../messages.js';
 import { jobKey, pageKey } from '../records.js';
 import type { Cluster } from '../state/cluster.js';
@@ -133,7 +134,7 @@
   private nextBatch(jobs: Job[], pages: RegistryPage[], now: MonotonicTime): WriteBatch {
     const batch = new WriteBatch(leaderCondition(this.leadership), this.limits);
     const addPage = (page: RegistryPage) => batch.addPage(page, this.registry, now);
-    while (pages[0]?.urgent && batch.hasSpace()) addPage(pages.shift() as RegistryPage);
+    while (pages[0]?.isUrgent && batch.hasSpace()) addPage(pages.shift() as RegistryPage);
     while (jobs.length > 0 && batch.hasSpace()) batch.addJob(jobs.shift() as Job, now);
     while (pages.length > 0 && batch.hasSpace()) addPage(pages.shift() as RegistryPage);
     return batch;
@@ -145,7 +146,7 @@
     const priority = batch.isUrgent ? URGENT_PRIORITY : LAZY_PRIORITY;
     this.context.stateStore.call({ op: 'compareAndSwap', conditions, changes }, priority, (result) => {
       this.writesInFlight -= 1;
-      batch.onEnded(this.registry);
+      batch.onEnded();
       if (this.stopped) return;
       this.onOutcome(batch, outcomeOf(result));
       this.callbacks.onWriteFinished();
@@ -185,7 +186,7 @@
   }
 
   private onFailed(batch: WriteBatch, isOutcomeUnknown: boolean): void {
-    for (const { page } of batch.pages) this.registry.onWriteFailed(page, isOutcomeUnknown);
+    for (const { page } of batch.pages) page.recordFailedWrite(isOutcomeUnknown);
     if (isOutcomeUnknown) for (const { job } of batch.jobs) this.rereadJob(job);
     this.rescheduleFlush(WRITE_RETRY_MS);
   }
@@ -212,10 +213,11 @@
 
   /** Only the version matters: the page is written anew, on the condition that nothing has come in between. */
   private rereadPage(page: RegistryPage): void {
-    this.registry.beginReread(page);
+    page.beginRead();
     this.context.stateStore.call({ op: 'get', key: pageKey(page.index) }, URGENT_PRIORITY, (result) => {
-      this.registry.endReread(page, result.ok ? (result.value.item?.version ?? ABSENT_VERSION) : null);
+      page.endCall();
       if (this.stopped) return;
+      if (result.ok) page.recordRead(result.value.item?.version ?? ABSENT_VERSION);
       this.rescheduleFlush(result.ok ? FLUSH_AFTER_REREAD_MS : REREAD_RETRY_MS);
     });
   }
--- a/src/core/leadership/write_batch.ts
+++ b/src/core/leadership/write_batch.ts
@@ -1,7 +1,8 @@
 /** What one transaction writes: records of jobs and pages of the machine registry, with the conditions that they depend on. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
-import type { MachineRegistry, RegistryPage } from '../machines/machine_registry.js';
+import type { MachineRegistry } from '../machines/machine_registry.js';
+import type { RegistryPage } from '../machines/registry_page.js';
 import type { StateChange, VersionCondition } from '../messages.js';
 import { encodeJob, type JobState, jobKey, pageKey } from '../records.js';
 import type { MonotonicTime, ZoneName } from '../types.js';
@@ -62,7 +63,7 @@
 
   /** Adds the page as it is now. */
   addPage(page: RegistryPage, registry: MachineRegistry, now: MonotonicTime): void {
-    if (page.urgent) this.urgent = true;
+    if (page.isUrgent) this.urgent = true;
     const { change, bytes, machines } = registry.beginWrite(page, now);
     this.bytes += bytes;
     this.pages.push({ page, machines });
@@ -85,8 +86,8 @@
   }
 
   /** The transaction has ended, however it did. */
-  onEnded(registry: MachineRegistry): void {
+  onEnded(): void {
     for (const { job } of this.jobs) job.stored.endCall();
-    for (const { page } of this.pages) registry.endWrite(page);
+    for (const { page } of this.pages) page.endCall();
   }
 }
--- a/src/core/machines/machine_registry.ts
+++ b/src/core/machines/machine_registry.ts
@@ -10,6 +10,7 @@
 } from '../records.js';
 import { ABSENT_VERSION, type MachineId, type MonotonicTime, type Revision } from '../types.js';
 import type { Machine } from './machine.js';
+import { RegistryPage } from './registry_page.js';
 
 /** What a page's text may take of the state store's limit for a value, without and with the images that machines hold. */
 const PAGE_SHARE = 0.95;
@@ -17,29 +18,6 @@
 /** What one machine with its images is estimated at. */
 const ESTIMATED_MACHINE_BYTES = 190;
 const MAX_IMAGES = 16;
-/** Changes of images alone are written this rarely. */
-const IMAGE_WRITE_INTERVAL_MS = 8000;
-
-/** A page of the registry: a value of the state store that lists many machines. */
-export interface RegistryPage {
-  readonly index: number;
-  readonly machines: Set<Machine>;
-  /** What else is on it, kept as it is. */
-  readonly keptRecords: MachineRecord[];
-  /** Machines on their way to another page: they stay on this one until that is on record. */
-  readonly departing: Map<Machine, RegistryPage>;
-  version: Revision;
-  /** A machine in it must be on record before it may be used. */
-  urgent: boolean;
-  /** A machine in it is gone, or has come from another page. */
-  needsRewrite: boolean;
-  /** Only the images that its machines hold have changed. */
-  imagesChanged: boolean;
-  writeInFlight: boolean;
-  /** The outcome of a write is unknown: the version has to be read before the next. */
-  versionUnknown: boolean;
-  writtenAt: MonotonicTime;
-}
 
 /** One write of a page: the change, about its size, and the machines on the page at that moment. */
 export interface PageWrite {
@@ -50,23 +28,7 @@
 
 const UNREADABLE_PAGE: DecodedMachinePage = { machines: [], complete: false };
 
-const pageNumber = (key: string): number => Number(key.slice(MACHINE_PREFIX.length));
-
-function emptyPage(index: number, version: Revision): RegistryPage {
-  return {
-    index,
-    machines: new Set(),
-    keptRecords: [],
-    departing: new Map(),
-    version,
-    urgent: false,
-    needsRewrite: false,
-    imagesChanged: false,
-    writeInFlight: false,
-    versionUnknown: false,
-    writtenAt: 0 as MonotonicTime,
-  };
-}
+const pageIndex = (key: string): number => Number(key.slice(MACHINE_PREFIX.length));
 
 /**
  * The machines that may ever be sent a command, as the state store holds them: pages of many machines each, so that
@@ -89,17 +51,17 @@
 
   /** Takes in a stored page. One that isn't understood in full stays as it is: it is never written over. */
   load(item: StoredEntry): DecodedMachinePage {
-    const no = pageNumber(item.key);
+    const index = pageIndex(item.key);
     const page = decodePage(item.value) ?? UNREADABLE_PAGE;
-    if (page.complete && Number.isSafeInteger(no)) this.pages.set(no, emptyPage(no, item.version));
-    else this.unreadablePages.add(no);
+    if (page.complete && Number.isSafeInteger(index)) this.pages.set(index, new RegistryPage(index, item.version));
+    else this.unreadablePages.add(index);
     return page;
   }
 
   /** Puts a machine that was read from a page back on it. */
   restore(machine: Machine, key: string): void {
     machine.lifecycle.markRegistered();
-    const page = this.pages.get(pageNumber(key));
+    const page = this.pages.get(pageIndex(key));
     if (!page) return;
     page.machines.add(machine);
     this.pageOf.set(machine.id, page);
@@ -107,13 +69,13 @@
 
   /** A machine of a type that is not known now: its record stays as it is. */
   keepUnknownMachine(key: string, record: MachineRecord): void {
-    this.pages.get(pageNumber(key))?.keptRecords.push(record);
+    this.pages.get(pageIndex(key))?.keptRecords.push(record);
   }
 
   /** Machines of this page are on another one too: that one holds, and this is written without them. */
   rewriteWithoutDuplicates(key: string): void {
-    const page = this.pages.get(pageNumber(key));
-    if (page) page.needsRewrite = true;
+    const page = this.pages.get(pageIndex(key));
+    if (page) page.markRewriteDue();
   }
 
   // ---- page sizes
@@ -139,7 +101,7 @@
         page.departing.set(machine, this.assignPage(machine, page));
       } else {
         page.machines.delete(machine);
-        this.assignPage(machine, page).urgent = true;
+        this.assignPage(machine, page).markUrgent();
       }
     }
   }
@@ -153,7 +115,7 @@
   private assignPage(machine: Machine, except: RegistryPage | null): RegistryPage {
     const page = this.fullestPageFor(machine, except) ?? this.newPage();
     page.machines.add(machine);
-    page.needsRewrite = true;
+    page.markRewriteDue();
     this.pageOf.set(machine.id, page);
     return page;
   }
@@ -169,10 +131,10 @@
   }
 
   private newPage(): RegistryPage {
-    let no = this.pages.size;
-    while (this.pages.has(no) || this.unreadablePages.has(no)) no += 1;
-    const page = emptyPage(no, ABSENT_VERSION);
-    this.pages.set(no, page);
+    let index = this.pages.size;
+    while (this.pages.has(index) || this.unreadablePages.has(index)) index += 1;
+    const page = new RegistryPage(index, ABSENT_VERSION);
+    this.pages.set(index, page);
     return page;
   }
 
@@ -180,7 +142,7 @@
 
   /** Puts a new machine on a page, to be written soon; without effect for one that is on a page already. */
   add(machine: Machine): void {
-    if (!machine.lifecycle.isRegistered && !this.pageOf.has(machine.id)) this.assignPage(machine, null).urgent = true;
+    if (!machine.lifecycle.isRegistered && !this.pageOf.has(machine.id)) this.assignPage(machine, null).markUrgent();
   }
 
   /** Takes a machine that is gone off its page. */
@@ -189,55 +151,37 @@
     if (!page) return;
     this.pageOf.delete(id);
     for (const machine of page.machines) if (machine.id === id) page.machines.delete(machine);
-    page.needsRewrite = true;
+    page.markRewriteDue();
     for (const from of this.pages.values()) {
-      for (const machine of from.departing.keys()) if (machine.id === id) this.finishDeparture(from, machine);
+      for (const machine of from.departing.keys()) if (machine.id === id) from.finishDeparture(machine);
     }
   }
 
-  private finishDeparture(from: RegistryPage, machine: Machine): void {
-    from.departing.delete(machine);
-    from.machines.delete(machine);
-    from.needsRewrite = true;
-  }
-
   /** Notes on which pages the images of machines have changed. */
   collectImageChanges(): void {
-    for (const page of this.pages.values()) {
-      page.imagesChanged ||= [...page.machines].some((machine) => machine.images.isDirty);
-    }
+    for (const page of this.pages.values()) page.collectImageChanges();
   }
 
   // ---- writing
 
   /** Returns the pages to write, the most pressing first; without spare writes only what can't wait. */
   duePages(now: MonotonicTime, hasSpareWrites: boolean): RegistryPage[] {
-    const due = [...this.pages.values()].filter((page) => this.isDue(page, now, hasSpareWrites));
-    return due.sort((a, b) => Number(b.urgent) - Number(a.urgent) || Number(b.needsRewrite) - Number(a.needsRewrite));
-  }
-
-  private isDue(page: RegistryPage, now: MonotonicTime, hasSpareWrites: boolean): boolean {
-    // One that is being spread is too large to be written until the others have left.
-    if (page.writeInFlight || page.versionUnknown || page.departing.size > 0) return false;
-    if (page.urgent || page.needsRewrite) return true;
-    return page.imagesChanged && hasSpareWrites && now - page.writtenAt > IMAGE_WRITE_INTERVAL_MS;
+    const due = [...this.pages.values()].filter((page) => page.isWriteDue(now, hasSpareWrites));
+    return due.sort(
+      (a, b) => Number(b.isUrgent) - Number(a.isUrgent) || Number(b.isRewriteDue) - Number(a.isRewriteDue),
+    );
   }
 
   /** Returns the pages whose version has to be read before they can be written again. */
   pagesToReread(): RegistryPage[] {
-    return [...this.pages.values()].filter((page) => page.versionUnknown && !page.writeInFlight);
+    return [...this.pages.values()].filter((page) => page.mustBeReread);
   }
 
   /** Begins a write of a page: returns the change that brings the state store up to date with it. */
   beginWrite(page: RegistryPage, now: MonotonicTime): PageWrite {
-    page.writeInFlight = true;
-    page.writtenAt = now;
-    page.urgent = false;
-    page.needsRewrite = false;
-    page.imagesChanged = false;
     const machines = [...page.machines];
     const records = [...page.keptRecords, ...machines.map(recordOf)];
-    for (const machine of machines) machine.images.markWritten();
+    page.beginWrite(now);
     const value = this.encode(records);
     return { change: { put: pageKey(page.index), value: value.page }, bytes: value.bytes, machines };
   }
@@ -251,37 +195,13 @@
     }
   }
 
-  /** The write of a page has ended, however it did. */
-  endWrite(page: RegistryPage): void {
-    page.writeInFlight = false;
-  }
-
-  /** A write of the page failed. `isOutcomeUnknown`: its version has to be read before it is written again. */
-  onWriteFailed(page: RegistryPage, isOutcomeUnknown: boolean): void {
-    page.urgent = true;
-    page.versionUnknown = isOutcomeUnknown;
-  }
-
-  /** Begins to read the version of a page: meanwhile it is not written. */
-  beginReread(page: RegistryPage): void {
-    page.writeInFlight = true;
-  }
-
-  /** The read has ended. Null: the version could not be read. */
-  endReread(page: RegistryPage, version: Revision | null): void {
-    page.writeInFlight = false;
-    if (version === null) return;
-    page.version = version;
-    page.versionUnknown = false;
-  }
-
   /** A page is on record as it was with these machines: those that came from other pages may leave them. */
   onPageStored(page: RegistryPage, machines: readonly Machine[], version: Revision): void {
-    if (version > page.version) page.version = version;
+    page.recordWrite(version);
     for (const machine of machines) if (page.machines.has(machine)) machine.lifecycle.markRegistered();
     for (const from of this.pages.values()) {
       if (from.departing.size === 0) continue;
-      for (const machine of machines) if (from.departing.get(machine) === page) this.finishDeparture(from, machine);
+      for (const machine of machines) if (from.departing.get(machine) === page) from.finishDeparture(machine);
     }
   }
 }
