--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -27,8 +27,8 @@
 });
 const teams = [makeTeam('red', 4, 8), makeTeam('blue', 0, 0)];
 
-/** A day of random jobs and random faults: whatever happens, every invariant holds, and once all is quiet all work ends. */
-function runRandomDay(seed: number): World {
+/** `isRolled`: the controllers begin with old versions, drawn for each. */
+function makeWorld(seed: number, isRolled: boolean): World {
   // On every other day leaders have cores enough to take workers' heartbeats themselves.
   const limits = { ...LIMITS, cpuShare: seed % 2 === 0 ? 0.8 : 0.3 };
   const options = {
@@ -41,11 +41,14 @@
     tuning: CURRENT_BUILD.tuning,
     limits,
   };
-  // On every fourth day controllers begin with old versions, drawn for each, and are replaced in some order while faults come.
-  const rolled = seed % 4 === 1;
-  const world = new World(
-    rolled ? { ...options, builds: drawBuilds(seed, options.controllers), oldVersions } : options,
-  );
+  return new World(isRolled ? { ...options, builds: drawBuilds(seed, options.controllers), oldVersions } : options);
+}
+
+/** A day of random jobs and random faults: whatever happens, every invariant holds, and once all is quiet all work ends. */
+function runRandomDay(seed: number): World {
+  // On every fourth day controllers begin with old versions, and are replaced in some order while faults come.
+  const isRolled = seed % 4 === 1;
+  const world = makeWorld(seed, isRolled);
   const { clock } = world;
   for (let i = 0; i < 4; i++) {
     world.cloud.addMachine(
@@ -57,24 +60,18 @@
   }
   world.startControllers();
   for (let i = 0; i < 16; i++) addJob(world, i, clock.randomBetween(1, FAULTS_SECONDS * 0.8));
-  if (rolled) scheduleRollingUpgrade(world);
+  if (isRolled) scheduleRollingUpgrade(world);
   // Nothing new is asked of the service before all have the new version.
-  for (let i = 0; i < 2; i++) addService(world, i, clock.randomBetween(rolled ? 170 : 5, FAULTS_SECONDS * 0.8));
+  for (let i = 0; i < 2; i++) addService(world, i, clock.randomBetween(isRolled ? 170 : 5, FAULTS_SECONDS * 0.8));
   for (let i = 0; i < 2; i++) addFaultyJob(world, i, clock.randomBetween(1, FAULTS_SECONDS * 0.6));
   if (seed % 10 === 0) addHugeArray(world, clock.randomBetween(5, FAULTS_SECONDS * 0.5));
-  const troubles = Math.floor(clock.randomBetween(5, 12));
-  for (let i = 0; i < troubles; i++) {
-    const at = clock.randomBetween(5, FAULTS_SECONDS);
-    injectRandomFault(world, at);
-    // Troubles like company: some come in the middle of others.
-    if (clock.randomBetween(0, 1) < 0.4) injectRandomFault(world, at + clock.randomBetween(0, 8));
-  }
+  injectRandomFaults(world);
   clock.runUntil((FAULTS_SECONDS + QUIET_SECONDS) * 1000);
   world.trace?.end(`day-${seed}`);
   return world;
 }
 
-/** The nodes are replaced by the present version, one after the other in some order. */
+/** The controllers are replaced by the current version, one after the other in some order. */
 function scheduleRollingUpgrade(world: World): void {
   const { clock } = world;
   const order = [...world.controllers].sort(() => clock.randomBetween(-1, 1));
@@ -181,6 +178,17 @@
 /** Which part of each service was up when it was cancelled, long after all faults. */
 const availabilityAtEnd = new WeakMap<World, string[]>();
 
+function injectRandomFaults(world: World): void {
+  const { clock } = world;
+  const faults = Math.floor(clock.randomBetween(5, 12));
+  for (let i = 0; i < faults; i++) {
+    const at = clock.randomBetween(5, FAULTS_SECONDS);
+    injectRandomFault(world, at);
+    // Some come in the middle of others.
+    if (clock.randomBetween(0, 1) < 0.4) injectRandomFault(world, at + clock.randomBetween(0, 8));
+  }
+}
+
 function injectRandomFault(world: World, atS: number): void {
   const { clock } = world;
   const node = clock.pickRandom(['perch-0', 'perch-1', 'perch-2', 'perch-4', 'leader', 'leader']);
--- a/test/sim/deployment.ts
+++ b/test/sim/deployment.ts
@@ -5,9 +5,9 @@
 /* What the operators of a simulated deployment allow, and the settings that follow for each controller. */
 
 /** How long the members of a gang wait for each other to start. */
-export const GANG_BARRIER_TIMEOUT_MS = 40_000;
+const GANG_BARRIER_TIMEOUT_MS = 40_000;
 /** How long the members of a gang do without one of them. */
-export const GANG_PEER_TIMEOUT_MS = 5000;
+const GANG_PEER_TIMEOUT_MS = 5000;
 /** The cloud's list of machines is as old as that, up to twice. */
 export const LIST_STALENESS_MS = 3000;
 
@@ -53,6 +53,32 @@
   readonly limits?: Limits;
 }
 
+/** The timing of workers, which they go by themselves too. */
+export const workerSettings = (limits: Limits): Settings['workers'] => ({
+  heartbeatIntervalMs: limits.heartbeatIntervalMs,
+  leaseMs: limits.leaseMs,
+  gangBarrierTimeoutMs: GANG_BARRIER_TIMEOUT_MS,
+  gangPeerTimeoutMs: GANG_PEER_TIMEOUT_MS,
+  cancellationTimeoutMs: limits.cancellationTimeoutMs,
+});
+
+/** The state store's limits as a build reads them: early ones know nothing of sizes that are announced for later. */
+function stateStoreSettings(limits: Limits, { readsAnnouncedLimits }: Build): Settings['stateStore'] {
+  const { requestsPerSecond, writesPerSecond, maxValueBytes, maxChangesPerTransaction } = limits;
+  const announcedBytes = limits.announcedMaxValueBytes || maxValueBytes;
+  const announcedChanges = limits.announcedMaxChangesPerTransaction || maxChangesPerTransaction;
+  return {
+    requestsPerSecond,
+    writesPerSecond,
+    announcedRequestsPerSecond: limits.announcedRequestsPerSecond || requestsPerSecond,
+    announcedWritesPerSecond: limits.announcedWritesPerSecond || writesPerSecond,
+    maxValueBytes: readsAnnouncedLimits ? Math.min(maxValueBytes, announcedBytes) : maxValueBytes,
+    maxChangesPerTransaction: readsAnnouncedLimits
+      ? Math.min(maxChangesPerTransaction, announcedChanges)
+      : maxChangesPerTransaction,
+  };
+}
+
 /** The settings of controller `name`, one of `names`, as its build reads them. */
 export function makeSettings(
   name: ControllerName,
@@ -62,11 +88,6 @@
 ): Settings {
   const zone = options.zones[0] as ZoneName;
   const limits = options.limits ?? LIMITS;
-  const { maxValueBytes, maxChangesPerTransaction } = limits;
-  const announcedBytes = limits.announcedMaxValueBytes || maxValueBytes;
-  const announcedChanges = limits.announcedMaxChangesPerTransaction || maxChangesPerTransaction;
-  // Builds before it know nothing of limits announced for later.
-  const readsAnnounced = build.readsAnnouncedLimits;
   return {
     controller: name,
     zone,
@@ -76,23 +97,8 @@
     clockSkewMs: 25,
     teamQuotas: options.teams,
     objectives: [],
-    workers: {
-      heartbeatIntervalMs: limits.heartbeatIntervalMs,
-      leaseMs: limits.leaseMs,
-      gangBarrierTimeoutMs: GANG_BARRIER_TIMEOUT_MS,
-      gangPeerTimeoutMs: GANG_PEER_TIMEOUT_MS,
-      cancellationTimeoutMs: limits.cancellationTimeoutMs,
-    },
-    stateStore: {
-      requestsPerSecond: limits.requestsPerSecond,
-      writesPerSecond: limits.writesPerSecond,
-      announcedRequestsPerSecond: limits.announcedRequestsPerSecond || limits.requestsPerSecond,
-      announcedWritesPerSecond: limits.announcedWritesPerSecond || limits.writesPerSecond,
-      maxValueBytes: readsAnnounced ? Math.min(maxValueBytes, announcedBytes) : maxValueBytes,
-      maxChangesPerTransaction: readsAnnounced
-        ? Math.min(maxChangesPerTransaction, announcedChanges)
-        : maxChangesPerTransaction,
-    },
+    workers: workerSettings(limits),
+    stateStore: stateStoreSettings(limits, build),
     cloud: { requestsPerSecond: limits.cloudRequestsPerSecond, listStalenessMs: LIST_STALENESS_MS },
     limits: { cpuShare: limits.cpuShare, maxConnections: 2000 },
   };
--- a/test/sim/state_store.ts
+++ b/test/sim/state_store.ts
@@ -23,6 +23,9 @@
 const readsJobs = (op: StateStoreOperation): boolean =>
   ((op.op === 'watch' || op.op === 'list') && op.prefix === 'j/') || (op.op === 'get' && op.key.startsWith('j/'));
 
+/** Leases are looked at so long after their end. */
+const EXPIRY_CHECK_DELAY_MS = 50;
+
 /** A state store by its protocol: versions, leases, watches, outages, and refusals of one controller. */
 export class SimulatedStateStore {
   private currentRevision = 100n;
@@ -181,30 +184,15 @@
         reply(success({ item: found ? found.item : null, revision: revision(this.currentRevision) }));
         return;
       }
-      case 'list': {
-        const keys = this.keys(op.prefix).filter((key) => op.after === null || key > op.after);
-        const items = keys.slice(0, op.limit).map((key) => this.items.get(key)?.item as StoredEntry);
-        reply(success({ items, more: keys.length > op.limit, revision: revision(this.currentRevision) }));
+      case 'list':
+        reply(this.list(op.prefix, op.after, op.limit));
         return;
-      }
-      case 'grant': {
-        const id = ++this.lastLeaseId;
-        this.leases.set(id, { ttlMs: op.ttlMs, endsAt: this.clock.now + op.ttlMs, keys: new Set() });
-        this.clock.schedule(op.ttlMs + 50, () => this.expireLeasesIfUp());
-        reply(success({ lease: id as LeaseId }));
+      case 'grant':
+        reply(this.grant(op.ttlMs));
         return;
-      }
-      case 'renew': {
-        const lease = this.leases.get(op.lease);
-        if (!lease) {
-          reply(failure('gone'));
-          return;
-        }
-        lease.endsAt = this.clock.now + lease.ttlMs;
-        this.clock.schedule(lease.ttlMs + 50, () => this.expireLeasesIfUp());
-        reply(success({}));
+      case 'renew':
+        reply(this.renew(op.lease));
         return;
-      }
       case 'revoke':
         this.endLease(op.lease);
         reply(success({}));
@@ -218,6 +206,27 @@
     }
   }
 
+  private list(prefix: string, after: string | null, limit: number): StateStoreResult {
+    const keys = this.keys(prefix).filter((key) => after === null || key > after);
+    const items = keys.slice(0, limit).map((key) => this.items.get(key)?.item as StoredEntry);
+    return success({ items, more: keys.length > limit, revision: revision(this.currentRevision) });
+  }
+
+  private grant(ttlMs: number): StateStoreResult {
+    const id = ++this.lastLeaseId;
+    this.leases.set(id, { ttlMs, endsAt: this.clock.now + ttlMs, keys: new Set() });
+    this.clock.schedule(ttlMs + EXPIRY_CHECK_DELAY_MS, () => this.expireLeasesIfUp());
+    return success({ lease: id as LeaseId });
+  }
+
+  private renew(id: LeaseId): StateStoreResult {
+    const lease = this.leases.get(id);
+    if (!lease) return failure('gone');
+    lease.endsAt = this.clock.now + lease.ttlMs;
+    this.clock.schedule(lease.ttlMs + EXPIRY_CHECK_DELAY_MS, () => this.expireLeasesIfUp());
+    return success({});
+  }
+
   private expireLeasesIfUp(): void {
     if (!this.isDown) this.expireLeases();
   }
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -8,12 +8,11 @@
 import { ControllerProcess } from './controller_process.js';
 import {
   type DeploymentOptions,
-  GANG_BARRIER_TIMEOUT_MS,
-  GANG_PEER_TIMEOUT_MS,
   LIMITS,
   LIST_STALENESS_MS,
   type Limits,
   makeSettings,
+  workerSettings,
 } from './deployment.js';
 import { GangIndex } from './gang_index.js';
 import { IdleCapacityCheck } from './idle_capacity.js';
@@ -48,7 +47,7 @@
   readonly stateStore: SimulatedStateStore;
   readonly cloud: SimulatedCloud;
   readonly invariants: Invariants;
-  readonly controllers: ControllerProcess[] = [];
+  readonly controllers: readonly ControllerProcess[];
   /** By machine; those that are gone are not in it. */
   readonly workers = new Map<MachineId, SimulatedWorker>();
   /** Jobs that fail wherever they run. */
@@ -76,18 +75,13 @@
   verbose = process.env.SIM_LOG === '1';
   /** Null: nothing is traced. */
   readonly trace = WireTrace.fromEnvironment();
+
   constructor(readonly options: WorldOptions) {
     this.clock = new Clock(options.seed);
     this.encodesPeerMessages = options.builds !== undefined;
     this.network = new Network(this.clock);
     this.limits = options.limits ?? LIMITS;
-    this.workerTiming = {
-      leaseMs: this.limits.leaseMs,
-      heartbeatIntervalMs: this.limits.heartbeatIntervalMs,
-      gangBarrierTimeoutMs: GANG_BARRIER_TIMEOUT_MS,
-      gangPeerTimeoutMs: GANG_PEER_TIMEOUT_MS,
-      cancellationTimeoutMs: this.limits.cancellationTimeoutMs,
-    };
+    this.workerTiming = workerSettings(this.limits);
     this.meters = new ResourceMeters(this.clock);
     this.stateStore = new SimulatedStateStore(this.clock, this.limits);
     this.invariants = new Invariants(this.clock, options.teams, this.limits.cancellationTimeoutMs);
@@ -99,15 +93,22 @@
     };
     new IdleCapacityCheck(this);
     this.availability.start();
+    this.controllers = this.makeControllers();
+    this.cloud = this.makeCloud();
+  }
+
+  private makeControllers(): ControllerProcess[] {
+    const { options } = this;
     const names = Array.from({ length: options.controllers }, (_, i) => `perch-${i}` as ControllerName);
     const builds = options.builds ?? [CURRENT_BUILD];
-    names.forEach((name, i) => {
-      const build = builds[i % builds.length] as Build;
-      this.controllers.push(
-        new ControllerProcess(this, name, (build) => makeSettings(name, names, options, build), build),
-      );
+    return names.map((name, i) => {
+      const settings = (build: Build): Settings => makeSettings(name, names, options, build);
+      return new ControllerProcess(this, name, settings, builds[i % builds.length] as Build);
     });
-    this.cloud = new SimulatedCloud(this.clock, options.types, options.capacity, LIST_STALENESS_MS, {
+  }
+
+  private makeCloud(): SimulatedCloud {
+    return new SimulatedCloud(this.clock, this.options.types, this.options.capacity, LIST_STALENESS_MS, {
       onBooted: (id, type, zone, spot) => this.addWorker(id, type, zone, spot),
       onTermination: (id) => {
         if ((this.workers.get(id)?.tasks.size ?? 0) > 0) this.meters.terminatedWhileBusy += 1;
