--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -51,10 +51,8 @@
 function teamQuotas(teams: RawDeployment['teams']): Settings['teamQuotas'] {
   return teams.map(({ name, cpus, gpus, cpus_max, gpus_max }) => ({
     name: name as TeamName,
-    guaranteedCpus: cpus,
-    guaranteedGpus: gpus,
-    cpuLimit: cpus_max,
-    gpuLimit: gpus_max,
+    guaranteed: { cpus, gpus },
+    limit: { cpus: cpus_max, gpus: gpus_max },
   }));
 }
 
--- a/src/core/autoscaling/guaranteed_capacity.ts
+++ b/src/core/autoscaling/guaranteed_capacity.ts
@@ -58,9 +58,9 @@
     const { context, quotas } = this.cluster;
     const workMs = context.now.monotonic - this.lastWorkAt;
     if (!context.tuning.machines.keep_guarantees || workMs >= KEEP_WHILE_IDLE_MS) return required;
-    for (const { guaranteedCpus, guaranteedGpus } of quotas.teamsInOrder()) {
-      required.cpus += guaranteedCpus;
-      required.gpus += guaranteedGpus;
+    for (const { guaranteed } of quotas.teamsInOrder()) {
+      required.cpus += guaranteed.cpus;
+      required.gpus += guaranteed.gpus;
     }
     return required;
   }
--- a/src/core/scheduler/team_guarantees.ts
+++ b/src/core/scheduler/team_guarantees.ts
@@ -33,9 +33,8 @@
 }
 
 /** A guarantee of 0 is none; a team without any guarantee is never within it. */
-function fitsGuarantee({ guaranteedCpus, guaranteedGpus }: TeamQuota, demand: TeamDemand): boolean {
-  if (guaranteedCpus <= 0 && guaranteedGpus <= 0) return false;
-  return (
-    (guaranteedCpus <= 0 || demand.cpus <= guaranteedCpus) && (guaranteedGpus <= 0 || demand.gpus <= guaranteedGpus)
-  );
+function fitsGuarantee({ guaranteed }: TeamQuota, demand: TeamDemand): boolean {
+  const { cpus, gpus } = guaranteed;
+  if (cpus <= 0 && gpus <= 0) return false;
+  return (cpus <= 0 || demand.cpus <= cpus) && (gpus <= 0 || demand.gpus <= gpus);
 }
--- a/src/core/state/quotas.ts
+++ b/src/core/state/quotas.ts
@@ -51,8 +51,8 @@
     if (!team || !use) return 0;
     const unseen = this.exposure === null ? this.unreconciledCapacity : (this.exposure.get(spec.team) ?? NO_USAGE);
     return Math.min(
-      tasksWithinLimit(team.cpuLimit, use.cpus + unseen.cpus + this.unattributedCapacity.cpus, spec.cpus),
-      tasksWithinLimit(team.gpuLimit, use.gpus + unseen.gpus + this.unattributedCapacity.gpus, spec.gpus),
+      tasksWithinLimit(team.limit.cpus, use.cpus + unseen.cpus + this.unattributedCapacity.cpus, spec.cpus),
+      tasksWithinLimit(team.limit.gpus, use.gpus + unseen.gpus + this.unattributedCapacity.gpus, spec.gpus),
     );
   }
 
@@ -64,7 +64,7 @@
 
   /** Whether any team has a limit. */
   get hasLimits(): boolean {
-    for (const { cpuLimit, gpuLimit } of this.teams.values()) if (cpuLimit > 0 || gpuLimit > 0) return true;
+    for (const { limit } of this.teams.values()) if (limit.cpus > 0 || limit.gpus > 0) return true;
     return false;
   }
 }
@@ -73,7 +73,7 @@
 export function fitsTeamLimit(team: TeamQuota, spec: JobSpec): boolean {
   const tasks = spec.kind === 'array' ? 1 : spec.taskCount;
   const fits = (limit: number, each: number) => limit <= 0 || each * tasks <= limit + TOLERANCE;
-  return fits(team.cpuLimit, spec.cpus) && fits(team.gpuLimit, spec.gpus);
+  return fits(team.limit.cpus, spec.cpus) && fits(team.limit.gpus, spec.gpus);
 }
 
 /** How many more tasks a limit allows; a limit of 0 means none. */
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -173,11 +173,12 @@
   readonly ageSeconds: number;
 }
 
+/** Quotas count cores and GPUs; memory has none. */
+export type QuotaAmounts = Pick<Resources, 'cpus' | 'gpus'>;
+
 /** What a team is guaranteed, and what it may have at most; 0: no guarantee, or no limit. */
 export interface TeamQuota {
   readonly name: TeamName;
-  readonly guaranteedCpus: number;
-  readonly guaranteedGpus: number;
-  readonly cpuLimit: number;
-  readonly gpuLimit: number;
+  readonly guaranteed: QuotaAmounts;
+  readonly limit: QuotaAmounts;
 }
--- a/test/golden/problem_cases.ts
+++ b/test/golden/problem_cases.ts
@@ -27,7 +27,7 @@
 const ANSWER_MS = 6000;
 
 function teamOf(name: string, cpuLimit: number, gpuLimit: number): TeamQuota {
-  return { name: name as TeamName, guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit, gpuLimit };
+  return { name: name as TeamName, guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: cpuLimit, gpus: gpuLimit } };
 }
 
 function makeWorld(controllers: number): World {
--- a/test/measure/cold_start.ts
+++ b/test/measure/cold_start.ts
@@ -28,7 +28,7 @@
 const SAMPLE_INTERVAL_MS = 20;
 const ZONES = ['a', 'b', 'c'] as ZoneName[];
 const TYPES = [{ ...C8, zones: ZONES }];
-const TEAMS = [{ name: 'crew' as TeamName, guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: 0, gpuLimit: 0 }];
+const TEAMS = [{ name: 'crew' as TeamName, guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: 0, gpus: 0 } }];
 
 /** Processor time of the controllers' steps, in microseconds. */
 let stepMicroseconds = 0;
--- a/test/measure/speed_driver.ts
+++ b/test/measure/speed_driver.ts
@@ -56,7 +56,7 @@
   const { seed, controllers, machines, jobs } = plan;
   const zones = plan.zones as ZoneName[];
   const type = machineTypeOf(plan);
-  const teams = [{ name: 'crew' as TeamName, guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: 0, gpuLimit: 0 }];
+  const teams = [{ name: 'crew' as TeamName, guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: 0, gpus: 0 } }];
   const limits = { ...LIMITS, requestsPerSecond: 500, writesPerSecond: 50, cpuShare: 0.8 };
   const { tuning } = CURRENT_BUILD;
   const world = new World({ seed, controllers, zones, teams, types: [type], capacity: machines, tuning, limits });
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -20,10 +20,8 @@
 const machineTypes = [C8, G4].map((type) => ({ ...type, imageCacheGb: 20, bootSeconds: 15, zones }));
 const makeTeam = (name: string, guaranteedGpus: number, gpuLimit: number): TeamQuota => ({
   name: name as TeamName,
-  guaranteedCpus: 0,
-  cpuLimit: 0,
-  guaranteedGpus,
-  gpuLimit,
+  guaranteed: { cpus: 0, gpus: guaranteedGpus },
+  limit: { cpus: 0, gpus: gpuLimit },
 });
 const teams = [makeTeam('red', 4, 8), makeTeam('blue', 0, 0)];
 
--- a/test/sim/idle_capacity.ts
+++ b/test/sim/idle_capacity.ts
@@ -95,6 +95,6 @@
         gpus += other.gpus;
       }
     }
-    return (team.cpuLimit <= 0 || cpus <= team.cpuLimit) && (team.gpuLimit <= 0 || gpus <= team.gpuLimit);
+    return (team.limit.cpus <= 0 || cpus <= team.limit.cpus) && (team.limit.gpus <= 0 || gpus <= team.limit.gpus);
   }
 }
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -226,7 +226,7 @@
 
   private checkQuota(spec: JobSpec): void {
     const team = this.teams.find((each) => each.name === spec.team);
-    if (!team || (team.cpuLimit <= 0 && team.gpuLimit <= 0)) return;
+    if (!team || (team.limit.cpus <= 0 && team.limit.gpus <= 0)) return;
     let cpus = 0;
     let gpus = 0;
     for (const [id, tasks] of this.tasksOnMachines) {
@@ -236,8 +236,8 @@
       cpus += count * other.cpus;
       gpus += count * other.gpus;
     }
-    if (team.cpuLimit > 0 && cpus > team.cpuLimit + 1e-6) this.report('quota', `${team.name}: ${cpus} cpus`);
-    if (team.gpuLimit > 0 && gpus > team.gpuLimit + 1e-6) this.report('quota', `${team.name}: ${gpus} gpus`);
+    if (team.limit.cpus > 0 && cpus > team.limit.cpus + 1e-6) this.report('quota', `${team.name}: ${cpus} cpus`);
+    if (team.limit.gpus > 0 && gpus > team.limit.gpus + 1e-6) this.report('quota', `${team.name}: ${gpus} gpus`);
   }
 
   /** A response that reached a user. One that a controller gave before the user was told of an end may still say otherwise. */
--- a/test/sim/old_names.ts
+++ b/test/sim/old_names.ts
@@ -8,7 +8,7 @@
 } from '../../src/core/messages.js';
 import type { JobRecord, MachineRecord } from '../../src/core/records.js';
 import type { Settings } from '../../src/core/settings.js';
-import type { ClockReading } from '../../src/core/types.js';
+import type { ClockReading, TeamQuota } from '../../src/core/types.js';
 
 /**
  * Translates between the names of the present core and those of the builds that test/old_versions.txt marks with
@@ -142,9 +142,6 @@
     store: 'stateStore',
   },
 };
-const TEAM: Renaming = {
-  fields: { cpus: 'guaranteedCpus', gpus: 'guaranteedGpus', cpusMax: 'cpuLimit', gpusMax: 'gpuLimit' },
-};
 const OBJECTIVE: Renaming = {
   fields: { withinS: 'withinSeconds', times: 'deadlineFactor' },
 };
@@ -310,10 +307,18 @@
   }
 }
 
+const oldTeam = ({ name, guaranteed, limit }: TeamQuota): unknown => ({
+  name,
+  cpus: guaranteed.cpus,
+  gpus: guaranteed.gpus,
+  cpusMax: limit.cpus,
+  gpusMax: limit.gpus,
+});
+
 /** Settings as an old build's core takes them. */
 export const oldSettings = (settings: Settings): unknown =>
   changed(toOld(settings, SETTINGS), {
-    teams: (teams) => each(teams, (team) => toOld(team, TEAM)),
+    teams: (teams) => (teams as readonly TeamQuota[]).map(oldTeam),
     objectives: (objectives) => each(objectives, (objective) => toOld(objective, OBJECTIVE)),
     limits: (limits) => toOld(limits, LIMITS),
     workers: (workers) => toOld(workers, WORKERS),
--- a/test/sim/scenario/runner.ts
+++ b/test/sim/scenario/runner.ts
@@ -45,15 +45,13 @@
     const amount = (key: string): number => numberOption(options, key, 0);
     return {
       name: words[1] as TeamName,
-      guaranteedCpus: amount('guaranteedCpus'),
-      guaranteedGpus: amount('guaranteedGpus'),
-      cpuLimit: amount('cpuLimit'),
-      gpuLimit: amount('gpuLimit'),
+      guaranteed: { cpus: amount('guaranteedCpus'), gpus: amount('guaranteedGpus') },
+      limit: { cpus: amount('cpuLimit'), gpus: amount('gpuLimit') },
     };
   });
   return teams.length > 0
     ? teams
-    : [{ name: 'crew' as TeamName, guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: 0, gpuLimit: 0 }];
+    : [{ name: 'crew' as TeamName, guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: 0, gpus: 0 } }];
 }
 
 function makeWorld(scenario: Scenario, oldVersions: ReadonlyMap<string, Build>): World {
