--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -17,7 +17,7 @@
 const MAX_SPOT_PRICE_RATIO = 0.6;
 
 /** Keeps the machines on record in the state store. */
-export interface MachineRegistrar {
+interface MachineRegistrar {
   /** Puts a machine on record. */
   registerMachine(machine: Machine): void;
   /** Takes a machine off the record. */
--- a/src/core/autoscaling/machine_list.ts
+++ b/src/core/autoscaling/machine_list.ts
@@ -64,14 +64,14 @@
     if (listed.phase === 'failed' && !machine.lifecycle.isTerminating) this.handleStopped(machine);
   }
 
-  /** An earlier leader's machine that is up and hasn't been heard by this one: from now on its silence counts. */
+  /** A previous leader's machine that is up and hasn't been heard by this one: from now on its heartbeats can be overdue. */
   private onListedRunning(machine: Machine): void {
     const now = this.cluster.context.now.monotonic;
     machine.lifecycle.markUp();
     machine.messages.expectHeartbeats(now);
   }
 
-  /** Provisioned by an earlier leader, or by a request carried out late: taken into use like any other. */
+  /** Provisioned by a previous leader, or by a request carried out late: taken into use like any other. */
   private addUnknown({ id, type: typeName, zone, spot, address, phase }: CloudMachine): Machine | null {
     const type = this.cluster.machineTypes.get(typeName);
     if (!type || this.cluster.machines.wasRemoved(id)) return null;
--- a/src/core/autoscaling/scale_in.ts
+++ b/src/core/autoscaling/scale_in.ts
@@ -17,9 +17,9 @@
 const FEW_OVERDUE_SHARE = 0.03;
 /** A new leader judges heartbeats only after so many of their intervals. */
 const JUDGE_HEARTBEATS_AFTER_PERIODS = 3;
-/** A spot machine that is silent for so many intervals is taken for lost. */
+/** A spot machine without contact for so many intervals is taken for lost. */
 const SPOT_LOST_AFTER_PERIODS = 4;
-/** A machine that stays silent or unresponsive for this long beyond a lease is given up. */
+/** A machine that stays without contact, or unresponsive, for this long beyond a lease is given up. */
 const GIVE_UP_AFTER_LEASE_MS = 15_000;
 /** No boot is given up sooner. */
 const MIN_BOOT_TIMEOUT_SECONDS = 30;
@@ -89,8 +89,8 @@
     if (cordon.isDraining) return isEmpty || lifecycle.wasTerminationRequested ? cordon.drainReason : null;
     if (cordon.interruptionAt !== null && isEmpty) return 'spot interruption';
     if (machine.phase === 'booting') return this.hasBootTimedOut(machine, overview.now) ? 'boot timeout' : null;
-    const silence = overview.mayJudgeHeartbeats ? overdueHeartbeatReason(machine, overview) : null;
-    if (silence !== null) return silence;
+    const overdueReason = overview.mayJudgeHeartbeats ? overdueHeartbeatReason(machine, overview) : null;
+    if (overdueReason !== null) return overdueReason;
     if (
       holdsOnlyUnconfirmedStarts(this.cluster, machine) &&
       overview.now - machine.messages.lastContactAt < overview.leaseMs
@@ -187,14 +187,14 @@
   machine: Machine,
   { now, heartbeatIntervalMs, leaseMs, fewOverdue }: FleetOverview,
 ): DrainReason | null {
-  const silentMs = now - machine.messages.lastContactAt;
-  const isOverdue = silentMs > HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs;
+  const sinceContactMs = now - machine.messages.lastContactAt;
+  const isOverdue = sinceContactMs > HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs;
   if (machine.spot && machine.cordon.interruptionAt !== null && isOverdue) return 'spot interruption';
   // Terminating it proves it empty sooner than its lease would.
-  if (machine.spot && silentMs > SPOT_LOST_AFTER_PERIODS * heartbeatIntervalMs) return 'heartbeat overdue';
+  if (machine.spot && sinceContactMs > SPOT_LOST_AFTER_PERIODS * heartbeatIntervalMs) return 'heartbeat overdue';
   // Users of a service wait until it is proven that the replica is gone.
   if (fewOverdue && isOverdue && machine.allocations.hasReplica) return 'heartbeat overdue';
-  return silentMs > leaseMs + GIVE_UP_AFTER_LEASE_MS ? 'heartbeat overdue' : null;
+  return sinceContactMs > leaseMs + GIVE_UP_AFTER_LEASE_MS ? 'heartbeat overdue' : null;
 }
 
 function isLongUnresponsive(machine: Machine, { now, leaseMs }: FleetOverview): boolean {
--- a/src/core/autoscaling/scale_out.ts
+++ b/src/core/autoscaling/scale_out.ts
@@ -15,7 +15,7 @@
 const MAX_BACKOFF_STEPS = 4;
 
 /** A request for machines that has yet to be answered. Its id makes it idempotent: it can be sent again. */
-export interface ProvisioningRequest {
+interface ProvisioningRequest {
   readonly pool: CapacityPool;
   readonly requestId: string;
   readonly count: number;
--- a/src/core/health/health_checks.ts
+++ b/src/core/health/health_checks.ts
@@ -47,7 +47,7 @@
   }
 
   /**
-   * An earlier leader may have started only a part of a gang. Once all machines that may hold the rest are reconciled, the rest
+   * A previous leader may have started only a part of a gang. Once all machines that may hold the rest are reconciled, the rest
    * is certain not to be anywhere, and the part that runs would wait in vain (gang-half-placed.txt).
    */
   private breakIncompleteGangs(): void {
@@ -94,7 +94,7 @@
   }
 
   /**
-   * Nobody has answered it for longer than its lease, not even an earlier leader: whatever it held is gone. It comes back
+   * Nobody has answered it for longer than its lease, not even a previous leader: whatever it held is gone. It comes back
    * with a new agent epoch, and nothing of the old one counts.
    */
   private onLeaseExpired(machine: Machine): void {
--- a/src/core/jobs/failure_history.ts
+++ b/src/core/jobs/failure_history.ts
@@ -17,7 +17,7 @@
 const HEALTHY_AFTER_EXTRA_MS = 4000;
 
 /** A task's failure, as far as it bears on the job. */
-export interface TaskFailure {
+interface TaskFailure {
   readonly placedAt: MonotonicTime;
   /** For how long it had run, as far as statuses have told. */
   readonly ranMs: number;
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -10,7 +10,7 @@
 const MISESTIMATED_AFTER_MACHINES = 2;
 
 /** How soon a job's record has to be written: `immediate` where something else can't happen before. */
-export type WriteUrgency = 'none' | 'deferrable' | 'immediate';
+type WriteUrgency = 'none' | 'deferrable' | 'immediate';
 
 /** A job of the leader. What lasts beyond its term is in `stored`; the rest is learned anew by each leader. */
 export class Job {
@@ -58,10 +58,12 @@
     return this.spec.id;
   }
 
+  /** Whether its tasks run all at once or not at all. */
   get isGang(): boolean {
     return this.spec.kind === 'gang';
   }
 
+  /** Whether its replicas run until it is cancelled. */
   get isService(): boolean {
     return this.spec.kind === 'service';
   }
@@ -324,6 +326,7 @@
     return this.migrations;
   }
 
+  /** It is being moved to machines that hold its image. */
   recordMigration(): void {
     this.migrations += 1;
   }
@@ -333,6 +336,7 @@
     return this.preemptions;
   }
 
+  /** Tasks of lower priority are being preempted for it. */
   recordPreemption(): void {
     this.preemptions += 1;
   }
--- a/src/core/jobs/stored_job_state.ts
+++ b/src/core/jobs/stored_job_state.ts
@@ -29,6 +29,7 @@
     return this.knownVersion;
   }
 
+  /** Whether the job is accepted, done or cancelled on record. */
   get state(): JobState {
     return this.knownState;
   }
--- a/src/core/machines/agent_messages.ts
+++ b/src/core/machines/agent_messages.ts
@@ -7,7 +7,7 @@
 const NO_MESSAGE = 0n as SequenceNumber;
 
 /** Where a status of the machine's tasks stands among those that were processed before it. */
-export type EpochChange =
+type EpochChange =
   /** The first status of the machine that is processed here. */
   | 'firstEpoch'
   | 'sameEpoch'
@@ -33,7 +33,7 @@
   private renewedAt: MonotonicTime;
   private firstAt: MonotonicTime | null = null;
 
-  /** `now`: when the machine became known; until it reports, its silence counts from here. */
+  /** `now`: when the machine became known; until its first heartbeat, silence counts from here. */
   constructor(now: MonotonicTime) {
     this.contactAt = now;
     this.heartbeatAt = now;
@@ -146,13 +146,13 @@
     this.heartbeatSequence = null;
   }
 
-  /** From now on silence counts: the cloud lists the machine as running. */
+  /** From now on its heartbeats can be overdue: the cloud lists the machine as running. */
   expectHeartbeats(now: MonotonicTime): void {
     this.contactAt = now;
     this.heartbeatAt = now;
   }
 
-  /** An earlier leader may have renewed the lease at that time. */
+  /** A previous leader may have renewed the lease at that time. */
   restoreLeaseRenewal(at: MonotonicTime): void {
     this.renewedAt = at;
   }
--- a/src/core/machines/allocations.ts
+++ b/src/core/machines/allocations.ts
@@ -23,14 +23,17 @@
     return this.specs.size;
   }
 
+  /** Cores that are allocated. */
   get usedCpus(): number {
     return this.cpus;
   }
 
+  /** GPUs that are allocated. */
   get usedGpus(): number {
     return this.gpus;
   }
 
+  /** Memory that is allocated. */
   get usedMemoryGb(): number {
     return this.memoryGb;
   }
--- a/src/core/machines/boot_time_estimator.ts
+++ b/src/core/machines/boot_time_estimator.ts
@@ -43,6 +43,7 @@
     this.updatedAt = now;
   }
 
+  /** A boot took so many times the nominal time. */
   recordBoot(ratio: number, now: MonotonicTime): void {
     this.decay(now);
     this.bootCount += 1;
@@ -50,11 +51,13 @@
     this.timeoutFactor = 1;
   }
 
+  /** A machine did not come up in time. */
   recordOverdue(now: MonotonicTime): void {
     this.decay(now);
     this.overdueCount += 1;
   }
 
+  /** A machine was given up: those provisioned after it are given longer. */
   recordAbandoned(provisionedAt: MonotonicTime, now: MonotonicTime): void {
     if (provisionedAt < this.lastAbandonedAt) return;
     this.lastAbandonedAt = now;
@@ -74,6 +77,7 @@
     return this.overdueCount / (this.bootCount + this.overdueCount + PRIOR_BOOTS);
   }
 
+  /** Returns how many times as long as usual a machine is given that was provisioned then. */
   timeoutFactorFor(provisionedAt: MonotonicTime): number {
     return provisionedAt < this.lastAbandonedAt ? this.previousTimeoutFactor : this.timeoutFactor;
   }
--- a/src/core/machines/command_channel.ts
+++ b/src/core/machines/command_channel.ts
@@ -45,6 +45,7 @@
     return this.unconfirmed.has(start);
   }
 
+  /** Whether any start was pushed and never answered. */
   get hasUnconfirmedStarts(): boolean {
     return this.unconfirmed.size > 0;
   }
--- a/src/core/machines/cordon.ts
+++ b/src/core/machines/cordon.ts
@@ -27,6 +27,7 @@
     return this.reason;
   }
 
+  /** Whether the machine is drained: it is terminated once it is empty. */
   get isDraining(): boolean {
     return this.reason !== null;
   }
--- a/src/core/machines/image_cache.ts
+++ b/src/core/machines/image_cache.ts
@@ -74,7 +74,7 @@
     return present.sort((a, b) => a[1].lastUsedAt - b[1].lastUsedAt).map(([name]) => name);
   }
 
-  /** Takes over what an earlier leader has written. Images whose size is not in `sizesGb` are left out. */
+  /** Takes over what a previous leader has written. Images whose size is not in `sizesGb` are left out. */
   restore(
     names: readonly ImageName[],
     speed: number,
--- a/src/core/machines/lifecycle.ts
+++ b/src/core/machines/lifecycle.ts
@@ -25,6 +25,7 @@
     this.provisioned = provisionedAt;
   }
 
+  /** Whether it is booting or up. */
   get phase(): MachinePhase {
     return this.currentPhase;
   }
@@ -54,7 +55,7 @@
     return this.termination !== 'none';
   }
 
-  /** Whether it was provisioned by an earlier leader and has yet to be heard by this one. */
+  /** Whether it was provisioned by a previous leader and has yet to be heard by this one. */
   get isInheritedUnreported(): boolean {
     return this.currentPhase === 'booting' && this.onRecord && !this.isProvisionedByThisLeader;
   }
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -12,14 +12,14 @@
 import { TaskFailures } from './task_failures.js';
 
 /** What is known of a machine when it becomes known here. */
-export interface MachineInit {
+interface MachineInit {
   readonly id: MachineId;
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
   /** Where its agent takes commands; empty where that isn't known yet. */
   readonly address: string;
-  /** False where it may hold tasks of an earlier leader that are not known here. */
+  /** False where it may hold tasks of a previous leader that are not known here. */
   readonly reconciled: boolean;
   readonly phase: MachinePhase;
   /**
@@ -82,6 +82,7 @@
     this.images = new ImageCache(type);
   }
 
+  /** The name of its type. */
   get typeName(): MachineTypeName {
     return this.type.name;
   }
@@ -101,12 +102,12 @@
     if (address !== '') this.currentAddress = address;
   }
 
-  /** Whether it can't hold tasks of an earlier leader that are not known here: until then its own status has yet to come. */
+  /** Whether it can't hold tasks of a previous leader that are not known here: until then its own status has yet to come. */
   get reconciled(): boolean {
     return this.isReconciled;
   }
 
-  /** No task of an earlier leader can be on it that isn't known here. */
+  /** No task of a previous leader can be on it that isn't known here. */
   markReconciled(): void {
     this.isReconciled = true;
   }
--- a/src/core/machines/machine_registry.ts
+++ b/src/core/machines/machine_registry.ts
@@ -20,7 +20,7 @@
 const MAX_IMAGES = 16;
 
 /** One write of a page: the change, about its size, and the machines on the page at that moment. */
-export interface PageWrite {
+interface PageWrite {
   readonly change: StateChange;
   readonly bytes: number;
   readonly machines: readonly Machine[];
--- a/src/core/machines/reachability.ts
+++ b/src/core/machines/reachability.ts
@@ -31,6 +31,7 @@
     return this.unresponsive;
   }
 
+  /** Whether it sends heartbeats but doesn't react to responses. */
   get isUnresponsive(): boolean {
     return this.unresponsive !== null;
   }
@@ -49,7 +50,7 @@
     return wasUnresponsive;
   }
 
-  /** A heartbeat showed an earlier leader's token. Returns whether an unconfirmed machine has done so too often. */
+  /** A heartbeat showed a previous leader's token. Returns whether an unconfirmed machine has done so too often. */
   recordStaleToken(): boolean {
     if (this.confirmed) return false;
     this.staleTokenHeartbeats += 1;
--- a/src/core/machines/reported_tasks.ts
+++ b/src/core/machines/reported_tasks.ts
@@ -4,7 +4,7 @@
 import type { Attempt, JobId } from '../types.js';
 
 /** A task that a status shows as exited. */
-export interface ExitedTask {
+interface ExitedTask {
   readonly job: JobId;
   readonly index: number;
   readonly attempt: Attempt;
