--- a/test/recovery_properties.test.ts
+++ b/test/recovery_properties.test.ts
@@ -21,29 +21,9 @@
   type StoredJob,
   trustedStartZones,
 } from '../src/recovery/index.js';
-import { loadOldVersions } from './sim/old_versions.js';
-import { parseScenarioText } from './sim/scenario/parser.js';
-import { runScenario } from './sim/scenario/runner.js';
+import { checkProperty } from './support/properties.js';
 
-/*
- * Properties of recovery. Seeds are fixed; FC_SEED, FC_PATH and FC_RUNS choose others, and a failure prints the line with
- * which it is played again. Counter-examples over whole worlds are lines of a scenario: kept, they go to test/scenarios/.
- */
-
-const SEED = Number(process.env.FC_SEED ?? 28);
-const RUNS = Number(process.env.FC_RUNS ?? 0);
-
-function checkProperty<T>(property: fc.IProperty<T>, runs: number): void {
-  const path = process.env.FC_PATH ? { path: process.env.FC_PATH } : {};
-  const { failed, seed, counterexamplePath, counterexample, errorInstance } = fc.check(property, {
-    seed: SEED,
-    numRuns: RUNS || runs,
-    ...path,
-  });
-  if (!failed) return;
-  const replay = `FC_SEED=${seed} FC_PATH=${counterexamplePath} node --test target/check/test/recovery_properties.test.js`;
-  assert.fail(`${fc.stringify(counterexample)}\n${String(errorInstance)}\nreplay: ${replay}`);
-}
+/* Properties of what a new leader concludes, by models of what happened before (test/support/properties.ts on seeds). */
 
 // ---- what may run unseen
 
@@ -180,7 +160,7 @@
     assert.equal(recovery.isReconciled(NOW), isAllListed);
     if (isAllListed) assert.ok(jobs.every((job) => !recovery.mayRunUnreconciled(job, NOW)));
   });
-  checkProperty(property, 3000);
+  checkProperty(import.meta.url, property, 3000);
 });
 
 // ---- what a task is
@@ -228,7 +208,7 @@
       if (reason === null && otherPlacement === null) assert.equal(action === 'adopt', !job.cancelled && !job.taskDone);
     },
   );
-  checkProperty(property, 1000);
+  checkProperty(import.meta.url, property, 1000);
 });
 
 test('of two places of a task one alone is stopped, the same one whichever is found first', () => {
@@ -245,7 +225,7 @@
       assert.equal(found(higher, lower), 'adoptAndStopOther');
     },
   );
-  checkProperty(property, 300);
+  checkProperty(import.meta.url, property, 300);
 });
 
 // ---- the storm
@@ -283,84 +263,5 @@
       assert.ok(within <= 2 * perWindow, `${within} lists in 50 ms`);
     }
   });
-  checkProperty(property, 500);
-});
-
-// ---- whole worlds
-
-const oldVersions = await loadOldVersions();
-
-const MACHINE_LINES = 'versions present\nzones a b\nmachines 2 c8 a\nmachines 2 c8 b\ncapacity 4\n';
-const JOB_LINES = [
-  'at 2 submit job-1 array tasks=20 runtime=25',
-  'at 3 submit job-2 gang tasks=3 cpus=2 runtime=30 checkpointInterval=5',
-  'at 4 submit job-3 array tasks=12 runtime=8 zoneSpread',
-  'at 5 submit job-4 service tasks=2 cpus=1 runtime=1000 estimatedRuntime=0',
-];
-const END_LINES = ['at 200 cancel job-4', 'until 330'];
-
-const halfSeconds = (from: number, to: number): fc.Arbitrary<number> =>
-  fc.integer({ min: from * 2, max: to * 2 }).map((half) => half / 2);
-const machineName = fc.nat(3).map((number) => `i-00000${number}`);
-const scenarioLine = (...parts: fc.Arbitrary<string | number>[]): fc.Arbitrary<string> =>
-  fc.tuple(halfSeconds(8, 90), ...parts).map(([at, ...words]) => `at ${at} ${words.join(' ')}`);
-const constantWord = (text: string): fc.Arbitrary<string> => fc.constant(text);
-
-const coldStart = scenarioLine(constantWord('crash all'), halfSeconds(0.5, 25));
-const fault = fc.oneof(
-  coldStart,
-  scenarioLine(constantWord('crash leader'), halfSeconds(0.5, 6)),
-  scenarioLine(constantWord('crash-at'), fc.constantFrom('before-acquire', 'after-acquire'), constantWord('2 0.2')),
-  scenarioLine(
-    constantWord('partition'),
-    machineName,
-    constantWord('*'),
-    halfSeconds(2, 25),
-    fc.constantFrom('delay', 'drop'),
-  ),
-  scenarioLine(constantWord('interrupt'), machineName),
-  scenarioLine(constantWord('hang'), machineName, halfSeconds(1, 20)),
-  scenarioLine(constantWord('duplicate-heartbeats'), halfSeconds(5, 40)),
-  scenarioLine(constantWord('delay-heartbeats'), machineName, halfSeconds(2, 20)),
-  scenarioLine(constantWord('delay-writes 0.3'), halfSeconds(2, 15)),
-  scenarioLine(constantWord('store-outage'), halfSeconds(1, 15)),
-  scenarioLine(constantWord('store-refuse leader'), halfSeconds(2, 15)),
-  scenarioLine(constantWord('cancel'), fc.constantFrom('job-1', 'job-2', 'job-3')),
-  scenarioLine(constantWord('downgrade perch-1 latest'), halfSeconds(0.5, 3)),
-);
-
-function runGeneratedScenario(lines: readonly string[]): ReturnType<typeof runScenario> {
-  const text = [MACHINE_LINES, ...JOB_LINES, ...lines, ...END_LINES].join('\n');
-  return runScenario(parseScenarioText('generated', `# generated\n${text}\n`), oldVersions);
-}
-
-test('after any troubles round cold starts no rule is broken, and every job has one final answer', () => {
-  const troubles = fc.tuple(coldStart, fc.array(fault, { minLength: 1, maxLength: 6 }));
-  const property = fc.property(troubles, ([first, rest]) => {
-    const { world, failures } = runGeneratedScenario([first, ...rest]);
-    const open = ['job-1', 'job-2', 'job-3', 'job-4'].filter((id) => {
-      return world.invariants.isAccepted(id as JobId) && !world.invariants.finalStateOf(id as JobId);
-    });
-    assert.deepEqual([...failures, ...world.errors, ...open], []);
-    assert.equal(world.leader()?.recoverySummary()?.unreconciledMachines ?? 0, 0);
-  });
-  checkProperty(property, 60);
-});
-
-test('where truth and record agree nothing is stopped and nothing begun twice, however often all controllers fall', () => {
-  const fall = fc.tuple(halfSeconds(8, 60), halfSeconds(0.5, 7)).map(([at, back]) => `at ${at} crash all ${back}`);
-  const property = fc.property(fc.array(fall, { minLength: 1, maxLength: 3 }), (falls) => {
-    const { world } = runGeneratedScenario(falls);
-    // Falls that meet may keep all controllers away for longer than a lease.
-    fc.pre(world.expiredLeases === 0);
-    assert.deepEqual(world.invariants.violations, []);
-    const tasks = new Map([
-      ['job-1', 20],
-      ['job-2', 3],
-      ['job-3', 12],
-      ['job-4', 2],
-    ]);
-    for (const [id, count] of tasks) assert.ok((world.invariants.startsByJob.get(id as JobId) ?? 0) <= count, id);
-  });
-  checkProperty(property, 30);
+  checkProperty(import.meta.url, property, 500);
 });
