--- a/src/core/clients/state_store_client.ts
+++ b/src/core/clients/state_store_client.ts
@@ -18,7 +18,7 @@
 import { TokenBucket } from './token_bucket.js';
 
 /** How a call may wait. */
-export interface StateStoreCallOptions {
+interface StateStoreCallOptions {
   /** For a reply, once it is sent, in milliseconds. */
   readonly timeoutMs?: number;
   /** For tokens, before it is sent, in milliseconds; what has to wait longer is refused. */
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -62,8 +62,11 @@
 /** What a call to an outside service brought: its response, or why there is none. */
 export type Result<T, E> = { readonly ok: true; readonly value: T } | { readonly ok: false; readonly error: E };
 
+/** What any call to the state store brought. */
 export type StateStoreResult = Result<StateStoreResponse, StateStoreError>;
+/** What any call to the cloud brought. */
 export type CloudResult = Result<CloudResponse, CloudError>;
+/** What a push of commands brought. */
 export type CommandPushResult = Result<CommandPushResponse, CommandPushError>;
 
 /** A value of the state store, with the revision of its last change. */
@@ -125,6 +128,7 @@
 /** What a call of one kind brought. */
 export type StateStoreResultOf<Op extends StateStoreOperationName> = Result<StateStoreResponses[Op], StateStoreError>;
 
+/** Takes what a push of commands brought. */
 export type OnCommandPushResult = (result: CommandPushResult) => void;
 
 /** Calls to the cloud. A provisioning repeated under the same idempotency key provisions nothing more. */
@@ -142,7 +146,7 @@
   | { readonly op: 'terminate'; readonly machines: readonly MachineId[] };
 
 /** What the cloud responds to each call. */
-export interface CloudResponses {
+interface CloudResponses {
   readonly types: { readonly machineTypes: readonly MachineType[] };
   /** `more`: whether there are more after the last machine. */
   readonly list: { readonly machines: readonly CloudMachine[]; readonly more: boolean };
--- a/src/core/peers/heartbeat_forwarding.ts
+++ b/src/core/peers/heartbeat_forwarding.ts
@@ -29,6 +29,7 @@
     this.pending = new PendingMessages(context, TIMEOUT_MS);
   }
 
+  /** Passes a heartbeat on; `respond` is called once, within the time that workers wait. */
   forward(leader: ControllerName, heartbeat: Heartbeat, respond: Respond): void {
     const id = this.messageIds.next();
     this.pending.add(id, { leader, machine: heartbeat.machine, respond });
--- a/src/core/peers/peer_table.ts
+++ b/src/core/peers/peer_table.ts
@@ -31,6 +31,7 @@
     return this.peers.get(name);
   }
 
+  /** The peers that were heard at least once, alive or not. */
   all(): Iterable<Peer> {
     return this.peers.values();
   }
--- a/src/core/peers/pending_messages.ts
+++ b/src/core/peers/pending_messages.ts
@@ -3,7 +3,7 @@
 import type { MonotonicTime } from '../types.js';
 
 /** What is remembered of a message, and whether its answer is too late. */
-export interface PendingMessage<T> {
+interface PendingMessage<T> {
   readonly entry: T;
   readonly isExpired: boolean;
 }
--- a/src/core/peers/status_exchange.ts
+++ b/src/core/peers/status_exchange.ts
@@ -8,7 +8,7 @@
 const NO_HEARTBEAT_YET = -1;
 
 /** What is asked of the election. */
-export interface LeadershipControl {
+interface LeadershipControl {
   /** Null while this controller is not the leader. */
   readonly leadership: object | null;
   /** When this controller was last elected, or began. */
@@ -19,7 +19,7 @@
 }
 
 /** What is asked of the heartbeats that reach this controller. */
-export interface HeartbeatTraffic {
+interface HeartbeatTraffic {
   readonly heartbeatsPerSecond: number;
   /** Milliseconds since a worker last reached this controller; null: never. */
   readonly sinceLastHeartbeatMs: number | null;
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -238,6 +238,7 @@
   };
 }
 
+/** Returns the stored form of a leader's record. */
 export function encodeLeader({ node, incarnation, lease, term }: LeaderRecord): StoredFields {
   return { node, incarnation, lease, term };
 }
--- a/src/core/requests/job_reader.ts
+++ b/src/core/requests/job_reader.ts
@@ -17,7 +17,7 @@
 }
 
 /** How a read goes on. */
-export interface ReadContinuation {
+interface ReadContinuation {
   readonly onFound: (job: CachedJob) => void;
   readonly onMissing: () => void;
   /** The state store gave no answer, or holds a value that is not understood. */
--- a/src/core/requests/request_handler.ts
+++ b/src/core/requests/request_handler.ts
@@ -23,7 +23,7 @@
 const RECORD_TOO_LONG: UserResponse = { status: 422, problem: 'its description is longer than can be kept' };
 
 /** What the handler asks of the rest of the controller. */
-export interface RequestDependencies {
+interface RequestDependencies {
   machineTypes(): MachineTypes;
   /** Null where this controller doesn't lead. */
   taskCounts(id: JobId): TaskCounts | null;
@@ -33,7 +33,7 @@
 }
 
 /** Where a request came from: one from a peer isn't passed on again. */
-export type RequestOrigin = 'user' | 'peer';
+type RequestOrigin = 'user' | 'peer';
 
 /** A submission that was looked at before anything is done about it. */
 type Submission =
--- a/src/core/requests/responses.ts
+++ b/src/core/requests/responses.ts
@@ -11,10 +11,12 @@
   readonly onUnavailable: () => void;
 }
 
+/** Neither this controller nor a peer got an answer of the state store. */
 export const STATE_STORE_UNAVAILABLE: UserResponse = {
   status: 503,
   problem: 'the state service does not answer',
   retryAfterSeconds: 1,
 };
 
+/** No job is on record under the id. */
 export const JOB_NOT_FOUND: UserResponse = { status: 404, problem: 'no such job' };
--- a/src/core/requests/submission_validation.ts
+++ b/src/core/requests/submission_validation.ts
@@ -3,7 +3,7 @@
 import type { JobSpec, MachineType, MachineTypeName, TeamQuota, ZoneName } from '../types.js';
 
 /** Why a job can never run. */
-export type InfeasibilityReason = 'unknownTeam' | 'fitsNoMachineType' | 'exceedsTeamLimit' | 'needsSeveralZones';
+type InfeasibilityReason = 'unknownTeam' | 'fitsNoMachineType' | 'exceedsTeamLimit' | 'needsSeveralZones';
 
 /** What users are told. */
 export const INFEASIBILITY_PROBLEMS: Readonly<Record<InfeasibilityReason, string>> = {
--- a/src/core/step_clock.ts
+++ b/src/core/step_clock.ts
@@ -6,6 +6,7 @@
   /** `now`: the reading with which the first step begins. */
   constructor(private reading: ClockReading) {}
 
+  /** The time at which the step began. */
   get now(): ClockReading {
     return this.reading;
   }
--- a/src/core/step_context.ts
+++ b/src/core/step_context.ts
@@ -48,6 +48,7 @@
     return this.clock.after(ms);
   }
 
+  /** Begins a step at this time. */
   beginStep(now: ClockReading): void {
     this.clock.advance(now);
   }
--- a/src/core/timers.ts
+++ b/src/core/timers.ts
@@ -80,6 +80,7 @@
     },
   };
 
+  /** Creates a timer that lasts as long as the controller. */
   create(work: () => void = () => {}): Timer {
     return new Timer(this.schedule, work);
   }
@@ -123,6 +124,7 @@
     };
   }
 
+  /** Creates a timer that ends with the scope. */
   create(work: () => void = () => {}): Timer {
     const timer = new Timer(this.scoped, work);
     this.timers.push(timer);
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -6,10 +6,15 @@
 export type JobId = Brand<string, 'JobId'>;
 /** Given by the cloud. */
 export type MachineId = Brand<string, 'MachineId'>;
+/** Names a controller over its restarts. */
 export type ControllerName = Brand<string, 'ControllerName'>;
+/** Given by the settings; machines of a zone fail together more often than others. */
 export type ZoneName = Brand<string, 'ZoneName'>;
+/** Given by the cloud. */
 export type MachineTypeName = Brand<string, 'MachineTypeName'>;
+/** Given by the settings. */
 export type TeamName = Brand<string, 'TeamName'>;
+/** What a task runs; workers pull it. */
 export type ImageName = Brand<string, 'ImageName'>;
 
 /** A revision of the state store, or the version of one key: the revision of its last change. */
@@ -174,7 +179,7 @@
 }
 
 /** Quotas count cores and GPUs; memory has none. */
-export type QuotaAmounts = Pick<Resources, 'cpus' | 'gpus'>;
+type QuotaAmounts = Pick<Resources, 'cpus' | 'gpus'>;
 
 /** What a team is guaranteed, and what it may have at most; 0: no guarantee, or no limit. */
 export interface TeamQuota {
