--- a/src/core/clients/command_push_client.ts
+++ b/src/core/clients/command_push_client.ts
@@ -19,7 +19,7 @@
     this.outbox.push({ kind: 'commandPush', callId, operation, ...this.leadership.expiry });
   }
 
-  /** Pushes without a reply so far: each holds a socket, and one to a silent machine for seconds. */
+  /** Pushes without a reply so far: each holds a socket, and one to an unreachable machine for seconds. */
   get openCount(): number {
     return this.openCalls.count;
   }
--- a/src/core/lease_bounds.ts
+++ b/src/core/lease_bounds.ts
@@ -17,7 +17,7 @@
 /**
  * Returns how old a leader's view of jobs may be while its responses still renew workers' leases. A task of a job that was cancelled
  * right after the leader last heard of jobs ends with a lease renewed at most so long after: together they stay within
- * `cancel_s`, whatever happens to the state service, the links and the leader meanwhile.
+ * `cancel_s`, whatever happens to the state store, the links and the leader meanwhile.
  */
 export function maxJobViewAgeMs(settings: Settings): number {
   return Math.max(MIN_JOB_VIEW_AGE_BOUND_MS, settings.workers.cancellationTimeoutMs - workerLeaseExpiryMs(settings));
--- a/src/core/peers/message_ids.ts
+++ b/src/core/peers/message_ids.ts
@@ -3,7 +3,7 @@
 const IDS_PER_PROCESS = 2 ** 20;
 
 /**
- * Numbers for messages to peers that await an answer. Peers may still answer what an earlier process of this node asked,
+ * Numbers for messages to peers that await an answer. Peers may still answer what an earlier process of this controller asked,
  * so each process begins at a number drawn from its seed and its numbers don't come again.
  */
 export class MessageIds {
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -126,7 +126,7 @@
 
 /**
  * Nothing is checked: a description is checked once, when the job is submitted. Written out field by field: a loop over the
- * names takes ten times as long, and every node reads every record that is written.
+ * names takes ten times as long, and every controller reads every record that is written.
  */
 function decodeSpec(stored: StoredFields): JobSpec {
   const fields = stored as StoredFields & StoredSpec;
