--- a/src/io/http/http_client.ts
+++ b/src/io/http/http_client.ts
@@ -112,6 +112,11 @@
     return outgoing;
   }
 
+  /** Ends all connections, with the calls on them. Calls that wait for a connection get a new one, within their own time. */
+  closeConnections(): void {
+    this.agent.destroy();
+  }
+
   /** Ends all calls that are open, with `clientClosed`, and all connections. */
   close(): void {
     for (const call of this.openCalls) call.abort(new HttpCallError('clientClosed'));
--- a/src/io/workers/command_push_transport.ts
+++ b/src/io/workers/command_push_transport.ts
@@ -44,7 +44,7 @@
 
   private closeOldest(): void {
     for (const [address, client] of this.clients) {
-      client.close();
+      client.closeConnections();
       this.clients.delete(address);
       return;
     }
--- a/tools/run_tests.sh
+++ b/tools/run_tests.sh
@@ -3,7 +3,7 @@
 set -uo pipefail
 cd "$(dirname "$0")/.."
 results=target/tests.tap
-tests=$(find target/check/test -name '*.test.js' ! -path target/check/test/core.test.js | sort)
+tests=$(find target/check/test -name '*.test.js' | sort)
 [ -n "$tests" ] || { echo "no tests are built" >&2; exit 1; }
 # shellcheck disable=SC2086 # one argument for each file
 node --test --test-reporter=spec --test-reporter-destination=stdout \
