--- a/test/io/controller_runtime.test.ts
+++ b/test/io/controller_runtime.test.ts
@@ -11,6 +11,7 @@
 import { ControllerRuntime } from '../../src/io/controller_runtime.js';
 import type { Log } from '../../src/io/log.js';
 import { encodeFrame } from '../../src/io/peers/peer_codec.js';
+import { allocatePort } from '../support/processes.js';
 
 const repositoryFile = (path: string): string => fileURLToPath(new URL(join('../../../../', path), import.meta.url));
 const PEER = 'node-b' as ControllerName;
@@ -43,13 +44,7 @@
 }
 
 async function freeAddress(): Promise<string> {
-  const server = createServer();
-  server.listen(0, '127.0.0.1');
-  await once(server, 'listening');
-  const { port } = server.address() as AddressInfo;
-  server.close();
-  await once(server, 'close');
-  return `127.0.0.1:${port}`;
+  return `127.0.0.1:${await allocatePort()}`;
 }
 
 async function connected(address: string): Promise<Socket> {
--- a/test/support/processes.ts
+++ b/test/support/processes.ts
@@ -64,7 +64,7 @@
  * the port is nobody's, so it must be one that neither the system nor another test process gives to anything else: a job
  * that is submitted to a controller of another test is accepted there, and its tasks never run here.
  */
-async function allocatePort(): Promise<number> {
+export async function allocatePort(): Promise<number> {
   portBlock ??= claimPortBlock();
   const block = await portBlock;
   while (block.next < block.end) {
--- a/tools/run_tests.sh
+++ b/tools/run_tests.sh
@@ -6,7 +6,8 @@
 tests=$(find target/check/test -name '*.test.js' | sort)
 [ -n "$tests" ] || { echo "no tests are built" >&2; exit 1; }
 # shellcheck disable=SC2086 # one argument for each file
-node --test --test-reporter=spec --test-reporter-destination=stdout \
+# A test that hangs fails by its name instead of holding up the whole run.
+node --test --test-timeout=600000 --test-reporter=spec --test-reporter-destination=stdout \
   --test-reporter=tap --test-reporter-destination="$results" $tests && exit 0
 # The tests that failed, at any depth; a suite is none of them where only its tests failed.
 failed=$(awk '/^ *not ok [0-9]+ - / { if (name != "") print name; name = $0; sub(/^ *not ok [0-9]+ - /, "", name) }
