--- a/src/core/scheduler/apply.ts
+++ b/src/core/scheduler/apply.ts
@@ -1,4 +1,7 @@
-/** Apply, the last step of a round: puts decisions into effect. No other module of the scheduler changes jobs or machines. */
+/**
+ * Carries out the scheduler's decisions. This is also the last step (apply) of a planning round. No other module of the
+ * scheduler changes jobs or machines.
+ */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import type { Attempt } from '../types.js';
@@ -15,14 +18,15 @@
 import { canPlaceTask } from './placement_constraints.js';
 import type { PlannedStart } from './plan_types.js';
 
-/** A planned start no later than this is for now, in seconds. */
+/** A planned start counts as a start now if its capacity is free within this time, in seconds. */
 const START_NOW_SECONDS = 0.05;
 
 const startsNow = ({ freeAtSeconds }: PlannedStart): boolean => freeAtSeconds <= START_NOW_SECONDS;
 
 /**
- * Places the tasks that a plan starts now, in the plan's order: jobs ranked first have first call on their team's limit.
- * Each constraint is checked again, because earlier starts count against limits. Returns how many tasks were placed.
+ * Places the tasks that a plan starts now, in the plan's order, so that jobs of higher rank use their team's quota
+ * first. Each constraint is checked again, because starts that were applied earlier count against the limits. Returns
+ * the number of tasks placed.
  */
 export function applyStarts(
   cluster: SchedulableCluster,
@@ -66,7 +70,7 @@
   return placed;
 }
 
-/** A gang starts whole or not at all (Eq. (8) of the paper). */
+/** Places all tasks of a gang or none of them (Eq. (8) of the paper). */
 function placeGang(
   cluster: SchedulableCluster,
   job: Job,
@@ -90,7 +94,7 @@
   return placed;
 }
 
-/** The start goes out to the machine once the job's first start is on record. */
+/** Places a task. Its start command is sent to the worker only after the job's first start has been persisted. */
 function placeTask(cluster: SchedulableCluster, job: Job, index: number, machine: Machine, attempt: Attempt): void {
   cluster.placements.add({ job, index, machine, attempt, phase: 'planned' });
   if (job.startTerm === 0) {
@@ -99,20 +103,20 @@
   job.recordStartZone(machine.zone);
 }
 
-/** Keeps the machines for the jobs. */
+/** Reserves the machines for the jobs. */
 export function applyReservations(cluster: SchedulableCluster, reservations: readonly Reservation[]): void {
   for (const { job, machines, durationMs } of reservations) {
     for (const machine of machines) machine.reserve(job.id, cluster.context.after(durationMs));
   }
 }
 
-/** Stops the victims and keeps their machines for the job; counts as one of the preemptions that a gang may cause. */
+/** Applies a preemption for a gang, and counts it toward the maximum number of preemptions that one gang may cause. */
 export function applyGangPreemption(cluster: SchedulableCluster, preemption: Preemption): void {
   preemption.job.schedulingHistory.recordPreemption();
   applyPreemption(cluster, preemption);
 }
 
-/** Stops the victims at once, without time to save a checkpoint, and keeps their machines for the job. */
+/** Evicts the victims at once, without time to save a checkpoint, and reserves their machines for the job. */
 export function applyPreemption(cluster: SchedulableCluster, { job, evictions, reservationMs }: Preemption): void {
   for (const eviction of evictions) applyEviction(cluster, job, eviction, reservationMs);
 }
@@ -127,32 +131,32 @@
   for (const victim of victims) cluster.placements.evict(victim, 0);
 }
 
-/** Stops the gang and keeps the machines to which it moves; it starts there with a later round. */
+/** Stops the gang and reserves the machines to which it moves. A later round starts it there. */
 export function applyGangMigration(cluster: SchedulableCluster, { job, targets, reservationMs }: GangMigration): void {
   job.schedulingHistory.recordMigration();
   for (const machine of targets) machine.reserve(job.id, cluster.context.after(reservationMs));
   cluster.placements.breakGang(job);
 }
 
-/** Places a replica, whose start command is then pushed rather than left to the machine's next heartbeat. */
+/** Places a replica. Its start command is pushed to the worker instead of waiting for the worker's next heartbeat. */
 export function applyReplicaStart(cluster: SchedulableCluster, { job, index, machine }: ReplicaStart): void {
   placeTask(cluster, job, index, machine, cluster.nextAttempt());
   cluster.pendingCommands.requestStarts(machine);
   machine.endReservation(job.id);
 }
 
-/** Keeps the target for the replica and stops it where it is. */
+/** Reserves the target for the replica and stops the replica on its present machine. */
 export function applyReplicaMove(cluster: SchedulableCluster, { placement, target, reservationMs }: ReplicaMove): void {
   target.reserve(placement.job.id, cluster.context.after(reservationMs));
   cluster.placements.stop(placement, 0);
 }
 
-/** Notes since when a replica of the service waits, if that is not known yet. */
+/** Records that a replica of the service waits from now on, unless an earlier time is already recorded. */
 export function beginReplicaWait(cluster: SchedulableCluster, job: Job): void {
   job.beginReplicaWait(cluster.context.now.monotonic);
 }
 
-/** Ends the wait once no replica of the service is left without a machine. */
+/** Ends the wait if no replica of the service waits for a machine any more. */
 export function endReplicaWait(job: Job): void {
   if (job.pendingCount === 0) job.endReplicaWait();
 }
--- a/src/core/scheduler/backfill.ts
+++ b/src/core/scheduler/backfill.ts
@@ -1,4 +1,7 @@
-/** Backfill, the fourth step of a round: offers what a plan leaves free now to jobs beyond those planned in full. */
+/**
+ * Offers the capacity that a plan leaves free now to the jobs ranked below those that were planned in full. This is the
+ * fourth step (backfill) of a planning round.
+ */
 import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { Resources, ZoneName } from '../types.js';
 import { type Candidate, precedes, recordOffer } from './candidates.js';
@@ -7,19 +10,22 @@
 import type { Plan, PlanJob, PlanMachine, PlannedStart } from './plan_types.js';
 import type { PlanWorkspace } from './plan_workspace.js';
 
-/** What a backfill is made from. */
 export interface BackfillInput {
-  /** The plan whose machines are filled up. */
+  /** The plan whose remaining free capacity is used. */
   readonly plan: Plan;
   /** The jobs in order of rank. */
   readonly jobs: readonly PlanJob[];
-  /** Plan steps after which it ends: with hundreds of machines free and hundreds of jobs the next round goes on. */
+  /**
+   * Maximum number of plan steps. With hundreds of free machines and hundreds of jobs the limit can be reached, and the
+   * remaining jobs are left to the next round.
+   */
   readonly maxSteps: number;
 }
 
 /**
- * Starts jobs in order on what is free now, so that nothing stands idle because a round plans so many jobs only. It delays
- * nothing that the plan starts. Returns the starts; all are for now.
+ * Starts jobs in order of rank on the capacity that is free now. Without the backfill machines would stand idle,
+ * because a round plans only a limited number of jobs in full. No start of the plan is delayed. Returns the starts, all
+ * of them due now.
  */
 export function backfill(workspace: PlanWorkspace, { plan, jobs, maxSteps }: BackfillInput): PlannedStart[] {
   workspace.begin(plan.machines);
@@ -33,7 +39,8 @@
   const starts: PlannedStart[] = [];
   for (const job of jobs) {
     if (freeMachines.size === 0 || workspace.steps >= stepLimit) break;
-    // Free capacity only shrinks here: what asks for as much as a job that found none finds none either.
+    // Free capacity only shrinks during a backfill. A job that is at least as demanding as a rejected job can't start
+    // either.
     if (job.zoneAllowance || rejected.some((other) => isAtLeastAsDemanding(job, other))) continue;
     const started = startNow(workspace, job, workspace.candidatesAmong(job, freeMachines));
     if (started.length === 0) rejected.push(job);
@@ -77,7 +84,7 @@
   return starts;
 }
 
-/** The candidates that take tasks of an array now, the best first. */
+/** Returns the candidates that can run tasks of an array now, best first. */
 function offersNow(workspace: PlanWorkspace, job: PlanJob, candidates: readonly Candidate[]): Candidate[] {
   const offers: Candidate[] = [];
   for (const candidate of candidates) {
@@ -90,7 +97,7 @@
   return offers.sort((first, second) => (precedes(first, second) ? -1 : 1));
 }
 
-/** For jobs with and without GPUs, the least that any of them asks for of each resource. */
+/** Returns the smallest demand for each resource, separately for jobs with GPUs and jobs without. */
 function minimumDemands(jobs: readonly PlanJob[]): Resources[] {
   const demands: Resources[] = [];
   for (const withGpus of [true, false]) {
@@ -107,7 +114,10 @@
   return demands;
 }
 
-/** Whether a job can begin only where the other could: it asks for no less, for no shorter, and may use no more machines. */
+/**
+ * Returns whether a job can start only where the other job could: it asks for at least as much of each resource, runs
+ * at least as long, and may use no machine that the other job may not use.
+ */
 function isAtLeastAsDemanding(job: PlanJob, other: PlanJob): boolean {
   return (
     job.cpus >= other.cpus &&
--- a/src/core/scheduler/decisions.ts
+++ b/src/core/scheduler/decisions.ts
@@ -1,38 +1,40 @@
-/** What the scheduler decides besides starts: the values that decision modules return and `apply.ts` puts into effect. */
+/**
+ * The scheduler's decisions other than planned starts. Decision modules return them, and `apply.ts` carries them out.
+ */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import type { Placement } from '../state/placement.js';
 
-/** The jobs and machines that the indices of planned starts refer to. */
+/** The jobs and machines to which the indices of planned starts refer. */
 export interface PlannedObjects {
   readonly jobs: readonly Job[];
   readonly machines: readonly Machine[];
 }
 
-/** Machines to keep for a job for some time. */
+/** Machines to reserve for a job, and for how long. */
 export interface Reservation {
   readonly job: Job;
   readonly machines: readonly Machine[];
   readonly durationMs: number;
 }
 
-/** The tasks to stop on a machine so that one task of a job fits there. */
+/** The tasks to evict from a machine so that one task of a job fits there. */
 export interface Eviction {
   readonly machine: Machine;
-  /** Empty where the task fits without. */
+  /** Empty if the task fits without an eviction. */
   readonly victims: readonly Placement[];
-  /** GPU seconds of work that are lost, plus those for which the image pull holds the machine idle. */
+  /** Work that is lost, plus the time for which the image pull leaves the capacity idle, in GPU seconds. */
   readonly cost: number;
 }
 
-/** Work of lower priority to stop for a job, and the machines to keep for it meanwhile. */
+/** Evictions of lower-priority work for a job, and how long the machines are reserved for the job. */
 export interface Preemption {
   readonly job: Job;
   readonly evictions: readonly Eviction[];
   readonly reservationMs: number;
 }
 
-/** A gang that still pulls its image, to move to machines that hold it. */
+/** A gang that is still pulling its image, to be moved to machines that have the image cached. */
 export interface GangMigration {
   readonly job: Job;
   readonly targets: readonly Machine[];
@@ -46,7 +48,7 @@
   readonly machine: Machine;
 }
 
-/** A replica to stop once a machine is kept for its successor. */
+/** A replica to stop after a machine has been reserved for its replacement. */
 export interface ReplicaMove {
   readonly placement: Placement;
   readonly target: Machine;
--- a/src/core/scheduler/eviction.ts
+++ b/src/core/scheduler/eviction.ts
@@ -1,4 +1,7 @@
-/** What stopping work of lower priority on a machine would cost: shared by preemption for gangs and for replicas. */
+/**
+ * Finds the lower-priority tasks to evict from a machine, and what their eviction costs. Preemption for gangs and
+ * preemption for replicas both use it.
+ */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
@@ -7,20 +10,23 @@
 import type { Eviction } from './decisions.js';
 import { isFeasibleMachine } from './placement_constraints.js';
 
-/** How long the capacity that preemption frees is kept for the job. */
+/** Time for which the capacity freed by a preemption stays reserved for the job, in milliseconds. */
 export const PREEMPTION_RESERVATION_MS = 6000;
 
-/** What work without GPUs counts in a cost, in GPUs. */
+/** Number of GPUs that a task without GPUs counts as in the cost of an eviction. */
 const CPU_WORK_GPU_EQUIVALENT = 0.1;
 
-/** A task that may be stopped. */
+/** A task that may be evicted. */
 interface Victim {
   readonly placement: Placement;
-  /** GPU seconds of work that are lost with it. */
+  /** Work that its eviction would lose, in GPU seconds. */
   readonly lostGpuSeconds: number;
 }
 
-/** Returns the cheapest eviction that lets one task of the job fit the machine; null if none can. */
+/**
+ * Returns an eviction after which one task of the job fits on the machine, or null if there is none. To keep it cheap,
+ * tasks are evicted in ascending order of lost work until the task fits.
+ */
 export function findEviction(cluster: ClusterState, job: Job, machine: Machine): Eviction | null {
   if (!mayEvictOn(cluster, job, machine)) return null;
   const { spec } = job;
@@ -52,12 +58,13 @@
   const now = context.now.monotonic;
   if (!machine.isSchedulable(now, context.settings.workers.heartbeatIntervalMs)) return false;
   if (!isFeasibleMachine(job, machine) || machine.isReservedForOther(job.id, now)) return false;
-  // What is being stopped already comes free by itself, and not for this job.
+  // The capacity of tasks that are already being stopped becomes free without an eviction, and is not intended for this
+  // job.
   for (const { pendingStop } of placements.onMachine(machine).values()) if (pendingStop !== null) return false;
   return true;
 }
 
-/** Array tasks of lower priority on a machine, those first of which least is lost. */
+/** Returns the array tasks of lower priority on a machine, in ascending order of lost work. */
 function lowerPriorityTasks({ context, placements }: ClusterState, job: Job, machine: Machine): Victim[] {
   const now = context.now.monotonic;
   const victims: Victim[] = [];
--- a/src/core/scheduler/gang_reservation.ts
+++ b/src/core/scheduler/gang_reservation.ts
@@ -1,4 +1,4 @@
-/** Decides which machines are kept for overdue gangs until they start. */
+/** Decides which machines to reserve for overdue gangs until they start. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import type { ZoneName } from '../types.js';
@@ -7,14 +7,18 @@
 import type { PlannedStart } from './plan_types.js';
 import { isOverdue, waitedSeconds } from './waiting_time.js';
 
-/** Longer than a round's period: the next round renews it, or leaves the machines to others. */
+/**
+ * Duration of a reservation, in milliseconds. It is longer than the period of planning rounds, so that the next round
+ * can renew the reservation before it expires. Without a renewal the machines become available to other jobs.
+ */
 const RESERVATION_MS = 5000;
 
 /**
- * Returns reservations of the machines that a plan gives to each zone's longest overdue gang. Without them the next round
- * may plan the gang elsewhere, other work takes what has come free meanwhile, and a gang of several whole machines waits
- * for minutes. One gang a zone: what is kept stands idle until the last machine is free. Asked after the plan's starts are
- * applied, because a gang that has begun needs none.
+ * Returns reservations of the machines that a plan gives to the longest overdue gang of each zone. Without them the
+ * next round may plan the gang on other machines while other work takes the capacity that has become free, and a gang
+ * that needs several whole machines waits for minutes. Only one gang per zone gets a reservation, because reserved
+ * machines stand idle until the last of them is free. Call it after the plan's starts are applied, because a gang that
+ * has started needs no reservation.
  */
 export function findOverdueGangReservations(
   cluster: ClusterState,
@@ -24,17 +28,17 @@
   const machinesByGang = [...machinesOfOverdueGangs(cluster, starts, planned)];
   machinesByGang.sort(([first], [second]) => waitedSeconds(cluster, second) - waitedSeconds(cluster, first));
   const reservations: Reservation[] = [];
-  const servedZones = new Set<ZoneName>();
+  const reservedZones = new Set<ZoneName>();
   for (const [job, machines] of machinesByGang) {
     const zones = new Set(machines.map(({ zone }) => zone));
-    if ([...zones].some((zone) => servedZones.has(zone))) continue;
-    for (const zone of zones) servedZones.add(zone);
+    if ([...zones].some((zone) => reservedZones.has(zone))) continue;
+    for (const zone of zones) reservedZones.add(zone);
     reservations.push({ job, machines, durationMs: RESERVATION_MS });
   }
   return reservations;
 }
 
-/** Of each overdue gang without placements, the machines that the plan gives it. */
+/** Returns the machines that the plan gives to each overdue gang without placements. */
 function machinesOfOverdueGangs(
   cluster: ClusterState,
   starts: readonly PlannedStart[],
--- a/src/core/scheduler/gang_search.ts
+++ b/src/core/scheduler/gang_search.ts
@@ -1,37 +1,46 @@
-/** Finds the machines for a whole gang, and the earliest time at which they are free together. */
+/** Finds machines for all tasks of a gang, and the earliest time at which these machines are free together. */
 import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { ZoneName } from '../types.js';
 import { type Candidate, delayRankOf } from './candidates.js';
 import { allowedTasks, elementAt, lastStepBy, slackAfter } from './capacity_timeline.js';
 import type { PlanJob } from './plan_types.js';
 
-/** So many start times of a gang are tried, from the first at which there may be capacity for all of it. */
+/**
+ * Maximum number of start times that are tried for a gang, beginning with the first at which there may be capacity for
+ * all of its tasks.
+ */
 const MAX_START_TIMES_TRIED = 10;
-/** Capacity that is free later must let the gang start so much sooner, image pulls included, to be preferred. */
+/**
+ * Minimum gain in the discounted start time, image pulls included, for which capacity that is free later is preferred,
+ * in seconds.
+ */
 const MIN_GAIN_SECONDS = 0.5;
 
-/** The tasks of a gang that one machine takes. */
+/** The number of a gang's tasks that are allocated to one machine. */
 interface GangAllocation {
   readonly candidate: Candidate;
   readonly tasks: number;
 }
 
-/** The machines that take a whole gang, and from when on. */
+/** The machines for all tasks of a gang, and the times at which they are free and ready. */
 export interface GangPlacement {
-  /** When the capacity of all of them is free. */
+  /** When the capacity of all machines is free. */
   readonly freeAtSeconds: number;
-  /** When the last of them has the image too. */
+  /** When the last machine has pulled the image as well. */
   readonly startSeconds: number;
   readonly allocations: readonly GangAllocation[];
 }
 
-/** Capacity for some tasks of a gang that comes free at a time. */
+/** Capacity for a number of a gang's tasks that becomes free at one time. */
 interface FreedCapacity {
   readonly atSeconds: number;
   readonly tasks: number;
 }
 
-/** Looks among candidates for machines that take all tasks of a gang at once (Eq. (8)); those of one zone come first. */
+/**
+ * Searches the candidates for machines that can run all tasks of a gang at the same time (Eq. (8)). Machines of the
+ * preferred zone come first.
+ */
 export class GangSearch {
   /** Plan steps spent so far. */
   steps = 0;
@@ -43,8 +52,8 @@
   ) {}
 
   /**
-   * Eq. (12): returns the placement with the earliest start, where capacity that is free later counts `futureDiscount` times
-   * its time more; null where the candidates never take the whole gang.
+   * Returns the placement with the earliest start (Eq. (12)), or null if the candidates can never run the whole gang.
+   * For the comparison, `futureDiscount` times the time at which the capacity becomes free is added to the start time.
    */
   findEarliest(futureDiscount: number): GangPlacement | null {
     const discounted = (freeAtSeconds: number, startSeconds: number): number =>
@@ -68,7 +77,7 @@
     return best;
   }
 
-  /** The set T of Eq. (12): times at which capacity comes free and there may be enough for the whole gang. */
+  /** Returns the set T of Eq. (12): the times at which capacity becomes free and may suffice for the whole gang. */
   private possibleStartTimes(): number[] {
     const freed = freedCapacity(this.job, this.candidates);
     const startTimes: number[] = [];
@@ -76,13 +85,13 @@
     freed.forEach(({ atSeconds, tasks }, index) => {
       freedTasks += tasks;
       const next = freed[index + 1];
-      const moreAtOnce = next !== undefined && next.atSeconds <= atSeconds + RESOURCE_TOLERANCE;
-      if (freedTasks >= this.job.tasks && !moreAtOnce) startTimes.push(atSeconds);
+      const moreAtSameTime = next !== undefined && next.atSeconds <= atSeconds + RESOURCE_TOLERANCE;
+      if (freedTasks >= this.job.tasks && !moreAtSameTime) startTimes.push(atSeconds);
     });
     return startTimes;
   }
 
-  /** Returns the best machines that take the whole gang from a time on; null if there are not enough. */
+  /** Returns the best machines that can run the whole gang from a time on, or null if there are too few. */
   placeAt(freeAtSeconds: number): GangPlacement | null {
     const { job } = this;
     const options = gangOptions(job, this.preferredZone, this.candidates, freeAtSeconds);
@@ -106,7 +115,7 @@
   }
 }
 
-/** When the candidates have capacity for how many more tasks of a gang, soonest first. */
+/** Returns the times at which candidates gain capacity for further tasks of a gang, earliest first. */
 function freedCapacity(job: PlanJob, candidates: readonly Candidate[]): FreedCapacity[] {
   const freed: FreedCapacity[] = [];
   for (const { machine, imagePullSeconds } of candidates) {
@@ -121,7 +130,7 @@
   return freed.sort((first, second) => first.atSeconds - second.atSeconds);
 }
 
-/** A machine that takes some tasks of a gang at one time. */
+/** A machine that can run some tasks of a gang from a given time on. */
 interface GangOption {
   readonly candidate: Candidate;
   readonly taskCount: number;
@@ -131,7 +140,7 @@
   readonly slack: number;
 }
 
-/** What the candidates offer a gang from a time on, the best first. */
+/** Returns the candidates that can run tasks of a gang from a time on, best first. */
 function gangOptions(
   job: PlanJob,
   zone: ZoneName,
@@ -158,7 +167,10 @@
   return options.sort(compareOptions);
 }
 
-/** Best fit in the preferred zone first; no two are equal, so that plans repeat. */
+/**
+ * Orders options by preferred zone, start delay and best fit. The machine index breaks ties, so that plans are
+ * reproducible.
+ */
 const compareOptions = (first: GangOption, second: GangOption): number =>
   first.zoneDistance - second.zoneDistance ||
   first.delayRank - second.delayRank ||
--- a/src/core/scheduler/gpu_claims.ts
+++ b/src/core/scheduler/gpu_claims.ts
@@ -1,4 +1,4 @@
-/** What GPU work that waits asks of machines, by machine type and capacity pool. */
+/** Determines which machine types and capacity pools GPU work and gangs need. */
 import { capacityPoolKey } from '../machines/capacity_pool.js';
 import type { MachineType, MachineTypeName, ZoneName } from '../types.js';
 import { machineShare } from './capacity_timeline.js';
@@ -7,20 +7,20 @@
 import type { RankedJob } from './ranking.js';
 import { type GpuDemand, gpuDemand } from './spare_capacity.js';
 
-/** A task that takes more of a machine than this needs a whole one. */
+/** A task that takes more than this share of a machine needs a whole machine. */
 const WHOLE_MACHINE_SHARE = 0.6;
 
-/** What a round's GPU work claims. */
+/** What the GPU work and the gangs of a round need. */
 export interface GpuClaims {
-  /** What GPU work could use beside GPUs. */
+  /** The cores and memory that GPU work could use beside its GPUs. */
   readonly demand: GpuDemand;
-  /** Types of which gangs wait for whole machines on demand. */
+  /** Machine types of which waiting gangs need whole on-demand machines. */
   readonly reservedTypes: ReadonlySet<MachineTypeName>;
-  /** Keys of the pools with GPUs that waiting GPU work could use. */
+  /** Keys of the capacity pools with GPUs that waiting GPU work could use. */
   readonly awaitedPools: ReadonlySet<string>;
 }
 
-/** Returns the claims of the jobs that wait, and of those that run. */
+/** Returns the claims of waiting and running jobs. */
 export function gpuClaims(cluster: ClusterState, waiting: readonly RankedJob[]): GpuClaims {
   return {
     demand: gpuDemand(cluster),
@@ -29,7 +29,7 @@
   };
 }
 
-/** Types of which gangs wait for whole machines that may not be spot instances. */
+/** Returns the machine types of which waiting gangs need whole machines that may not be spot instances. */
 function typesReservedForGangs(cluster: ClusterState, waiting: readonly RankedJob[]): Set<MachineTypeName> {
   const reserved = new Set<MachineTypeName>();
   for (const { job } of waiting) {
--- a/src/core/scheduler/migration.ts
+++ b/src/core/scheduler/migration.ts
@@ -1,4 +1,4 @@
-/** Moves gangs that still pull their image to machines that hold it. */
+/** Moves gangs that are still pulling their image to machines that have it cached. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import type { ZoneName } from '../types.js';
@@ -7,15 +7,16 @@
 import type { GangMigration } from './decisions.js';
 import { isFeasibleNow } from './placement_constraints.js';
 
-/** An image pull with so many seconds left is worth a move. */
-const MIN_GAIN_SECONDS = 6;
+/** Minimum remaining time of an image pull for which a gang is moved, in seconds. */
+const MIN_REMAINING_PULL_SECONDS = 6;
 const MAX_MIGRATIONS_PER_JOB = 3;
 const RESERVATION_MS = 2500;
 
 /**
- * Moves each gang whose image pull has long to go to machines that hold the image and have just come free: nothing is lost
- * by stopping a pull. So a gang need not bet on when a machine will be free: it begins to pull at once, and moves if that
- * turns out better. It starts on the new machines once its stops are reported, as for any restart.
+ * Moves each gang whose image pull will still take long to machines that have the image cached and have become free.
+ * Stopping a pull loses no work. The plan therefore need not rely on an estimate of when machines become free: the gang
+ * begins to pull at once, and moves if that lets it start sooner. It starts on the new machines after its stops have
+ * been reported, as with any restart.
  */
 export function migrateToCachedImages(cluster: SchedulableCluster): void {
   for (const job of cluster.jobs.active) {
@@ -27,21 +28,21 @@
   }
 }
 
-/** Null where the job may not move, or has nowhere better to go. */
+/** Returns null if the job may not move or if there are no better machines for it. */
 function findMigration(cluster: ClusterState, job: Job): GangMigration | null {
-  if (!mayMigrate(job) || remainingPullSeconds(cluster, job) < MIN_GAIN_SECONDS) return null;
+  if (!mayMigrate(job) || remainingPullSeconds(cluster, job) < MIN_REMAINING_PULL_SECONDS) return null;
   const targets = machinesWithImage(cluster, job);
   return targets && { job, targets, reservationMs: RESERVATION_MS };
 }
 
 function mayMigrate(job: Job): boolean {
   if (!job.isGang || job.isFaulty || job.state !== 'accepted' || job.gangBroken) return false;
-  // A zone spread would have to be kept across both sets of machines: not worth it here.
+  // A zone spread would have to hold across the old and the new machines, which is not worth the complexity here.
   if (job.spec.zoneSpread || job.schedulingHistory.migrationCount >= MAX_MIGRATIONS_PER_JOB) return false;
   return job.placedCount === job.spec.taskCount;
 }
 
-/** Seconds until the gang's last image is there; 0 if any of its tasks is past pulling, or is being stopped. */
+/** Returns the seconds until the gang's last image pull ends, or 0 if a task is past pulling or is being stopped. */
 function remainingPullSeconds({ context, placements }: ClusterState, job: Job): number {
   const { image, imageGb } = job.spec;
   let longest = 0;
@@ -52,7 +53,10 @@
   return longest;
 }
 
-/** Machines that hold the image and take the whole gang now, in one zone if the job asks for that; null if too few. */
+/**
+ * Returns machines that have the image cached and free capacity for the whole gang now, or null if there are too few.
+ * They are in one zone if the job asks for that.
+ */
 function machinesWithImage(cluster: ClusterState, job: Job): Machine[] | null {
   const { spec } = job;
   const now = cluster.context.now.monotonic;
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -1,4 +1,4 @@
-/** Lets gangs of higher priority that would start late preempt arrays of lower priority. */
+/** Lets gangs of higher priority whose start would be delayed preempt arrays of lower priority. */
 import type { Job } from '../jobs/job.js';
 import type { ZoneName } from '../types.js';
 import { applyGangPreemption } from './apply.js';
@@ -8,17 +8,19 @@
 import type { RoundResult } from './round_result.js';
 import { waitedSeconds } from './waiting_time.js';
 
-/** A gang for which the plan has capacity no sooner than this, and that has waited so long, may preempt. */
+/** A gang may preempt only if the plan has capacity for it no sooner than this, in seconds from now. */
 const LATE_START_SECONDS = 6;
+/** Minimum time that a gang must have waited before it may preempt, in seconds. */
 const MIN_WAITED_SECONDS = 3;
-/** What is stopped has to be done again: so often for one job, and for so many gangs in one round. */
+/** Maximum number of preemptions for one job. They are limited because evicted tasks have to be done again. */
 const MAX_PREEMPTIONS_PER_JOB = 2;
+/** Maximum number of gangs for which one round may preempt, for the same reason. */
 const MAX_GANGS_PER_ROUND = 4;
 
 /**
- * Gangs of higher priority that would wait preempt tasks of arrays of lower priority, where least work is lost. The plan
- * itself never stops anything (Eq. (11) of the paper); this only frees the capacity, keeps it for the gang, and leaves the
- * start to the next round.
+ * Preempts array tasks of lower priority for gangs of higher priority that would otherwise wait, on the machines where
+ * the least work is lost. The plan itself never stops running tasks (Eq. (11) of the paper). A preemption only frees
+ * capacity and reserves it for the gang, which the next round starts.
  */
 export function preempt(cluster: SchedulableCluster, round: RoundResult): void {
   const freeAtSeconds = capacityFreeAt(round);
@@ -34,7 +36,7 @@
   }
 }
 
-/** By job index, in how many seconds the plan has capacity for the whole job; infinite where it has none. */
+/** Returns, by job index, the seconds until the plan has capacity for the whole job, or infinity if it never has. */
 function capacityFreeAt({ capacityPlan }: RoundResult): Map<number, number> {
   const latest = new Map<number, number>();
   for (const { jobIndex, freeAtSeconds } of capacityPlan.starts) {
@@ -59,7 +61,10 @@
   );
 }
 
-/** The evictions, in one zone if the job asks for that, that free capacity for all its tasks at the lowest cost. */
+/**
+ * Returns the evictions that free capacity for all tasks of the job at the lowest cost, or null if there are none. They
+ * are in one zone if the job asks for that.
+ */
 function cheapestEvictions(cluster: ClusterState, job: Job): Eviction[] | null {
   let cheapest: Eviction[] | null = null;
   let lowestCost = Number.POSITIVE_INFINITY;
@@ -74,7 +79,7 @@
   return cheapest;
 }
 
-/** The possible evictions of each zone, or of all zones together where the job may use several. */
+/** Returns the possible evictions of each zone, or those of all zones together if the job may use several zones. */
 function evictionsByZone(cluster: ClusterState, job: Job): Iterable<Eviction[]> {
   const byZone = new Map<ZoneName | null, Eviction[]>();
   for (const machine of cluster.machines.values()) {
--- a/src/core/scheduler/replica_demand.ts
+++ b/src/core/scheduler/replica_demand.ts
@@ -1,4 +1,4 @@
-/** Which waiting replicas lack machines: work that a round shows to scaling out beside what it plans. */
+/** Finds waiting replicas that lack machines, so that scale-out considers them together with the planned jobs. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import type { ClusterState } from './cluster_state.js';
@@ -8,7 +8,7 @@
 import { waitingServices } from './waiting_services.js';
 import { waitedSeconds } from './waiting_time.js';
 
-/** What is left of a machine that is booting or ordered. */
+/** The remaining capacity of a machine that has been ordered or is booting. */
 interface IncomingCapacity {
   readonly machine: Machine;
   cpus: number;
@@ -17,8 +17,8 @@
 }
 
 /**
- * Returns the plan with waiting replicas among its unplaced tasks, unless machines on their way will take them. Services of
- * which replicas are left over are added to the input.
+ * Returns the plan with waiting replicas added to its unplaced tasks, except for replicas that fit on machines that are
+ * being provisioned. Services with other waiting replicas are added to the input.
  */
 export function addWaitingReplicas(cluster: ClusterState, input: PlanInput, plan: Plan): Plan {
   const waiting = waitingServices(cluster);
@@ -42,7 +42,7 @@
   return { machine, cpus, gpus, memoryGb };
 };
 
-/** Puts replicas on machines on their way; returns how many found no capacity there. */
+/** Allocates replicas to machines that are being provisioned. Returns how many found no capacity there. */
 function takeIncomingCapacity(incoming: readonly IncomingCapacity[], job: Job, replicas: number): number {
   const { spec } = job;
   let left = replicas;
--- a/src/core/scheduler/replica_move.ts
+++ b/src/core/scheduler/replica_move.ts
@@ -1,4 +1,4 @@
-/** Moves replicas off machines that are about to go. */
+/** Moves replicas off machines that are about to be terminated or interrupted. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import type { Placement } from '../state/placement.js';
@@ -9,14 +9,15 @@
 import { bestFitMachine, gpuMachineCheck } from './replica_placement.js';
 import { useZoneAllowance, zoneAllowance } from './zone_allowance.js';
 
-/** How long the replica's new machine is kept for it. */
+/** Time for which the new machine is reserved for the replica, in milliseconds. */
 const RESERVATION_MS = 6000;
-/** At most this part of a service is without a running replica because of moves. */
+/** Maximum share of a service's replicas that may be down because of moves, 0 to 1. */
 const MAX_MOVING_SHARE = 0.5;
 
 /**
- * Moves a replica: its new machine is found and kept first, so that the gap is a stop and a start. Without one it stays
- * where it is. Never more than half of a service at a time.
+ * Moves a replica to another machine. The new machine is found and reserved first, so that the replica is down only for
+ * a stop and a start. Without a new machine the replica stays where it is. No move begins while half of the service's
+ * replicas, rounded up, are stopping or waiting for a machine.
  */
 export function moveReplica(cluster: SchedulableCluster, placement: Placement): void {
   const move = findReplicaMove(cluster, placement);
@@ -30,12 +31,12 @@
   });
 }
 
-/** Null where the service has too many replicas on the move, or no other machine takes this one. */
+/** Returns null if too many replicas of the service are being moved or if no other machine can run this one. */
 function findReplicaMove(cluster: ClusterState, placement: Placement): ReplicaMove | null {
   const { job, machine: from } = placement;
   if (!mayMoveReplica(cluster, job)) return null;
   const allowance = zoneAllowance(cluster, job);
-  // Its present machine counts against the zone until the move.
+  // The replica counts against its present zone until the move, so its place there is added to the allowance.
   useZoneAllowance(allowance, from.zone, job, -1);
   const mayUseGpuMachine = gpuMachineCheck(cluster, job);
   const mayUse = (machine: Machine): boolean =>
--- a/src/core/scheduler/replica_placement.ts
+++ b/src/core/scheduler/replica_placement.ts
@@ -1,4 +1,4 @@
-/** Which machine a replica of a service goes to. */
+/** Selects the machine on which a replica of a service is placed. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import { delayRankOf } from './candidates.js';
@@ -6,13 +6,16 @@
 import { type GpuDemand, gpuDemand, spareCapacity } from './spare_capacity.js';
 import { hasZoneAllowance, type ZoneAllowance } from './zone_allowance.js';
 
-/** Seconds of start time that a replica would rather lose than take a machine of some kind. */
+/** Penalties for less suitable machines. A replica accepts this many seconds of start delay to avoid such a machine. */
 interface ReplicaPenalties {
-  /** For a machine that has another replica of its service, for each of them. */
+  /** For each other replica of the service on the machine. */
   readonly sharedMachineSeconds: number;
-  /** For a machine with GPUs, whose spare cores other work may want and which it would keep from being returned. */
+  /**
+   * For a machine with GPUs if the job asks for none. Other work may need the machine's spare cores, and the replica
+   * would keep the machine from being terminated.
+   */
   readonly gpuMachineSeconds: number;
-  /** For a spot instance that is certain to be lost within `spotLossHorizonSeconds`; less by the chance of that. */
+  /** For a spot instance, multiplied by the probability that it is lost within `spotLossHorizonSeconds`. */
   readonly spotLossSeconds: number;
   readonly spotLossHorizonSeconds: number;
 }
@@ -23,12 +26,12 @@
   spotLossSeconds: 400,
   spotLossHorizonSeconds: 60,
 };
-/** A replica leaves the cores that are kept for GPU work alone for so long. */
+/** Time during which a waiting replica may not use the cores that are reserved for GPU work, in milliseconds. */
 const AVOID_GPU_MACHINES_MS = 20_000;
 
 /**
- * Returns whether a machine may take a replica now, as far as other claims to it go: reservations, the zone spread, and
- * failures of the job there.
+ * Returns whether the machine is available to a replica now: it is not reserved for another job, the zone spread allows
+ * its zone, and the job does not avoid it because of failures there. Capacity is not checked.
  */
 export function isAvailableTo(cluster: ClusterState, job: Job, machine: Machine, allowance: ZoneAllowance): boolean {
   const now = cluster.context.now.monotonic;
@@ -36,10 +39,13 @@
   return hasZoneAllowance(allowance, machine.zone, job) && !job.failureHistory.avoids(machine.id, now);
 }
 
-/** Returns whether the machine has GPUs that the job doesn't ask for. */
+/** Returns whether the machine has GPUs although the job asks for none. */
 export const leavesGpusUnused = (job: Job, machine: Machine): boolean => job.spec.gpus === 0 && machine.type.gpus > 0;
 
-/** Returns the machine, among those that `mayUse` allows, on which a replica starts soonest; null if there is none. */
+/**
+ * Returns the machine, among those that `mayUse` allows, on which a replica starts soonest, or null if there is none.
+ * Of machines with equal start delay, the one with the least free capacity is returned.
+ */
 export function bestFitMachine(
   cluster: ClusterState,
   job: Job,
@@ -62,8 +68,9 @@
 }
 
 /**
- * Returns a check of whether a replica may use a machine's cores if the machine has GPUs: those that GPU work has no use
- * for, and any once it has waited for long (service-takes-gpu-cores.txt).
+ * Returns a predicate that tells whether a replica may use a machine's cores, in case the machine has GPUs. A job
+ * without GPUs may use only the cores and memory that GPU work can't use. Once a replica of the service has waited for
+ * `AVOID_GPU_MACHINES_MS`, it may use any of them (service-takes-gpu-cores.txt).
  */
 export function gpuMachineCheck(cluster: ClusterState, job: Job): (machine: Machine) => boolean {
   const { replicaPendingSince, spec } = job;
@@ -78,7 +85,7 @@
   };
 }
 
-/** Seconds until a replica would start there, with the penalties of the machine. */
+/** Returns the seconds until a replica would start on the machine, including the machine's penalties. */
 function startDelaySeconds(
   { context, placements, spotInterruptions }: ClusterState,
   job: Job,
@@ -95,7 +102,7 @@
   return delaySeconds;
 }
 
-/** The part of its scarcest resource that a machine has free, 0 to 1. */
+/** Returns the free share of the machine's scarcest resource, 0 to 1. */
 function scarcestFreeShare({ type, allocations }: Machine): number {
   const freeShare = (used: number, capacity: number): number => (capacity > 0 ? (capacity - used) / capacity : 1);
   return Math.min(
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -1,4 +1,4 @@
-/** One planning round from first to last: rank, search, plan, backfill, apply (Section III-A of the paper). */
+/** A planning round with its steps: rank, search, plan, backfill and apply (Section III-A of the paper). */
 import { applyReservations, applyStarts } from './apply.js';
 import type { SchedulableCluster } from './cluster_state.js';
 import { findOverdueGangReservations } from './gang_reservation.js';
@@ -11,19 +11,19 @@
 import type { RoundResult, UnplannedTasks } from './round_result.js';
 import { type SearchResult, searchZones } from './zone_search.js';
 
-/** Jobs beyond those planned in full that a round offers what is free now. */
+/** Maximum number of jobs, beyond those planned in full, that a round considers for the backfill. */
 const MAX_BACKFILL_JOBS = 250;
 
-/** Search, plan and backfill: all that a round decides from the snapshot alone. */
+/** The results of search, plan and backfill, which depend on nothing but the snapshot, the policy and the seed. */
 interface PlannedRound extends SearchResult {
   readonly plannedJobs: number;
-  /** Starts of jobs beyond those planned in full. */
+  /** Starts of jobs that were not planned in full. */
   readonly backfilled: readonly PlannedStart[];
   readonly unplannedTasks: readonly UnplannedTasks[];
   readonly steps: number;
 }
 
-/** Plans the waiting jobs and starts what can start now. The same state and seed give the same result. */
+/** Plans the waiting jobs and starts the tasks that can start now. The same state and seed give the same result. */
 export function scheduleRound(cluster: SchedulableCluster, seed: number): RoundResult {
   const policy = roundPolicy(cluster.context.tuning.scheduler);
   cluster.previousTerms.updateUnreconciled();
@@ -64,7 +64,7 @@
     .filter(({ tasks }) => tasks > 0);
 }
 
-/** Returns how many tasks were started. */
+/** Returns the number of tasks started. */
 function applyRound(cluster: SchedulableCluster, input: PlanInput, { plan, backfilled }: PlannedRound): number {
   const startedTasks = applyStarts(cluster, [...plan.starts, ...backfilled], input);
   applyReservations(cluster, findOverdueGangReservations(cluster, plan.starts, input));
--- a/src/core/scheduler/service_placement.ts
+++ b/src/core/scheduler/service_placement.ts
@@ -1,4 +1,4 @@
-/** Places the replicas of services, outside the search and before it. */
+/** Places the replicas of services, before the search of a planning round and independently of it. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import { applyPreemption, applyReplicaStart, beginReplicaWait, endReplicaWait } from './apply.js';
@@ -10,16 +10,16 @@
 import { waitingServices } from './waiting_services.js';
 import { useZoneAllowance, type ZoneAllowance, zoneAllowance } from './zone_allowance.js';
 
-/** For so many replicas one call may preempt work of lower priority. */
+/** Maximum number of replicas for which one call may preempt work of lower priority. */
 const MAX_PREEMPTIONS_PER_CALL = 24;
-/** What another replica on the same machine adds to the cost of an eviction there, in GPU seconds. */
+/** Cost that each other replica of the service on the machine adds to an eviction there, in GPU seconds. */
 const SHARED_MACHINE_COST = 0.5;
 
 /**
- * Places replicas by best fit over all zones: each goes to the machine where it starts soonest, by the image to pull and
- * the penalties of its machine, and of equal ones to that with least free capacity. Where there is none, arrays of lower
- * priority are preempted, as the rules allow. Cheap enough to follow each event that calls for it. Returns how many
- * replicas were placed.
+ * Places waiting replicas by best fit over all zones. Each replica goes to the machine on which it starts soonest,
+ * according to its image pull and the machine's penalties. Of equal machines, the one with the least free capacity is
+ * used. If there is no machine for a replica, arrays of lower priority are preempted as far as the rules allow. The
+ * call is cheap enough to be made after every event that requires it. Returns the number of replicas placed.
  */
 export function placeServices(cluster: SchedulableCluster): number {
   if (!cluster.jobs.hasPendingReplicas()) return 0;
@@ -53,7 +53,10 @@
   return placed;
 }
 
-/** Stops arrays of lower priority where least is lost; the replica starts when they are gone. Returns whether it did. */
+/**
+ * Preempts array tasks of lower priority where the least work is lost. The replica starts after they have stopped.
+ * Returns whether tasks were preempted.
+ */
 function preemptForReplica(cluster: SchedulableCluster, job: Job, allowance: ZoneAllowance): boolean {
   if (!mayPreempt(cluster, job)) return false;
   const eviction = cheapestEviction(cluster, job, allowance);
@@ -70,7 +73,7 @@
   return reservedMachineCount(cluster, job) < job.startableCount;
 }
 
-/** Machines that were freed or found for the job a moment ago and that it has not taken yet. */
+/** Returns the number of machines that were recently freed or found for the job and that it does not use yet. */
 function reservedMachineCount(cluster: ClusterState, job: Job): number {
   const now = cluster.context.now.monotonic;
   let count = 0;
--- a/src/core/scheduler/waiting_services.ts
+++ b/src/core/scheduler/waiting_services.ts
@@ -1,8 +1,8 @@
-/** Which services wait for machines, in the order in which they get them. */
+/** Determines which services wait for machines, and in which order machines are assigned to them. */
 import type { Job } from '../jobs/job.js';
 import type { ClusterState } from './cluster_state.js';
 
-/** Returns services with replicas that may start now: higher priority first, then in the order of submission. */
+/** Returns services with replicas that may start now, in descending order of priority and then in submission order. */
 export function waitingServices(cluster: ClusterState): Job[] {
   const now = cluster.context.now.monotonic;
   const waiting = [...cluster.jobs.services].filter(
--- a/test/core/scheduler/gang_reservation.test.ts
+++ b/test/core/scheduler/gang_reservation.test.ts
@@ -14,7 +14,7 @@
 import { makeMachine } from '../../support/machine_fixtures.js';
 
 describe('gang reservation', () => {
-  test('reserves planned machines for the longest overdue gang of a zone, and for no other gang of it', () => {
+  test('reserves the planned machines of only the longest overdue gang in a zone', () => {
     const now: ClockReading = { monotonic: 500_000 as MonotonicTime, wallClock: 1_790_000_000_000 as WallClockTime };
     const stateStore = {
       requestsPerSecond: 10,
@@ -27,9 +27,9 @@
     const cloud = { requestsPerSecond: 5, listStalenessMs: 0 };
     const settings = { controllerCount: 1, teamQuotas: [], stateStore, cloud } as unknown as Settings;
     const cluster = new Cluster(new StepContext(settings, CURRENT_BUILD.tuning, now), 1);
-    const gang = (id: string, waitedS: number): Job => {
+    const gang = (id: string, waitedSeconds: number): Job => {
       const spec = { ...makeJobSpec(id, 'gang', { tasks: '2', gpus: '4' }) };
-      const submittedAt = (now.wallClock - waitedS * 1000) as WallClockTime;
+      const submittedAt = (now.wallClock - waitedSeconds * 1000) as WallClockTime;
       return new Job(
         { spec, submittedAt, state: 'accepted', startTerm: 0, startZone: null, startZones: null, done: new RangeSet() },
         revision(1),
@@ -45,8 +45,8 @@
       startAtSeconds: 30,
     }));
     applyReservations(cluster, findOverdueGangReservations(cluster, starts, { jobs, machines }));
-    const keptFor = machines.map((kept) => kept.reservedFor(now.monotonic));
-    assert.deepEqual(keptFor, [null, null, 'job-2', 'job-2', null, null]);
+    const reservedFor = machines.map((machine) => machine.reservedFor(now.monotonic));
+    assert.deepEqual(reservedFor, [null, null, 'job-2', 'job-2', null, null]);
     assert.equal(machines[2]?.isReservedForOther('job-1' as JobId, now.monotonic), true);
     assert.equal(machines[2]?.reservedFor((now.monotonic + 5000) as MonotonicTime), null);
   });
--- a/test/support/plan_fixtures.ts
+++ b/test/support/plan_fixtures.ts
@@ -1,16 +1,18 @@
+/** Fixtures for the planner's unit tests: machines, jobs and planners. */
 import type { PlanJob, PlanMachine } from '../../src/core/scheduler/plan_types.js';
 import { Planner } from '../../src/core/scheduler/planner.js';
 import type { ImageName, MachineType, ZoneName } from '../../src/core/types.js';
 
-/* Jobs, machines and planners as the planner's unit tests need them. */
-
-/** A machine, of whose cores `freeCpus` are free now and all after 20 s; `fetchS`: seconds to pull any image. */
+/**
+ * Returns a machine with `freeCpus` cores free now and all cores free after 20 s. Any image takes `pullSeconds` to
+ * pull.
+ */
 export function makePlanMachine(
   index: number,
   zone: string,
   type: MachineType,
   freeCpus: number,
-  fetchS = 0,
+  pullSeconds = 0,
 ): PlanMachine {
   return {
     index,
@@ -25,13 +27,13 @@
     spareCpus: type.cpus,
     spareMemoryGb: type.memoryGb,
     reservedForGangs: false,
-    imagePullSeconds: () => fetchS,
+    imagePullSeconds: () => pullSeconds,
     largestCachedImageShare: 0,
   };
 }
 
-/** A small job in zone a, otherwise as `over` says. */
-export function makePlanJob(index: number, over: Partial<PlanJob>): PlanJob {
+/** Returns a small job in zone a, with the given overrides. */
+export function makePlanJob(index: number, overrides: Partial<PlanJob>): PlanJob {
   return {
     index,
     isGang: false,
@@ -54,9 +56,9 @@
     waitedSeconds: 0,
     penaltyFactor: 1,
     excludedMachines: null,
-    ...over,
+    ...overrides,
   };
 }
 
-/** A planner with equal weights and no penalties. */
+/** Returns a planner with equal weights and no placement penalties. */
 export const makePlanner = (): Planner => new Planner({ averageWait: 1, maximumWait: 1, idleShare: 1 });
