--- a/src/core/machines/agent_messages.ts
+++ b/src/core/machines/agent_messages.ts
@@ -1,31 +1,31 @@
-/** Tracks the messages of one machine's agent: their order within its epochs, and when its lease was last renewed. */
+/** Tracks the order of one agent's messages within its epochs, and the time of its last lease renewal. */
 import type { AgentEpoch, FencingToken, Heartbeat, MonotonicTime, SequenceNumber } from '../types.js';
 
-/** After so many heartbeat intervals without a heartbeat a machine gets no new work. */
+/** Number of heartbeat intervals without a heartbeat after which a machine gets no new tasks. */
 export const HEARTBEAT_OVERDUE_AFTER_PERIODS = 2.5;
 /** The sequence number before the first message of an epoch. */
 const NO_MESSAGE = 0n as SequenceNumber;
 
-/** Where a status of the machine's tasks stands among those that were processed before it. */
+/** How the agent epoch of a status relates to the epoch of the status processed before it. */
 type EpochChange =
-  /** The first status of the machine that is processed here. */
+  /** It is the first status of the machine that this leader processes. */
   | 'firstEpoch'
   | 'sameEpoch'
-  /** The agent's lease expired meanwhile: all tasks of the epoch before are gone. */
+  /** The agent's lease expired in between, and all tasks of the previous epoch have ended. */
   | 'newEpoch';
 
-/** What heartbeats and responses to pushed commands have in common, for telling their order. */
+/** Fields that determine the order of heartbeats and responses to pushed commands. */
 type MessageOrder = Pick<Heartbeat, 'agentEpoch' | 'sequence'>;
 
 /**
- * The messages of one machine's agent. Heartbeats and responses to pushed commands are numbered in one row within an agent
- * epoch; an epoch lasts for as long as the agent's lease is renewed.
+ * The messages of one machine's agent. Heartbeats and responses to pushed commands share one series of sequence numbers
+ * within an agent epoch. An epoch lasts until the agent's lease expires.
  */
 export class AgentMessages {
   private epoch: AgentEpoch | null = null;
-  /** Of the newest status that was processed. */
+  /** Sequence number of the newest status that was processed. */
   private sequence: SequenceNumber | null = null;
-  /** The newest heartbeat of the present epoch, not counting responses to pushed commands. */
+  /** Sequence number of the newest heartbeat of the current epoch. Responses to pushed commands don't count. */
   private heartbeatSequence: SequenceNumber | null = null;
   private fencingToken = 0n as FencingToken;
   private contactAt: MonotonicTime;
@@ -33,62 +33,62 @@
   private renewedAt: MonotonicTime;
   private firstAt: MonotonicTime | null = null;
 
-  /** `now`: when the machine became known; until its first heartbeat, silence counts from here. */
+  /** `now`: when the machine became known. Until its first heartbeat, missing heartbeats are counted from this time. */
   constructor(now: MonotonicTime) {
     this.contactAt = now;
     this.heartbeatAt = now;
     this.renewedAt = now;
   }
 
-  /** The epoch of the newest status that was processed; null before the first. */
+  /** The epoch of the newest processed status, or the next one after a lease expiry. Null before the first status. */
   get agentEpoch(): AgentEpoch | null {
     return this.epoch;
   }
 
-  /** The sequence number of the newest status that was processed; null before the first. */
+  /** The sequence number of the newest status that was processed. Null before the first status. */
   get latestSequence(): SequenceNumber | null {
     return this.sequence;
   }
 
-  /** The highest fencing token that the agent has shown. */
+  /** The highest fencing token that the agent has sent. */
   get highestFencingToken(): FencingToken {
     return this.fencingToken;
   }
 
-  /** The last sign of life: a heartbeat newer than any before, or a response to a pushed command. */
+  /** When the last heartbeat that was not a duplicate, or the last response to a pushed command, was received. */
   get lastContactAt(): MonotonicTime {
     return this.contactAt;
   }
 
-  /** When the last heartbeat came, not counting responses to pushed commands. */
+  /** When the last heartbeat was received. Responses to pushed commands don't count. */
   get lastHeartbeatAt(): MonotonicTime {
     return this.heartbeatAt;
   }
 
-  /** When the first heartbeat to this leader came; null before. */
+  /** When this leader received the first heartbeat. Null before that. */
   get firstHeartbeatAt(): MonotonicTime | null {
     return this.firstAt;
   }
 
-  /** When the agent's lease may last have been renewed: by a heartbeat that was answered, or a new epoch. */
+  /** When the agent's lease may last have been renewed, either by an answered heartbeat or by a new epoch. */
   get leaseRenewedAt(): MonotonicTime {
     return this.renewedAt;
   }
 
-  /** Whether heartbeats have been missing for so long that the machine gets no new work. */
+  /** Returns whether heartbeats have been missing for so long that the machine gets no new tasks. */
   isHeartbeatOverdue(now: MonotonicTime, heartbeatIntervalMs: number): boolean {
     return now - this.heartbeatAt >= HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs;
   }
 
-  /** Whether a message is newer than any status that was processed. */
+  /** Returns whether a message is newer than every status that was processed. */
   isNewer({ agentEpoch, sequence }: MessageOrder): boolean {
     if (this.epoch === null || this.sequence === null) return true;
     return agentEpoch > this.epoch || (agentEpoch === this.epoch && sequence > this.sequence);
   }
 
   /**
-   * Whether a heartbeat is a copy, or came too late: one heartbeat is in flight at a time and numbers rise, so whatever is
-   * not newer than the last has been answered before.
+   * Returns whether a heartbeat is a duplicate or arrived out of order. An agent has one heartbeat in flight at a time,
+   * and its sequence numbers increase. A heartbeat that is not newer than the last has therefore been answered before.
    */
   isDuplicateHeartbeat({ agentEpoch, sequence }: MessageOrder): boolean {
     if (this.epoch === null) return false;
@@ -96,12 +96,12 @@
     return this.heartbeatSequence !== null && sequence <= this.heartbeatSequence;
   }
 
-  /** Whether a message begins an epoch after the present one; false where none is known. */
+  /** Returns whether a message belongs to an epoch after the current one. False if no epoch is known. */
   beginsNewEpoch({ agentEpoch }: MessageOrder): boolean {
     return this.epoch !== null && agentEpoch > this.epoch;
   }
 
-  /** A heartbeat came that is no duplicate and will be answered. Returns whether it is the first to this leader. */
+  /** Records a heartbeat that is no duplicate and will be answered. Returns whether it is the first to this leader. */
   recordHeartbeat(now: MonotonicTime): boolean {
     this.contactAt = now;
     this.heartbeatAt = now;
@@ -111,34 +111,34 @@
     return true;
   }
 
-  /** The agent responded to a pushed command. */
+  /** Records that the agent responded to a pushed command. */
   recordCommandResponse(now: MonotonicTime): void {
     this.contactAt = now;
   }
 
-  /** Later heartbeats of the epoch count as duplicates unless they are newer than this one. */
+  /** Records the newest heartbeat of the epoch. Heartbeats that are not newer than this count as duplicates. */
   recordHeartbeatSequence(sequence: SequenceNumber): void {
     this.heartbeatSequence = sequence;
   }
 
-  /** A message showed a fencing token; the highest is kept. */
+  /** Records the fencing token of a message, if it is the highest so far. */
   recordFencingToken(token: FencingToken): void {
     if (token > this.fencingToken) this.fencingToken = token;
   }
 
-  /** The status in a message that `isNewer` is processed. */
+  /** Records that the status of a message for which `isNewer` holds is being processed. */
   recordStatus({ agentEpoch, sequence }: MessageOrder, now: MonotonicTime): EpochChange {
     const before = this.epoch;
     this.epoch = agentEpoch;
     this.sequence = sequence;
     if (before === agentEpoch) return 'sameEpoch';
     this.heartbeatSequence = null;
-    // The response to a pushed command may be the first to tell of an epoch: its lease began some time before now.
+    // The first message of an epoch may be a response to a pushed command. The epoch's lease began before that message.
     this.renewedAt = now;
     return before === null ? 'firstEpoch' : 'newEpoch';
   }
 
-  /** The agent's lease has expired: it comes back with a new epoch, and nothing of the present one counts any more. */
+  /** Ends the current epoch because the agent's lease has expired. The agent will return with a new epoch. */
   expireEpoch(): void {
     if (this.epoch === null) return;
     this.epoch = (this.epoch + 1n) as AgentEpoch;
@@ -146,13 +146,13 @@
     this.heartbeatSequence = null;
   }
 
-  /** From now on its heartbeats can be overdue: the cloud lists the machine as running. */
+  /** Counts missing heartbeats from now on, because the cloud lists the machine as running. */
   expectHeartbeats(now: MonotonicTime): void {
     this.contactAt = now;
     this.heartbeatAt = now;
   }
 
-  /** A previous leader may have renewed the lease at that time. */
+  /** Restores the time at which a previous leader may last have renewed the lease. */
   restoreLeaseRenewal(at: MonotonicTime): void {
     this.renewedAt = at;
   }
--- a/src/core/machines/allocations.ts
+++ b/src/core/machines/allocations.ts
@@ -1,9 +1,9 @@
-/** Keeps account of the tasks that are allocated to one machine, and of the capacity that they leave. */
+/** Tracks the tasks that are allocated to one machine, and its free capacity. */
 import type { TaskKey } from '../jobs/task_keys.js';
 import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { ImageName, JobSpec, MachineType, MonotonicTime, Resources } from '../types.js';
 
-/** What a machine's capacity is allocated to. */
+/** The tasks to which a machine's capacity is allocated. */
 export class Allocations {
   private readonly specs = new Map<TaskKey, JobSpec>();
   private cpus = 0;
@@ -18,37 +18,37 @@
     this.emptySince = now;
   }
 
-  /** How many tasks are allocated. */
+  /** Number of allocated tasks. */
   get taskCount(): number {
     return this.specs.size;
   }
 
-  /** Cores that are allocated. */
+  /** Number of allocated cores. */
   get usedCpus(): number {
     return this.cpus;
   }
 
-  /** GPUs that are allocated. */
+  /** Number of allocated GPUs. */
   get usedGpus(): number {
     return this.gpus;
   }
 
-  /** Memory that is allocated. */
+  /** Allocated memory, in GB. */
   get usedMemoryGb(): number {
     return this.memoryGb;
   }
 
-  /** Since when no task has been allocated; of no meaning while one is. */
+  /** Since when no task has been allocated. Meaningless while a task is allocated. */
   get idleSince(): MonotonicTime {
     return this.emptySince;
   }
 
-  /** The jobs of the tasks that are allocated, once for each task. */
+  /** Returns the job specification of each allocated task. Tasks of one job yield the same specification repeatedly. */
   jobSpecs(): Iterable<JobSpec> {
     return this.specs.values();
   }
 
-  /** Whether the capacity that is free takes a task. */
+  /** Returns whether a task fits into the free capacity. */
   hasFreeCapacityFor(task: Resources): boolean {
     return (
       this.cpus + task.cpus <= this.type.cpus + RESOURCE_TOLERANCE &&
@@ -57,7 +57,7 @@
     );
   }
 
-  /** Whether a task that asks for GPUs is allocated. */
+  /** Whether a task that requests GPUs is allocated. */
   get hasGpuTask(): boolean {
     for (const { gpus } of this.specs.values()) if (gpus > 0) return true;
     return false;
@@ -69,13 +69,13 @@
     return false;
   }
 
-  /** Whether a task that uses the image is allocated. */
+  /** Returns whether a task that uses the image is allocated. */
   needsImage(image: ImageName): boolean {
     for (const spec of this.specs.values()) if (spec.image === image) return true;
     return false;
   }
 
-  /** Allocates capacity to a task that has none. */
+  /** Allocates capacity to a task that has no allocation yet. */
   add(task: TaskKey, spec: JobSpec): void {
     this.specs.set(task, spec);
     this.cpus += spec.cpus;
@@ -83,7 +83,7 @@
     this.memoryGb += spec.memoryGb;
   }
 
-  /** Frees the capacity of a task; nothing happens where it has none. */
+  /** Releases the capacity of a task. Has no effect if the task has no allocation. */
   remove(task: TaskKey, now: MonotonicTime): void {
     const spec = this.specs.get(task);
     if (!spec) return;
@@ -92,14 +92,14 @@
     this.gpus -= spec.gpus;
     this.memoryGb -= spec.memoryGb;
     if (this.specs.size > 0) return;
-    // Sums of decimal amounts leave a rest.
+    // Adding and subtracting fractional amounts leaves rounding errors, so the sums are reset.
     this.cpus = 0;
     this.gpus = 0;
     this.memoryGb = 0;
     this.emptySince = now;
   }
 
-  /** The machine counts as idle from now on: it is heard for the first time. */
+  /** Restarts the idle time when the machine's first heartbeat is received. */
   resetIdleSince(now: MonotonicTime): void {
     this.emptySince = now;
   }
--- a/src/core/machines/boot_time_estimator.ts
+++ b/src/core/machines/boot_time_estimator.ts
@@ -1,49 +1,58 @@
-/** Estimates how long machines take to come up, from those seen lately. */
+/** Estimates how long machines take to boot, from recent boots. */
 import type { MachineType, MonotonicTime, ZoneName } from '../types.js';
 
-/** The nominal boot time counts as so many boots seen. */
+/** Number of observed boots that the nominal boot time counts as. */
 const PRIOR_BOOTS = 2;
-/** How long what was seen counts: troubles of the cloud pass within minutes. */
+/** Time constant, in milliseconds, with which observations lose weight. Problems of the cloud pass within minutes. */
 const DECAY_MS = 120_000;
-/** One boot counts as no more than so many times too long or too short. */
+/** Bounds of one boot's effect: at most 8 times slower, or 30 times faster, than the nominal time. */
 const MAX_LOG_RATIO = Math.log(8);
 const MIN_LOG_RATIO = -Math.log(30);
-/** A machine is expected a little after the usual time, and counts as overdue after so many times that. */
+/** A machine is expected slightly after the estimated boot time. */
 const EXPECTED_FACTOR = 1.05;
+/** Multiple of the expected boot time after which a machine is overdue. */
 const OVERDUE_FACTOR = 1.6;
-/** One that isn't up when it should be is expected soon, and later the longer it takes. */
-const SOON_SHARE = 0.15;
-const LATE_SHARE = 0.5;
-/** The least time that a boot is expected to take. */
+/**
+ * A machine near or past its expected boot time is expected after at least this share of that time, plus a share of the
+ * time by which it is late.
+ */
+const MIN_REMAINING_SHARE = 0.15;
+const LATENESS_SHARE = 0.5;
+/** Lower bound of observed and expected boot times. */
 const MIN_BOOT_SECONDS = 1;
-/** With each machine given up in a row, provisioned after the one before, the next is given so many times as long. */
+/**
+ * Factor by which the boot timeout grows with each consecutive machine whose boot times out. A machine that was
+ * provisioned before the previous one timed out does not count.
+ */
 const TIMEOUT_BACKOFF_FACTOR = 1.5;
+/** Upper bound of the factor by which consecutive failed boots extend the boot timeout. */
 const MAX_TIMEOUT_FACTOR = 4;
 
-/** What was seen of machines of one type in one zone. */
+/** Boot observations of machines of one type in one zone. */
 class BootHistory {
   private bootCount = 0;
   private logRatioSum = 0;
   private overdueCount = 0;
   private updatedAt: MonotonicTime;
-  /** How many times as long machines are given that were provisioned since, or before, the last one that was given up. */
+  /** Boot timeout factor for machines that were provisioned since the last boot timed out. */
   private timeoutFactor = 1;
+  /** Boot timeout factor for machines that were provisioned before the last boot timed out. */
   private previousTimeoutFactor = 1;
-  private lastAbandonedAt = Number.NEGATIVE_INFINITY as MonotonicTime;
+  private lastTimeoutAt = Number.NEGATIVE_INFINITY as MonotonicTime;
 
   constructor(now: MonotonicTime) {
     this.updatedAt = now;
   }
 
   private decay(now: MonotonicTime): void {
-    const keep = Math.exp(-(now - this.updatedAt) / DECAY_MS);
-    this.bootCount *= keep;
-    this.logRatioSum *= keep;
-    this.overdueCount *= keep;
+    const decayFactor = Math.exp(-(now - this.updatedAt) / DECAY_MS);
+    this.bootCount *= decayFactor;
+    this.logRatioSum *= decayFactor;
+    this.overdueCount *= decayFactor;
     this.updatedAt = now;
   }
 
-  /** A boot took so many times the nominal time. */
+  /** Records a completed boot. `ratio`: its duration divided by the nominal boot time. */
   recordBoot(ratio: number, now: MonotonicTime): void {
     this.decay(now);
     this.bootCount += 1;
@@ -51,39 +60,42 @@
     this.timeoutFactor = 1;
   }
 
-  /** A machine did not come up in time. */
+  /** Records that a machine's boot is overdue. */
   recordOverdue(now: MonotonicTime): void {
     this.decay(now);
     this.overdueCount += 1;
   }
 
-  /** A machine was given up: those provisioned after it are given longer. */
-  recordAbandoned(provisionedAt: MonotonicTime, now: MonotonicTime): void {
-    if (provisionedAt < this.lastAbandonedAt) return;
-    this.lastAbandonedAt = now;
+  /** Records that a machine's boot timed out. Machines provisioned from now on get a longer boot timeout. */
+  recordTimeout(provisionedAt: MonotonicTime, now: MonotonicTime): void {
+    if (provisionedAt < this.lastTimeoutAt) return;
+    this.lastTimeoutAt = now;
     this.previousTimeoutFactor = this.timeoutFactor;
     this.timeoutFactor = Math.min(MAX_TIMEOUT_FACTOR, this.timeoutFactor * TIMEOUT_BACKOFF_FACTOR);
   }
 
-  /** How many times the nominal time a boot takes lately. */
+  /** Returns the estimated ratio of recent boot times to the nominal boot time. */
   bootTimeRatio(now: MonotonicTime): number {
     this.decay(now);
     return Math.exp(this.logRatioSum / (this.bootCount + PRIOR_BOOTS));
   }
 
-  /** The part of the machines seen lately that were overdue. */
+  /** Returns the share of recently observed machines whose boot was overdue, 0 to 1. */
   overdueShare(now: MonotonicTime): number {
     this.decay(now);
     return this.overdueCount / (this.bootCount + this.overdueCount + PRIOR_BOOTS);
   }
 
-  /** Returns how many times as long as usual a machine is given that was provisioned then. */
+  /** Returns the factor by which earlier timeouts extend that of a machine provisioned at the given time. */
   timeoutFactorFor(provisionedAt: MonotonicTime): number {
-    return provisionedAt < this.lastAbandonedAt ? this.previousTimeoutFactor : this.timeoutFactor;
+    return provisionedAt < this.lastTimeoutAt ? this.previousTimeoutFactor : this.timeoutFactor;
   }
 }
 
-/** How long machines take to come up, by type and zone, as seen lately: late ones are replaced, and some never come. */
+/**
+ * Recent boot times of machines, by type and zone. Machines whose boot is overdue are replaced, and some machines never
+ * come up.
+ */
 export class BootTimeEstimator {
   private readonly histories = new Map<string, BootHistory>();
 
@@ -97,22 +109,22 @@
     return history;
   }
 
-  /** A machine is up, so many seconds after it was provisioned. */
+  /** Records that a machine came up. `seconds`: the time since it was provisioned. */
   recordBoot(type: MachineType, zone: ZoneName, seconds: number, now: MonotonicTime): void {
     this.history(type, zone, now).recordBoot(Math.max(MIN_BOOT_SECONDS, seconds) / type.bootSeconds, now);
   }
 
-  /** A machine has become overdue. */
+  /** Records that a machine's boot has become overdue. */
   recordOverdue(type: MachineType, zone: ZoneName, now: MonotonicTime): void {
     this.history(type, zone, now).recordOverdue(now);
   }
 
-  /** A machine is given up because it did not come up. */
+  /** Records that a machine is terminated because its boot timed out. */
   recordAbandoned(type: MachineType, zone: ZoneName, provisionedAt: MonotonicTime, now: MonotonicTime): void {
-    this.history(type, zone, now).recordAbandoned(provisionedAt, now);
+    this.history(type, zone, now).recordTimeout(provisionedAt, now);
   }
 
-  /** Returns the seconds that a machine provisioned now is expected to take. */
+  /** Returns the expected boot time, in seconds, of a machine provisioned now. */
   expectedSeconds(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
     return Math.max(
       MIN_BOOT_SECONDS,
@@ -120,37 +132,42 @@
     );
   }
 
-  /** Seconds after which a machine is overdue. Where boots are quick lately, one provisioned before may still take the usual time. */
+  /**
+   * Returns the seconds after which a machine's boot is overdue. The nominal boot time is a lower bound of the expected
+   * time here, because a machine that was provisioned before recent fast boots may still take the nominal time.
+   */
   private overdueAfterSeconds(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
     return OVERDUE_FACTOR * Math.max(type.bootSeconds, this.expectedSeconds(type, zone, now));
   }
 
-  /** Whether a machine of that age should have been up. */
+  /** Returns whether the boot of a machine of the given age is overdue. */
   isOverdue(type: MachineType, zone: ZoneName, ageSeconds: number, now: MonotonicTime): boolean {
     return ageSeconds > this.overdueAfterSeconds(type, zone, now);
   }
 
-  /** Returns the seconds until a machine of that age is expected to be up. */
+  /** Returns the seconds until a booting machine of the given age is expected to be up. */
   remainingSeconds(type: MachineType, zone: ZoneName, ageSeconds: number, now: MonotonicTime): number {
     const expectedSeconds = this.expectedSeconds(type, zone, now);
     const usualSeconds =
       ageSeconds > OVERDUE_FACTOR * expectedSeconds
         ? Math.max(type.bootSeconds * EXPECTED_FACTOR, expectedSeconds)
         : expectedSeconds;
-    if (ageSeconds < usualSeconds * (1 - SOON_SHARE)) return usualSeconds - ageSeconds;
+    if (ageSeconds < usualSeconds * (1 - MIN_REMAINING_SHARE)) return usualSeconds - ageSeconds;
     const lateSeconds = Math.max(0, ageSeconds - usualSeconds);
     const overdueSeconds = ageSeconds - this.overdueAfterSeconds(type, zone, now);
-    // Beyond what is usual a machine provisioned now would be up sooner.
-    return overdueSeconds > 0 ? usualSeconds + overdueSeconds : usualSeconds * SOON_SHARE + lateSeconds * LATE_SHARE;
+    // A machine that is overdue is expected later than one that is provisioned now.
+    return overdueSeconds > 0
+      ? usualSeconds + overdueSeconds
+      : usualSeconds * MIN_REMAINING_SHARE + lateSeconds * LATENESS_SHARE;
   }
 
-  /** Returns how many times as long as usual a machine may take before it is given up. */
+  /** Returns the factor, at least 1, by which slow recent boots and earlier timeouts extend the boot timeout. */
   timeoutFactor(type: MachineType, zone: ZoneName, provisionedAt: MonotonicTime, now: MonotonicTime): number {
     const history = this.history(type, zone, now);
     return Math.max(1, history.bootTimeRatio(now)) * history.timeoutFactorFor(provisionedAt);
   }
 
-  /** Returns the part, 0 to 1, of the machines provisioned lately that did not come up in time. */
+  /** Returns the share, 0 to 1, of recently provisioned machines whose boot was overdue. */
   overdueShare(type: MachineType, zone: ZoneName, now: MonotonicTime): number {
     return this.history(type, zone, now).overdueShare(now);
   }
--- a/src/core/machines/capacity_pool.ts
+++ b/src/core/machines/capacity_pool.ts
@@ -1,12 +1,12 @@
-/** Names what the cloud offers: pools of machines that are alike. */
+/** Defines capacity pools, from which the cloud provisions interchangeable machines. */
 import type { MachineType, ZoneName } from '../types.js';
 
-/** Machines of a type in a zone, spot or on demand. */
+/** Machines of one type in one zone, either spot or on demand. */
 export interface CapacityPool {
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
 }
 
-/** Returns a key for maps: pools with the same type, zone and kind of price have the same. */
+/** Returns a map key. It is equal for pools of the same type, zone and price model (spot or on demand). */
 export const capacityPoolKey = ({ type, zone, spot }: CapacityPool): string => `${type.name}|${zone}|${spot}`;
--- a/src/core/machines/command_channel.ts
+++ b/src/core/machines/command_channel.ts
@@ -1,56 +1,56 @@
-/** Keeps the state of commands that are pushed to one machine: whether one is in flight, and which starts are unconfirmed. */
+/** Tracks the pushes of commands to one machine: whether one is in flight, and which starts are unconfirmed. */
 
 import type { StartKey } from '../jobs/task_keys.js';
 import type { MonotonicTime } from '../types.js';
 
-/** Commands pushed to a machine: one at a time, and none for a while after one that was not answered. */
+/** State of pushes to a machine. One push is in flight at a time, and pushes pause after one without a response. */
 export class CommandChannel {
   private inFlight = false;
   private pausedUntil = 0 as MonotonicTime;
   private readonly unconfirmed = new Set<StartKey>();
 
-  /** Whether a pushed command has yet to be answered. */
+  /** Whether a push is awaiting its response. */
   get isBusy(): boolean {
     return this.inFlight;
   }
 
-  /** Whether a command may be pushed now. */
+  /** Returns whether commands may be pushed now. */
   isReady(now: MonotonicTime): boolean {
     return !this.inFlight && this.pausedUntil <= now;
   }
 
-  /** A command is pushed, with these starts: they may arrive as long as the agent epoch lasts. */
+  /** Records a push with these starts. Until a response confirms them, they may arrive while the agent epoch lasts. */
   begin(starts: Iterable<StartKey> = []): void {
     this.inFlight = true;
     for (const start of starts) this.unconfirmed.add(start);
   }
 
-  /** The command was answered, or surely won't be any more. */
+  /** Ends the push in flight, after its response or once no response can arrive any more. */
   end(): void {
     this.inFlight = false;
   }
 
-  /** The command with these starts was answered: they have arrived or never will. */
+  /** Records a response to the push with these starts. They have arrived, or never will. */
   confirmStarts(starts: Iterable<StartKey>): void {
     for (const start of starts) this.unconfirmed.delete(start);
   }
 
-  /** The command was not answered: no other before `until`. */
+  /** Pauses pushes until the given time, after one without a response. */
   pause(until: MonotonicTime): void {
     this.pausedUntil = until;
   }
 
-  /** Whether the start was pushed and never answered, so that it may still arrive. */
+  /** Returns whether the start was pushed without a response, so that it may still arrive. */
   isUnconfirmed(start: StartKey): boolean {
     return this.unconfirmed.has(start);
   }
 
-  /** Whether any start was pushed and never answered. */
+  /** Whether any start was pushed without a response. */
   get hasUnconfirmedStarts(): boolean {
     return this.unconfirmed.size > 0;
   }
 
-  /** The agent epoch is over: no start of it can arrive any more. */
+  /** Forgets all unconfirmed starts, because none can arrive after their agent epoch has ended. */
   clearUnconfirmedStarts(): void {
     this.unconfirmed.clear();
   }
--- a/src/core/machines/cordon.ts
+++ b/src/core/machines/cordon.ts
@@ -1,73 +1,73 @@
-/** Holds why and for how long one machine gets no new work: drained, quarantined, or about to be taken by the cloud. */
+/** Records why one machine gets no new tasks: it is draining, quarantined, or about to be reclaimed by the cloud. */
 import type { MonotonicTime } from '../types.js';
 
-/** Why a machine gets no new work and is terminated once it is empty. */
+/** Why a machine is drained. A draining machine gets no new tasks and is terminated once it is empty. */
 export type DrainReason =
   | 'idle'
   | 'heartbeat overdue'
-  /** The cloud lists it as failed: it has stopped by itself. */
+  /** The cloud lists the machine as failed, because it stopped without a termination request. */
   | 'stopped'
   | 'straggler'
   | 'boot timeout'
   | 'task failures'
   | 'spot interruption'
   | 'unresponsive'
-  /** A start that was pushed without an answer may still arrive there. */
+  /** A start that was pushed without a response may still arrive at the worker. */
   | 'unconfirmed start';
 
-/** Whether a machine is cordoned. A drain is for good; a quarantine passes. */
+/** Whether a machine is cordoned. A drain is permanent, whereas a quarantine ends after a time. */
 export class Cordon {
   private reason: DrainReason | null = null;
   private quarantineEndsAt = 0 as MonotonicTime;
-  private interruptedAt: MonotonicTime | null = null;
+  private interruptionTime: MonotonicTime | null = null;
   private interruptionCounted = false;
 
-  /** Why the machine is drained; null: it is not. */
+  /** Why the machine is drained. Null if it is not. */
   get drainReason(): DrainReason | null {
     return this.reason;
   }
 
-  /** Whether the machine is drained: it is terminated once it is empty. */
+  /** Whether the machine is draining, and will be terminated once it is empty. */
   get isDraining(): boolean {
     return this.reason !== null;
   }
 
-  /** When the cloud takes the machine away, if it has given notice; null: it has not. */
+  /** When the cloud reclaims the machine. Null without an interruption notice. */
   get interruptionAt(): MonotonicTime | null {
-    return this.interruptedAt;
+    return this.interruptionTime;
   }
 
-  /** Whether the machine gets no new work now. */
+  /** Returns whether the machine gets no new tasks now: it is draining, quarantined, or has an interruption notice. */
   isCordoned(now: MonotonicTime): boolean {
-    return this.reason !== null || this.interruptedAt !== null || this.quarantineEndsAt > now;
+    return this.reason !== null || this.interruptionTime !== null || this.quarantineEndsAt > now;
   }
 
-  /** Whether what is on the machine should leave it. */
+  /** Whether tasks should leave the machine: it is draining or has an interruption notice. */
   get isLeaving(): boolean {
-    return this.reason !== null || this.interruptedAt !== null;
+    return this.reason !== null || this.interruptionTime !== null;
   }
 
-  /** Counts the machine as lost to an interruption. Returns whether it was counted for the first time. */
+  /** Records that the machine's interruption was counted. Returns whether this is the first time. */
   countInterruption(): boolean {
     const isFirst = !this.interruptionCounted;
     this.interruptionCounted = true;
     return isFirst;
   }
 
-  /** Drains the machine; a reason given before stays. */
+  /** Drains the machine. If it is already draining, the first reason stays. */
   drain(reason: DrainReason): void {
     this.reason ??= reason;
   }
 
-  /** Nothing new until then. */
+  /** Quarantines the machine until the given time. */
   quarantine(until: MonotonicTime): void {
     this.quarantineEndsAt = until;
   }
 
-  /** The cloud gives notice that it takes the machine at that time. Returns whether it is the first notice. */
+  /** Records an interruption notice. `at`: when the cloud reclaims the machine. Returns whether it is the first. */
   recordInterruptionNotice(at: MonotonicTime): boolean {
-    const isFirst = this.interruptedAt === null;
-    this.interruptedAt = at;
+    const isFirst = this.interruptionTime === null;
+    this.interruptionTime = at;
     return isFirst;
   }
 }
--- a/src/core/machines/image_cache.ts
+++ b/src/core/machines/image_cache.ts
@@ -1,32 +1,33 @@
-/** Follows which images one machine holds, and how fast it pulls them. */
+/** Tracks which images one machine holds, and estimates how fast it pulls them. */
 import type { ImageName, JobSpec, MachineType, MonotonicTime } from '../types.js';
 
-/** Bounds of what is believed of a machine's pull speed, and the weight of each new observation. */
+/** Bounds of a machine's estimated pull speed, relative to the nominal rate of its type. */
 const MIN_PULL_SPEED = 0.5;
 const MAX_PULL_SPEED = 1.6;
+/** Weight of a new observation in the estimated pull speed. */
 const OBSERVATION_WEIGHT = 0.6;
-/** A shorter pull tells nothing: it was mostly waiting for heartbeats. */
+/** Shorter pulls are ignored, because most of their apparent duration is the wait for the next heartbeat. */
 const MIN_OBSERVED_PULL_SECONDS = 2;
-/** What is left of a pull that should be over. */
+/** Minimum remaining time of a pull in progress, also if it should have finished. */
 const MIN_REMAINING_PULL_SECONDS = 1;
-/** No rate is taken to be lower. */
+/** Lower bound of an assumed pull rate. */
 const MIN_PULL_GB_PER_SECOND = 0.01;
 
-/** An image on a machine, whole or on its way. */
+/** An image that a machine holds or pulls. */
 interface CachedImage {
   readonly sizeGb: number;
   lastUsedAt: MonotonicTime;
-  /** While it is being pulled: since when; null: it is there whole. */
+  /** Since when the image has been pulled. Null once it is complete. */
   pullingSince: MonotonicTime | null;
-  /** Whether the pull was seen from its beginning. */
+  /** Whether the pull was observed from its beginning. */
   pullObserved: boolean;
 }
 
-/** Returns the seconds that a whole pull takes at a rate. */
+/** Returns the seconds that the pull of an image takes at the given rate. */
 export const pullSeconds = (sizeGb: number, gbPerSecond: number): number =>
   sizeGb / Math.max(MIN_PULL_GB_PER_SECOND, gbPerSecond);
 
-/** The images that a machine holds or pulls, as far as its statuses tell, and how fast it pulls. */
+/** The images that a machine holds or pulls according to its statuses, and its estimated pull speed. */
 export class ImageCache {
   private hasUnwrittenChanges = false;
   private speed = 1;
@@ -34,22 +35,22 @@
 
   constructor(private readonly type: MachineType) {}
 
-  /** Whether the images that are there whole have changed since they were last written. */
+  /** Whether the complete images have changed since they were last written to the state store. */
   get isDirty(): boolean {
     return this.hasUnwrittenChanges;
   }
 
-  /** The images go to the state store as they are now. */
+  /** Records that the current images are being written to the state store. */
   markWritten(): void {
     this.hasUnwrittenChanges = false;
   }
 
-  /** How fast the machine pulls: 1 is the nominal rate of its type. */
+  /** Estimated pull speed relative to the nominal rate of the machine's type. */
   get pullSpeed(): number {
     return this.speed;
   }
 
-  /** Returns the seconds until the image would be there if a task asked for it now. */
+  /** Returns the seconds until the image would be complete if a task requested it now. */
   remainingPullSeconds(image: ImageName, gb: number, now: MonotonicTime): number {
     const full = pullSeconds(gb, this.type.imagePullGbPerSecond * this.speed);
     const cached = this.images.get(image);
@@ -58,23 +59,23 @@
     return Math.max(MIN_REMAINING_PULL_SECONDS, full - (now - cached.pullingSince) / 1000);
   }
 
-  /** Whether the whole image is there. */
+  /** Returns whether the complete image is on the machine. */
   has(image: ImageName): boolean {
     return this.images.get(image)?.pullingSince === null;
   }
 
-  /** Yields the images that are there whole, in no order. */
+  /** Yields the complete images in no particular order. */
   *presentImages(): Iterable<ImageName> {
     for (const [name, { pullingSince }] of this.images) if (pullingSince === null) yield name;
   }
 
-  /** Returns the images that are there whole, those used last at the end. */
+  /** Returns the complete images, the most recently used last. */
   presentImagesByLastUse(): ImageName[] {
     const present = [...this.images].filter(([, image]) => image.pullingSince === null);
     return present.sort((a, b) => a[1].lastUsedAt - b[1].lastUsedAt).map(([name]) => name);
   }
 
-  /** Takes over what a previous leader has written. Images whose size is not in `sizesGb` are left out. */
+  /** Restores the stored images and pull speed. Images whose size is not in `sizesGb` are left out. */
   restore(
     names: readonly ImageName[],
     speed: number,
@@ -89,13 +90,13 @@
     }
   }
 
-  /** A task waits for its image. `observed`: its start was seen just before, so the pull begins now. */
+  /** Records that a task is waiting for its image. `observed`: the task was just started, so the pull begins now. */
   onPulling({ image, imageGb: sizeGb }: JobSpec, observed: boolean, now: MonotonicTime): void {
     if (this.images.has(image)) return;
     this.images.set(image, { sizeGb, lastUsedAt: now, pullingSince: now, pullObserved: observed });
   }
 
-  /** A task has its image. */
+  /** Records that a task's image is complete. */
   onPresent({ image, imageGb: sizeGb }: JobSpec, now: MonotonicTime): void {
     const cached = this.images.get(image);
     if (!cached) {
@@ -115,7 +116,7 @@
     this.hasUnwrittenChanges = true;
   }
 
-  /** A pull seen from beginning to end tells how fast this machine is; one among several tells nothing. */
+  /** Updates the pull speed from a pull that was observed in full. A pull among several concurrent ones is ignored. */
   private observePull(sizeGb: number, tookSeconds: number): void {
     let pulling = 0;
     for (const image of this.images.values()) if (image.pullingSince !== null) pulling += 1;
@@ -125,14 +126,14 @@
     this.speed = Math.min(MAX_PULL_SPEED, Math.max(MIN_PULL_SPEED, smoothed));
   }
 
-  /** The worker gives up a pull once no task waits for it. */
+  /** Removes pulls of images that are not wanted. The worker aborts a pull once no task waits for it. */
   dropAbandonedPulls(isWanted: (image: ImageName) => boolean): void {
     for (const [name, image] of this.images) {
       if (image.pullingSince !== null && !isWanted(name)) this.images.delete(name);
     }
   }
 
-  /** Assumes what the worker does: it keeps the most recently used images that fit. */
+  /** Mirrors the worker's eviction, which retains the most recently used images that fit. */
   private evict(): void {
     let totalGb = 0;
     for (const image of this.images.values()) totalGb += image.sizeGb;
--- a/src/core/machines/lifecycle.ts
+++ b/src/core/machines/lifecycle.ts
@@ -1,21 +1,21 @@
-/** Tracks one machine's way from its provisioning to its termination. */
+/** Tracks the lifecycle of one machine from provisioning to termination. */
 import type { MonotonicTime } from '../types.js';
 
-/** `booting` until its agent is heard or the cloud lists it as running. */
+/** `booting` until its agent sends a heartbeat or the cloud lists the machine as running. */
 export type MachinePhase = 'booting' | 'up';
 
-/** A request to terminate the machine: `unknown` where one failed, whose outcome can't be told. */
+/** State of the request to terminate the machine. `unknown`: a request failed, and its outcome can't be determined. */
 type Termination = 'none' | 'inFlight' | 'unknown';
 
-/** Where a machine is between its provisioning and its termination. */
+/** A machine's state between provisioning and termination. */
 export class Lifecycle {
   private currentPhase: MachinePhase;
-  private onRecord = false;
+  private registered = false;
   private provisioned: MonotonicTime;
   private bootOverdue = false;
   private termination: Termination = 'none';
 
-  /** `isProvisionedByThisLeader`: then the time until it is up tells how long boots take. */
+  /** `isProvisionedByThisLeader`: if true, the time until it is up is used to estimate boot times. */
   constructor(
     phase: MachinePhase,
     provisionedAt: MonotonicTime,
@@ -30,64 +30,64 @@
     return this.currentPhase;
   }
 
-  /** Whether the machine is on record in the state store: before that, no command goes to it. */
+  /** Whether the machine is stored in the registry. No command is sent to it before that. */
   get isRegistered(): boolean {
-    return this.onRecord;
+    return this.registered;
   }
 
-  /** When it was provisioned, as far as is known. */
+  /** The earliest known time of its provisioning. */
   get provisionedAt(): MonotonicTime {
     return this.provisioned;
   }
 
-  /** Seconds since it was provisioned. */
+  /** Returns the seconds since it was provisioned. */
   ageSeconds(now: MonotonicTime): number {
     return (now - this.provisioned) / 1000;
   }
 
-  /** Whether a request to terminate it has yet to be answered. */
+  /** Whether a request to terminate it is in flight. */
   get isTerminating(): boolean {
     return this.termination === 'inFlight';
   }
 
-  /** Whether its termination was ever requested: it may be gone already. */
+  /** Whether its termination was ever requested, so that it may already be terminated. */
   get wasTerminationRequested(): boolean {
     return this.termination !== 'none';
   }
 
-  /** Whether it was provisioned by a previous leader and has yet to be heard by this one. */
+  /** Whether it is a registered machine of a previous leader that has not sent this leader a heartbeat yet. */
   get isInheritedUnreported(): boolean {
-    return this.currentPhase === 'booting' && this.onRecord && !this.isProvisionedByThisLeader;
+    return this.currentPhase === 'booting' && this.registered && !this.isProvisionedByThisLeader;
   }
 
-  /** The machine has come up. */
+  /** Records that the machine is up. */
   markUp(): void {
     this.currentPhase = 'up';
   }
 
-  /** The machine is on record in the state store. */
+  /** Records that the machine is stored in the registry. */
   markRegistered(): void {
-    this.onRecord = true;
+    this.registered = true;
   }
 
-  /** The cloud tells when it was provisioned; the earliest time that was told holds. */
+  /** Records the provisioning time that follows from the cloud's list, if it is earlier than the known time. */
   recordProvisionedAt(at: MonotonicTime): void {
     if (at < this.provisioned) this.provisioned = at;
   }
 
-  /** The machine has not come up in time. Returns whether this was recorded for the first time. */
+  /** Records that the boot is overdue. Returns whether this was recorded for the first time. */
   recordBootOverdue(): boolean {
     const isFirst = !this.bootOverdue;
     this.bootOverdue = true;
     return isFirst;
   }
 
-  /** Its termination is requested of the cloud. */
+  /** Records that its termination is requested from the cloud. */
   beginTermination(): void {
     this.termination = 'inFlight';
   }
 
-  /** The request to terminate it failed. */
+  /** Records that the request to terminate it failed. */
   failTermination(): void {
     this.termination = 'unknown';
   }
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,4 +1,4 @@
-/** One provisioned machine and its worker, as the leader knows them: the parts of what is known, and judgements from several. */
+/** Holds what the leader knows of one provisioned machine and its worker, and derives conditions from it. */
 import type { JobId, MachineId, MachineType, MachineTypeName, MonotonicTime, ZoneName } from '../types.js';
 import { AgentMessages } from './agent_messages.js';
 import { Allocations } from './allocations.js';
@@ -11,56 +11,56 @@
 import { StragglerDetector } from './straggler_detector.js';
 import { TaskFailures } from './task_failures.js';
 
-/** What is known of a machine when it becomes known here. */
+/** Initial state of a machine that this leader provisions, restores, or finds in a heartbeat or the cloud's list. */
 interface MachineInit {
   readonly id: MachineId;
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  /** Where its agent takes commands; empty where that isn't known yet. */
+  /** Address at which its agent accepts commands. Empty while it is unknown. */
   readonly address: string;
-  /** False where it may hold tasks of a previous leader that are not known here. */
+  /** False if it may hold tasks of a previous leader that this leader does not know. */
   readonly reconciled: boolean;
   readonly phase: MachinePhase;
   /**
-   * What this leader provisioned itself can't be a late copy of something gone. A list may well show what is
-   * (listed-but-gone.txt). False by default.
+   * Whether this leader provisioned the machine. Other machines may already be terminated, since heartbeats can be
+   * delayed and the cloud's list can be outdated (listed-but-gone.txt). False by default.
    */
   readonly provisionedByThisLeader?: boolean;
   readonly now: MonotonicTime;
 }
 
-/** Capacity that is kept for a job that is on its way. */
+/** Reservation of a machine for a job that will be placed on it soon. */
 interface Reservation {
   readonly job: JobId;
   readonly until: MonotonicTime;
 }
 
-/** A machine. Other folders change it by the methods of its parts. */
+/** A machine. Code in other directories changes its state through the methods of its parts. */
 export class Machine {
   readonly id: MachineId;
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  /** Where it is between its provisioning and its termination. */
+  /** Its state between provisioning and termination. */
   readonly lifecycle: Lifecycle;
-  /** The order of its agent's messages, and when they came. */
+  /** Order and arrival times of its agent's messages. */
   readonly messages: AgentMessages;
-  /** Whether what is sent to it arrives. */
+  /** Whether heartbeat responses and commands reach it. */
   readonly reachability: Reachability;
-  /** Commands that are pushed to it. */
+  /** State of the commands that are pushed to it. */
   readonly commandChannel = new CommandChannel();
-  /** Whether it is kept from new work, and why. */
+  /** Whether it is excluded from new placements, and why. */
   readonly cordon = new Cordon();
-  /** What its capacity is allocated to. */
+  /** Tasks to which its capacity is allocated. */
   readonly allocations: Allocations;
-  /** What its newest status shows beside its placements. */
+  /** Exited and unexpected tasks in its newest status. */
   readonly reportedTasks = new ReportedTasks();
-  /** The images that it holds or pulls. */
+  /** Images that it holds or pulls. */
   readonly images: ImageCache;
-  /** Failures since a task last did well here; after each it gets nothing new for a moment. */
+  /** Task failures since a task last completed here. Each failure quarantines the machine for some seconds. */
   readonly taskFailures = new TaskFailures();
-  /** Whether it takes several times as long as expected for everything. */
+  /** Detects whether tasks of several jobs take much longer than expected here. */
   readonly stragglerDetector = new StragglerDetector();
 
   private currentAddress: string;
@@ -82,41 +82,44 @@
     this.images = new ImageCache(type);
   }
 
-  /** The name of its type. */
   get typeName(): MachineTypeName {
     return this.type.name;
   }
 
-  /** Whether it is booting or up. */
+  /** Whether the machine is booting or up. */
   get phase(): MachinePhase {
     return this.lifecycle.phase;
   }
 
-  /** Where its agent takes commands; empty until it is known. */
+  /** Address at which its agent accepts commands. Empty while it is unknown. */
   get address(): string {
     return this.currentAddress;
   }
 
-  /** Takes over the agent's address; an empty one tells nothing. */
+  /** Updates the agent's address. An empty address is ignored. */
   learnAddress(address: string): void {
     if (address !== '') this.currentAddress = address;
   }
 
-  /** Whether it can't hold tasks of a previous leader that are not known here: until then its own status has yet to come. */
+  /**
+   * Whether the machine is certain to hold no tasks of a previous leader that this leader does not know. A restored
+   * machine is not reconciled until its own status has been processed, its lease has expired, or it has stopped.
+   */
   get reconciled(): boolean {
     return this.isReconciled;
   }
 
-  /** No task of a previous leader can be on it that isn't known here. */
+  /** Records that it holds no tasks of a previous leader that this leader does not know. */
   markReconciled(): void {
     this.isReconciled = true;
   }
 
-  // ---- judgements
+  // ---- conditions derived from several parts
 
   /**
-   * Whether new work may be given to it. One whose heartbeats don't come may never take what it is given, and its lease
-   * expires whatever it responds to pushed commands (no-reports-machine.txt, property): those don't count here.
+   * Returns whether new tasks may be placed on it. If heartbeats are overdue, the worker may never receive its start
+   * commands, and its lease expires even if it responds to pushed commands. Such responses therefore don't count as
+   * heartbeats here (no-reports-machine.txt, and a property test).
    */
   isSchedulable(now: MonotonicTime, heartbeatIntervalMs: number): boolean {
     return (
@@ -130,50 +133,50 @@
     );
   }
 
-  /** Whether it is on its way and will take work. */
+  /** Returns whether it is booting and will accept tasks: it is neither draining nor being terminated. */
   isProvisioning(): boolean {
     return this.phase === 'booting' && !this.lifecycle.isTerminating && !this.cordon.isDraining;
   }
 
-  /** Whether no task is on it, or on its way, as far as is known. */
+  /** Whether no task is known to be on it or placed on it. */
   get isEmpty(): boolean {
     return this.allocations.taskCount === 0 && this.reportedTasks.unexpected.size === 0;
   }
 
-  /** Whether a task that asks for GPUs is there, or the machine is kept for a job. */
+  /** Returns whether a task that requests GPUs is placed on it, or the machine is reserved. */
   hasGpuWork(now: MonotonicTime): boolean {
     return this.reservedFor(now) !== null || this.allocations.hasGpuTask;
   }
 
-  /** Gives up pulls of images that no task waits for any more. */
+  /** Discards pulls of images that no allocated task uses any more. */
   dropAbandonedPulls(): void {
     this.images.dropAbandonedPulls((image) => this.allocations.needsImage(image));
   }
 
   // ---- reservation
 
-  /** Keeps the machine for a job until a time, instead of for any other. */
+  /** Reserves the machine for a job until the given time. This replaces any reservation for another job. */
   reserve(job: JobId, until: MonotonicTime): void {
     this.reservation = { job, until };
   }
 
-  /** The job that it is kept for now; null: none. */
+  /** Returns the job for which it is reserved now, or null. */
   reservedFor(now: MonotonicTime): JobId | null {
     return this.reservation && this.reservation.until > now ? this.reservation.job : null;
   }
 
-  /** Whether it is kept now, and not for this job. */
+  /** Returns whether it is reserved now for a job other than this one. */
   isReservedForOther(job: JobId, now: MonotonicTime): boolean {
     const holder = this.reservedFor(now);
     return holder !== null && holder !== job;
   }
 
-  /** Whether it was kept for a job that has not taken its place yet, be it that the time is over. */
+  /** Whether it was reserved for a job that has not been placed on it yet. The reservation may have expired. */
   get hasReservation(): boolean {
     return this.reservation !== null;
   }
 
-  /** The job has taken its place; without effect if the machine is kept for another. */
+  /** Ends the reservation when the job has been placed. Has no effect on a reservation for another job. */
   endReservation(job: JobId): void {
     if (this.reservation?.job === job) this.reservation = null;
   }
--- a/src/core/machines/machine_registry.ts
+++ b/src/core/machines/machine_registry.ts
@@ -1,4 +1,4 @@
-/** Spreads the records of machines over pages of the state store, and tells which pages have to be written. */
+/** Distributes the records of machines over pages in the state store, and determines which pages have to be written. */
 import type { StateChange, StoredEntry } from '../messages.js';
 import {
   type DecodedMachinePage,
@@ -12,17 +12,20 @@
 import type { Machine } from './machine.js';
 import { RegistryPage } from './registry_page.js';
 
-/** What a page's text may take of the state store's limit for a value, without and with the images that machines hold. */
-const PAGE_SHARE = 0.95;
-const PAGE_SHARE_WITH_IMAGES = 0.97;
-/** What one machine with its images is estimated at. */
+/** Maximum share of the state store's value size limit that an encoded page may use, without and with cached images. */
+const MAX_PAGE_SHARE = 0.95;
+const MAX_PAGE_SHARE_WITH_IMAGES = 0.97;
+/** Estimated encoded size of one machine with its images, in bytes. */
 const ESTIMATED_MACHINE_BYTES = 190;
+/** Maximum number of cached images that are stored for each machine. */
 const MAX_IMAGES = 16;
 
-/** One write of a page: the change, about its size, and the machines on the page at that moment. */
+/** One write of a page. */
 interface PageWrite {
   readonly change: StateChange;
+  /** Approximate size of the encoded page. */
   readonly bytes: number;
+  /** The machines on the page when the write began. */
   readonly machines: readonly Machine[];
 }
 
@@ -31,25 +34,25 @@
 const pageIndex = (key: string): number => Number(key.slice(MACHINE_PREFIX.length));
 
 /**
- * The machines that may ever be sent a command, as the state store holds them: pages of many machines each, so that
- * provisioning a hundred costs a few changes and a new leader reads a few records.
+ * The stored records of all machines to which commands may ever be sent. Each page holds many machines, so that
+ * provisioning a hundred machines takes only a few changes, and a new leader reads only a few records.
  */
 export class MachineRegistry {
   private readonly pages = new Map<number, RegistryPage>();
   private readonly pageOf = new Map<MachineId, RegistryPage>();
-  /** Numbers of pages that aren't understood: a later release may have written them. */
+  /** Indexes of pages that can't be decoded in full. A later release may have written them. */
   private readonly unreadablePages = new Set<number>();
   private machinesPerPage = 1;
   private valueBytes = 0;
 
-  /** `valueBytes`: the state store's limit for one value. */
+  /** `valueBytes`: the state store's size limit for one value. */
   constructor(valueBytes: number) {
     this.setValueLimit(valueBytes);
   }
 
-  // ---- what was stored
+  // ---- loading stored pages
 
-  /** Takes in a stored page. One that isn't understood in full stays as it is: it is never written over. */
+  /** Loads a stored page. A page that can't be decoded in full is never overwritten. */
   load(item: StoredEntry): DecodedMachinePage {
     const index = pageIndex(item.key);
     const page = decodePage(item.value) ?? UNREADABLE_PAGE;
@@ -58,7 +61,7 @@
     return page;
   }
 
-  /** Puts a machine that was read from a page back on it. */
+  /** Assigns a machine to the page from which its record was read. */
   restore(machine: Machine, key: string): void {
     machine.lifecycle.markRegistered();
     const page = this.pages.get(pageIndex(key));
@@ -67,12 +70,12 @@
     this.pageOf.set(machine.id, page);
   }
 
-  /** A machine of a type that is not known now: its record stays as it is. */
+  /** Preserves the record of a machine whose type is currently unknown. */
   keepUnknownMachine(key: string, record: MachineRecord): void {
-    this.pages.get(pageIndex(key))?.keptRecords.push(record);
+    this.pages.get(pageIndex(key))?.preservedRecords.push(record);
   }
 
-  /** Machines of this page are on another one too: that one holds, and this is written without them. */
+  /** Marks a page for a rewrite without the machines that are also on another page, whose records take precedence. */
   rewriteWithoutDuplicates(key: string): void {
     const page = this.pages.get(pageIndex(key));
     if (page) page.markRewriteDue();
@@ -80,14 +83,14 @@
 
   // ---- page sizes
 
-  /** Pages are kept to so much text from now on; larger ones are spread over others, machine by machine. */
+  /** Sets the size limit of a page. Machines on pages that exceed it are moved to other pages one by one. */
   setValueLimit(valueBytes: number): void {
     this.valueBytes = valueBytes;
-    this.machinesPerPage = Math.max(1, Math.floor((valueBytes * PAGE_SHARE) / ESTIMATED_MACHINE_BYTES));
+    this.machinesPerPage = Math.max(1, Math.floor((valueBytes * MAX_PAGE_SHARE) / ESTIMATED_MACHINE_BYTES));
     this.splitOversizedPages();
   }
 
-  /** Spreads pages that are larger than may be written now: earlier releases, or other limits, may have left them. */
+  /** Splits pages that exceed the current size limit. Earlier releases or other limits may have left such pages. */
   splitOversizedPages(): void {
     for (const page of [...this.pages.values()]) this.splitIfOversized(page);
   }
@@ -108,10 +111,10 @@
 
   private fits(machines: readonly Machine[]): boolean {
     if (machines.length > this.machinesPerPage) return false;
-    return JSON.stringify(encodePage(machines.map(recordOf), 0)).length <= this.valueBytes * PAGE_SHARE;
+    return JSON.stringify(encodePage(machines.map(recordOf), 0)).length <= this.valueBytes * MAX_PAGE_SHARE;
   }
 
-  /** Puts a machine on the fullest page that takes it, other than `except`; the page is written before long. */
+  /** Assigns a machine to the fullest page that has space for it, except `except`, and marks the page for a rewrite. */
   private assignPage(machine: Machine, except: RegistryPage | null): RegistryPage {
     const page = this.fullestPageFor(machine, except) ?? this.newPage();
     page.machines.add(machine);
@@ -140,12 +143,12 @@
 
   // ---- machines
 
-  /** Puts a new machine on a page, to be written soon; without effect for one that is on a page already. */
+  /** Assigns a new machine to a page, which becomes urgent. Has no effect if the machine is already on a page. */
   add(machine: Machine): void {
     if (!machine.lifecycle.isRegistered && !this.pageOf.has(machine.id)) this.assignPage(machine, null).markUrgent();
   }
 
-  /** Takes a machine that is gone off its page. */
+  /** Removes a terminated machine from the pages that list it. */
   remove(id: MachineId): void {
     const page = this.pageOf.get(id);
     if (!page) return;
@@ -157,14 +160,14 @@
     }
   }
 
-  /** Notes on which pages the images of machines have changed. */
+  /** Marks the pages on which the cached images of machines have changed. */
   collectImageChanges(): void {
     for (const page of this.pages.values()) page.collectImageChanges();
   }
 
   // ---- writing
 
-  /** Returns the pages to write, the most pressing first; without spare writes only what can't wait. */
+  /** Returns the pages to write, most urgent first. Pages with only image changes require spare writes. */
   duePages(now: MonotonicTime, hasSpareWrites: boolean): RegistryPage[] {
     const due = [...this.pages.values()].filter((page) => page.isWriteDue(now, hasSpareWrites));
     return due.sort(
@@ -172,30 +175,33 @@
     );
   }
 
-  /** Returns the pages whose version has to be read before they can be written again. */
+  /** Returns the pages whose version has to be read again before their next write. */
   pagesToReread(): RegistryPage[] {
     return [...this.pages.values()].filter((page) => page.mustBeReread);
   }
 
-  /** Begins a write of a page: returns the change that brings the state store up to date with it. */
+  /** Begins a write of a page, and returns the change that stores its current content. */
   beginWrite(page: RegistryPage, now: MonotonicTime): PageWrite {
     const machines = [...page.machines];
-    const records = [...page.keptRecords, ...machines.map(recordOf)];
+    const records = [...page.preservedRecords, ...machines.map(recordOf)];
     page.beginWrite(now);
     const value = this.encode(records);
     return { change: { put: pageKey(page.index), value: value.page }, bytes: value.bytes, machines };
   }
 
-  /** With as many of the images as fit: they are hints, and one less is no loss; a page that the store refuses would be. */
+  /**
+   * Encodes a page with as many images per machine as fit. Images are only hints and may be left out, whereas the state
+   * store would reject a page that is too large.
+   */
   private encode(records: readonly MachineRecord[]): { page: unknown; bytes: number } {
     for (let images = MAX_IMAGES; ; images = Math.floor(images / 2)) {
       const page = encodePage(records, images);
       const bytes = JSON.stringify(page).length;
-      if (images === 0 || bytes <= this.valueBytes * PAGE_SHARE_WITH_IMAGES) return { page, bytes };
+      if (images === 0 || bytes <= this.valueBytes * MAX_PAGE_SHARE_WITH_IMAGES) return { page, bytes };
     }
   }
 
-  /** A page is on record as it was with these machines: those that came from other pages may leave them. */
+  /** Records that a page with these machines is stored. Machines that moved to it are removed from their old pages. */
   onPageStored(page: RegistryPage, machines: readonly Machine[], version: Revision): void {
     page.recordWrite(version);
     for (const machine of machines) if (page.machines.has(machine)) machine.lifecycle.markRegistered();
--- a/src/core/machines/machine_type_catalog.ts
+++ b/src/core/machines/machine_type_catalog.ts
@@ -1,11 +1,14 @@
-/** Reads the machine types that the cloud offers, with the day's prices. */
+/** Reads the machine types that the cloud offers, with their current prices. */
 import type { StepContext } from '../step_context.js';
 import type { Timer } from '../timers.js';
 import type { MachineType, MachineTypeName, MonotonicTime } from '../types.js';
 
-/** After a read that failed. */
+/** Delay of the next read after a failed one. */
 const RETRY_MS = 700;
-/** Only the leader needs the day's prices: all controllers at once would take what the cloud allows from it. */
+/**
+ * Refresh intervals of the leader and of followers. Only the leader needs current prices. Frequent reads by all
+ * controllers would use up the cloud's request limit at the leader's expense.
+ */
 const LEADER_REFRESH_MS = 60_000;
 const FOLLOWER_REFRESH_MS = 300_000;
 
@@ -18,7 +21,7 @@
   private readAt: MonotonicTime;
   private readonly refreshTimer: Timer;
 
-  /** `onChange` is told of the types after each read. */
+  /** `onChange` is called with the types after each successful read. */
   constructor(
     private readonly context: StepContext,
     private readonly onChange: (types: MachineTypes) => void,
@@ -27,17 +30,17 @@
     this.refreshTimer = context.timers.create(() => this.read());
   }
 
-  /** The machine types; empty until the cloud has told them. */
+  /** The machine types by name. Empty until the first successful read. */
   get types(): MachineTypes {
     return this.knownTypes;
   }
 
-  /** Reads the day's prices for a new leader, unless they were read a short time ago. */
+  /** Reads the current prices for a new leader, unless they were read within the leader's refresh interval. */
   refresh(): void {
     if (this.context.now.monotonic - this.readAt > LEADER_REFRESH_MS) this.read();
   }
 
-  /** Reads the types now, and again after a while. */
+  /** Reads the types now, and schedules the next read. */
   read(): void {
     const priority = this.knownTypes.size === 0 ? 0 : 3;
     this.context.cloud.call({ op: 'types' }, priority, (result) => {
--- a/src/core/machines/reachability.ts
+++ b/src/core/machines/reachability.ts
@@ -1,14 +1,17 @@
-/** Judges whether what is sent to one machine arrives there. */
+/** Determines whether heartbeat responses and pushed commands reach one machine. */
 import { addMilliseconds, type MonotonicTime } from '../types.js';
 
-/** After so many responses in a row that had no effect a machine counts as unresponsive. */
+/** Number of consecutive responses without effect after which a machine counts as unresponsive. */
 const UNRESPONSIVE_AFTER_IGNORED_RESPONSES = 2;
-/** An agent shows a new token with its next heartbeat or the one after; one that goes on without it hears nothing. */
+/**
+ * Number of heartbeats with a stale fencing token that are accepted from an unconfirmed machine. An agent sends a new
+ * token with its next heartbeat or the one after that. An agent that keeps sending the old token receives no responses.
+ */
 const MAX_STALE_TOKEN_HEARTBEATS = 4;
-/** Time between the probes of a machine. */
+/** Interval between probes of a machine, in milliseconds. */
 const PROBE_INTERVAL_MS = 3000;
 
-/** Whether responses and pushed commands reach a machine, as far as its messages show. */
+/** Whether responses and pushed commands reach a machine, judged by its messages. */
 export class Reachability {
   private confirmed: boolean;
   private staleTokenHeartbeats = 0;
@@ -16,32 +19,35 @@
   private unresponsive: MonotonicTime | null = null;
   private nextProbeAt = 0 as MonotonicTime;
 
-  /** `confirmed`: false for a machine known only from what may be a late copy, until something sent reaches it. */
+  /**
+   * `confirmed`: false for a machine that this leader did not provision, since it may be known only from a delayed
+   * message or an outdated list. It is confirmed once a response or command reaches it.
+   */
   constructor(confirmed: boolean) {
     this.confirmed = confirmed;
   }
 
-  /** Whether anything sent is known to have reached the machine, or it can't be a late copy of one that is gone. */
+  /** Whether a response or command is known to have reached the machine, or this leader provisioned it. */
   get isConfirmed(): boolean {
     return this.confirmed;
   }
 
-  /** Since when it sends heartbeats but doesn't react to responses, so that it gets no work; null: it reacts. */
+  /** Since when it has sent heartbeats without reacting to responses and gets no new tasks. Null if it reacts. */
   get unresponsiveSince(): MonotonicTime | null {
     return this.unresponsive;
   }
 
-  /** Whether it sends heartbeats but doesn't react to responses. */
+  /** Whether it sends heartbeats but does not react to responses. */
   get isUnresponsive(): boolean {
     return this.unresponsive !== null;
   }
 
-  /** Whether new work may be sent there. */
+  /** Whether new tasks may be sent to the machine: it is confirmed and not unresponsive. */
   get isUsable(): boolean {
     return this.confirmed && this.unresponsive === null;
   }
 
-  /** Something sent has reached it. Returns whether it had counted as unresponsive. */
+  /** Records that a response or command has reached the machine. Returns whether it had counted as unresponsive. */
   confirm(): boolean {
     const wasUnresponsive = this.isUnresponsive;
     this.ignoredResponses = 0;
@@ -50,45 +56,45 @@
     return wasUnresponsive;
   }
 
-  /** A heartbeat showed a previous leader's token. Returns whether an unconfirmed machine has done so too often. */
+  /** Records a heartbeat with a previous leader's token. Returns whether an unconfirmed machine has sent too many. */
   recordStaleToken(): boolean {
     if (this.confirmed) return false;
     this.staleTokenHeartbeats += 1;
     return this.staleTokenHeartbeats > MAX_STALE_TOKEN_HEARTBEATS;
   }
 
-  /** One response had no effect. */
+  /** Records that a response had no effect. */
   recordIgnoredResponse(): void {
     this.ignoredResponses += 1;
   }
 
-  /** The lease expired although heartbeats were answered: none of the responses can have arrived. */
+  /** Records that the lease expired although heartbeats were answered, so no response can have arrived. */
   recordLostResponses(): void {
     this.ignoredResponses = UNRESPONSIVE_AFTER_IGNORED_RESPONSES;
   }
 
-  /** A response had its effect. */
+  /** Records that a response had an effect, which resets the count of ignored responses. */
   recordEffect(): void {
     this.ignoredResponses = 0;
   }
 
-  /** Whether enough responses were ignored to count it as unresponsive, which it doesn't yet. */
+  /** Whether enough responses were ignored to mark the machine as unresponsive, and it is not marked yet. */
   get shouldMarkUnresponsive(): boolean {
     return this.unresponsive === null && this.ignoredResponses >= UNRESPONSIVE_AFTER_IGNORED_RESPONSES;
   }
 
-  /** It counts as unresponsive from now on, and is probed after a while. */
+  /** Marks the machine as unresponsive. Its first probe is due after the probe interval. */
   markUnresponsive(now: MonotonicTime): void {
     this.unresponsive = now;
     this.nextProbeAt = addMilliseconds(now, PROBE_INTERVAL_MS);
   }
 
-  /** Whether a probe may be sent now. */
+  /** Returns whether a probe may be sent now. */
   isProbeDue(now: MonotonicTime): boolean {
     return this.nextProbeAt <= now;
   }
 
-  /** A probe goes out. */
+  /** Records that a probe is sent. */
   recordProbe(now: MonotonicTime): void {
     this.nextProbeAt = addMilliseconds(now, PROBE_INTERVAL_MS);
   }
--- a/src/core/machines/registry_page.ts
+++ b/src/core/machines/registry_page.ts
@@ -1,17 +1,17 @@
-/** One page of the machine registry: which machines are on it, and whether it has to be written or read. */
+/** One page of the machine registry. Tracks which machines are on it, and whether it has to be written or read. */
 import type { MachineRecord } from '../records.js';
 import type { MonotonicTime, Revision } from '../types.js';
 import type { Machine } from './machine.js';
 
-/** Changes of images alone are written this rarely. */
+/** Minimum interval between writes of a page on which only images have changed, in milliseconds. */
 const IMAGE_WRITE_INTERVAL_MS = 8000;
 
-/** A value of the state store that lists many machines, with what is known of how the store holds it. */
+/** A value in the state store that lists many machines, with the state of its reads and writes. */
 export class RegistryPage {
   readonly machines = new Set<Machine>();
-  /** What else is on it, kept as it is. */
-  readonly keptRecords: MachineRecord[] = [];
-  /** Machines on their way to another page: they stay on this one until that is on record. */
+  /** Records on the page whose machine type is unknown. They are written back unchanged. */
+  readonly preservedRecords: MachineRecord[] = [];
+  /** Machines that are moving to another page. They stay on this page until the other page is stored. */
   readonly departing = new Map<Machine, RegistryPage>();
 
   private knownVersion: Revision;
@@ -22,7 +22,7 @@
   private versionUnknown = false;
   private writtenAt = 0 as MonotonicTime;
 
-  /** `index`: the number in its key. `version`: that of the key, `ABSENT_VERSION` for a new page. */
+  /** `index`: the number in its key. `version`: the version of the key, or `ABSENT_VERSION` for a new page. */
   constructor(
     readonly index: number,
     version: Revision,
@@ -30,57 +30,57 @@
     this.knownVersion = version;
   }
 
-  /** The version of its key, as far as is known. */
+  /** The last known version of its key. */
   get version(): Revision {
     return this.knownVersion;
   }
 
-  /** Whether a machine on it must be on record before it may be used. */
+  /** Whether the page must be written before a machine on it may be used, or after a failed write. */
   get isUrgent(): boolean {
     return this.urgent;
   }
 
-  /** Whether a machine on it is gone, or has come from another page. */
+  /** Whether a machine was added to the page or removed from it since the last write. */
   get isRewriteDue(): boolean {
     return this.rewriteDue;
   }
 
-  /** Whether its version has to be read before it can be written again, and is not being read. */
+  /** Whether its version has to be read before the next write, and no call is in flight. */
   get mustBeReread(): boolean {
     return this.versionUnknown && !this.callInFlight;
   }
 
-  /** Whether it may and should be written now; changes of images alone only where writes are to spare. */
+  /** Returns whether the page may and should be written now. Image changes alone are written only with spare writes. */
   isWriteDue(now: MonotonicTime, hasSpareWrites: boolean): boolean {
-    // One that is being split is too large to be written until the others have left.
+    // A page that is being split is too large to be written until the departing machines have been removed.
     if (this.callInFlight || this.versionUnknown || this.departing.size > 0) return false;
     if (this.urgent || this.rewriteDue) return true;
     return this.imagesChanged && hasSpareWrites && now - this.writtenAt > IMAGE_WRITE_INTERVAL_MS;
   }
 
-  /** It has to be written before anything else can happen. */
+  /** Requires a write as soon as possible, because a machine on the page can't be used before. */
   markUrgent(): void {
     this.urgent = true;
   }
 
-  /** It has to be written before long. */
+  /** Marks the page for a write that is due but not urgent. */
   markRewriteDue(): void {
     this.rewriteDue = true;
   }
 
-  /** Notes whether the images that its machines hold have changed since it was written. */
+  /** Records whether the cached images of its machines have changed since the last write. */
   collectImageChanges(): void {
     this.imagesChanged ||= [...this.machines].some((machine) => machine.images.isDirty);
   }
 
-  /** A machine has arrived on another page, which is on record. */
+  /** Removes a machine whose new page has been stored. */
   finishDeparture(machine: Machine): void {
     this.departing.delete(machine);
     this.machines.delete(machine);
     this.rewriteDue = true;
   }
 
-  /** A write of it, as it is now, goes out. */
+  /** Begins a write of the current content. */
   beginWrite(now: MonotonicTime): void {
     this.callInFlight = true;
     this.writtenAt = now;
@@ -90,28 +90,28 @@
     for (const machine of this.machines) machine.images.markWritten();
   }
 
-  /** A read of its version goes out. */
+  /** Begins a read of its version. */
   beginRead(): void {
     this.callInFlight = true;
   }
 
-  /** The write or read was answered, or failed. */
+  /** Ends the write or read in flight, whether it succeeded or failed. */
   endCall(): void {
     this.callInFlight = false;
   }
 
-  /** It is on record at this version, or was: an older one changes nothing. */
+  /** Records a successful write at this version. A version older than the known one is ignored. */
   recordWrite(version: Revision): void {
     if (version > this.knownVersion) this.knownVersion = version;
   }
 
-  /** A write of it failed: it has to be written again, after its version was read if the outcome is unknown. */
+  /** Records a failed write, which has to be repeated. If its outcome is unknown, the version is read first. */
   recordFailedWrite(isOutcomeUnknown: boolean): void {
     this.urgent = true;
     this.versionUnknown = isOutcomeUnknown;
   }
 
-  /** Its version was read. */
+  /** Records the version that was read. */
   recordRead(version: Revision): void {
     this.knownVersion = version;
     this.versionUnknown = false;
--- a/src/core/machines/reported_tasks.ts
+++ b/src/core/machines/reported_tasks.ts
@@ -1,14 +1,14 @@
-/** Keeps what the newest status of one machine shows beside its placements: exited tasks and unexpected ones. */
+/** Holds the exited tasks and the unexpected tasks in the newest status of one machine. */
 import type { Job } from '../jobs/job.js';
 import { type StartKey, startKey, type TaskKey } from '../jobs/task_keys.js';
 import type { Attempt, JobId } from '../types.js';
 
-/** A task that a status shows as exited. */
+/** A task that a status lists as exited. */
 interface ExitedTask {
   readonly job: JobId;
   readonly index: number;
   readonly attempt: Attempt;
-  /** Whether it has a result to be put on record. */
+  /** Whether it has a result that must be stored. */
   readonly isDone: boolean;
 }
 
@@ -17,32 +17,32 @@
   readonly job: JobId;
   readonly index: number;
   readonly attempt: Attempt;
-  /** Whether it is to be stopped; otherwise it is left alone until more is known. */
+  /** Whether the task must be stopped. Otherwise no command is sent for it until more is known. */
   readonly shouldStop: boolean;
-  /** Null where the job isn't known. */
+  /** The task's job. Null if it is unknown. */
   readonly knownJob: Job | null;
 }
 
-/** Most statuses show no exits: they share one empty set. */
+/** Empty set that is shared by all statuses without exits, which are the majority. */
 const NO_EXITS: ReadonlySet<StartKey> = new Set();
 
-/** Exited and unexpected tasks of one machine, as its newest status shows them. */
+/** Exited and unexpected tasks of one machine, as listed in its newest status. */
 export class ReportedTasks {
   private exitedTasks: ExitedTask[] = [];
   private previousExits: ReadonlySet<StartKey> = NO_EXITS;
   private unexpectedTasks: ReadonlyMap<TaskKey, UnexpectedTask> = new Map();
 
-  /** Tasks that have exited and whose exits the worker has not been told to drop. */
+  /** Exited tasks in the newest status. A worker lists an exit until it is acknowledged. */
   get exited(): readonly ExitedTask[] {
     return this.exitedTasks;
   }
 
-  /** Tasks that have no placement here: their jobs aren't known, or they are somewhere else too. */
+  /** Live tasks without a placement on this machine. Their jobs are unknown, or they are also on another machine. */
   get unexpected(): ReadonlyMap<TaskKey, UnexpectedTask> {
     return this.unexpectedTasks;
   }
 
-  /** A new status is processed: its exits are added from here on, and those of the one before become the previous. */
+  /** Begins the processing of a new status. The exits of the status before it become the previous exits. */
   beginStatus(): void {
     const before = this.exitedTasks;
     const keys = before.map(({ job, index, attempt }) => startKey(job, index, attempt));
@@ -50,22 +50,22 @@
     this.exitedTasks = [];
   }
 
-  /** The status shows that a task has exited. */
+  /** Adds a task that the status lists as exited. */
   addExit(task: ExitedTask): void {
     this.exitedTasks.push(task);
   }
 
-  /** Nothing is on the machine any more. */
+  /** Clears the exits when no task is left on the machine. */
   clearExits(): void {
     this.exitedTasks = [];
   }
 
-  /** Whether the status before didn't show this exit. */
+  /** Returns whether this exit was missing from the previous status. */
   isNewExit(start: StartKey): boolean {
     return !this.previousExits.has(start);
   }
 
-  /** Replaces the unexpected tasks; their accounts are kept by the caller. */
+  /** Replaces the unexpected tasks. The caller updates their quota usage and their jobs' counts. */
   setUnexpected(tasks: ReadonlyMap<TaskKey, UnexpectedTask>): void {
     this.unexpectedTasks = tasks;
   }
--- a/src/core/machines/spot_interruption_rate.ts
+++ b/src/core/machines/spot_interruption_rate.ts
@@ -1,30 +1,31 @@
-/** Estimates how often spot machines are lost, and what that costs a task. */
-/** What was seen loses its weight with this time constant. */
+/** Estimates how often spot machines are interrupted, and the delay that this causes for a task. */
+/** Time constant with which observations lose weight. */
 const DECAY_SECONDS = 150;
-/** The cautious guess that it starts from: how many interruptions it counts as, and its rate. */
+/** Number of observed interruptions that the cautious initial estimate counts as. */
 const PRIOR_INTERRUPTIONS = 0.3;
+/** Cautious initial estimate of the interruption rate per machine. */
 const PRIOR_PER_SECOND = 1.5 / 3600;
-/** A lost task is found out, placed anew and its image pulled within about this time. */
+/** Approximate time until the loss of a task is detected, the task is placed again and its image is pulled. */
 const RESTART_SECONDS = 15;
 
-/** How often spot machines are lost, as seen over the last minutes. */
+/** Rate of interruptions of spot machines over the last minutes. */
 export class SpotInterruptionRate {
   private interruptionCount = 0;
   private machineSeconds = 0;
 
-  /** Counts that so many spot machines were there for so many seconds more. */
+  /** Records that this number of spot machines was up for this further period. */
   observe(machines: number, seconds: number): void {
-    const keep = Math.exp(-seconds / DECAY_SECONDS);
-    this.interruptionCount *= keep;
-    this.machineSeconds = this.machineSeconds * keep + machines * seconds;
+    const decayFactor = Math.exp(-seconds / DECAY_SECONDS);
+    this.interruptionCount *= decayFactor;
+    this.machineSeconds = this.machineSeconds * decayFactor + machines * seconds;
   }
 
-  /** Counts the loss of a spot machine. */
+  /** Records the interruption of a spot machine. */
   recordInterruption(): void {
     this.interruptionCount += 1;
   }
 
-  /** The estimated interruptions per machine and second. */
+  /** Estimated number of interruptions per machine and second. */
   get perSecond(): number {
     return (
       (this.interruptionCount + PRIOR_INTERRUPTIONS) / (this.machineSeconds + PRIOR_INTERRUPTIONS / PRIOR_PER_SECOND)
@@ -33,8 +34,8 @@
 }
 
 /**
- * Seconds that a start on a spot machine is expected to cost a task: the chance of a loss while it runs, times the work
- * that is then done again and the time to start anew.
+ * Returns the expected delay, in seconds, of a task that is started on a spot machine. It is the probability of an
+ * interruption during the run, multiplied by the sum of the work to be repeated and the time of a restart.
  */
 export function expectedSpotDelaySeconds(
   perSecond: number,
--- a/src/core/machines/straggler_detector.ts
+++ b/src/core/machines/straggler_detector.ts
@@ -1,29 +1,31 @@
-/** Tells a machine that is slow from jobs whose run times were estimated wrongly. */
+/** Distinguishes a slow machine from jobs whose run times were estimated wrongly. */
 import type { JobId } from '../types.js';
 
-/** What one job shows of a machine's speed. */
+/** Evidence of a machine's speed from one job. */
 export interface StragglerEvidence {
-  /** log(actual / expected), or at least so much for work that still runs. */
+  /** log(actual run time / expected run time). A lower bound of it for a task that is still running. */
   readonly logRatio: number;
-  /** How uncertain the expectation was. */
+  /** Standard deviation of the estimate's logarithm, which expresses its uncertainty. */
   readonly logStandardDeviation: number;
 }
 
+/** Maximum number of jobs whose evidence is retained. */
 const MAX_JOBS = 6;
+/** Minimum number of jobs from which a machine can be judged. */
 const MIN_JOBS = 2;
-/** The mean must be so many of its own standard errors above zero. */
+/** Number of its standard errors by which the mean log ratio must exceed zero. */
 const MIN_STANDARD_ERRORS = 3;
-/** A machine is a straggler that takes twice as long as expected, as a logarithm. */
+/** Log ratio above which a machine is a straggler. It corresponds to twice the expected run time. */
 export const STRAGGLER_LOG_RATIO = Math.log(2);
 
 /**
- * The evidence against one machine. Each job speaks once, weighed by how sure the estimates of its class are, and
- * it takes at least two jobs: one job's estimate may be wrong wherever it runs.
+ * Evidence of one machine's speed. Each job counts once, weighted by the certainty of its class's estimates. At least
+ * two jobs are required, because the estimate of a single job may be wrong on every machine.
  */
 export class StragglerDetector {
   private readonly evidenceByJob = new Map<JobId, StragglerEvidence>();
 
-  /** A task of the job has completed here; the newest of each job counts, and only the last few jobs. */
+  /** Records a completed task. Only the newest task of each job counts, and only the most recent jobs are retained. */
   record(job: JobId, evidence: StragglerEvidence): void {
     this.evidenceByJob.delete(job);
     this.evidenceByJob.set(job, evidence);
@@ -32,7 +34,7 @@
     if (!oldest.done) this.evidenceByJob.delete(oldest.value);
   }
 
-  /** Whether the machine is a straggler. `running`: what tasks that still run there show by now. */
+  /** Returns whether the machine is a straggler. `running`: evidence from tasks that are still running on it. */
   isStraggler(running: ReadonlyMap<JobId, StragglerEvidence>): boolean {
     if (this.evidenceByJob.size + running.size < MIN_JOBS) return false;
     const evidence = new Map([...this.evidenceByJob, ...running]);
--- a/src/core/machines/task_failures.ts
+++ b/src/core/machines/task_failures.ts
@@ -1,53 +1,57 @@
-/** Tells whether a machine is at fault for the tasks that fail on it. */
+/** Determines whether a machine is at fault for the tasks that fail on it. */
 import type { FailureHistory } from '../jobs/failure_history.js';
 import type { MonotonicTime } from '../types.js';
 
 /**
- * Jobs that aren't known yet to do well elsewhere count after so long: one that fails wherever it runs shows it by then, as
- * its tasks on other machines have failed too.
+ * Time since the last failure on a machine after which failures of jobs without any success count against it. By then,
+ * a job that fails on every machine has also failed on others and is known to be faulty.
  */
 const SETTLE_MS = 2500;
 const INITIAL_QUARANTINE_MS = 3000;
 const MAX_QUARANTINE_DOUBLINGS = 3;
 
 /**
- * What failed on a machine since a task last did well there. A failure speaks against the machine if the job does well
- * elsewhere or that isn't known yet, and not at all if the job fails wherever it runs.
+ * The tasks that failed on a machine since a task last completed there. A failure counts against the machine if the job
+ * succeeds elsewhere or this isn't known yet. It does not count if the job fails on every machine.
  */
 export class TaskFailures {
-  /** Failed tasks by the histories of their jobs. */
+  /** Number of failed tasks by the failure histories of their jobs. */
   private readonly taskCountByJob = new Map<FailureHistory, number>();
 
   private lastFailureAt = 0 as MonotonicTime;
 
-  /** A task of a job failed here. */
+  /** Records that a task of the job failed on the machine. */
   record(job: FailureHistory, now: MonotonicTime): void {
     this.lastFailureAt = now;
     this.taskCountByJob.set(job, (this.taskCountByJob.get(job) ?? 0) + 1);
   }
 
-  /** A task did well here: earlier failures don't count any more. */
+  /** Discards earlier failures, because a task has completed on the machine. */
   clear(): void {
     this.taskCountByJob.clear();
   }
 
-  /** Whether a task has failed since one last did well. */
+  /** Whether a task has failed since one last completed. */
   get hasFailures(): boolean {
     return this.taskCountByJob.size > 0;
   }
 
-  /** For how long, in milliseconds, the machine is quarantined after a failure: longer with each further job. */
+  /** Quarantine after a failure, in milliseconds. Each further job that has failed here doubles it, up to a limit. */
   get quarantineMs(): number {
     return INITIAL_QUARANTINE_MS * 2 ** Math.min(MAX_QUARANTINE_DOUBLINGS, this.taskCountByJob.size - 1);
   }
 
-  /** Whether jobs other than this one have failed here that aren't at fault themselves. */
+  /** Returns whether tasks of other jobs have failed here, and those jobs are not faulty themselves. */
   hasFailuresOfOtherJobs(thisJob: FailureHistory): boolean {
     for (const job of this.taskCountByJob.keys()) if (job !== thisJob && !job.isFaulty) return true;
     return false;
   }
 
-  /** Whether the failures amount to so many tasks of one job, or so many jobs, that do well elsewhere. */
+  /**
+   * Returns whether the machine is at fault. This is the case if `limit` tasks of one job that succeeds elsewhere have
+   * failed here, or if tasks of `limit` jobs have. Jobs without any success count only once the settling time has
+   * passed, and faulty jobs never count.
+   */
   isMachineAtFault(limit: number, now: MonotonicTime): boolean {
     const isSettled = now - this.lastFailureAt >= SETTLE_MS;
     let jobs = 0;
--- a/test/core/machines/machine.test.ts
+++ b/test/core/machines/machine.test.ts
@@ -4,19 +4,19 @@
 import { makeMachine } from '../../support/machine_fixtures.js';
 
 describe('Machine', () => {
-  test('gets no work while it is known only from a heartbeat or a list and has not shown that it hears the leader', () => {
+  test('is not schedulable if known only from a heartbeat or the cloud list, until a response has reached it', () => {
     const now = 1000 as MonotonicTime;
-    const reported = makeMachine('i-1', 'i-1', 'up', now, false);
-    assert.equal(reported.isSchedulable(now, 2000), false);
-    reported.reachability.confirm();
-    assert.equal(reported.isSchedulable(now, 2000), true);
-    // What we rented ourselves can't be a late copy of something gone.
-    const rented = makeMachine('i-2', '', 'booting', now, true);
-    rented.lifecycle.markUp();
-    assert.equal(rented.isSchedulable(now, 2000), true);
-    // A list is late: what it shows as booting may be gone as well.
-    const listed = makeMachine('i-3', '', 'booting', now, false);
-    listed.lifecycle.markUp();
-    assert.equal(listed.isSchedulable(now, 2000), false);
+    const reportedMachine = makeMachine('i-1', 'i-1', 'up', now, false);
+    assert.equal(reportedMachine.isSchedulable(now, 2000), false);
+    reportedMachine.reachability.confirm();
+    assert.equal(reportedMachine.isSchedulable(now, 2000), true);
+    // A machine that this leader provisioned is not known from a possibly outdated message.
+    const provisionedMachine = makeMachine('i-2', '', 'booting', now, true);
+    provisionedMachine.lifecycle.markUp();
+    assert.equal(provisionedMachine.isSchedulable(now, 2000), true);
+    // The cloud list can be outdated, so a machine listed as booting may already be terminated.
+    const listedMachine = makeMachine('i-3', '', 'booting', now, false);
+    listedMachine.lifecycle.markUp();
+    assert.equal(listedMachine.isSchedulable(now, 2000), false);
   });
 });
--- a/test/core/machines/machine_registry.test.ts
+++ b/test/core/machines/machine_registry.test.ts
@@ -7,12 +7,16 @@
 import { makeMachine } from '../../support/machine_fixtures.js';
 
 describe('MachineRegistry', () => {
-  test('never overwrites a page that it reads only in part, and needs no other page for the machines in it', () => {
+  test('never overwrites a page that it can decode only in part, and adds its machines to no other page', () => {
     const registry = new MachineRegistry(8192);
     const known = { id: 'i-1', address: 'i-1', type: 'c8', zone: 'a', spot: false, images: [], imagePullSpeed: 1 };
     const value = encodePage([known as unknown as MachineRecord], 0) as { machines: unknown[] };
-    const odd = { key: 'm/0', value: { ...value, machines: [...value.machines, { later: 1 }] }, version: revision(7) };
-    const page = registry.load(odd);
+    const partlyReadable = {
+      key: 'm/0',
+      value: { ...value, machines: [...value.machines, { later: 1 }] },
+      version: revision(7),
+    };
+    const page = registry.load(partlyReadable);
     assert.equal(page.complete, false);
     assert.deepEqual(
       page.machines.map(({ id }) => id),
--- a/test/core/machines/straggler_detector.test.ts
+++ b/test/core/machines/straggler_detector.test.ts
@@ -4,22 +4,22 @@
 import type { JobId } from '../../../src/core/types.js';
 
 describe('StragglerDetector', () => {
-  test('takes several jobs, weighed by their uncertainty, to tell a straggler from a wrong estimate', () => {
+  test('requires several jobs, weighted by their uncertainty, to distinguish a straggler from a wrong estimate', () => {
     const job = (n: number): JobId => `job-${n}` as JobId;
-    const none = new Map<JobId, StragglerEvidence>();
-    const sure = new StragglerDetector();
-    sure.record(job(1), { logRatio: Math.log(4), logStandardDeviation: 0.2 });
-    assert.ok(!sure.isStraggler(none));
-    sure.record(job(2), { logRatio: Math.log(4), logStandardDeviation: 0.2 });
-    assert.ok(sure.isStraggler(none));
-    const unsure = new StragglerDetector();
-    for (let i = 0; i < 2; i++) unsure.record(job(i), { logRatio: Math.log(4), logStandardDeviation: 0.8 });
-    assert.ok(!unsure.isStraggler(none));
-    for (let i = 0; i < 6; i++) unsure.record(job(i), { logRatio: Math.log(4), logStandardDeviation: 0.8 });
-    assert.ok(unsure.isStraggler(none));
-    const usual = new StragglerDetector();
+    const noRunningTasks = new Map<JobId, StragglerEvidence>();
+    const certain = new StragglerDetector();
+    certain.record(job(1), { logRatio: Math.log(4), logStandardDeviation: 0.2 });
+    assert.ok(!certain.isStraggler(noRunningTasks));
+    certain.record(job(2), { logRatio: Math.log(4), logStandardDeviation: 0.2 });
+    assert.ok(certain.isStraggler(noRunningTasks));
+    const uncertain = new StragglerDetector();
+    for (let i = 0; i < 2; i++) uncertain.record(job(i), { logRatio: Math.log(4), logStandardDeviation: 0.8 });
+    assert.ok(!uncertain.isStraggler(noRunningTasks));
+    for (let i = 0; i < 6; i++) uncertain.record(job(i), { logRatio: Math.log(4), logStandardDeviation: 0.8 });
+    assert.ok(uncertain.isStraggler(noRunningTasks));
+    const ordinary = new StragglerDetector();
     for (let i = 0; i < 50; i++)
-      usual.record(job(i), { logRatio: i % 2 === 0 ? 0.3 : -0.3, logStandardDeviation: 0.2 });
-    assert.ok(!usual.isStraggler(new Map([[job(99), { logRatio: Math.log(3), logStandardDeviation: 0.5 }]])));
+      ordinary.record(job(i), { logRatio: i % 2 === 0 ? 0.3 : -0.3, logStandardDeviation: 0.2 });
+    assert.ok(!ordinary.isStraggler(new Map([[job(99), { logRatio: Math.log(3), logStandardDeviation: 0.5 }]])));
   });
 });
--- a/test/support/machine_fixtures.ts
+++ b/test/support/machine_fixtures.ts
@@ -1,14 +1,13 @@
+/** Builds machine types and machines for unit tests. */
 import { Machine } from '../../src/core/machines/machine.js';
 import type { MachineId, MachineType, MachineTypeName, MonotonicTime, ZoneName } from '../../src/core/types.js';
 
-/* Machine types and machines as unit tests need them. */
-
-/** The zone of all machines of these. */
+/** Zone of all machines and machine types that are built here. */
 export const zoneA = 'a' as ZoneName;
-/** A second zone, in which no machine type of these is offered. */
+/** A second zone, in which no machine type that is built here is offered. */
 export const zoneB = 'b' as ZoneName;
 
-/** A machine type in zone a, by its name, cores and GPUs. */
+/** Returns a machine type of zone a with the given name, cores and GPUs. */
 export const makeMachineType = (name: string, cpus: number, gpus: number): MachineType => ({
   name: name as MachineTypeName,
   cpus,
@@ -22,7 +21,7 @@
   zones: ['a' as ZoneName],
 });
 
-/** A machine with four GPUs in zone a. */
+/** Returns a reconciled on-demand machine with four GPUs in zone a. */
 export const makeMachine = (
   id: string,
   address: string,
