--- a/src/core/health/graceful_evictions.ts
+++ b/src/core/health/graceful_evictions.ts
@@ -1,16 +1,20 @@
-/** Moves work off machines that are about to go: drained ones, and those that the cloud takes. */
+/** Moves work off machines that are about to be terminated, because they are drained or the cloud reclaims them. */
 import { moveReplica } from '../scheduler/replica_move.js';
 import type { Cluster } from '../state/cluster.js';
 import type { Placement } from '../state/placement.js';
 import type { MonotonicTime } from '../types.js';
 
-/** Work on a draining machine without a notice may take so long to end; work not yet begun is reckoned so much longer. */
+/** Time for tasks to finish on a draining machine without an interruption notice, in seconds. */
 const DRAIN_SECONDS = 20;
+/** Time added to the expected run time of a task that has not begun to run, in seconds. */
 const TASK_START_SECONDS = 5;
-/** Work is left to end where it should be over after this share of the time left. */
+/** A task is left to finish if its expected remaining run time is less than this share of the available time. */
 const FINISH_IN_TIME_SHARE = 0.6;
 
-/** Saves work on leaving machines where that helps; what would end in time is left alone. */
+/**
+ * Moves work off machines that are about to be terminated, with a checkpoint if the job saves any. Tasks that should
+ * finish in time keep running.
+ */
 export function evictFromLeavingMachines(cluster: Cluster, now: MonotonicTime): void {
   for (const machine of cluster.machines.values()) {
     if (!machine.cordon.isLeaving) continue;
@@ -30,9 +34,9 @@
   const { job, machine, phase, runningSince } = placement;
   const { drainReason, interruptionAt } = machine.cordon;
   if (phase !== 'running' || drainReason === 'straggler') return false;
-  const leftSeconds = interruptionAt === null ? DRAIN_SECONDS : (interruptionAt - now) / 1000;
+  const availableSeconds = interruptionAt === null ? DRAIN_SECONDS : (interruptionAt - now) / 1000;
   const expectedSeconds = runtimeEstimator.expectedSeconds(job.spec);
   const remainingSeconds =
     runningSince === null ? expectedSeconds + TASK_START_SECONDS : expectedSeconds - (now - runningSince) / 1000;
-  return remainingSeconds < leftSeconds * FINISH_IN_TIME_SHARE;
+  return remainingSeconds < availableSeconds * FINISH_IN_TIME_SHARE;
 }
--- a/src/core/health/health_checks.ts
+++ b/src/core/health/health_checks.ts
@@ -1,4 +1,7 @@
-/** Looks after machines once a second: heartbeats that are missing, machines at fault, and work on machines about to go. */
+/**
+ * Checks machines once per second for missing heartbeats and faults, and evicts work from machines that are about to be
+ * terminated.
+ */
 import { workerLeaseExpiryMs } from '../lease_bounds.js';
 import type { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
@@ -6,10 +9,13 @@
 import { evictFromLeavingMachines } from './graceful_evictions.js';
 import { StragglerChecks } from './straggler_checks.js';
 
-/** So many machines must have sent heartbeats before what they don't hear says anything of this controller. */
+/**
+ * Minimum number of machines that have sent heartbeats before unresponsive machines can show that this controller is
+ * isolated.
+ */
 const MIN_MACHINES_FOR_ISOLATION_CHECK = 3;
 
-/** The checks that a leader runs once a second, and what follows from them. */
+/** The health checks that a leader runs once per second, and the actions that they trigger. */
 export class HealthChecks {
   private readonly stragglerChecks: StragglerChecks;
 
@@ -33,7 +39,10 @@
     evictFromLeavingMachines(this.cluster, now);
   }
 
-  /** Releases what is only planned on machines that are not heard, and everything on those whose lease has expired. */
+  /**
+   * Releases planned placements on machines with overdue heartbeats, and all placements on machines with expired
+   * leases.
+   */
   private checkHeartbeats(now: MonotonicTime): void {
     const { settings } = this.cluster.context;
     const leaseExpiryMs = workerLeaseExpiryMs(settings);
@@ -47,8 +56,9 @@
   }
 
   /**
-   * A previous leader may have started only a part of a gang. Once all machines that may hold the rest are reconciled, the rest
-   * is certain not to be anywhere, and the part that runs would wait in vain (gang-half-placed.txt).
+   * Breaks gangs of which a previous leader started only a part. Once all machines that may hold the other tasks are
+   * reconciled, those tasks are certain not to be on any machine, and the started tasks would wait for them until the
+   * gang barrier times out (scenario gang-half-placed.txt).
    */
   private breakIncompleteGangs(): void {
     const { previousTerms } = this.cluster;
@@ -61,7 +71,9 @@
     }
   }
 
-  /** A job that has failed is cleared by a task that runs for much longer than it took the others to fail. */
+  /**
+   * Records a success for a job with failures once one of its tasks has run much longer than the others took to fail.
+   */
   private recordHealthyTasks(now: MonotonicTime): void {
     for (const job of this.cluster.jobs.active) {
       const { failureHistory } = job;
@@ -73,7 +85,7 @@
     }
   }
 
-  /** Counts machines that did not come up in time, each once: others of their type and zone may be late too. */
+  /** Counts each machine with an overdue boot once, because other machines of its type and zone may be late too. */
   private recordOverdueBoots(now: MonotonicTime): void {
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase !== 'booting' || !this.cluster.machines.isBootOverdue(machine)) continue;
@@ -82,7 +94,7 @@
     }
   }
 
-  /** Drains machines that fail what runs elsewhere. */
+  /** Drains machines with too many failures of jobs that run elsewhere or are not known to be faulty. */
   private drainFaultyMachines(): void {
     const { context, machines } = this.cluster;
     for (const machine of machines.values()) {
@@ -94,8 +106,9 @@
   }
 
   /**
-   * Nobody has answered it for longer than its lease, not even a previous leader: whatever it held is gone. It comes back
-   * with a new agent epoch, and nothing of the old one counts.
+   * Handles the expiry of a worker's lease. No leader, including previous ones, has responded to the worker for longer
+   * than its lease, so all its tasks have ended. The worker returns with a new agent epoch, and messages of the old
+   * epoch are ignored.
    */
   private onLeaseExpired(machine: Machine): void {
     this.cluster.context.log('agent lease expired', {
@@ -110,15 +123,18 @@
     this.scheduleRoundSoon();
   }
 
-  /** Whether most machines hear nothing of what is sent: then it is this controller that is cut off, and another should lead. */
+  /**
+   * Returns whether most machines that send heartbeats are unresponsive. In that case this controller itself is
+   * partitioned, and another one should lead.
+   */
   isLeaderIsolated(): boolean {
-    let heard = 0;
+    let machinesWithHeartbeats = 0;
     let unresponsive = 0;
     for (const machine of this.cluster.machines.values()) {
       if (machine.phase !== 'up' || machine.messages.firstHeartbeatAt === null) continue;
-      heard += 1;
+      machinesWithHeartbeats += 1;
       if (machine.reachability.isUnresponsive) unresponsive += 1;
     }
-    return heard >= MIN_MACHINES_FOR_ISOLATION_CHECK && unresponsive * 2 > heard;
+    return machinesWithHeartbeats >= MIN_MACHINES_FOR_ISOLATION_CHECK && unresponsive * 2 > machinesWithHeartbeats;
   }
 }
--- a/src/core/health/straggler_checks.ts
+++ b/src/core/health/straggler_checks.ts
@@ -1,23 +1,30 @@
-/** Finds machines that take several times as long as expected for everything, and drains one at a time. */
+/** Detects machines that take several times as long as expected for all tasks, and drains one at a time. */
 import type { Machine } from '../machines/machine.js';
 import { STRAGGLER_LOG_RATIO, type StragglerEvidence } from '../machines/straggler_detector.js';
 import type { Cluster } from '../state/cluster.js';
 import type { Placement } from '../state/placement.js';
 import { addMilliseconds, type JobId, type MonotonicTime } from '../types.js';
 
-/** One suspicion at a time: if everything seems slow, it isn't the machines. Of more machines, more may be replaced. */
+/**
+ * Minimum time between drains of stragglers in a small cluster, in milliseconds. Drains are spaced because the machines
+ * are not at fault if all of them seem slow.
+ */
 const STRAGGLER_DRAIN_INTERVAL_MS = 30_000;
+/** Number of machines for which one straggler may be drained per interval, so that larger clusters may replace more. */
 const MACHINES_PER_STRAGGLER_DRAIN = 30;
 
 const NO_EVIDENCE: ReadonlyMap<JobId, StragglerEvidence> = new Map();
 
-/** Judges machines by tasks that have completed there and by those that already run longer than expected. */
+/**
+ * Detects stragglers by tasks that completed on a machine and by running tasks that already exceed their expected run
+ * time.
+ */
 export class StragglerChecks {
   private nextDrainAt = 0 as MonotonicTime;
 
   constructor(private readonly cluster: Cluster) {}
 
-  /** Drains the first straggler found, unless one was drained a short time ago. Returns whether it did. */
+  /** Drains the first straggler found, unless one was drained recently. Returns whether a machine was drained. */
   drainOneStraggler(now: MonotonicTime): boolean {
     if (now < this.nextDrainAt) return false;
     const straggler = this.findStraggler(now);
@@ -37,7 +44,10 @@
     return null;
   }
 
-  /** What tasks show that still run on a machine and have already taken longer than expected; each job speaks once. */
+  /**
+   * Returns the evidence from tasks running on a machine that already exceed their expected run time, at most one per
+   * job.
+   */
   private overrunEvidence(machine: Machine, now: MonotonicTime): ReadonlyMap<JobId, StragglerEvidence> {
     let evidence: Map<JobId, StragglerEvidence> | null = null;
     for (const placement of this.cluster.placements.onMachine(machine).values()) {
@@ -52,7 +62,10 @@
     return evidence ?? NO_EVIDENCE;
   }
 
-  /** log(time run / time expected) of a task that has run too long already; 0 where it says nothing of its machine. */
+  /**
+   * Returns log(run time / expected run time) of a running task that exceeds its expected run time, or 0 if the task
+   * shows nothing about its machine.
+   */
   private overrunLogRatio({ job, phase, runningSince }: Placement, now: MonotonicTime): number {
     if (phase !== 'running' || runningSince === null) return 0;
     // A service runs for as long as its user wants, and a gang is as slow as its slowest machine.
--- a/src/core/workers/command_delivery.ts
+++ b/src/core/workers/command_delivery.ts
@@ -1,4 +1,4 @@
-/** Pushes commands to workers, and takes in the status in their responses. */
+/** Pushes commands to workers, and passes the statuses in their responses on for reconciliation. */
 import type { StartKey } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
 import type { CommandPushResult } from '../messages.js';
@@ -7,30 +7,33 @@
 import type { AgentEpoch, Command, FencingToken } from '../types.js';
 import type { Reconciler } from './reconciler.js';
 
-/** When many machines fall silent together, pushes to them must not take all sockets, nor keep the others from theirs. */
+/**
+ * Maximum number of pushes in flight. When many machines become unreachable at once, pushes to them must not use up all
+ * sockets and block pushes to the other machines.
+ */
 const MAX_PUSHES_IN_FLIGHT = 64;
 
 /** Commands for one agent epoch of a machine's worker. */
 interface Delivery {
   readonly machine: Machine;
   readonly agentEpoch: AgentEpoch;
-  /** None at all still raises the worker's fencing token, and its response is a status of the machine. */
+  /** An empty list still raises the worker's fencing token, and the response still contains a status of the machine. */
   readonly commands: readonly Command[];
-  /** The starts among them: they may still arrive for as long as there is no response. */
+  /** The starts among the commands. Until a response arrives, they may still reach the worker. */
   readonly starts: readonly StartKey[];
 }
 
-/** What came of a delivery. */
+/** The result of a delivery. */
 type DeliveryOutcome =
   | { readonly kind: 'executed' }
-  /** Not executed: the worker has another agent epoch, or has seen a higher fencing token. */
+  /** Not executed, because the worker has another agent epoch or has seen a higher fencing token. */
   | { readonly kind: 'refused'; readonly agentEpoch: AgentEpoch }
-  /** No response came: the commands may have been executed, or still be. */
+  /** No response arrived. The commands may have been executed, or may still be. */
   | { readonly kind: 'unanswered' }
-  /** Nothing follows from the response: another machine sent it, the machine is gone, or this term is over. */
+  /** The status in the response is ignored: another machine sent it, the machine was removed, or this term is over. */
   | { readonly kind: 'obsolete' };
 
-/** Delivers commands, and has the status in each response reconciled. */
+/** Delivers commands to workers, and passes the status in each response to the reconciler. */
 export class CommandDelivery {
   private readonly context: StepContext;
   private stopped = false;
@@ -43,17 +46,17 @@
     this.context = cluster.context;
   }
 
-  /** The term is over: responses have no effect any more. */
+  /** Ends the term. Statuses in later responses are ignored. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Whether no more may be pushed to any machine before a response comes. */
+  /** Whether the limit of pushes in flight is reached, so that no more may be pushed to any machine for now. */
   get isSaturated(): boolean {
     return this.context.commandPushes.openCount >= MAX_PUSHES_IN_FLIGHT;
   }
 
-  /** Pushes the commands at once; `onOutcome` is called after the status in the response was reconciled. */
+  /** Pushes the commands at once. Calls `onOutcome` after the status in the response, if any, was reconciled. */
   deliver(delivery: Delivery, onOutcome: (outcome: DeliveryOutcome) => void): void {
     const { machine, agentEpoch, commands, starts } = delivery;
     machine.commandChannel.begin(starts);
@@ -68,8 +71,8 @@
     if (!result.ok) return { kind: 'unanswered' };
     machine.commandChannel.confirmStarts(starts);
     const { executed, heartbeat } = result.value;
-    const isOfMachine = heartbeat.machine === machine.id && this.cluster.machines.isCurrent(machine);
-    if (this.stopped || !isOfMachine) return { kind: 'obsolete' };
+    const isFromCurrentMachine = heartbeat.machine === machine.id && this.cluster.machines.isCurrent(machine);
+    if (this.stopped || !isFromCurrentMachine) return { kind: 'obsolete' };
     this.reconciler.reconcile(machine, heartbeat, 'commandResponse');
     if (!executed) return { kind: 'refused', agentEpoch: heartbeat.agentEpoch };
     this.reconciler.onReachable(machine);
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -1,7 +1,7 @@
 /**
- * Pushes stops to workers at once, and the starts of replicas; all other starts only ever go out in responses to heartbeats. A
- * pushed command can arrive late: a start sent this way counts as possibly there until there is a response, the agent epoch
- * ends or the machine is gone.
+ * Pushes stops and the starts of replicas to workers without waiting for heartbeats. All other starts are sent only in
+ * heartbeat responses. A pushed command can arrive late. A task whose start was pushed therefore counts as possibly on
+ * the machine until a response arrives, the agent epoch ends or the machine is removed.
  */
 
 import { startKeyOf } from '../jobs/task_keys.js';
@@ -14,22 +14,22 @@
 import { recordStartSent, stopCommands } from './commands.js';
 import { mayStart } from './start_checks.js';
 
-/** Commands that could not be pushed, or had no effect, are tried again after so long. */
+/** Delay before commands that could not be pushed, or had no effect, are retried, in milliseconds. */
 const RETRY_INTERVAL_MS = 1000;
-/** A machine from which no response came is left alone for so long. */
+/** Delay before the next push to a machine that did not respond, in milliseconds. */
 const UNANSWERED_BACKOFF_MS = 5000;
 
-/** What pushed commands depend on at the leader. */
+/** The leader's state that pushed commands depend on. */
 export interface CommandLeader {
-  /** Whether no other controller can be the leader at this moment. */
+  /** Returns whether no other controller can be the leader at this moment. */
   isLeaseValid(): boolean;
-  /** Whether the view of jobs is recent enough to renew workers' leases on. */
+  /** Returns whether the view of jobs is recent enough to renew workers' leases. */
   hasRecentJobView(): boolean;
-  /** Whether the view of jobs is recent enough to start tasks on. */
+  /** Returns whether the view of jobs is recent enough to start tasks. */
   mayStartTasks(): boolean;
 }
 
-/** Pushes the commands that machines are due. */
+/** Pushes pending stops and replica starts to workers. */
 export class CommandPusher {
   private readonly context: StepContext;
 
@@ -42,21 +42,21 @@
     cluster.timers.commandPush.handle(() => this.pushDueCommands());
   }
 
-  /** Pushes what is due, and sets the timer to look again as long as something is left. */
+  /** Pushes due commands, and sets the retry timer if there were any. */
   pushDueCommands(): void {
     if (!this.leader.isLeaseValid()) return;
-    let isAnyLeft = false;
+    let hasPendingCommands = false;
     for (const machine of this.cluster.pendingCommands.machines()) {
       const stops = this.dueStops(machine);
       const replicas = this.plannedReplicas(machine);
       if (stops.length === 0 && replicas.length === 0) continue;
-      isAnyLeft = true;
+      hasPendingCommands = true;
       const { agentEpoch } = machine.messages;
       if (agentEpoch === null || !this.mayPushTo(machine)) continue;
       if (this.delivery.isSaturated) break;
       this.push(machine, agentEpoch, stops, replicas);
     }
-    if (isAnyLeft) this.cluster.timers.commandPush.set(this.context.after(RETRY_INTERVAL_MS));
+    if (hasPendingCommands) this.cluster.timers.commandPush.set(this.context.after(RETRY_INTERVAL_MS));
   }
 
   private mayPushTo(machine: Machine): boolean {
@@ -64,7 +64,7 @@
     return machine.commandChannel.isReady(this.context.now.monotonic);
   }
 
-  /** Returns the stops that the machine has yet to carry out. Without any it is not looked at again. */
+  /** Returns the stops that the worker has yet to execute. A machine without any is not checked for stops again. */
   private dueStops(machine: Machine): Command[] {
     const { pendingCommands } = this.cluster;
     if (!pendingCommands.hasStops(machine)) return [];
@@ -73,7 +73,9 @@
     return stops;
   }
 
-  /** Returns the replicas placed there that are yet to be started. Without any the machine is not looked at again. */
+  /**
+   * Returns the machine's replicas that have yet to be started. A machine without any is not checked for starts again.
+   */
   private plannedReplicas(machine: Machine): Placement[] {
     const { pendingCommands } = this.cluster;
     if (!pendingCommands.hasStarts(machine)) return [];
@@ -101,6 +103,9 @@
   }
 }
 
-/** A task that is checkpointing carries out its stop already, unless it is to end without. */
+/**
+ * Returns whether a stop has to be pushed. A checkpointing task is already executing its stop, unless the stop now
+ * allows no time for a checkpoint.
+ */
 const isStopDue = ({ phase, pendingStop }: Placement): boolean =>
   phase !== 'checkpointing' || pendingStop?.gracePeriodSeconds === 0;
--- a/src/core/workers/commands.ts
+++ b/src/core/workers/commands.ts
@@ -1,4 +1,4 @@
-/** Puts together the commands that tell a worker what to acknowledge, stop and start. */
+/** Builds the commands that tell a worker which exits to drop and which tasks to stop and start. */
 
 import { startKey } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
@@ -8,12 +8,13 @@
 import { mayAcknowledgeUnknownJob } from './recovered_tasks.js';
 import { isGangStartDue, mayStart } from './start_checks.js';
 
-/** A response has 64 KiB at most. */
+/** Number of commands up to which starts are added to a response, which is limited to 64 KiB. */
 const MAX_COMMANDS_PER_RESPONSE = 400;
 
 /**
- * Returns what to tell a worker in the response to its heartbeat: exits to acknowledge first, then stops, then starts, which
- * count as sent from now on. `startsInResponseTo` is the sequence number of that heartbeat; null: no start goes out.
+ * Returns the commands for a heartbeat response: first acknowledged exits, then stops, then starts. The starts are
+ * recorded as sent. `startsInResponseTo` is the sequence number of the heartbeat, or null if the response may not carry
+ * starts.
  */
 export function responseCommands(
   cluster: Cluster,
@@ -25,15 +26,18 @@
   let starts = MAX_COMMANDS_PER_RESPONSE - commands.length;
   for (const placement of cluster.placements.onMachine(machine).values()) {
     if (starts <= 0) break;
-    if (!isToStart(placement)) continue;
+    if (!needsStart(placement)) continue;
     starts -= 1;
     if (mayStartNow(cluster, placement)) commands.push(recordStartSent(cluster, placement, startsInResponseTo));
   }
   return commands;
 }
 
-/** One that was sent is sent again until a status shows it: the response may be lost, and a repeated start has no effect. */
-const isToStart = ({ phase, pendingStop }: Placement): boolean =>
+/**
+ * Returns whether a start has to be sent. A start is repeated until a status shows the task, because the response may
+ * be lost and a repeated start has no effect.
+ */
+const needsStart = ({ phase, pendingStop }: Placement): boolean =>
   pendingStop === null && (phase === 'planned' || phase === 'sent');
 
 function mayStartNow(cluster: Cluster, placement: Placement): boolean {
@@ -43,8 +47,8 @@
 }
 
 /**
- * Notes that a start goes out, and returns its command. `sentInResponseTo`: the sequence number of the heartbeat in whose
- * response it goes out; null for a pushed command.
+ * Records that a start is sent, and returns its command. `sentInResponseTo` is the sequence number of the heartbeat
+ * whose response carries the start, or null for a pushed command.
  */
 export function recordStartSent(
   cluster: Cluster,
@@ -56,11 +60,11 @@
   return { op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt };
 }
 
-/** Exited tasks whose results are on record, or that have none. */
+/** Returns the acknowledgements of exited tasks whose results are stored, or that have no result. */
 function acknowledgeCommands(cluster: Cluster, machine: Machine): Command[] {
   const commands: Command[] = [];
   for (const { job: id, index, attempt, isDone } of machine.reportedTasks.exited) {
-    // Once acknowledged, a start of the same attempt that is still on its way would run it again.
+    // A start of the same attempt may still be in transit, and would run the task again after an acknowledgement.
     if (machine.commandChannel.isUnconfirmed(startKey(id, index, attempt))) continue;
     const job = cluster.jobs.get(id);
     const mayAcknowledge = job ? !isDone || job.stored.isResultDurable(index) : mayAcknowledgeUnknownJob(cluster, id);
@@ -69,7 +73,10 @@
   return commands;
 }
 
-/** Returns the stops of all tasks that were told to stop, and for which `isDue` holds. */
+/**
+ * Returns the stops of placed tasks with a pending stop for which `isDue` holds, and of unexpected tasks that must
+ * stop.
+ */
 export function stopCommands(
   cluster: Cluster,
   machine: Machine,
--- a/src/core/workers/deferred_responses.ts
+++ b/src/core/workers/deferred_responses.ts
@@ -1,4 +1,4 @@
-/** Holds back responses to heartbeats whose commands are not known yet. */
+/** Defers heartbeat responses until their commands are known. */
 import type { Machine } from '../machines/machine.js';
 import type { TermTimers } from '../state/term_timers.js';
 import type { StepContext } from '../step_context.js';
@@ -6,39 +6,39 @@
 import type { MonotonicTime, SequenceNumber } from '../types.js';
 import { type HeartbeatResponder, UNAVAILABLE } from './heartbeat_response.js';
 
-/** A planning round that is due within its least spacing and this much more is waited for. */
+/** Responses wait for a planning round that is due within the minimum spacing of rounds plus this many milliseconds. */
 const IMMINENT_ROUND_MS = 20;
 
-/** What a response waits for. */
+/** Why a response is deferred. */
 type DeferralReason =
-  /** A planning round, or records that a start depends on. */
+  /** It waits for a planning round, or for records that a start depends on. */
   | 'startsPending'
-  /** Work for a machine that has none. */
+  /** The machine has no tasks, and the response waits for work to be placed on it. */
   | 'machineIdle';
 
-/** A response that can be sent at any time: the commands are put together only then. */
+/** A response that can be sent at any time. Its commands are built when it is sent. */
 export interface PendingResponse {
   readonly respond: HeartbeatResponder;
   readonly machine: Machine;
-  /** The sequence number of the heartbeat that is responded to. */
+  /** Sequence number of the heartbeat that the response belongs to. */
   readonly sequence: SequenceNumber;
 }
 
 interface DeferredResponse extends PendingResponse {
   readonly reason: DeferralReason;
-  /** The response is sent by then, whatever it waits for. */
+  /** Latest time for the response, regardless of what it waits for. */
   readonly deadline: MonotonicTime;
 }
 
-/** What deferred responses ask of the heartbeat handler. */
+/** Operations of the heartbeat handler that deferred responses use. */
 interface DeferralCallbacks {
-  /** Whether a start on the machine waits for a record that is still being written. */
+  /** Returns whether a start on the machine waits for a record that is still being written. */
   awaitsWrites(machine: Machine): boolean;
-  /** Puts the commands together and sends the response. */
+  /** Builds the commands and sends the response. */
   send(response: PendingResponse): void;
 }
 
-/** The responses that are held back, each until what it waits for is there or its deadline has come. */
+/** Deferred heartbeat responses. Each is sent when it no longer needs to wait or when its deadline expires. */
 export class DeferredResponses {
   private deferred: DeferredResponse[] = [];
   private readonly deadlineTimer: Timer;
@@ -51,32 +51,32 @@
     this.deadlineTimer = timers.create(() => this.release());
   }
 
-  /** Holds a response back for `maxDeferralMs` at most. */
+  /** Defers a response for at most `maxDeferralMs`. */
   defer({ respond, machine, sequence }: PendingResponse, reason: DeferralReason, maxDeferralMs: number): void {
     const deadline = this.context.after(maxDeferralMs);
     this.deferred.push({ respond, machine, sequence, reason, deadline });
     this.deadlineTimer.bringForward(deadline);
   }
 
-  /** Sends the responses that have nothing left to wait for. */
+  /** Sends the responses that no longer need to wait. */
   release(): void {
     if (this.deferred.length === 0) return;
     const isRoundImminent = this.isRoundImminent();
-    const kept: DeferredResponse[] = [];
+    const stillDeferred: DeferredResponse[] = [];
     let nextDeadline: MonotonicTime | null = null;
     for (const response of this.deferred) {
       if (!this.mustWait(response, isRoundImminent)) {
         this.callbacks.send(response);
         continue;
       }
-      kept.push(response);
+      stillDeferred.push(response);
       if (nextDeadline === null || response.deadline < nextDeadline) nextDeadline = response.deadline;
     }
-    this.deferred = kept;
+    this.deferred = stillDeferred;
     if (nextDeadline !== null) this.deadlineTimer.set(nextDeadline);
   }
 
-  /** Answers all that are held back with `UNAVAILABLE`. */
+  /** Sends `UNAVAILABLE` for all deferred responses. */
   stop(): void {
     for (const { respond } of this.deferred) respond(UNAVAILABLE);
     this.deferred = [];
@@ -91,7 +91,7 @@
     if (deadline <= this.context.now.monotonic) return false;
     switch (reason) {
       case 'machineIdle':
-        // A task was placed on the machine: from then on the response waits as for any other start.
+        // Once a task is placed on the machine, the response waits only for the records that its start depends on.
         return machine.allocations.taskCount === 0 || this.callbacks.awaitsWrites(machine);
       case 'startsPending':
         return isRoundImminent || this.callbacks.awaitsWrites(machine);
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -1,6 +1,6 @@
 /**
- * The way of one heartbeat through the leader, from top to bottom: it is admitted, recorded, put in line where too many have
- * come at once, reconciled with what is known, and responded to.
+ * Handles heartbeats at the leader. The steps are admission, recording, queueing while too many heartbeats arrive at
+ * once, reconciliation with the leader's state, and the response.
  */
 import { LeaseRenewals } from '../../recovery/index.js';
 import { Machine } from '../machines/machine.js';
@@ -8,51 +8,54 @@
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import type { FencingToken, Heartbeat } from '../types.js';
-import { type BackloggedHeartbeat, BackloggedHeartbeats, type Turn } from './backlogged_heartbeats.js';
+import { type BackloggedHeartbeat, BackloggedHeartbeats, type QueueDecision } from './backlogged_heartbeats.js';
 import { responseCommands } from './commands.js';
 import { DeferredResponses, type PendingResponse } from './deferred_responses.js';
 import { type HeartbeatResponder, leaseRenewal, UNAVAILABLE } from './heartbeat_response.js';
 import type { Reconciler } from './reconciler.js';
 
-/** A response waits at most so long for records and planning rounds. */
+/** Maximum deferral of a heartbeat response for records, a planning round or the backlog, in milliseconds. */
 const MAX_DEFERRAL_MS = 600;
-/** Workers drop a response that comes after 4 s: the heartbeat of an idle machine waits for well less. */
+/**
+ * Maximum deferral of the response to an idle machine, in milliseconds. It is well below 4 s, after which workers
+ * discard a response.
+ */
 const MAX_IDLE_DEFERRAL_MS = 2500;
-/** The same as a part of the heartbeat interval. */
+/** Maximum deferral of the response to an idle machine, as a share of the heartbeat interval. */
 const IDLE_DEFERRAL_SHARE = 0.8;
 
-/** What heartbeats' responses depend on at the leader. */
+/** The leader's state and operations that heartbeat handling depends on. */
 export interface HeartbeatLeader {
-  /** Whether no other controller can be the leader at this moment. */
+  /** Returns whether no other controller can be the leader at this moment. */
   isLeaseValid(): boolean;
-  /** Whether the view of jobs is recent enough to renew workers' leases on. */
+  /** Returns whether the view of jobs is recent enough to renew workers' leases. */
   hasRecentJobView(): boolean;
-  /** Whether the view of jobs is recent enough to start tasks on. */
+  /** Returns whether the view of jobs is recent enough to start tasks. */
   mayStartTasks(): boolean;
-  /** Whether the state of previous terms has been read. */
+  /** Returns whether the state of previous terms has been read. */
   isLoaded(): boolean;
-  /** Whether records are being written that a start may wait for. */
+  /** Returns whether records that a start may depend on are being written. */
   hasWritesInFlight(): boolean;
-  /** Puts the machine on record. */
+  /** Enqueues the machine's record to be written to the state store. */
   registerMachine(machine: Machine): void;
   /** Brings the next planning round forward. */
   schedulePlanningRoundSoon(): void;
 }
 
-/** Whether a heartbeat counts. */
+/** The decision on whether a heartbeat is processed. */
 type Admission =
-  /** It doesn't: it renews no lease and is no sign of life. */
+  /** The heartbeat renews no lease and does not count as contact with the machine. */
   | { readonly kind: 'refused' }
-  /** There is nothing to reconcile it with, but the lease is renewed. */
+  /** The lease is renewed, but there is no machine state to reconcile the heartbeat with. */
   | { readonly kind: 'renewedOnly' }
   | { readonly kind: 'admitted'; readonly machine: Machine };
 
 const REFUSED: Admission = { kind: 'refused' };
 const RENEWED_ONLY: Admission = { kind: 'renewedOnly' };
 
-/** Processes workers' heartbeats, whichever controller they reached, and responds to each exactly once. */
+/** Processes workers' heartbeats, whichever controller received them, and responds to each exactly once. */
 export class HeartbeatHandler {
-  /** When leases were last renewed before it was known which machines there are. */
+  /** Times of the last lease renewals before the stored machines had been read. */
   readonly renewalsWhileLoading = new LeaseRenewals();
   private readonly context: StepContext;
   private readonly deferredResponses: DeferredResponses;
@@ -76,13 +79,13 @@
     });
   }
 
-  /** Answers all that wait with 503: another controller leads from now on. */
+  /** Responds with 503 to all waiting heartbeats, because another controller leads from now on. */
   stop(): void {
     this.deferredResponses.stop();
     this.backlog.stop();
   }
 
-  /** Takes a heartbeat; `respond` is called now or later, within the time that workers wait. */
+  /** Handles a heartbeat. Calls `respond` now or later, within the time that workers wait for a response. */
   onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void {
     const admission = this.admit(heartbeat);
     switch (admission.kind) {
@@ -97,12 +100,12 @@
     }
   }
 
-  /** Sends the deferred responses that have nothing left to wait for. */
+  /** Sends the deferred responses that no longer need to wait. */
   releaseDeferred(): void {
     this.deferredResponses.release();
   }
 
-  // ---- admitted
+  // ---- admission
 
   private admit(heartbeat: Heartbeat): Admission {
     if (!this.mayRenewLeases() || heartbeat.fencingToken > this.fencingToken) return REFUSED;
@@ -117,20 +120,24 @@
       this.recordDuplicate(machine, heartbeat);
       return REFUSED;
     }
-    // A machine that may be long gone, and goes on to show an old token, is not answered any more.
+    // An unconfirmed machine that keeps sending an old fencing token may have been removed long ago. It gets no
+    // response.
     if (this.hasStaleToken(heartbeat) && machine.reachability.recordStaleToken()) return REFUSED;
     return { kind: 'admitted', machine };
   }
 
-  /** Whether responses may renew workers' leases. */
+  /**
+   * Returns whether responses may renew workers' leases: this controller leads and its view of jobs is recent enough.
+   */
   private mayRenewLeases(): boolean {
     return this.leader.isLeaseValid() && this.leader.hasRecentJobView();
   }
 
   /**
-   * Adds a machine that is not on record, so that nobody has ever sent it a command and it can hold no task of ours; null
-   * where its type is unknown. The heartbeat may be a late copy from a machine that is long gone: it gets no work before it
-   * has shown that this controller's responses reach it.
+   * Adds a machine without a stored record, or returns null if the machine type is unknown. No controller has ever sent
+   * a command to such a machine, so it holds no tasks and counts as reconciled. The heartbeat may be a late copy from a
+   * machine that was removed long ago. The machine therefore gets no work until it is known that this controller's
+   * responses reach it.
    */
   private addUnregisteredMachine({ machine: id, type: typeName, zone, spot, address }: Heartbeat): Machine | null {
     const type = this.cluster.machineTypes.get(typeName);
@@ -143,7 +150,10 @@
     return machine;
   }
 
-  /** Nobody waits for the response to a duplicate; it is no sign of life and renews no lease. */
+  /**
+   * Counts and logs a duplicate heartbeat. The worker does not wait for its response. The duplicate renews no lease and
+   * does not count as contact with the machine.
+   */
   private recordDuplicate(machine: Machine, { sequence }: Heartbeat): void {
     this.duplicates += 1;
     this.context.log('duplicate heartbeat', { machine: machine.id, sequence, duplicates: this.duplicates });
@@ -153,7 +163,7 @@
     return heartbeat.fencingToken < this.fencingToken;
   }
 
-  // ---- recorded
+  // ---- recording
 
   private recordAndReconcile(machine: Machine, heartbeat: Heartbeat, respond: HeartbeatResponder): void {
     this.recordIgnoredResponse(machine, heartbeat);
@@ -161,20 +171,23 @@
     if (!machine.lifecycle.isRegistered) this.leader.registerMachine(machine);
     const deadline = this.context.after(MAX_DEFERRAL_MS);
     const pending: BackloggedHeartbeat = { machine, heartbeat, respond, isFirst, deadline };
-    if (this.takeTurn(pending) === 'due') this.reconcileAndRespond(pending);
+    if (this.admitOrEnqueue(pending) === 'due') this.reconcileAndRespond(pending);
   }
 
-  /** Signs that the last responses have not arrived: an old token after one, or a lease that expired all the same. */
+  /**
+   * Records signs that the last responses did not reach the worker. It still sends an old fencing token after a
+   * response, or its lease expired although it was renewed recently.
+   */
   private recordIgnoredResponse(machine: Machine, heartbeat: Heartbeat): void {
     const { messages, reachability } = machine;
     if (messages.firstHeartbeatAt === null) return;
     const sinceRenewalMs = this.context.now.monotonic - messages.leaseRenewedAt;
-    const wasRenewedLately = sinceRenewalMs < this.context.settings.workers.leaseMs / 2;
-    if (messages.beginsNewEpoch(heartbeat) && wasRenewedLately) reachability.recordLostResponses();
+    const wasRenewedRecently = sinceRenewalMs < this.context.settings.workers.leaseMs / 2;
+    if (messages.beginsNewEpoch(heartbeat) && wasRenewedRecently) reachability.recordLostResponses();
     else if (this.hasStaleToken(heartbeat)) reachability.recordIgnoredResponse();
   }
 
-  /** Returns whether it is the machine's first heartbeat to this leader. */
+  /** Records the heartbeat as contact with the machine. Returns whether it is the machine's first to this leader. */
   private recordContact(machine: Machine, heartbeat: Heartbeat): boolean {
     const { monotonic } = this.context.now;
     const isFirst = machine.messages.recordHeartbeat(monotonic);
@@ -201,15 +214,18 @@
     });
   }
 
-  // ---- put in line
+  // ---- queueing
 
-  /** Once everything is certain of what previous terms left, no heartbeat has to wait for its turn. */
-  private takeTurn(pending: BackloggedHeartbeat): Turn {
+  /**
+   * Enqueues the heartbeat if too many have arrived at once. Heartbeats with another fencing token are not queued, and
+   * none are once recovery has established the state that previous terms left.
+   */
+  private admitOrEnqueue(pending: BackloggedHeartbeat): QueueDecision {
     const { recovery } = this.cluster.previousTerms;
     if (!recovery || recovery.isFinished || pending.heartbeat.fencingToken !== this.fencingToken) return 'due';
-    const turn = this.backlog.takeTurn(pending);
+    const decision = this.backlog.admitOrEnqueue(pending);
     recovery.recordBacklogLength(this.backlog.size);
-    return turn;
+    return decision;
   }
 
   private processBacklogged(backlogged: BackloggedHeartbeat): void {
@@ -218,7 +234,7 @@
     else backlogged.respond?.(UNAVAILABLE);
   }
 
-  // ---- reconciled
+  // ---- reconciliation
 
   private reconcileAndRespond({ machine, heartbeat, respond, isFirst }: BackloggedHeartbeat): void {
     const outcome = this.reconciler.reconcile(machine, heartbeat, 'heartbeat');
@@ -235,9 +251,9 @@
     }
   }
 
-  // ---- responded to
+  // ---- response
 
-  /** Plans at once, so that the response already carries what starts in the free capacity. */
+  /** Brings the planning round forward, so that the response already carries the starts for the free capacity. */
   private respondAfterPlanning(response: PendingResponse): void {
     this.leader.schedulePlanningRoundSoon();
     this.deferredResponses.defer(response, 'startsPending', MAX_DEFERRAL_MS);
@@ -253,12 +269,13 @@
   }
 
   /**
-   * Whether the response waits for work on purpose: what comes up meanwhile starts at once instead of with the next heartbeat.
-   * Nothing can change on an empty machine that the delay would hide, except an interruption notice.
+   * Returns whether the machine is empty and available, so that its response is deferred for new work. Tasks that are
+   * placed meanwhile start at once instead of with the next heartbeat. On an empty machine, the only change that the
+   * delay can hide is an interruption notice.
    */
   private isIdle(machine: Machine, heartbeat: Heartbeat): boolean {
-    const hasNothing = machine.isEmpty && machine.reportedTasks.exited.length === 0;
-    return hasNothing && heartbeat.fencingToken === this.fencingToken && !machine.cordon.isDraining;
+    const hasNoTasks = machine.isEmpty && machine.reportedTasks.exited.length === 0;
+    return hasNoTasks && heartbeat.fencingToken === this.fencingToken && !machine.cordon.isDraining;
   }
 
   private idleDeferralMs(): number {
@@ -271,14 +288,15 @@
 
   private responseWithCommands(machine: Machine, sequence: PendingResponse['sequence']): HeartbeatResponse {
     if (!machine.reconciled) return leaseRenewal(this.fencingToken);
-    // Starts go out in the response to the newest status alone: the next heartbeat tells whether that one was dropped.
+    // Starts are sent only in the response to the newest status. The next heartbeat shows whether that response was
+    // dropped.
     const mayStartTasks = this.leader.mayStartTasks() && machine.messages.latestSequence === sequence;
     const commands = responseCommands(this.cluster, machine, mayStartTasks ? sequence : null);
     return { status: 200, fencingToken: this.fencingToken, commands };
   }
 }
 
-/** Whether the machine or the first start of a task that it is to run is not on record yet. */
+/** Returns whether the machine, or the first start of a job with a task planned on it, has yet to be stored. */
 function awaitsDurableRecords({ placements }: Cluster, machine: Machine): boolean {
   if (!machine.lifecycle.isRegistered) return true;
   for (const { phase, job } of placements.onMachine(machine).values()) {
--- a/src/core/workers/heartbeat_rate.ts
+++ b/src/core/workers/heartbeat_rate.ts
@@ -1,17 +1,17 @@
-/** Measures how many heartbeats a second reach this controller. */
+/** Computes how many heartbeats per second reach this controller. */
 import type { MonotonicTime } from '../types.js';
 
-/** Counts over a shorter time say too little. */
+/** Minimum length of a counting window, in seconds. Counts over shorter windows are too imprecise. */
 const MIN_WINDOW_SECONDS = 0.9;
-/** The part of a new count in the smoothed rate. */
+/** Weight of a new window in the smoothed rate. */
 const SMOOTHING = 0.5;
 
-/** A rate that is smoothed over some seconds. */
+/** A heartbeat rate that is smoothed over a few seconds. */
 export class HeartbeatRate {
   private counted = 0;
   private smoothed = 0;
 
-  /** `countedSince`: when counting begins. */
+  /** `countedSince` is the start of the current counting window. */
   constructor(private countedSince: MonotonicTime) {}
 
   /** Heartbeats per second, as of the last update. */
@@ -19,12 +19,12 @@
     return this.smoothed;
   }
 
-  /** One heartbeat has come. */
+  /** Counts one received heartbeat. */
   count(): void {
     this.counted += 1;
   }
 
-  /** Takes what was counted into the rate; to be called about once a second. */
+  /** Updates the rate with the heartbeats of the current window, and begins a new one. Called about once per second. */
   update(now: MonotonicTime): void {
     const seconds = (now - this.countedSince) / 1000;
     if (seconds < MIN_WINDOW_SECONDS) return;
--- a/src/core/workers/heartbeat_router.ts
+++ b/src/core/workers/heartbeat_router.ts
@@ -1,6 +1,7 @@
 /**
- * Routes workers' heartbeats. Any controller takes them, as the leader's own sockets are too dear for all of them: they are
- * processed by the leader, which gets them itself or through another controller.
+ * Routes workers' heartbeats to the leader, which processes them. Every controller accepts heartbeats, because the
+ * leader's sockets are too expensive to serve all workers. The leader receives them from the workers or through another
+ * controller.
  */
 import type { RequestId } from '../messages.js';
 import type { HeartbeatForwarding } from '../peers/heartbeat_forwarding.js';
@@ -10,48 +11,51 @@
 import { HeartbeatRate } from './heartbeat_rate.js';
 import { type HeartbeatResponder, UNAVAILABLE } from './heartbeat_response.js';
 
-/** A leader redirects workers to other controllers down to this part of their mean rate of heartbeats. */
+/** A leader redirects workers until its heartbeat rate is about this share of the other controllers' mean rate. */
 const LEADER_HEARTBEAT_SHARE = 0.4;
-/** With fewer heartbeats than these it redirects none. */
+/** Minimum heartbeat rate at which a leader redirects workers. */
 const LEADER_MIN_HEARTBEATS_PER_SECOND = 4;
-/** One heartbeat in so many may be redirected: the rates that decide are a second old. */
+/** Only one heartbeat in this many is redirected, because the rates that the decision uses are a second old. */
 const REDIRECT_ONE_IN = 4;
-/** For so long after its election a leader prefers direct heartbeats without having got any. */
+/** Time after its election in which a leader prefers direct heartbeats although none has arrived, in milliseconds. */
 const PREFERS_DIRECT_GRACE_MS = 4000;
-/** After that it prefers them only if one came within this time. */
+/** After that time, a leader prefers direct heartbeats only if one arrived within this time, in milliseconds. */
 const DIRECT_HEARTBEAT_FRESH_MS = 1500;
-/** A worker that comes back from the leader within this time couldn't reach it, and is served through this controller. */
-const REDIRECT_AGAIN_MS = 30_000;
-/** With more redirects than these, all are forgotten at once. */
+/**
+ * Time after a redirect in which the worker is not redirected again, in milliseconds. A worker that returns within it
+ * could not reach the leader, so this controller forwards its heartbeats.
+ */
+const REDIRECT_COOLDOWN_MS = 30_000;
+/** Maximum number of remembered redirects. When it is reached, all are discarded. */
 const MAX_REMEMBERED_REDIRECTS = 5000;
-/** The part of its sockets that a leader gives to workers. */
+/** Share of a leader's sockets that workers may use. With more machines, it does not prefer direct heartbeats. */
 const WORKER_SOCKET_SHARE = 0.5;
 
-/** What this controller knows of the election. */
+/** This controller's knowledge of the leader election. */
 interface LeadershipView {
   /** When this controller last became leader, on the monotonic clock. */
   readonly electedAt: MonotonicTime;
-  /** Whether this controller holds the leader lease at this moment. */
+  /** Returns whether this controller holds the leader lease at this moment. */
   isLeaseValid(): boolean;
-  /** Whether what `leaderName` returns was confirmed lately. */
+  /** Returns whether the name that `leaderName` returns was confirmed recently. */
   isLeaderKnown(): boolean;
-  /** The leader as far as this controller knows; null where it knows none. */
+  /** Returns the leader as far as this controller knows, or null if it knows none. */
   leaderName(): ControllerName | null;
 }
 
-/** The leader, where this controller is it. */
+/** The part of the leader that receives heartbeats. It exists only on the controller that leads. */
 interface HeartbeatReceiver {
   readonly machineCount: number;
   onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void;
 }
 
-/** Where a heartbeat goes. */
+/** The decision on how a heartbeat is routed. */
 type Route =
   | { readonly kind: 'process'; readonly leader: HeartbeatReceiver }
   | { readonly kind: 'forward'; readonly leaderName: ControllerName }
   /** The worker is told to send its heartbeats to another controller. */
   | { readonly kind: 'redirect'; readonly redirectTo: ControllerName }
-  /** No leader can be reached. */
+  /** No leader is reachable. */
   | { readonly kind: 'refuse' };
 
 const REFUSE: Route = { kind: 'refuse' };
@@ -60,13 +64,13 @@
 export class HeartbeatRouter {
   private readonly rate: HeartbeatRate;
   private redirectsConsidered = 0;
-  /** When a worker was last heard, directly or through a peer; null: never. */
+  /** When the last heartbeat arrived, directly or through a peer. Null before the first. */
   private lastHeartbeatAt: MonotonicTime | null = null;
-  /** When the last heartbeat came from the worker itself. */
+  /** When the last heartbeat arrived directly from a worker. */
   private lastDirectHeartbeatAt = 0 as MonotonicTime;
   private readonly redirectedAt = new Map<MachineId, MonotonicTime>();
 
-  /** `currentLeader`: the leader, where this controller is it; null elsewhere. */
+  /** `currentLeader` returns the leader if this controller leads, and null otherwise. */
   constructor(
     private readonly context: StepContext,
     private readonly election: LeadershipView,
@@ -77,22 +81,22 @@
     this.rate = new HeartbeatRate(context.now.monotonic);
   }
 
-  /** Workers' heartbeats per second that reach this controller itself. */
+  /** Heartbeats per second that this controller receives directly from workers. */
   get heartbeatsPerSecond(): number {
     return this.rate.perSecond;
   }
 
-  /** Milliseconds since a worker was last heard; null: never. */
+  /** Milliseconds since the last heartbeat arrived, directly or through a peer. Null before the first. */
   get sinceLastHeartbeatMs(): number | null {
     return this.lastHeartbeatAt === null ? null : this.context.now.monotonic - this.lastHeartbeatAt;
   }
 
-  /** Brings `heartbeatsPerSecond` up to date; to be called about once a second. */
+  /** Updates `heartbeatsPerSecond`. Called about once per second. */
   updateRate(): void {
     this.rate.update(this.context.now.monotonic);
   }
 
-  /** Takes a heartbeat from the worker itself. */
+  /** Handles a heartbeat received directly from a worker. */
   onHeartbeat(requestId: RequestId, heartbeat: Heartbeat): void {
     this.lastHeartbeatAt = this.context.now.monotonic;
     this.lastDirectHeartbeatAt = this.context.now.monotonic;
@@ -114,7 +118,9 @@
     }
   }
 
-  /** Takes a heartbeat that a peer forwarded: only a leader processes it, as it must not go round. */
+  /**
+   * Handles a heartbeat forwarded by a peer. Only a leader processes it. It is never forwarded again, to prevent loops.
+   */
   onForwardedHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void {
     const leader = this.currentLeader();
     if (!leader) {
@@ -126,8 +132,9 @@
   }
 
   /**
-   * Whether this leader would rather get heartbeats from the workers themselves: forwarding one costs as much again as
-   * processing it. Not while none comes, so that a leader that is cut off from workers isn't named to them.
+   * Returns whether this leader prefers to receive heartbeats directly from workers, because forwarding one costs as
+   * much again as processing it. It must have enough CPU and sockets. If no direct heartbeats arrive, it returns false,
+   * so that workers are not redirected to a leader that is partitioned from them.
    */
   prefersDirectHeartbeats(): boolean {
     const { settings, tuning, now } = this.context;
@@ -153,11 +160,11 @@
     if (leaderName === null || leaderName === this.context.settings.controller) return REFUSE;
     const peer = this.peers.get(leaderName);
     if (peer && this.mayForwardTo(peer)) {
-      const isRedirected = peer.status.prefersDirectHeartbeats && this.mayRedirect(machine);
+      const isRedirected = peer.status.prefersDirectHeartbeats && this.tryRecordRedirect(machine);
       return isRedirected ? { kind: 'redirect', redirectTo: leaderName } : { kind: 'forward', leaderName };
     }
-    // The way to the leader may be open to the worker: but only one known to lead now is named, so that no worker is
-    // kept going round.
+    // The worker may be able to reach the leader although this controller can't. It is redirected only to a controller
+    // that is known to lead now, so that workers are not redirected in circles.
     return this.election.isLeaderKnown() ? { kind: 'redirect', redirectTo: leaderName } : REFUSE;
   }
 
@@ -165,28 +172,34 @@
     return peer.status.isLeader && this.peers.isReachable(peer) && this.peers.takesHeartbeats(peer);
   }
 
-  /** Whether the worker has not been redirected lately; if so, it counts as redirected now. */
-  private mayRedirect(machine: MachineId): boolean {
+  /** Records a redirect of the worker. Returns false, and records nothing, if the worker was redirected recently. */
+  private tryRecordRedirect(machine: MachineId): boolean {
     const { monotonic } = this.context.now;
     const before = this.redirectedAt.get(machine);
-    if (before !== undefined && monotonic - before < REDIRECT_AGAIN_MS) return false;
+    if (before !== undefined && monotonic - before < REDIRECT_COOLDOWN_MS) return false;
     if (this.redirectedAt.size >= MAX_REMEMBERED_REDIRECTS) this.redirectedAt.clear();
     this.redirectedAt.set(machine, monotonic);
     return true;
   }
 
-  /** The controller to which this leader redirects a worker, to keep its core for what only it can do; null: none. */
+  /**
+   * Returns the controller to which this leader redirects a worker, or null if it processes the heartbeat itself.
+   * Redirects keep the leader's CPU core available for work that only the leader can do.
+   */
   private redirectTarget(): ControllerName | null {
     if (this.prefersDirectHeartbeats()) return null;
-    const others = this.loadOfOthers();
-    if (others === null || this.rate.perSecond < LEADER_MIN_HEARTBEATS_PER_SECOND) return null;
-    if (this.rate.perSecond < LEADER_HEARTBEAT_SHARE * others.meanRate + 1) return null;
+    const peerLoad = this.loadOfPeers();
+    if (peerLoad === null || this.rate.perSecond < LEADER_MIN_HEARTBEATS_PER_SECOND) return null;
+    if (this.rate.perSecond < LEADER_HEARTBEAT_SHARE * peerLoad.meanRate + 1) return null;
     this.redirectsConsidered += 1;
-    return this.redirectsConsidered % REDIRECT_ONE_IN === 0 ? others.leastLoaded : null;
+    return this.redirectsConsidered % REDIRECT_ONE_IN === 0 ? peerLoad.leastLoaded : null;
   }
 
-  /** The peers that workers reach and that reach the state store; null where there is none. */
-  private loadOfOthers(): { readonly leastLoaded: ControllerName; readonly meanRate: number } | null {
+  /**
+   * Returns the heartbeat load of the peers that workers reach and that reach the state store, or null if there are
+   * none.
+   */
+  private loadOfPeers(): { readonly leastLoaded: ControllerName; readonly meanRate: number } | null {
     let leastLoaded: Peer | null = null;
     let totalRate = 0;
     let count = 0;
--- a/src/core/workers/reconciler.ts
+++ b/src/core/workers/reconciler.ts
@@ -1,19 +1,19 @@
-/** Reconciles the statuses of machines with what is known, and sets off what follows from it. */
+/** Reconciles machines' statuses with the leader's state, and triggers the follow-up actions. */
 import type { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import type { FencingToken, Heartbeat } from '../types.js';
 import { reconcileStatus, type StatusOutcome, type StatusSource } from './status_reconciliation.js';
 
-/** What reconciliation sets off at the leader. */
+/** Operations of the leader that reconciliation triggers. */
 export interface ReconciliationLeader {
   /** Brings the next planning round forward. */
   schedulePlanningRoundSoon(): void;
-  /** Looks up the records of jobs that only workers know of. */
+  /** Looks up the records of jobs that are known only from workers' statuses. */
   lookUpSuspectedOrphans(): void;
 }
 
-/** Takes every status, whether it came with a heartbeat or with the response to pushed commands. */
+/** Processes every status, whether it arrived in a heartbeat or in the response to pushed commands. */
 export class Reconciler {
   private readonly context: StepContext;
 
@@ -25,7 +25,7 @@
     this.context = cluster.context;
   }
 
-  /** Applies a status of a machine, and plans soon where that is due. */
+  /** Applies a machine's status, and brings the next planning round forward if planning is due. */
   reconcile(machine: Machine, status: Heartbeat, source: StatusSource): StatusOutcome {
     const isTokenNew = machine.messages.highestFencingToken < this.fencingToken;
     if (isTokenNew && status.fencingToken === this.fencingToken) this.onReachable(machine);
@@ -37,14 +37,17 @@
     return outcome;
   }
 
-  /** Something that was sent has reached the machine: it may get work, again or for the first time. */
+  /** Handles proof that a message has reached the machine. The machine may get work, again or for the first time. */
   onReachable(machine: Machine): void {
     if (!machine.reachability.confirm()) return;
     this.context.log('machine reachable again', { machine: machine.id });
     this.leader.schedulePlanningRoundSoon();
   }
 
-  /** What is sent doesn't reach it, whatever is heard of it: no new work until a response to a command proves otherwise. */
+  /**
+   * Handles a machine that does not receive responses although its heartbeats arrive. It gets no new work until a
+   * response to a command, or its first heartbeat with this leader's fencing token, proves that messages reach it.
+   */
   private markUnresponsive(machine: Machine): void {
     machine.reachability.markUnresponsive(this.context.now.monotonic);
     this.context.log('machine unresponsive', { machine: machine.id });
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out what `src/recovery` says of reported tasks that have no placement on their machine as far as this leader knows.
- * A task that has its placement there agrees with what is known, and never gets here.
+ * Executes the decisions of `src/recovery` on reported tasks for which this leader has no placement on their machine. A
+ * task with a placement there matches the leader's state and is not handled here.
  */
 import { type Classification, classify, type OtherPlacement, type StoredJob } from '../../recovery/index.js';
 import type { Job } from '../jobs/job.js';
@@ -11,7 +11,7 @@
 import type { Placement } from '../state/placement.js';
 import type { JobId, LiveTaskStatus, TaskStatus } from '../types.js';
 
-/** Returns the placement of a live task; null where it gets none and is added to `unexpected`. */
+/** Returns the placement of a live task, or null if it gets none and is added to `unexpected`. */
 export function recoverLiveTask(
   cluster: Cluster,
   machine: Machine,
@@ -43,7 +43,7 @@
       unexpected.push(toUnexpectedTask(task, job, false));
       return null;
     case 'ignore':
-    // These are for exited tasks: a live one is left alone.
+    // These actions apply only to exited tasks. A live task keeps running.
     case 'recordResult':
     case 'requeue':
     case 'acknowledge':
@@ -53,8 +53,8 @@
 }
 
 /**
- * Without the recovery feature: returns the placement of a live task, made here; null where its job isn't known, or where
- * another machine reported the task first, which keeps it.
+ * Adds and returns the placement of a live task when the recovery feature is off. Returns null if the job is unknown,
+ * or if another machine already holds the task. The machine that reported the task first keeps it.
  */
 export function placeReportedTask(cluster: Cluster, machine: Machine, task: LiveTaskStatus): Placement | null {
   const job = cluster.jobs.get(task.job);
@@ -70,14 +70,17 @@
   return placement;
 }
 
-/** Returns what an exited task without a placement is, whoever started it. */
+/** Classifies an exited task without a placement, whichever leader started it. Requests a record lookup if needed. */
 export function recoverExitedTask(cluster: Cluster, machine: Machine, task: TaskStatus): Classification {
   const classification = classifyTask(cluster, task, null);
   if (classification.action === 'lookUpRecord') cluster.previousTerms.suspectOrphan(task.job, machine);
   return classification;
 }
 
-/** Whether the exit of a task of an unknown job may be acknowledged: only once it is certain that nobody recorded the job. */
+/**
+ * Returns whether the exit of a task of an unknown job may be acknowledged. With the recovery feature on, it must be
+ * certain that the state store has no record of the job.
+ */
 export function mayAcknowledgeUnknownJob(cluster: Cluster, job: JobId): boolean {
   const { recovery } = cluster.previousTerms;
   return recovery === null || (recovery.isOrphan(job) && !cluster.jobs.isUnreadable(job));
@@ -88,11 +91,11 @@
   return classify({ attempt: task.attempt, exitReason, job: storedJob(cluster, task), otherPlacement });
 }
 
-/** What the state store is known to hold of the job. */
+/** Returns what the state store is known to hold about the task's job. */
 function storedJob(cluster: Cluster, { job: id, index, phase }: TaskStatus): StoredJob {
   const job = cluster.jobs.get(id);
   if (job) {
-    // The tasks of a gang complete together: none that is still there is told to stop.
+    // The tasks of a gang complete together, so a live task of a gang does not count as done and is not stopped.
     const taskDone = (phase === 'exited' || !job.isGang) && job.isDone(index);
     return { kind: 'recorded', cancelled: job.state === 'cancelled', taskDone, isService: job.isService };
   }
@@ -100,7 +103,7 @@
   return { kind: cluster.previousTerms.recovery?.isOrphan(id) ? 'absent' : 'unread' };
 }
 
-/** Returns the task's placement on another machine, or null; one that was only planned is released. */
+/** Returns the task's placement on another machine, or null. A placement whose start was not sent is released. */
 function findPlacementElsewhere(cluster: Cluster, job: Job, index: number): Placement | null {
   const placement = cluster.placements.ofJob(job).get(index);
   if (!placement) return null;
@@ -119,7 +122,7 @@
   return cluster.placements.add({ job, index, machine, attempt, phase });
 }
 
-/** An older attempt on another machine loses its placement, and is stopped there. */
+/** Removes the placement of an older attempt on another machine, and marks the attempt to be stopped there. */
 function displace(cluster: Cluster, placement: Placement): void {
   const { job, index, attempt, machine } = placement;
   cluster.placements.detach(placement);
@@ -131,7 +134,10 @@
   return { job, index, attempt, shouldStop, knownJob };
 }
 
-/** Statuses repeat what doesn't change: a task is counted with the first that shows it as what it is. */
+/**
+ * Counts a task by its class, unless the previous status showed the same attempt with the same stop decision. Statuses
+ * repeat unchanged tasks, and each task is counted only once.
+ */
 function countIfNew(
   { previousTerms }: Cluster,
   machine: Machine,
@@ -143,7 +149,7 @@
   if (!isRepeated) previousTerms.recovery?.countTask(taskClass);
 }
 
-/** Says once of each status that first shows it that a task is on two machines. */
+/** Logs a task that is on two machines, unless the previous status already showed this attempt as unexpected. */
 function logDuplicateTask({ context }: Cluster, machine: Machine, task: TaskStatus, other: Placement | null): void {
   const { job, index, attempt } = task;
   if (machine.reportedTasks.unexpected.get(taskKey(job, index))?.attempt === attempt) return;
@@ -154,7 +160,7 @@
   });
 }
 
-/** Whether an exit is news; workers repeat it until it is acknowledged. */
+/** Returns whether the previous status did not show this exit. Workers repeat an exit until it is acknowledged. */
 export function isNewExit(machine: Machine, { job, index, attempt }: TaskStatus): boolean {
   return machine.reportedTasks.isNewExit(startKey(job, index, attempt));
 }
--- a/src/core/workers/start_checks.ts
+++ b/src/core/workers/start_checks.ts
@@ -1,13 +1,17 @@
-/** The last checks before the start of a task goes out. */
+/** The final checks before a task's start is sent. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { Placement } from '../state/placement.js';
 
-/** A gang's tasks are started so that they gather within this part of the time that they wait for each other. */
+/** The tasks of a gang are started so that they all have their image within this share of the gang barrier timeout. */
 const MAX_GATHER_SHARE = 0.4;
 
-/** Whether the job's first start and the machine are on record, and neither is in doubt. */
+/**
+ * Returns whether tasks of the job may be started on the machine. The job's first start and the machine must be stored,
+ * the job must be accepted here and in the state store, its gang must not be broken, and the machine must be
+ * responsive.
+ */
 export function mayStart(job: Job, machine: Machine): boolean {
   return (
     job.state === 'accepted' &&
@@ -20,8 +24,9 @@
 }
 
 /**
- * Whether a task of a gang should be started now. One that has its image long before the others would give up waiting for
- * them, the gang would be started anew, and the others would pull from the beginning (gang-far-apart-fetches.txt).
+ * Returns whether a task of a gang should be started now. A task whose image is present long before those of the others
+ * would time out waiting for them. The gang would then be started again, and the others would restart their pulls
+ * (scenario gang-far-apart-fetches.txt).
  */
 export function isGangStartDue({ context, placements }: Cluster, { job, machine }: Placement): boolean {
   const { image, imageGb } = job.spec;
--- a/src/core/workers/status_reconciliation.ts
+++ b/src/core/workers/status_reconciliation.ts
@@ -1,4 +1,4 @@
-/** Brings what is known of one machine in line with a status of it: the tasks that its agent says are there. */
+/** Reconciles the leader's state of one machine with a status, the list of tasks that its worker reports. */
 
 import { startKeyOf, type TaskKey, taskKey } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
@@ -9,14 +9,17 @@
 import { placeReportedTask, recoverLiveTask } from './recovered_tasks.js';
 import { reconcileExit } from './task_exits.js';
 
-/** How a status came. Heartbeats are sent one after the other; responses to pushed commands overtake them. */
+/**
+ * The message that carried a status. Heartbeats are sent one after the other. Responses to pushed commands can overtake
+ * them.
+ */
 export type StatusSource = 'heartbeat' | 'commandResponse';
 
-/** What came of a status. */
+/** The result of processing a status. */
 export type StatusOutcome =
-  /** It was too old, or may be: nothing was taken from it. */
+  /** The status was not applied, because it is or may be outdated. */
   | { readonly kind: 'ignored' }
-  /** `planning`: due where capacity was freed, or more became certain of the machine. */
+  /** `planning` is due if the status freed capacity, reconciled the machine or brought an interruption notice. */
   | { readonly kind: 'applied'; readonly planning: 'due' | 'notDue' };
 
 const IGNORED: StatusOutcome = { kind: 'ignored' };
@@ -26,8 +29,9 @@
 const isLive = (task: TaskStatus): task is LiveTaskStatus => task.phase !== 'exited';
 
 /**
- * Applies a status of a machine. It counts only if it carries this leader's fencing token, so that no older command can still
- * be executed, and if it is newer than any before: statuses can arrive late and in any order.
+ * Applies a machine's status unless it is outdated. Statuses can arrive late and in any order, so the status must be
+ * newer than all before it. It must also carry this leader's fencing token, which proves that no older command can
+ * still be executed. `mayBeOutdated` describes the exception.
  */
 export function reconcileStatus(
   cluster: Cluster,
@@ -46,8 +50,10 @@
 }
 
 /**
- * Whether a status without this leader's token may be older than a command of an earlier leader that is still on its way. And
- * a machine that is not on record may be long gone: a late copy of its status must not bring back tasks that ended.
+ * Returns whether a status without this leader's fencing token may be outdated. On a registered or unreconciled
+ * machine, it may be older than a command of a previous leader that is still in transit. An unregistered machine that
+ * no response is known to have reached may have been removed long ago, and a late copy of its status must not restore
+ * tasks that ended.
  */
 const mayBeOutdated = ({ lifecycle, reconciled, reachability }: Machine): boolean =>
   lifecycle.isRegistered || !reconciled || !reachability.isConfirmed;
@@ -72,7 +78,7 @@
     return this.planning === 'due' ? APPLIED_PLANNING_DUE : APPLIED;
   }
 
-  /** A new epoch: the lease expired, and with it all tasks of the epoch before. */
+  /** Handles a new agent epoch. The worker's lease expired, which ended all tasks of the previous epoch. */
   private applyAgentEpoch(): void {
     const { cluster, machine, status } = this;
     const change = machine.messages.recordStatus(status, cluster.context.now.monotonic);
@@ -94,7 +100,9 @@
     this.planning = 'due';
   }
 
-  /** The cloud will take the machine away: it gets no new work, and what is there moves. */
+  /**
+   * Handles an interruption notice. The cloud will reclaim the machine, so it gets no new work and its tasks are moved.
+   */
   private applyInterruptionNotice(): void {
     const { machine, cluster } = this;
     const { interruptionNoticeSeconds } = this.status;
@@ -119,11 +127,11 @@
       }
     }
     cluster.unexpectedTasks.replace(machine, unexpected);
-    this.reconcileAbsentTasks(live);
+    this.reconcileMissingTasks(live);
   }
 
-  /** What the status says by not showing tasks that are placed on the machine. */
-  private reconcileAbsentTasks(live: ReadonlySet<TaskKey>): void {
+  /** Handles tasks that are placed on the machine but missing from the status. */
+  private reconcileMissingTasks(live: ReadonlySet<TaskKey>): void {
     const { cluster, machine } = this;
     let startDropped = false;
     for (const [key, placement] of [...this.cluster.placements.onMachine(machine)]) {
@@ -141,9 +149,9 @@
   }
 
   /**
-   * Whether a status without the task shows that the response with its start was dropped. Only a newer heartbeat does, as
-   * responses to pushed commands overtake it. A start that was pushed and not answered may still arrive, whatever the
-   * heartbeats say (late-starts.txt).
+   * Returns whether the task's absence from the status proves that the response with its start was dropped. Only a
+   * newer heartbeat proves this, because responses to pushed commands can overtake heartbeats. A pushed start without a
+   * response may still arrive, regardless of what heartbeats show (scenario late-starts.txt).
    */
   private isStartDropped(placement: Placement): boolean {
     const { sentInResponseTo } = placement;
@@ -151,12 +159,12 @@
     return this.status.sequence > sentInResponseTo && !this.machine.commandChannel.isUnconfirmed(startKeyOf(placement));
   }
 
-  /** The start goes out again, unless the task is not to run any more. */
+  /** Makes the start due again, or releases the placement if the task should no longer run. */
   private revertStart(placement: Placement): void {
     const { job, pendingStop } = placement;
     placement.revertStart();
-    const isWanted = pendingStop === null && !job.gangBroken && job.state === 'accepted';
-    if (isWanted) return;
+    const shouldRun = pendingStop === null && !job.gangBroken && job.state === 'accepted';
+    if (shouldRun) return;
     this.cluster.placements.release(placement, 'startDropped');
     this.planning = 'due';
   }
@@ -175,16 +183,19 @@
     if (startsRunning) logRunning(cluster, placement);
   }
 
-  /** The placement of a live task, made where there is none; null where the task can't be accounted for. */
+  /**
+   * Returns the placement of a live task, adding one if needed. Returns null if the task can't be matched to a
+   * placement.
+   */
   private findOrAdoptPlacement(task: LiveTaskStatus, unexpected: UnexpectedTask[]): Placement | null {
     const { cluster, machine } = this;
     const known = cluster.placements.find(machine, task.job, task.index);
     if (known?.attempt === task.attempt) return known;
     if (known) {
-      // The known attempt may still arrive by a pushed command; it is refused while the older one is there, and the worker
-      // says so.
+      // The placed attempt may still arrive in a pushed command. The worker refuses it while the older attempt is on
+      // the machine, and says so in its response.
       if (machine.commandChannel.isUnconfirmed(startKeyOf(known))) return null;
-      // An older attempt is still there: the known one can't have been started.
+      // An older attempt is still on the machine, so the placed one can't have been started.
       cluster.placements.release(known, 'earlierAttemptFound');
     }
     if (cluster.previousTerms.recovery) return recoverLiveTask(cluster, machine, task, unexpected);
--- a/src/core/workers/status_requests.ts
+++ b/src/core/workers/status_requests.ts
@@ -1,22 +1,29 @@
-/** Asks machines for their status, where a heartbeat can't be waited for or doesn't prove enough. */
+/** Requests machines' statuses when there is no time to wait for a heartbeat or a heartbeat doesn't prove enough. */
 import type { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
 import type { AgentEpoch } from '../types.js';
 import type { CommandDelivery } from './command_delivery.js';
 
-/** So many machines are asked at a time after a failover. */
+/** Maximum number of status requests in flight after a failover. */
 const MAX_CONCURRENT_REQUESTS = 24;
-/** The first response may name another agent epoch; the second request then carries it. */
+/**
+ * Maximum number of requests per status. The first response may name another agent epoch, which the second request
+ * carries.
+ */
 const MAX_TRIES = 3;
-/** The epoch that is tried for a worker whose epoch isn't known. */
+/** Agent epoch in the first request to a worker whose epoch is unknown. */
 const FIRST_AGENT_EPOCH = 1n as AgentEpoch;
-/** Heartbeats come a quarter early or late: after so many intervals without one it is missed. */
+/**
+ * Number of heartbeat intervals without contact after which a heartbeat counts as missed. Heartbeats arrive up to a
+ * quarter of an interval early or late.
+ */
 const HEARTBEAT_MISSED_AFTER_INTERVALS = 1.4;
 
 /**
- * A request is an empty delivery of commands. It raises the worker's fencing token, so that nothing an earlier leader sent can
- * still be executed; its response is a status of the machine, and proves that the machine is reached.
+ * Requests statuses by delivering empty lists of commands. A request raises the worker's fencing token, so that
+ * commands of previous leaders can no longer be executed. The response contains a status and proves that the machine is
+ * reachable.
  */
 export class StatusRequests {
   private readonly context: StepContext;
@@ -31,13 +38,16 @@
     this.context = cluster.context;
   }
 
-  /** The term is over: nothing more is asked. */
+  /** Ends the term. No further machines are requested. */
   stop(): void {
     this.stopped = true;
     this.pending = [];
   }
 
-  /** Asks every machine that isn't reconciled, a few at a time: meanwhile the heartbeats of most do the same. */
+  /**
+   * Requests the status of every unreconciled machine, a few at a time. Most machines are reconciled by their
+   * heartbeats meanwhile.
+   */
   requestAll(): void {
     for (const machine of this.cluster.machines.values()) {
       if (!machine.reconciled && machine.address && !this.heartbeatWillSuffice(machine)) this.pending.push(machine);
@@ -45,7 +55,10 @@
     this.requestNext();
   }
 
-  /** A machine that has sent this leader a heartbeat shows its token with the next one, and needs no request. */
+  /**
+   * Returns whether the machine needs no request, because recovery is on and the machine has sent this leader a
+   * heartbeat. Its next heartbeat will carry this leader's fencing token.
+   */
   private heartbeatWillSuffice(machine: Machine): boolean {
     return this.cluster.previousTerms.recovery !== null && machine.messages.firstHeartbeatAt !== null;
   }
@@ -74,7 +87,10 @@
     });
   }
 
-  /** Asks machines that are unresponsive, that nothing is known to have reached, or that miss heartbeats with a replica. */
+  /**
+   * Requests the status of machines that are unresponsive, that no message is known to have reached, or that hold a
+   * replica and missed a heartbeat.
+   */
   probe(): void {
     const now = this.context.now.monotonic;
     for (const machine of this.cluster.machines.values()) {
@@ -88,7 +104,7 @@
 
   private needsProbe(machine: Machine): boolean {
     if (!machine.reachability.isUsable) return true;
-    // Whether the machine of a replica is gone decides when the replica runs elsewhere.
+    // A replica runs elsewhere only once it is known whether its machine has failed, so its machine is probed early.
     const missedAfterMs = HEARTBEAT_MISSED_AFTER_INTERVALS * this.context.settings.workers.heartbeatIntervalMs;
     return (
       this.context.now.monotonic - machine.messages.lastContactAt >= missedAfterMs && machine.allocations.hasReplica
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -1,4 +1,4 @@
-/** Takes in that tasks ended: results, failures of jobs and machines, restarts of replicas, and run times. */
+/** Processes task exits: results, failures of jobs and machines, restarts of replicas, and run times. */
 import type { Job } from '../jobs/job.js';
 import { taskKey } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
@@ -8,20 +8,23 @@
 import type { MonotonicTime, TaskStatus } from '../types.js';
 import { isNewExit, recoverExitedTask } from './recovered_tasks.js';
 
-/** Results that come within this time are written together. */
+/** Delay before results are written, in milliseconds. Results that arrive within it are written together. */
 const RESULT_FLUSH_DELAY_MS = 30;
-/** A replica that ran for so long has shown that its service and its machine are well. */
+/** Run time, in milliseconds, after which a replica's service and machine count as healthy. */
 const STABLE_RUN_MS = 30_000;
-/** A job waits for so long after a worker refused to start a task of it. */
+/** Delay before a job is started again after a worker refused to start one of its tasks, in milliseconds. */
 const REFUSED_START_PAUSE_MS = 1000;
 
-/** The job and machine of a task that has exited, and since when it was there. */
+/** The job and machine of an exited task, and the times when it was placed and first seen running. */
 type EndedRun = Pick<Placement, 'job' | 'machine' | 'placedAt' | 'runningSince'>;
 
-/** What an exit changed: whether the task had a placement on its machine, which is free now. */
+/** Whether the exited task had a placement on its machine, which was released. */
 type ExitOutcome = 'placementReleased' | 'noPlacement';
 
-/** Takes in an exited task of a status. Workers repeat it until it is acknowledged: what was counted is not counted again. */
+/**
+ * Processes an exited task in a status. Workers repeat an exit until it is acknowledged, and repeated exits are not
+ * counted again.
+ */
 export function reconcileExit(cluster: Cluster, machine: Machine, task: TaskStatus): ExitOutcome {
   const job = cluster.jobs.get(task.job);
   const { index, attempt } = task;
@@ -39,31 +42,36 @@
   return 'placementReleased';
 }
 
-/** A task that exited while no leader watched, or whose job is unknown. A failure counts once, as it would have then. */
+/**
+ * Processes the exit of a task that has no placement, because it exited while there was no leader or its job is
+ * unknown. A failure counts once, as it would have at the time of the exit.
+ */
 function recordMissedExit(cluster: Cluster, machine: Machine, task: TaskStatus): void {
   const { taskClass, action } = recoverExitedTask(cluster, machine, task);
   if (!isNewExit(machine, task)) return;
   cluster.previousTerms.recovery?.countTask(taskClass);
   const job = cluster.jobs.get(task.job);
   if (!job) return;
-  locateMissedExit(cluster, machine, job, task);
+  recordLocationOfMissedExit(cluster, machine, job, task);
   if (action !== 'requeue' || job.isService) return;
   const now = cluster.context.now.monotonic;
   recordFailure(cluster, { job, machine, placedAt: now, runningSince: now }, task);
 }
 
 /**
- * An earlier leader may have seen the exit of one of its attempts before, and have started the task again on a machine that has
- * not been heard since (exit-seen-by-earlier-leader.txt): only an exit of this term proves that the task is on no machine.
+ * Records what an exit without a placement proves about the task's location. A previous leader may have seen the exit
+ * of an attempt of a previous term, and have started the task again on a machine that has been unreachable since
+ * (scenario exit-seen-by-earlier-leader.txt). Only the exit of an attempt of this term proves that the task is on no
+ * machine.
  */
-function locateMissedExit(cluster: Cluster, machine: Machine, job: Job, task: TaskStatus): void {
+function recordLocationOfMissedExit(cluster: Cluster, machine: Machine, job: Job, task: TaskStatus): void {
   const { index, attempt, exitReason } = task;
   if (!cluster.isOfEarlierTerm(attempt)) job.locatedTasks.add(index);
   else if ((exitReason !== 'done' || job.isService) && job.mayStartAgain(index))
     job.locatedTasks.recordRelease(index, { machine: machine.id, attempt, reason: 'exited' });
 }
 
-/** Marks the task as done, whether or not it had a placement here. */
+/** Marks the task as done, whether or not it has a placement on the machine. */
 function recordResult(
   cluster: Cluster,
   machine: Machine,
@@ -79,15 +87,19 @@
   timers.recordFlush.setIfUnset(context.after(RESULT_FLUSH_DELAY_MS));
 }
 
-/** Learns from how long a task took, unless it ran in several parts. */
+/**
+ * Updates the run time estimates and the machine's straggler evidence with a task's run time. A job of which any task
+ * failed or was stopped is skipped, because the task may have run in several parts.
+ */
 function recordRunTime(cluster: Cluster, { job, machine, runningSince, foundRunning }: Placement): void {
   if (runningSince === null || job.retries.failureCount > 0) return;
   const { runtimeEstimator, context, previousTerms } = cluster;
-  // How long it ran before this leader found it isn't known: taken for its whole time it would make estimates too short.
+  // The run time before this leader found the task is unknown. Using the time since then would make estimates too
+  // short.
   if (foundRunning && previousTerms.recovery) return;
   const logStandardDeviation = runtimeEstimator.logStandardDeviation(job.spec);
   const logRatio = runtimeEstimator.observe(job.spec, (context.now.monotonic - runningSince) / 1000);
-  // A gang is as slow as its slowest machine: only a gang of one says which that is.
+  // A gang is as slow as its slowest machine, and only a gang of one task shows which machine that is.
   if (job.isGang && job.spec.taskCount > 1) return;
   if (logRatio > STRAGGLER_LOG_RATIO) job.schedulingHistory.recordSlowMachine(machine.id);
   if (!job.schedulingHistory.isMisestimated)
@@ -95,8 +107,9 @@
 }
 
 /**
- * A replica that ends runs again elsewhere, whatever it ended with. One that ends soon after its start does so after a pause
- * that doubles: a service that can't stay up must not take the cluster's time.
+ * Processes the exit of a replica, which is placed again regardless of its exit reason. If it exited soon after its
+ * start, it is restarted after a delay that doubles with further short runs, so that a service that can't stay up does
+ * not use up the cluster's time.
  */
 function recordReplicaExit(cluster: Cluster, placement: Placement, task: TaskStatus): void {
   if (task.exitReason === 'stopped') return;
@@ -121,7 +134,7 @@
   job.retries.recordShortRun(placedAt, context.now.monotonic);
 }
 
-/** The failure history of the job tells a faulty job from a faulty machine. */
+/** Adds a failure to the job's failure history, which distinguishes a faulty job from a faulty machine. */
 function recordJobFailure({ job, machine, placedAt, runningSince }: EndedRun, now: MonotonicTime): void {
   const { failureHistory } = job;
   failureHistory.recordFailure(machine.id, {
@@ -132,7 +145,7 @@
   });
 }
 
-/** A task ended without a result. */
+/** Processes the end of a task that has no result. */
 function recordFailure(cluster: Cluster, run: EndedRun, task: TaskStatus): void {
   const { exitReason } = task;
   if (exitReason === 'stopped' || exitReason === 'gang_member_lost') {
@@ -155,7 +168,7 @@
     case 'error':
       recordError(cluster, run);
       return;
-    // The gang is tried again at once; the others need nothing to be done.
+    // The gang is retried at once. The other cases need no action.
     case 'gang_incomplete':
     case 'done':
     case null:
@@ -163,20 +176,25 @@
   }
 }
 
-/** The task was made to end: its run time will tell nothing, but a checkpoint shows that the job does well. */
+/**
+ * Processes the end of a task that was stopped or whose gang lost a member. The job's run times are no longer used for
+ * estimates, but a saved checkpoint counts as a success of the job.
+ */
 function recordInterruption({ job, runningSince }: EndedRun, { checkpointSaved }: TaskStatus): void {
   if (runningSince !== null) job.retries.recordFailure();
   if (checkpointSaved) job.failureHistory.recordSuccess();
 }
 
-/** Either the job is at fault, or the machine may be. */
+/** Processes a task error. If the job is not at fault, the machine may be. */
 function recordError(cluster: Cluster, run: EndedRun): void {
   recordJobFailure(run, cluster.context.now.monotonic);
   if (run.job.isFaulty) pauseFaultyJob(cluster, run.job);
   else recordMachineError(cluster, run.machine, run.job);
 }
 
-/** What has not been sent yet is held back; later tries are of one task at a time (ranking.ts). */
+/**
+ * Delays the job and releases its placements without a sent start. Later retries start one task at a time (ranking.ts).
+ */
 function pauseFaultyJob(cluster: Cluster, job: Job): void {
   const { failureHistory } = job;
   job.retries.delayUntil(cluster.context.after(failureHistory.backoffMs));
@@ -184,7 +202,10 @@
     if (other.phase === 'planned') cluster.placements.release(other, 'startNotSent');
 }
 
-/** Whether the machine is at fault is judged once it is known how the job does elsewhere (health_checks.ts). */
+/**
+ * Counts the error against the machine and quarantines it. Whether the machine is at fault is decided once it is known
+ * whether the job succeeds elsewhere (health_checks.ts).
+ */
 function recordMachineError({ context }: Cluster, machine: Machine, job: Job): void {
   machine.taskFailures.record(job.failureHistory, context.now.monotonic);
   machine.cordon.quarantine(context.after(machine.taskFailures.quarantineMs));
--- a/test/core/workers/deferred_responses.test.ts
+++ b/test/core/workers/deferred_responses.test.ts
@@ -18,7 +18,10 @@
   wallClock: 0 as WallClockTime,
 });
 
-/** A deferred response of an empty machine, and how it ended: 'sent' with its commands, or by a status. */
+/**
+ * Creates a deferred response to an empty machine. `ends` collects how responses ended: 'sent' with their commands, or
+ * a status code.
+ */
 function setUp() {
   const context = new StepContext(settings, CURRENT_BUILD.tuning, clockReading(START));
   const timers = new TermTimers(context.timers);
@@ -56,7 +59,7 @@
     assert.deepEqual(ends, ['sent']);
   });
 
-  test('a response to an idle machine waits for its deadline, whatever else is due', () => {
+  test('a response to an idle machine waits until its deadline if no task is placed on the machine', () => {
     const { ends, deferred, response, advanceTo, context } = setUp();
     deferred.defer(response, 'machineIdle', MAX_DEFERRAL_MS);
     deferred.release();
@@ -68,7 +71,7 @@
     assert.deepEqual(ends, ['sent']);
   });
 
-  test('the end of the term answers 503, once', () => {
+  test('a deferred response is sent as 503 exactly once when the term ends', () => {
     const { ends, deferred, response } = setUp();
     deferred.defer(response, 'machineIdle', MAX_DEFERRAL_MS);
     deferred.stop();
--- a/test/core/workers/heartbeat_router.test.ts
+++ b/test/core/workers/heartbeat_router.test.ts
@@ -33,11 +33,11 @@
   readonly leaderName?: ControllerName | null;
   readonly isLeaderKnown?: boolean;
   readonly isLeader?: boolean;
-  /** Null: the peer was never heard. */
+  /** Null if no status of the peer was ever received. */
   readonly peerStatus?: PeerStatus | null;
 }
 
-/** A router of node-a, and what it sent. */
+/** Creates the heartbeat router of controller node-a. `send` passes it a heartbeat and returns its outputs. */
 function makeRouter({
   leaderName = PEER,
   isLeaderKnown = true,
@@ -79,20 +79,20 @@
     assert.equal(router.sinceLastHeartbeatMs, 0);
   });
 
-  test('a follower forwards to a leader that it heard of lately, and redirects where that is preferred', () => {
+  test('a follower forwards to a leader with a recent status, or redirects if the leader prefers that', () => {
     assert.deepEqual(responseOf(makeRouter({}).send()), ['peerMessage']);
     const { send } = makeRouter({ peerStatus: { ...LEADER_STATUS, prefersDirectHeartbeats: true } });
     assert.deepEqual(responseOf(send()), [{ status: 421, redirectTo: PEER }]);
   });
 
-  test('a worker that comes back from the leader within 30 s is served through the follower', () => {
+  test('the follower forwards heartbeats of a worker that returns within 30 s of a redirect', () => {
     const prefersDirect = { ...LEADER_STATUS, prefersDirectHeartbeats: true };
     const { send } = makeRouter({ peerStatus: prefersDirect });
     assert.deepEqual(responseOf(send(START)), [{ status: 421, redirectTo: PEER }]);
     assert.deepEqual(responseOf(send(START + 1000)), ['peerMessage']);
   });
 
-  test('a leader that is not heard of is named only while it is known to lead', () => {
+  test('if forwarding is impossible, workers are redirected to the leader only while it is known to lead', () => {
     const redirect = [{ status: 421, redirectTo: PEER }];
     assert.deepEqual(responseOf(makeRouter({ peerStatus: null }).send()), redirect);
     assert.deepEqual(responseOf(makeRouter({ peerStatus: null, isLeaderKnown: false }).send()), [{ status: 503 }]);
@@ -100,7 +100,7 @@
     assert.deepEqual(responseOf(makeRouter({ peerStatus: follower }).send()), redirect);
   });
 
-  test('without a leader, or with its own name in the key, a follower answers 503', () => {
+  test('a follower responds with 503 if no leader is known or if the leader key still holds its own name', () => {
     assert.deepEqual(responseOf(makeRouter({ leaderName: null }).send()), [{ status: 503 }]);
     assert.deepEqual(responseOf(makeRouter({ leaderName: settings.controller }).send()), [{ status: 503 }]);
   });
@@ -114,7 +114,7 @@
   });
 });
 
-test('the rate of heartbeats is smoothed, and counts over less than 0.9 s change nothing', () => {
+test('the heartbeat rate is smoothed, and is not updated by a window shorter than 0.9 s', () => {
   const rate = new HeartbeatRate(0 as MonotonicTime);
   for (let i = 0; i < 10; i++) rate.count();
   rate.update(500 as MonotonicTime);
