--- a/src/core/scheduler/candidate_heap.ts
+++ b/src/core/scheduler/candidate_heap.ts
@@ -1,19 +1,22 @@
-/** A heap of candidates: the one with the best offer is on top. */
+/** A heap of candidates with the best offer on top. */
 import { type Candidate, precedes } from './candidates.js';
 
-/** Binary heap in an array: an array job takes many offers one after the other, from hundreds of machines. */
+/** Binary heap in an array. It is used because an array job accepts many offers in turn, from hundreds of machines. */
 export class CandidateHeap {
-  /** Takes over and reorders the array. */
+  /** Takes ownership of the array and reorders it. */
   constructor(private readonly items: Candidate[]) {
     for (let parent = (items.length >> 1) - 1; parent >= 0; parent--) this.siftDown(parent);
   }
 
-  /** The best candidate; undefined where none is left. */
+  /** The best candidate, or undefined if the heap is empty. */
   get top(): Candidate | undefined {
     return this.items[0];
   }
 
-  /** The offer of the top one has become worse, or takes no tasks any more: then it is dropped. */
+  /**
+   * Restores the heap order after the offer of the top candidate has become worse. A candidate that no longer offers
+   * any tasks is removed.
+   */
   updateTop(): void {
     const first = this.items[0];
     if (!first) return;
--- a/src/core/scheduler/candidates.ts
+++ b/src/core/scheduler/candidates.ts
@@ -1,47 +1,62 @@
-/** Candidates: which machines may take tasks of a job, and what each of them offers it. */
+/** Finds the candidates for a job, which are the machines that may run its tasks, and compares their offers. */
 import type { MachineType } from '../types.js';
 import { elementAt, fitsNow, fitsType, lacksSpareCapacity, machineShare, slackAfter } from './capacity_timeline.js';
 import type { PlanJob, PlanMachine } from './plan_types.js';
 import type { PlacementPenalties } from './policy.js';
 
-/** Starts are preferred in steps of half a second: those that close count as one, and best fit decides. */
+/**
+ * Delays are compared in steps of half a second. Start times that differ by less usually have equal rank, and best fit
+ * then decides.
+ */
 const DELAY_RANKS_PER_SECOND = 2;
-/** A cached image keeps a machine for jobs that need so much more of it, as a share of the machine. */
+/**
+ * A cached image incurs a penalty for a job only if a task that uses the image needs a larger share of the machine, by
+ * more than this margin.
+ */
 const CACHED_IMAGE_SHARE_MARGIN = 0.01;
 
-/** Up to so many machines all are considered; of more, so many with free capacity now at least. */
+/**
+ * Up to `MAX_MACHINES_ALL_CONSIDERED` machines, all are considered. Beyond that, `MIN_MACHINES_CONSIDERED` machines
+ * with free capacity now are sufficient for a job, or one for each of its tasks if that is more.
+ */
 const MAX_MACHINES_ALL_CONSIDERED = 800;
 const MIN_MACHINES_CONSIDERED = 300;
 
-/** A machine that may take tasks of a job, and its present offer. */
+/** A machine that may run tasks of a job, with its current offer. */
 export interface Candidate {
   readonly machineIndex: number;
-  /** As the plan in progress has left it. */
+  /** The machine with the capacity that the plan in progress has reserved on it. */
   machine: PlanMachine;
   readonly imagePullSeconds: number;
-  /** By how much later a start there counts. */
+  /** Placement penalty that is added to the start time when offers are compared. */
   readonly penaltySeconds: number;
-  /** The step from which it takes `taskCount` tasks, 0 where it takes none; they start at `startSeconds`. */
+  /**
+   * The step from which `taskCount` tasks fit on the machine. They start at `startSeconds`, after the image pull.
+   * Without an offer, `taskCount` is 0.
+   */
   step: number;
   taskCount: number;
   startSeconds: number;
-  /** Start time, penalty and doubt in steps of half a second; less is better. Of equals the least slack is taken. */
+  /**
+   * Sum of start time, penalty and discount of future capacity, in steps of half a second. Lower is better. Among equal
+   * ranks, the offer with the least slack is preferred.
+   */
   delayRank: number;
-  /** What one more task would leave of its scarcest resource, as a share of the machine. */
+  /** Share of the machine's scarcest resource that would remain after one more task. */
   slack: number;
 }
 
-/** Returns the step of half a second that a delay falls into. */
+/** Returns a delay rounded to steps of half a second. */
 export const delayRankOf = (seconds: number): number => Math.round(DELAY_RANKS_PER_SECOND * seconds);
 
-/** Returns whether the first offer is better; no two are equal, so that plans repeat. */
+/** Returns whether the first offer is better. Ties are broken by machine index, so that plans are deterministic. */
 export function precedes(first: Candidate, second: Candidate): boolean {
   if (first.delayRank !== second.delayRank) return first.delayRank < second.delayRank;
   if (first.slack !== second.slack) return first.slack < second.slack;
   return first.machineIndex < second.machineIndex;
 }
 
-/** `share`: the part of the machine that one task takes. */
+/** Returns the placement penalty of a job on a machine. `share` is the part of the machine that one task needs. */
 function placementPenaltySeconds(
   job: PlanJob,
   machine: PlanMachine,
@@ -57,15 +72,20 @@
   return seconds * job.penaltyFactor + (machine.spot ? job.spotDelaySeconds : 0);
 }
 
-/** Whether the job may use the machine and what it can spare; whether it fits the type is not asked. */
+/**
+ * Returns whether the job may use the machine: it tolerates spot instances or the machine is not one, the machine is
+ * not excluded, and spare capacity is sufficient where the job is limited to it. The machine type is not checked.
+ */
 const isEligible = (job: PlanJob, machine: PlanMachine): boolean =>
   (job.toleratesSpot || !machine.spot) &&
   !job.excludedMachines?.has(machine.index) &&
   !lacksSpareCapacity(machine, job);
 
 /**
- * Returns, of very many machines, enough that have free capacity now, those first that hold the image; all of them where
- * there are fewer. With thousands of machines a round would otherwise cost all machines times all jobs that it plans.
+ * Returns the indices of the machines to consider for a job. If there are more than `MAX_MACHINES_ALL_CONSIDERED`,
+ * these are a sufficient number with free capacity now, first those that have the image. If there are not enough of
+ * these, all are returned. This limits the work of a round with thousands of machines, which would otherwise grow with
+ * the product of all machines and all planned jobs.
  */
 export function machinesWithFreeCapacityNow(
   job: PlanJob,
@@ -73,22 +93,24 @@
   machineIndices: readonly number[],
 ): readonly number[] {
   if (machineIndices.length <= MAX_MACHINES_ALL_CONSIDERED) return machineIndices;
-  const enough = Math.max(MIN_MACHINES_CONSIDERED, job.tasks);
-  const holders: number[] = [];
-  const others: number[] = [];
+  const requiredCount = Math.max(MIN_MACHINES_CONSIDERED, job.tasks);
+  const indicesWithImage: number[] = [];
+  const indicesWithoutImage: number[] = [];
   for (const machineIndex of machineIndices) {
     const machine = machines[machineIndex] as PlanMachine;
     if (elementAt(machine.stepTimesSeconds, 0) > 0 || !fitsNow(machine, job)) continue;
-    // What `findCandidates` would leave out must not count as enough.
+    // Machines that `findCandidates` would leave out must not count towards the required number.
     if (!isEligible(job, machine) || !fitsType(job, machine.type)) continue;
-    if (machine.imagePullSeconds(job.image, job.imageGb) === 0) holders.push(machineIndex);
-    else if (others.length < enough) others.push(machineIndex);
-    if (holders.length >= enough) return holders;
+    if (machine.imagePullSeconds(job.image, job.imageGb) === 0) indicesWithImage.push(machineIndex);
+    else if (indicesWithoutImage.length < requiredCount) indicesWithoutImage.push(machineIndex);
+    if (indicesWithImage.length >= requiredCount) return indicesWithImage;
   }
-  return holders.length + others.length >= enough ? [...holders, ...others] : machineIndices;
+  return indicesWithImage.length + indicesWithoutImage.length >= requiredCount
+    ? [...indicesWithImage, ...indicesWithoutImage]
+    : machineIndices;
 }
 
-/** Returns the machines among those with these indices that may take tasks of the job at some time. */
+/** Returns candidates for those of the given machines that may run tasks of the job at some time. */
 export function findCandidates(
   job: PlanJob,
   machines: readonly PlanMachine[],
@@ -99,7 +121,8 @@
   const taskShareOn = taskShares(job);
   for (const machineIndex of machineIndices) {
     const machine = machines[machineIndex] as PlanMachine;
-    // Most machines with GPUs have nothing to spare: looking no further there is a third of the cost of small work.
+    // Most machines with GPUs have no spare capacity. Skipping them early avoids a third of the planning cost of small
+    // jobs.
     if (!isEligible(job, machine)) continue;
     const share = taskShareOn(machine.type);
     if (share < 0) continue;
@@ -118,7 +141,10 @@
   return found;
 }
 
-/** By type, the part of a machine that one task takes; negative where it doesn't fit. Each type is reckoned once. */
+/**
+ * Returns a function that gives the part of a machine of some type that one task needs, or a negative number if the
+ * task does not fit. Each type is computed once.
+ */
 function taskShares(job: PlanJob): (type: MachineType) => number {
   const shares = new Map<MachineType, number>();
   return (type) => {
@@ -131,7 +157,7 @@
   };
 }
 
-/** Records that the candidate takes so many tasks from a step on, and how good an offer that is. */
+/** Records the candidate's offer of `taskCount` tasks from a step on, with its start time, delay rank and slack. */
 export function recordOffer(
   candidate: Candidate,
   job: PlanJob,
--- a/src/core/scheduler/capacity_timeline.ts
+++ b/src/core/scheduler/capacity_timeline.ts
@@ -1,12 +1,16 @@
 /**
- * Operations on a machine's free capacity over time, σ(n, t) of Eq. (13) in the paper. `step` is an index into the machine's
- * `stepTimesSeconds`. They run many thousand times a round: they make no objects.
+ * Operations on a machine's free capacity over time, σ(n, t) of Eq. (13) in the EVO-GP paper. `step` is an index into
+ * the machine's `stepTimesSeconds`. They run many thousand times a round and therefore allocate no objects, apart from
+ * the copy that `clonePlanMachine` returns.
  */
 import { countFitting, RESOURCE_TOLERANCE as TOLERANCE } from '../resource_amounts.js';
 import type { MachineType, Resources } from '../types.js';
 import type { PlanJob, PlanMachine, WorkingMachine } from './plan_types.js';
 
-/** Returns a copy with free capacity of its own. Written out field by field: a spread into a literal costs several microseconds, and a round makes thousands. */
+/**
+ * Returns a copy whose free capacity can be modified independently. The fields are listed one by one because a spread
+ * into an object literal takes several microseconds, and a round makes thousands of copies.
+ */
 export function clonePlanMachine(machine: PlanMachine): WorkingMachine {
   return {
     index: machine.index,
@@ -29,13 +33,16 @@
 /** Returns the element at an index that is known to be within bounds. */
 export const elementAt = (values: readonly number[], index: number): number => values[index] as number;
 
-/** Returns the part of a machine that one task takes, 0 to 1 and more, by what it takes most of. */
+/**
+ * Returns the share of a machine that one task needs, by the resource of which it needs the largest share. The result
+ * exceeds 1 if the task needs more than the machine has.
+ */
 export function machineShare(task: Resources, type: MachineType): number {
   const share = (amount: number, capacity: number): number => (capacity > 0 ? amount / capacity : 0);
   return Math.max(share(task.cpus, type.cpus), share(task.gpus, type.gpus), share(task.memoryGb, type.memoryGb));
 }
 
-/** Returns whether a task of the job could run on an empty machine of the type (Eq. (10)). */
+/** Returns whether the job allows the machine type and one of its tasks fits an empty machine of it (Eq. (10)). */
 export function fitsType(job: PlanJob, type: MachineType): boolean {
   return (
     (job.allowedMachineTypes === null || job.allowedMachineTypes.includes(type.name)) &&
@@ -45,7 +52,7 @@
   );
 }
 
-/** Returns how many tasks fit from a step on for so many seconds: the node capacity of Eq. (9) over time. */
+/** Returns how many tasks fit for `durationSeconds` from a step on (the node capacity of Eq. (9), over time). */
 export function fittingTasks(machine: PlanMachine, step: number, durationSeconds: number, task: Resources): number {
   const untilSeconds = elementAt(machine.stepTimesSeconds, step) + durationSeconds;
   let cpus = Number.POSITIVE_INFINITY;
@@ -61,13 +68,14 @@
   return Math.min(countFitting(cpus, task.cpus), countFitting(gpus, task.gpus), countFitting(memoryGb, task.memoryGb));
 }
 
-/** Whether a job may use only the cores and memory of a machine that GPU work has no use for. */
+/** Returns whether a job may use only the cores and memory of a machine that GPU work could not use. */
 const isLimitedToSpareCapacity = (machine: PlanMachine, job: PlanJob): boolean =>
   job.gpus === 0 && machine.type.gpus > 0 && job.penaltyFactor > 0;
 
 /**
- * Returns whether a job that may use only a machine's spare capacity finds none. One that fits cheaper types finds none on a machine with
- * GPUs that no GPU work uses: it would keep the machine from being returned.
+ * Returns whether a job is limited to a machine's spare capacity and cannot use it. Either one of its tasks does not
+ * fit there, or the job fits cheaper machine types without GPUs and the machine serves no GPU work. In the second case
+ * the job would prevent the machine from being terminated.
  */
 export function lacksSpareCapacity(machine: PlanMachine, job: PlanJob): boolean {
   if (!isLimitedToSpareCapacity(machine, job)) return false;
@@ -75,7 +83,7 @@
   return machine.spareCpus + TOLERANCE < job.cpus || machine.spareMemoryGb + TOLERANCE < job.memoryGb;
 }
 
-/** As `fittingTasks`, and without taking from GPU work what it needs beside its GPUs. */
+/** Same as `fittingTasks`, but leaves the cores and memory that GPU work needs in addition to its GPUs. */
 export function allowedTasks(machine: PlanMachine, step: number, durationSeconds: number, job: PlanJob): number {
   if (!isLimitedToSpareCapacity(machine, job)) return fittingTasks(machine, step, durationSeconds, job);
   const spareTasks = Math.min(
@@ -86,7 +94,10 @@
   return Math.min(Math.floor(spareTasks + TOLERANCE), fittingTasks(machine, step, durationSeconds, job));
 }
 
-/** Returns whether so much is free at the first step, not asking for how long. */
+/**
+ * Returns whether one task fits at the first step, without checking how long the capacity stays free. On machines with
+ * GPUs, a task without GPUs must fit the spare capacity.
+ */
 export function fitsNow(machine: PlanMachine, task: Resources): boolean {
   if (task.gpus === 0 && machine.type.gpus > 0) {
     if (machine.spareCpus + TOLERANCE < task.cpus || machine.spareMemoryGb + TOLERANCE < task.memoryGb) return false;
@@ -98,7 +109,7 @@
   );
 }
 
-/** Returns what one more task leaves of the scarcest resource, as a share of the machine: best fit takes the least. */
+/** Returns the share of the scarcest resource that remains after one more task. Best fit selects the smallest share. */
 export function slackAfter(machine: PlanMachine, step: number, task: Resources): number {
   const { type } = machine;
   let slack = 1;
@@ -109,14 +120,14 @@
   return slack;
 }
 
-/** Returns the last step that begins by the time, in seconds from now; the first where none does. */
+/** Returns the last step that begins no later than a time, in seconds from now, or the first step if there is none. */
 export function lastStepBy(machine: PlanMachine, timeSeconds: number): number {
   let step = machine.stepTimesSeconds.length - 1;
   while (step > 0 && elementAt(machine.stepTimesSeconds, step) > timeSeconds + TOLERANCE) step -= 1;
   return step;
 }
 
-/** The step that begins at the time; it is made where there is none, but not before the first. */
+/** Returns the step that begins at a time. Inserts it if it is missing, unless the time is before the first step. */
 function ensureStepAt(machine: WorkingMachine, timeSeconds: number): number {
   const step = lastStepBy(machine, timeSeconds);
   const beginsSeconds = elementAt(machine.stepTimesSeconds, step);
@@ -128,7 +139,7 @@
   return step + 1;
 }
 
-/** Reserves the capacity of so many tasks from a time on, for so many seconds. */
+/** Reserves the capacity of `taskCount` tasks for `durationSeconds` from `fromSeconds` on. */
 export function reserveCapacity(
   machine: WorkingMachine,
   fromSeconds: number,
--- a/src/core/scheduler/cluster_state.ts
+++ b/src/core/scheduler/cluster_state.ts
@@ -1,4 +1,4 @@
-/** The leader's state as the scheduler sees it: what its decisions read, and what `apply.ts` alone changes. */
+/** Interfaces to the leader's state. Scheduling decisions only read it, and only `apply.ts` changes it. */
 import type { RuntimeEstimator } from '../jobs/runtime_estimator.js';
 import type { BootTimeEstimator } from '../machines/boot_time_estimator.js';
 import type { MachineTypes } from '../machines/machine_type_catalog.js';
@@ -12,7 +12,7 @@
 import type { StepContext } from '../step_context.js';
 import type { Attempt, ImageName, Resources } from '../types.js';
 
-/** What decisions read: nothing of it is changed by them. */
+/** The state that scheduling decisions read and do not change. */
 export interface ClusterState {
   readonly context: Pick<StepContext, 'now' | 'settings' | 'tuning' | 'after' | 'log'>;
   readonly jobs: Pick<JobTable, 'active' | 'services' | 'hasPendingReplicas'>;
@@ -25,18 +25,18 @@
   readonly bootTimeEstimator: Pick<BootTimeEstimator, 'remainingSeconds'>;
   readonly spotInterruptions: Pick<SpotInterruptionRate, 'perSecond'>;
   readonly images: {
-    /** For each image the largest task seen that uses it. */
+    /** Resources of the largest task seen for each image. */
     readonly largestTasks: ReadonlyMap<ImageName, Resources>;
   };
 }
 
-/** The state with the operations that put decisions into effect: entry points pass it on to `apply.ts`, and to nothing else. */
+/** The state with the operations that apply decisions. Entry points pass this interface only to `apply.ts`. */
 export interface SchedulableCluster extends ClusterState {
-  /** The leader's term, with which a job's first start is recorded. */
+  /** The leader's term, which is recorded with a job's first start. */
   readonly term: number;
   readonly previousTerms: Pick<PreviousTerms, 'startableTasks' | 'updateUnreconciled' | 'recordsStartZones'>;
   readonly placements: ClusterState['placements'] & Pick<PlacementTable, 'add' | 'evict' | 'stop' | 'breakGang'>;
   readonly pendingCommands: Pick<PendingCommands, 'requestStarts'>;
-  /** Returns an attempt number higher than any before. */
+  /** Returns an attempt number that is higher than all previous ones. */
   nextAttempt(): Attempt;
 }
--- a/src/core/scheduler/evolutionary_search.ts
+++ b/src/core/scheduler/evolutionary_search.ts
@@ -1,23 +1,29 @@
-/** The upper layer of EVO-GP, evolutionary job allocation: Algorithm 1 and Section III-B of the paper. */
+/**
+ * Evolutionary search for the zone of each job. This is the upper layer of EVO-GP, Algorithm 1 and Section III-B of the
+ * EVO-GP paper.
+ */
 import { type RandomGenerator, unsafeUniformIntDistribution } from 'pure-rand';
 import type { ZoneName } from '../types.js';
 import type { Plan, PlanJob, PlanMachine } from './plan_types.js';
 import type { Planner } from './planner.js';
 import type { SearchSettings } from './policy.js';
 
-/** Chances are drawn in thousandths. */
+/** Resolution of the random draw for mutations. The mutation rate is compared in thousandths. */
 const MUTATION_SCALE = 1000;
 
-/** One assignment of zones (Section III-B1): each job has one, so that Eqs. (6) and (7) hold of themselves. */
+/**
+ * One assignment of zones (Section III-B1) and its plan. Each job has exactly one zone, so that Eqs. (6) and (7) are
+ * always satisfied.
+ */
 interface Individual {
-  /** By job index, the zone. */
+  /** The zone of each job, by job index. */
   readonly genes: readonly ZoneName[];
   readonly plan: Plan;
 }
 
-/** Evolves one zone for each job; the planner makes a plan of each assignment and tells its fitness. */
+/** Searches for the assignment of one zone to each job whose plan has the lowest cost, as evaluated by the planner. */
 export class EvolutionarySearch {
-  /** Plan steps that the search in progress has spent. */
+  /** Plan steps that the search in progress has used. */
   private stepsSpent = 0;
 
   constructor(
@@ -26,7 +32,7 @@
     private readonly settings: SearchSettings,
   ) {}
 
-  /** A random whole number from 0 to below `limit`. */
+  /** Returns a random integer from 0 to `limit` - 1. */
   private randomBelow(limit: number): number {
     return limit <= 1 ? 0 : unsafeUniformIntDistribution(0, limit - 1, this.random);
   }
@@ -36,8 +42,8 @@
   }
 
   /**
-   * Returns the plan with the lowest cost of those tried. `informedGenes`: zones to start from beside the random ones, where
-   * something better than chance is known; null: none.
+   * Returns the plan with the lowest cost among those evaluated. `informedGenes` is a known good assignment that
+   * replaces the first random one. With null, all initial assignments are random.
    */
   search(
     machines: readonly PlanMachine[],
@@ -52,7 +58,7 @@
     };
     const randomGenes = (): ZoneName[] => jobs.map(({ feasibleZones }) => this.pickRandom(feasibleZones));
     const first = evaluate(informedGenes ?? randomGenes());
-    // With one feasible zone for every job there is nothing to search: the planner alone decides.
+    // If every job has exactly one feasible zone, there is only one assignment and nothing to search.
     if (jobs.every(({ feasibleZones }) => feasibleZones.length === 1)) return first.plan;
     const { populationSize, generations } = this.settings;
     let population: Individual[] = [first];
@@ -71,7 +77,7 @@
     return this.stepsSpent < this.settings.maxPlanSteps;
   }
 
-  /** Lines 5 to 17 of Algorithm 1: a generation of offspring of parents drawn from the population. */
+  /** Lines 5 to 17 of Algorithm 1. Returns one generation of offspring, whose parents are drawn from the population. */
   private breed(
     population: readonly Individual[],
     jobs: readonly PlanJob[],
@@ -88,7 +94,7 @@
     return offspring;
   }
 
-  /** Section III-B3, single-point crossover: two offspring with the parents' genes exchanged behind the point. */
+  /** Single-point crossover (Section III-B3). Returns two offspring with the parents' genes swapped after the point. */
   private crossover(first: readonly ZoneName[], second: readonly ZoneName[]): [ZoneName[], ZoneName[]] {
     if (first.length < 2) return [first.slice(), second.slice()];
     const point = 1 + this.randomBelow(first.length - 1);
@@ -98,7 +104,10 @@
     ];
   }
 
-  /** Section III-B3, mutation: at the mutation rate, moves one job to a feasible zone or swaps the zones of two. */
+  /**
+   * Mutation (Section III-B3). With the probability of the mutation rate, assigns one job to a random feasible zone or
+   * swaps the zones of two jobs.
+   */
   private mutate(genes: ZoneName[], jobs: readonly PlanJob[]): void {
     if (this.randomBelow(MUTATION_SCALE) >= this.settings.mutationRate * MUTATION_SCALE) return;
     const index = this.randomBelow(genes.length);
@@ -107,7 +116,10 @@
     else this.swapZones(genes, jobs, index);
   }
 
-  /** Swaps with a job of another zone where each may use the other's (Eq. (10)); does nothing where there is none. */
+  /**
+   * Swaps the zone with a random job in another zone, provided that each zone is feasible for the other job (Eq. (10)).
+   * Does nothing if there is no such job.
+   */
   private swapZones(genes: ZoneName[], jobs: readonly PlanJob[], index: number): void {
     const { feasibleZones } = jobs[index] as PlanJob;
     const zone = genes[index] as ZoneName;
--- a/src/core/scheduler/fitness.ts
+++ b/src/core/scheduler/fitness.ts
@@ -1,19 +1,19 @@
-/** The fitness of a plan: what the search minimizes (Section II-A3 of the paper). */
+/** Computes the fitness of a plan, which the search minimizes (Section II-A3 of the EVO-GP paper). */
 import { elementAt } from './capacity_timeline.js';
 import type { PlanJob, PlanMachine } from './plan_types.js';
 import type { FitnessWeights } from './policy.js';
 
-/** Utilization is looked at so far ahead, where the paper looks to the end of the last job. */
+/** Period over which utilization is computed, in seconds from now. The paper extends it to the end of the last job. */
 const UTILIZATION_HORIZON_SECONDS = 60;
 
 /** The weighted queuing times of the jobs of one plan, in seconds. */
 export class WeightedWaits {
-  /** Eq. (3): the longest of them. */
+  /** The longest weighted wait (Eq. (3)). */
   maximum = 0;
   private sum = 0;
   private jobs = 0;
 
-  /** Adds a job that the plan lets wait for so many seconds more. */
+  /** Adds a job. `waitSeconds` is its mean wait under the plan, from now on. */
   add(job: PlanJob, waitSeconds: number): void {
     const weighted = job.priorityWeight * (job.waitedSeconds + waitSeconds);
     this.sum += weighted;
@@ -21,13 +21,13 @@
     if (weighted > this.maximum) this.maximum = weighted;
   }
 
-  /** Eq. (2): the mean over all jobs; 0 where there are none. */
+  /** The mean weighted wait over all jobs, or 0 if there are no jobs (Eq. (2)). */
   get average(): number {
     return this.jobs > 0 ? this.sum / this.jobs : 0;
   }
 }
 
-/** Eq. (5): returns the weighted sum of average wait, maximum wait and idle share; less is better. */
+/** Returns the weighted sum of average wait, maximum wait and idle share (Eq. (5)). Lower is better. */
 export function fitness(weights: FitnessWeights, waits: WeightedWaits, machines: readonly PlanMachine[]): number {
   return (
     weights.averageWait * waits.average +
@@ -37,8 +37,8 @@
 }
 
 /**
- * Eq. (4): returns which part of the machines is in use over the next minute, 0 to 1, by GPUs where they have some and by
- * cores elsewhere.
+ * Returns the share of capacity in use over the next minute, 0 to 1 (Eq. (4)). Machines with GPUs count by their GPUs,
+ * all others by their cores.
  */
 function utilization(machines: readonly PlanMachine[]): number {
   let used = 0;
--- a/src/core/scheduler/machine_snapshot.ts
+++ b/src/core/scheduler/machine_snapshot.ts
@@ -1,4 +1,4 @@
-/** A machine as a plan sees it, taken from the leader's state at the start of a round. */
+/** Builds the snapshot of a machine that plans use, from the leader's state at the start of a round. */
 import { capacityPoolKey } from '../machines/capacity_pool.js';
 import type { Machine } from '../machines/machine.js';
 import type { Placement } from '../state/placement.js';
@@ -8,18 +8,22 @@
 import type { PlanMachine } from './plan_types.js';
 import { spareCapacity } from './spare_capacity.js';
 
-/** Tasks whose ends are no further apart than this free their capacity in one step, in seconds. */
+/**
+ * A task that is expected to end within this many seconds after the start of a step frees its capacity in that step.
+ */
 const SAME_STEP_SECONDS = 0.01;
 
 type CapacityTimeline = Pick<PlanMachine, 'stepTimesSeconds' | 'freeCpus' | 'freeGpus' | 'freeMemoryGb'>;
 
-/** When a task of a machine is expected to leave it, and the capacity that it takes until then. */
+/** The expected end of a task, with the placement whose capacity it frees. */
 interface ExpectedEnd {
   readonly atSeconds: number;
   readonly placement: Placement;
 }
 
-/** Returns the machine with what is free on it now and later. Image pulls are looked up only as a plan asks for them. */
+/**
+ * Returns the machine with its free capacity now and later. Image pull times are computed only on request by a plan.
+ */
 export function planMachine(cluster: ClusterState, machine: Machine, index: number, claims: GpuClaims): PlanMachine {
   const now = cluster.context.now.monotonic;
   const spare = spareCapacity(machine, claims.demand);
@@ -38,7 +42,7 @@
   };
 }
 
-/** Eq. (13): what is free on a machine now, and from each expected end of its tasks on. */
+/** Returns the capacity that is free on a machine now and after the expected end of each of its tasks (Eq. (13)). */
 function capacityTimeline(cluster: ClusterState, machine: Machine): CapacityTimeline {
   const stepTimesSeconds = [machine.phase === 'booting' ? remainingBootSeconds(cluster, machine) : 0];
   const freeCpus = [machine.type.cpus - machine.allocations.usedCpus];
@@ -47,7 +51,7 @@
   for (const { atSeconds, placement } of expectedEnds(cluster, machine)) {
     const { spec } = placement.job;
     let step = stepTimesSeconds.length - 1;
-    // Rounded up to whole seconds, or a machine of 64 cores would have as many steps as tasks.
+    // Steps are rounded up to whole seconds. Otherwise a machine with 64 cores would have as many steps as tasks.
     if (atSeconds > (stepTimesSeconds[step] as number) + SAME_STEP_SECONDS) {
       stepTimesSeconds.push(Math.ceil(atSeconds));
       freeCpus.push(freeCpus[step] as number);
@@ -62,14 +66,17 @@
   return { stepTimesSeconds, freeCpus, freeGpus, freeMemoryGb };
 }
 
-/** The ends of the machine's tasks, soonest first. */
+/** Returns the expected ends of the machine's tasks, earliest first. */
 function expectedEnds(cluster: ClusterState, machine: Machine): ExpectedEnd[] {
   return [...cluster.placements.onMachine(machine).values()]
     .map((placement) => ({ atSeconds: remainingSeconds(cluster, placement), placement }))
     .sort((first, second) => first.atSeconds - second.atSeconds);
 }
 
-/** Seconds until a task is expected to leave its machine: the d of the paper, with what it still pulls. */
+/**
+ * Returns the expected seconds until a task leaves its machine, including the rest of its image pull (d in the EVO-GP
+ * paper).
+ */
 function remainingSeconds({ context, runtimeEstimator }: ClusterState, placement: Placement): number {
   const { job, machine, pendingStop, runningSince } = placement;
   const now = context.now.monotonic;
@@ -81,13 +88,13 @@
     return machine.images.remainingPullSeconds(job.spec.image, job.spec.imageGb, now) + expectedSeconds;
   }
   const elapsedSeconds = (now - runningSince) / 1000;
-  // The longer work has run over what was expected, the longer it is likely to go on: taking overdue work to end at once
-  // makes others wait for gaps that never come.
+  // The longer a task has exceeded its expected run time, the longer it is likely to continue. If overdue tasks were
+  // assumed to end at once, other jobs would wait for capacity that does not become free as expected.
   const overdueSeconds = elapsedSeconds * context.tuning.scheduler.overdue_share;
   return Math.max(heartbeatSeconds, expectedSeconds - elapsedSeconds, overdueSeconds);
 }
 
-/** Seconds until a machine that was ordered but has sent no heartbeat is expected to be up. */
+/** Returns the expected seconds until a machine that was provisioned but has sent no heartbeat is up. */
 function remainingBootSeconds({ bootTimeEstimator, context }: ClusterState, machine: Machine): number {
   const now = context.now.monotonic;
   return bootTimeEstimator.remainingSeconds(machine.type, machine.zone, machine.lifecycle.ageSeconds(now), now);
--- a/src/core/scheduler/placement_constraints.ts
+++ b/src/core/scheduler/placement_constraints.ts
@@ -1,11 +1,17 @@
-/** Placement constraints: what jobs allow and machines have free capacity for, asked by all that places or moves work. */
+/**
+ * Placement constraints that follow from job specifications and from the free capacity of machines. All modules that
+ * place or move tasks check them.
+ */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import type { MachineType, ZoneName } from '../types.js';
 import type { ClusterState } from './cluster_state.js';
 import { maxTasksPerZone } from './zone_allowance.js';
 
-/** Returns whether a job allows machines of a type in a zone, and one of its tasks fits an empty one (Eq. (10)). */
+/**
+ * Returns whether a job allows machines of a type in a zone, and one of its tasks fits an empty machine of that type
+ * (Eq. (10) of the EVO-GP paper).
+ */
 export function isFeasibleType({ spec }: Job, type: MachineType, zone: ZoneName): boolean {
   return (
     (spec.allowedMachineTypes === null || spec.allowedMachineTypes.includes(type.name)) &&
@@ -16,7 +22,7 @@
   );
 }
 
-/** Returns whether a job asks for no GPUs and fits a machine type without any. */
+/** Returns whether a job requests no GPUs and fits a machine type without GPUs. */
 export function fitsTypesWithoutGpus({ machineTypes }: ClusterState, job: Job): boolean {
   if (job.spec.gpus > 0) return false;
   for (const type of machineTypes.values()) {
@@ -25,12 +31,18 @@
   return false;
 }
 
-/** Returns whether a job allows the machine: its type, its zone, and whether it is a spot instance. */
+/**
+ * Returns whether a job allows the machine's type and zone, one of its tasks fits an empty machine of the type, and the
+ * job tolerates spot instances if the machine is one.
+ */
 export function isFeasibleMachine(job: Job, machine: Machine): boolean {
   return isFeasibleType(job, machine.type, machine.zone) && (job.spec.toleratesSpot || !machine.spot);
 }
 
-/** Returns whether a task of the job fits the machine now, whatever the job's other tasks and its team's quota allow. */
+/**
+ * Returns whether the machine is schedulable and allowed for the job, and has free capacity for one of its tasks now.
+ * The placement of the job's other tasks and the team's quota are not checked.
+ */
 export function isFeasibleNow({ context }: ClusterState, job: Job, machine: Machine): boolean {
   return (
     machine.isSchedulable(context.now.monotonic, context.settings.workers.heartbeatIntervalMs) &&
@@ -39,7 +51,10 @@
   );
 }
 
-/** Returns whether one more task of the job may go to the machine, beside its other tasks and within its team's quota. */
+/**
+ * Returns whether one more task of the job may be placed on the machine now, given the zones of its other tasks and its
+ * team's quota.
+ */
 export function canPlaceTask(cluster: ClusterState, job: Job, machine: Machine): boolean {
   if (!isFeasibleNow(cluster, job, machine) || cluster.quotas.remainingTasks(job.spec) < 1) return false;
   if (job.spec.singleZone && !runsOnlyInZone(cluster, job, machine.zone)) return false;
@@ -48,7 +63,7 @@
   );
 }
 
-/** Returns whether all placed tasks of the job are in the zone. */
+/** Returns whether all placed tasks of the job are in the zone. Also true if the job has no placed tasks. */
 export function runsOnlyInZone({ placements }: ClusterState, job: Job, zone: ZoneName): boolean {
   for (const { machine } of placements.ofJob(job).values()) if (machine.zone !== zone) return false;
   return true;
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -1,4 +1,4 @@
-/** The snapshot that a round plans on: machines and jobs as they were at its start. */
+/** Builds the snapshot of machines and jobs, taken at the start of a round, on which its plans are based. */
 import type { Job } from '../jobs/job.js';
 import { capacityPoolKey } from '../machines/capacity_pool.js';
 import type { Machine } from '../machines/machine.js';
@@ -14,28 +14,30 @@
 import { penaltyFactor } from './waiting_time.js';
 import { zoneAllowance } from './zone_allowance.js';
 
-/** What of a ranked job the snapshot needs. */
+/** The parts of a ranked job that the snapshot needs. */
 type WaitingJob = Pick<RankedJob, 'job' | 'tasks' | 'waitedSeconds'>;
 
-/** A machine that is reserved for a job. */
 interface ReservedMachine {
   readonly machineIndex: number;
   readonly job: JobId;
 }
 
-/** Machines and jobs as a round's plans see them, with the live objects that the indices refer to. */
+/** Machines and jobs as input to a round's plans, with the live objects that their indices refer to. */
 export class PlanInput {
-  /** Machines that are up and schedulable, or on their way. */
+  /** Machines that are schedulable or being provisioned. */
   readonly machines: readonly Machine[];
   readonly planMachines: readonly PlanMachine[];
-  /** One machine for each type, zone and market there is. */
+  /** One machine for each combination of type, zone, and spot or on demand among `planMachines`. */
   private readonly poolRepresentatives: readonly PlanMachine[];
   private readonly reservedMachines: readonly ReservedMachine[];
   private readonly machineIndexById: ReadonlyMap<MachineId, number>;
   private readonly addedJobs: Job[] = [];
   private readonly addedPlanJobs: PlanJob[] = [];
 
-  /** `ranked`: all jobs that wait, whether or not they are planned: what they could use is kept from others. */
+  /**
+   * `ranked` has all waiting jobs that may start, including those that the round does not plan. GPU capacity that any
+   * of them could use is protected from other work.
+   */
   constructor(
     private readonly cluster: ClusterState,
     ranked: readonly RankedJob[],
@@ -60,12 +62,12 @@
     return this.addedJobs;
   }
 
-  /** The jobs added so far as plans see them, by index. */
+  /** The jobs added so far as input to plans, by index. */
   get planJobs(): readonly PlanJob[] {
     return this.addedPlanJobs;
   }
 
-  /** Adds a job and returns its index; null where no zone has, or could have, a machine for it. */
+  /** Adds a job and returns its index, or null if no zone has, or could provision, a machine for it. */
   addJob(waiting: WaitingJob): number | null {
     const feasibleZones = this.feasibleZones(waiting.job);
     if (feasibleZones.length === 0) return null;
@@ -75,7 +77,11 @@
     return index;
   }
 
-  /** The feasible cluster set of Section III-B2: zones with machines for the job, or else those that could have some. */
+  /**
+   * Returns the feasible cluster set of Section III-B2 of the EVO-GP paper. These are the zones with machines for the
+   * job or, if there are none, the zones where such a machine could be provisioned. A single-zone job with placed tasks
+   * has only their zone.
+   */
   private feasibleZones(job: Job): ZoneName[] {
     if (job.spec.singleZone) {
       for (const { machine } of this.cluster.placements.ofJob(job).values()) return [machine.zone];
@@ -86,7 +92,7 @@
     return [...new Set(present.length > 0 ? present : this.provisionableZones(job))].sort();
   }
 
-  /** Zones in which a machine for the job could be provisioned. */
+  /** Returns the zones in which a machine for the job could be provisioned. */
   private provisionableZones(job: Job): ZoneName[] {
     return [...this.cluster.machineTypes.values()].flatMap((type) =>
       type.zones.filter((zone) => isFeasibleType(job, type, zone)),
@@ -138,13 +144,13 @@
   }
 }
 
-/** The zone that the job asks for, or in which a job of one zone has begun; null: any. */
+/** Returns the zone that the job requests, or the zone with the placed tasks of a single-zone job, or null. */
 function boundZone({ spec, placedCount }: Job, feasibleZones: readonly ZoneName[]): ZoneName | null {
   const hasBegunInZone = spec.singleZone && placedCount > 0;
   return spec.zone ?? (hasBegunInZone ? (feasibleZones[0] as ZoneName) : null);
 }
 
-/** For each type, zone and market one machine that stands for the others. */
+/** Returns one representative machine for each combination of type, zone, and spot or on demand. */
 function onePerCapacityPool(machines: readonly PlanMachine[]): PlanMachine[] {
   const byPool = new Map<string, PlanMachine>();
   for (const machine of machines) {
--- a/src/core/scheduler/plan_types.ts
+++ b/src/core/scheduler/plan_types.ts
@@ -1,34 +1,49 @@
 /**
- * What a plan is made from and what it says. Jobs and machines are named by their indices in the lists that the plan was
- * given. Times are in seconds from the start of the round.
+ * Types of a plan's input and result. Jobs and machines are identified by their indices in the lists that the planner
+ * received. Times are in seconds from the start of the round. Equations and symbols are those of the EVO-GP paper.
  */
 import type { ImageName, MachineType, MachineTypeName, Resources, ZoneName } from '../types.js';
 
-/** A machine as a plan sees it: its free capacity as a step function of time, running tasks included (Eq. (11)). */
+/** A machine with its free capacity as a step function of time, which accounts for running tasks (Eq. (11)). */
 export interface PlanMachine {
   readonly index: number;
   readonly zone: ZoneName;
   readonly type: MachineType;
   readonly spot: boolean;
-  /** From `stepTimesSeconds[step]` on, `freeCpus[step]` cores are free, and so on. The first step is when it is up. */
+  /**
+   * Start time of each step. From `stepTimesSeconds[step]` on, `freeCpus[step]` cores are free. GPUs and memory are
+   * indexed in the same way. The first step is the time at which the machine is up.
+   */
   readonly stepTimesSeconds: readonly number[];
   readonly freeCpus: readonly number[];
   readonly freeGpus: readonly number[];
   readonly freeMemoryGb: readonly number[];
-  /** What jobs without GPUs may still take of a machine with GPUs: only what GPU work could not use anyway. */
+  /**
+   * Cores that jobs without GPUs may still use on a machine with GPUs, which are those that GPU work could not use. The
+   * same applies to `spareMemoryGb`.
+   */
   readonly spareCpus: number;
   readonly spareMemoryGb: number;
-  /** Whether GPU work uses or waits for the machine, which has GPUs; others are about to be returned. */
+  /**
+   * Whether GPU work uses the machine or waits for machines like it. A machine with GPUs where this is false is about
+   * to be terminated.
+   */
   readonly servesGpuWork: boolean;
-  /** Returns the seconds until an image of that size would be there; 0 where it is. */
+  /** Returns the seconds until the image would be on the machine if a task needed it now, or 0 if it is there. */
   imagePullSeconds(image: ImageName, imageGb: number): number;
-  /** Whether it is on demand, and of a type that gangs wait for which need whole machines and may not use spot instances. */
+  /**
+   * Whether this is an on-demand machine of a type that is awaited by gangs that need whole machines and do not
+   * tolerate spot instances.
+   */
   readonly reservedForGangs: boolean;
-  /** Of the jobs whose images it holds, the largest share of a machine that one task needs, 0 to 1 and more. */
+  /**
+   * Share of the machine that the largest known task needs among those whose image is cached on it. It exceeds 1 if
+   * that task needs more than the machine has.
+   */
   readonly largestCachedImageShare: number;
 }
 
-/** A machine on which the plan in progress reserves capacity. */
+/** A mutable copy of a machine on which the plan in progress reserves capacity. */
 export interface WorkingMachine extends PlanMachine {
   readonly stepTimesSeconds: number[];
   readonly freeCpus: number[];
@@ -38,60 +53,71 @@
   spareMemoryGb: number;
 }
 
-/** A waiting job as a plan sees it; `cpus`, `gpus` and `memoryGb` are of one task. */
+/** A waiting job as input to a plan. `cpus`, `gpus` and `memoryGb` are the demand of one task. */
 export interface PlanJob extends Resources {
   readonly index: number;
   readonly isGang: boolean;
-  /** How many of its tasks are planned; of a gang all. */
+  /** Number of tasks to plan. For a gang this is all of its tasks. */
   readonly tasks: number;
-  /** The expected running time of a task. */
+  /** Expected run time of a task. */
   readonly durationSeconds: number;
   readonly image: ImageName;
   readonly imageGb: number;
-  /** Null: any type. */
+  /** Null if any type is allowed. */
   readonly allowedMachineTypes: readonly MachineTypeName[] | null;
-  /** Whether it asks for no GPUs, and machines without any could take it. */
+  /** Whether the job requests no GPUs and fits a machine type without GPUs. */
   readonly fitsTypesWithoutGpus: boolean;
   readonly toleratesSpot: boolean;
-  /** What a start on a spot instance is expected to cost through interruptions. */
+  /** Expected delay through interruptions if a task starts on a spot instance. */
   readonly spotDelaySeconds: number;
   readonly singleZone: boolean;
-  /** How many more tasks each zone may take; null: no such limit. */
+  /** Number of additional tasks allowed in each zone. Null if there is no such limit. */
   readonly zoneAllowance: ReadonlyMap<ZoneName, number> | null;
-  /** Zones with machines that it fits (Eq. (10)), in order of name; never empty. */
+  /**
+   * Zones with machines that the job fits (Eq. (10)) or, if there are none, zones where such a machine could be
+   * provisioned. Sorted by name, never empty.
+   */
   readonly feasibleZones: readonly ZoneName[];
-  /** The only zone it may ever use; null: any. */
+  /** The only zone that the job may use: the one that it requests, or where its single-zone tasks are. Null if any. */
   readonly boundZone: ZoneName | null;
-  /** How much its waiting counts (u in the paper). */
+  /** Weight of the job's wait in the fitness (u in the paper). */
   readonly priorityWeight: number;
-  /** How long it has waited already (q in the paper). */
+  /** Time since the job was submitted (q in the paper). */
   readonly waitedSeconds: number;
-  /** How much placement penalties count for it, 1 to 0: a job of which nothing has run for long takes what there is. */
+  /**
+   * Factor on the job's placement penalties, from 1 down to 0. It falls while the job has no placed task, so that after
+   * a long time without one the job uses any capacity.
+   */
   readonly penaltyFactor: number;
-  /** Indices of machines that it must not use: reserved for others, or where it failed; null: none. */
+  /**
+   * Indices of machines that are reserved for other jobs or on which the job recently failed. Null if there are none.
+   */
   readonly excludedMachines: ReadonlySet<number> | null;
 }
 
-/** Tasks of a job that the plan puts on a machine: x of the paper. */
+/** Tasks of a job that the plan places on a machine (x in the paper). */
 export interface PlannedStart {
   readonly jobIndex: number;
   readonly machineIndex: number;
   readonly tasks: number;
-  /** When the capacity is free. */
+  /** Time from which the capacity is free and reserved. */
   readonly freeAtSeconds: number;
-  /** When the image is there too: S of Eq. (1). */
+  /** Time at which the image has also been pulled (S in Eq. (1)). */
   readonly startAtSeconds: number;
 }
 
-/** The schedule that Algorithm 2 makes of one assignment of zones. */
+/** The schedule that Algorithm 2 produces for one assignment of zones. */
 export interface Plan {
   readonly starts: readonly PlannedStart[];
-  /** The machines as the plan leaves them. */
+  /** The machines with the capacity that the plan reserves on them. */
   readonly machines: readonly PlanMachine[];
-  /** The fitness (Eq. (5)); less is better. */
+  /** The fitness (Eq. (5)). Lower is better. */
   readonly cost: number;
-  /** By job index, tasks that no machine of the plan can take. */
+  /** Number of tasks that the plan could not place, by job index. */
   readonly unplacedTasks: ReadonlyMap<number, number>;
-  /** Plan steps that it took: what bounds a round, so that a seed repeats. */
+  /**
+   * Plan steps that the plan used. A plan step is a unit of planning work, such as one candidate examined. Rounds are
+   * limited by plan steps instead of time, so that the same seed gives the same result.
+   */
   readonly steps: number;
 }
--- a/src/core/scheduler/plan_workspace.ts
+++ b/src/core/scheduler/plan_workspace.ts
@@ -1,4 +1,4 @@
-/** The plan in progress: which machines it has reserved capacity on, and which of them a job may still use. */
+/** State of the plan in progress. It holds the capacity reserved on each machine and finds candidates for a job. */
 import type { ZoneName } from '../types.js';
 import { type Candidate, findCandidates, machinesWithFreeCapacityNow } from './candidates.js';
 import { clonePlanMachine, reserveCapacity } from './capacity_timeline.js';
@@ -6,9 +6,15 @@
 import type { PlanJob, PlanMachine, PlannedStart, WorkingMachine } from './plan_types.js';
 import type { PlacementPenalties } from './policy.js';
 
-/** Copy-on-write machines: one is copied when something is first reserved on it, so that a plan leaves its input as it is. */
+/**
+ * Copy-on-write view of the machines. A machine is copied when capacity is first reserved on it, so that a plan does
+ * not modify its input.
+ */
 export class PlanWorkspace {
-  /** Plan steps spent so far, over all plans: what bounds a round, so that a seed repeats. */
+  /**
+   * Plan steps used so far by all plans. Rounds are limited by plan steps instead of time, so that the same seed gives
+   * the same result.
+   */
   steps = 0;
   private baseMachines: readonly PlanMachine[] = [];
   private planned: PlanMachine[] = [];
@@ -16,12 +22,12 @@
 
   constructor(readonly penalties: PlacementPenalties) {}
 
-  /** The machines as the plan has left them so far. */
+  /** The machines with the capacity reserved so far. */
   get machines(): readonly PlanMachine[] {
     return this.planned;
   }
 
-  /** Begins a plan on these machines. The grouping by zone is kept while they stay the same. */
+  /** Begins a plan on these machines. The grouping by zone is reused if the list is the same object as before. */
   begin(baseMachines: readonly PlanMachine[]): void {
     this.planned = baseMachines.slice();
     if (this.baseMachines === baseMachines) return;
@@ -41,7 +47,10 @@
     return found;
   }
 
-  /** Returns the candidates among all machines of the zones; of very many machines enough that have free capacity now. */
+  /**
+   * Returns the candidates among the machines of the zones. If there are very many machines, only a sufficient number
+   * with free capacity now is considered (see `machinesWithFreeCapacityNow`).
+   */
   candidatesInZones(job: PlanJob, zones: readonly ZoneName[]): Candidate[] {
     return this.candidatesAmong(job, machinesWithFreeCapacityNow(job, this.planned, this.machineIndicesIn(zones)));
   }
@@ -53,7 +62,7 @@
     return all;
   }
 
-  /** Adds a start to `starts` and reserves its capacity for so many seconds from when that is free. */
+  /** Adds a start to `starts` and reserves its capacity for `occupiedSeconds` from the time at which it is free. */
   start(
     start: PlannedStart,
     job: PlanJob,
@@ -71,14 +80,14 @@
   private workingMachine(machineIndex: number): WorkingMachine {
     const base = this.baseMachines[machineIndex] as PlanMachine;
     const current = this.planned[machineIndex] as PlanMachine;
-    // What differs from the base is a copy made here.
+    // A machine that differs from the base is a copy made by this method.
     if (current !== base) return current as WorkingMachine;
     const copy = clonePlanMachine(base);
     this.planned[machineIndex] = copy;
     return copy;
   }
 
-  /** Starts a whole gang; machines with the image wait for those that still pull it. */
+  /** Adds the starts of a whole gang. Machines that have the image wait for those that still pull it. */
   startGang(job: PlanJob, placement: GangPlacement, starts: PlannedStart[]): void {
     const { freeAtSeconds, startSeconds, allocations } = placement;
     const occupiedSeconds = startSeconds - freeAtSeconds + job.durationSeconds;
--- a/src/core/scheduler/planner.ts
+++ b/src/core/scheduler/planner.ts
@@ -1,4 +1,7 @@
-/** Plan, the third step of a round and the lower layer of EVO-GP: Algorithm 2 of the paper. */
+/**
+ * Makes a plan from one assignment of zones, the third step of a round. This is the lower layer of EVO-GP, Algorithm 2
+ * of the EVO-GP paper.
+ */
 import type { ZoneName } from '../types.js';
 import { backfill } from './backfill.js';
 import { CandidateHeap } from './candidate_heap.js';
@@ -10,26 +13,26 @@
 import { PlanWorkspace } from './plan_workspace.js';
 import { type FitnessWeights, NO_PENALTIES, type PlacementPenalties } from './policy.js';
 
-/** What the fitness takes a task to wait that no machine of the plan can take. */
+/** Wait that the fitness assumes for a gang or for array tasks for which the plan has no machine, in seconds. */
 const UNPLACED_WAIT_SECONDS = 600;
-/** Where zones are compared by free capacity, a machine that comes free later counts so many tasks less per second. */
+/** Number of tasks deducted per second until a machine is first available, when zones are compared by free capacity. */
 const LATER_CAPACITY_DISCOUNT = 1e-3;
-/** An array takes at most so many turns over its candidates. */
+/** Maximum iterations for one array are `TURNS_PER_CANDIDATE` for each of its candidates, plus `EXTRA_TURNS`. */
 const TURNS_PER_CANDIDATE = 2;
 const EXTRA_TURNS = 4;
-/** An array of which so many tasks are planned takes free capacity in any zone, not in one zone a round. */
+/** Number of planned tasks from which an array uses free capacity in all of its zones instead of one zone a round. */
 const LARGE_ARRAY_TASKS = 400;
 
-/** What the plan in progress has decided so far. */
+/** The decisions of the plan in progress. */
 interface PlanDraft {
   readonly starts: PlannedStart[];
-  /** By job index, tasks that no machine of the plan can take. */
+  /** Number of tasks that the plan could not place, by job index. */
   readonly unplacedTasks: Map<number, number>;
 }
 
 /**
- * Plans all jobs in the order of rank, each in the zone that its gene names. Each job takes its earliest feasible start
- * (Eq. (12)), and each task the fitting machine with the least free capacity in its scarcest resource (best fit).
+ * Plans all jobs in ranking order, each in the zone that its gene names. Each job gets its earliest feasible start
+ * (Eq. (12)). Each task goes to the fitting machine with the least free capacity in its scarcest resource (best fit).
  */
 export class Planner {
   private readonly workspace: PlanWorkspace;
@@ -41,12 +44,15 @@
     this.workspace = new PlanWorkspace(penalties);
   }
 
-  /** Plan steps spent so far, over all plans and backfills. */
+  /** Plan steps used so far by all plans and backfills. */
   get steps(): number {
     return this.workspace.steps;
   }
 
-  /** `genes`: a zone for each job; null plans arrays over all of their zones at once. The machines are left as they are. */
+  /**
+   * Returns a plan for the jobs without modifying the machines. `genes` has one zone for each job. With null, arrays
+   * without a zone spread use all of their feasible zones at once.
+   */
   plan(machines: readonly PlanMachine[], jobs: readonly PlanJob[], genes: readonly ZoneName[] | null): Plan {
     this.workspace.begin(machines);
     const draft: PlanDraft = { starts: [], unplacedTasks: new Map() };
@@ -60,12 +66,12 @@
     return { ...draft, machines: planned, cost, steps: this.steps - stepsBefore };
   }
 
-  /** Starts jobs on what a plan leaves free now (backfill.ts), until that has taken `maxSteps`. */
+  /** Starts jobs on the capacity that a plan leaves free now (see backfill.ts). It ends after `maxSteps` plan steps. */
   backfill(plan: Plan, jobs: readonly PlanJob[], maxSteps: number): PlannedStart[] {
     return backfill(this.workspace, { plan, jobs, maxSteps });
   }
 
-  /** Returns the job's mean wait from now, in seconds. */
+  /** Returns the mean wait of the job's tasks from now, in seconds. */
   private planJob(job: PlanJob, gene: ZoneName | null, draft: PlanDraft): number {
     if (this.usesAllZones(job, gene)) {
       return job.isGang
@@ -83,7 +89,10 @@
     return (gene === null || isLargeArray) && !job.zoneAllowance && !(job.isGang && job.singleZone);
   }
 
-  /** A job with a zone spread needs several zones: the gene names the first, the others follow within the allowance. */
+  /**
+   * Plans an array with a zone spread, which needs several zones. The zone of its gene is used first. Each zone
+   * receives no more tasks than its allowance.
+   */
   private planSpreadArray(
     job: PlanJob,
     firstZone: ZoneName,
@@ -103,7 +112,9 @@
     return (totalWaitSeconds + left * UNPLACED_WAIT_SECONDS) / Math.max(1, job.tasks);
   }
 
-  /** The zone whose feasible machines take most tasks of the job now. */
+  /**
+   * Returns the feasible zone whose candidates have free capacity for the most tasks of the job from their first step.
+   */
   private zoneWithMostFreeCapacity(job: PlanJob): ZoneName {
     const tasksByZone = new Map<ZoneName, number>();
     for (const { machine } of this.workspace.candidatesInZones(job, job.feasibleZones)) {
@@ -118,7 +129,10 @@
     return best;
   }
 
-  /** Each turn the candidate with the best offer takes as many tasks as it can, and offers again. */
+  /**
+   * Places tasks of an array and returns their mean wait in seconds. In each turn, the candidate with the best offer
+   * receives as many tasks as fit, and its offer is then recomputed.
+   */
   private planArray(job: PlanJob, zones: readonly ZoneName[], tasks: number, draft: PlanDraft): number {
     const candidates = this.workspace.candidatesInZones(job, zones);
     for (const candidate of candidates) this.offerEarliest(candidate, job);
@@ -144,7 +158,10 @@
     return (totalWaitSeconds + left * unplacedWaitSeconds) / Math.max(1, tasks);
   }
 
-  /** Eq. (12) for one machine: offers the first step from which at least one task fits, or none. */
+  /**
+   * Applies Eq. (12) to one machine. Records an offer for the first step from which at least one task fits. If there is
+   * no such step, the candidate offers no tasks.
+   */
   private offerEarliest(candidate: Candidate, job: PlanJob): void {
     const { machine } = candidate;
     const occupiedSeconds = candidate.imagePullSeconds + job.durationSeconds;
--- a/src/core/scheduler/policy.ts
+++ b/src/core/scheduler/policy.ts
@@ -1,32 +1,44 @@
-/** What a round weighs against what: the settings of `deploy/tuning.toml` as typed policies with units. */
+/**
+ * Scheduling policies of a round. They are the scheduler settings of `deploy/tuning.toml` as typed values with units.
+ */
 import type { Tuning } from '../settings.js';
 
-/** Weights of the fitness, ω1 to ω3 of Eq. (5). */
+/** Weights of the fitness terms (ω1 to ω3 in Eq. (5) of the EVO-GP paper). */
 export interface FitnessWeights {
-  /** Of the mean weighted wait, per second. */
+  /** Weight of the mean weighted wait, per second. */
   readonly averageWait: number;
-  /** Of the longest weighted wait, per second. */
+  /** Weight of the longest weighted wait, per second. */
   readonly maximumWait: number;
-  /** Of the idle share of machines, 0 to 1. */
+  /** Weight of the idle share of machines, which is 0 to 1. */
   readonly idleShare: number;
 }
 
-/** Seconds of start time that a job would rather lose than take a machine that others need more. */
+/** Placement penalties, in seconds of later start that a job accepts to avoid a machine that other jobs need more. */
 export interface PlacementPenalties {
-  /** For a machine with GPUs, by a job that asks for none. */
+  /** For a machine with GPUs, for a job that requests none. */
   readonly gpuMachineSeconds: number;
-  /** For a machine on demand, by a job that may use a spot instance: cheaper, and others have no choice. */
+  /**
+   * For an on-demand machine, for a job that tolerates spot instances. Spot instances are cheaper, and jobs that do not
+   * tolerate them have no alternative to on-demand machines.
+   */
   readonly onDemandSeconds: number;
-  /** For a machine that waiting gangs have no choice but to use, by an array that may use spot instances. */
+  /** For a machine that waiting gangs without an alternative need, for an array that tolerates spot instances. */
   readonly reservedTypeSeconds: number;
-  /** For a machine that holds images of larger jobs: those would have to pull elsewhere. */
+  /** For a machine that has images of jobs with larger tasks, which would otherwise pull these images elsewhere. */
   readonly cachedImageSeconds: number;
-  /** Free capacity in the future counts this much more than its time: what is expected to end often doesn't. */
+  /**
+   * Seconds added to the delay of a start for each second until its capacity becomes free. Tasks often do not end when
+   * expected.
+   */
   readonly futureDiscount: number;
-  /** The same for gangs, which lose nothing by beginning to pull at once: they move if better capacity comes free. */
+  /**
+   * The same for gangs. A gang loses nothing by starting its image pull at once, because it can migrate if better
+   * capacity becomes free.
+   */
   readonly gangFutureDiscount: number;
 }
 
+/** Disables all placement penalties and discounts. */
 export const NO_PENALTIES: PlacementPenalties = {
   gpuMachineSeconds: 0,
   onDemandSeconds: 0,
@@ -36,11 +48,11 @@
   gangFutureDiscount: 0,
 };
 
-/** Bounds and rates of the evolutionary search (Section III-B). */
+/** Limits and rates of the evolutionary search (Section III-B of the EVO-GP paper). */
 export interface SearchSettings {
   readonly populationSize: number;
   readonly generations: number;
-  /** The chance that an offspring is mutated, 0 to 1. */
+  /** Probability that an offspring is mutated, 0 to 1. */
   readonly mutationRate: number;
   /** Plan steps after which the search ends. */
   readonly maxPlanSteps: number;
@@ -51,13 +63,13 @@
   readonly weights: FitnessWeights;
   readonly penalties: PlacementPenalties;
   readonly search: SearchSettings;
-  /** So many of the ranked jobs are planned in full; the others are left to the backfill. */
+  /** Number of top-ranked jobs that are planned in full. The other jobs are left to the backfill. */
   readonly jobsPlanned: number;
   /** Plan steps after which the backfill ends. */
   readonly maxBackfillSteps: number;
 }
 
-/** Returns the policies that the settings describe. */
+/** Returns the policies that are given by the settings. */
 export function roundPolicy(tuning: Tuning['scheduler']): RoundPolicy {
   return {
     weights: {
--- a/src/core/scheduler/priority.ts
+++ b/src/core/scheduler/priority.ts
@@ -1,14 +1,17 @@
-/** The priority function: what orders jobs within a round. */
+/** The priority function, which orders jobs within a round. Symbols and equations are those of the EVO-GP paper. */
 import type { ServiceLevelObjective } from '../settings.js';
 import type { JobSpec, PriorityLevel } from '../types.js';
 
-/** Returns how much the job's waiting counts (u in the paper): each level up counts `base` times the one below. */
+/**
+ * Returns the weight of a job's wait (u in the paper). Each priority level has `base` times the weight of the one
+ * below.
+ */
 export const priorityWeight = (priorityLevel: PriorityLevel, base: number): number => base ** priorityLevel;
 
 /**
- * Returns f(j), in place of the paper's learned function (Eqs. (17) and (18), Section IV-E): what is asked for (GPUs, or
- * cores where there are none) times the remaining estimate in seconds, over one plus the priority weight times the wait in
- * seconds. The smallest goes first.
+ * Returns the priority function f(j), which replaces the paper's learned function (Eqs. (17) and (18), Section IV-E).
+ * It is the demand of all `tasks` (GPUs, or cores if none are requested) times the estimated remaining seconds, divided
+ * by one plus the priority weight times the wait in seconds. Lower scores are planned first.
  */
 export function rankingScore(
   spec: JobSpec,
@@ -22,15 +25,15 @@
   return (demand * remainingSeconds) / (1 + weight * Math.max(0, waitedSeconds));
 }
 
-/** How strongly a service-level objective that comes near moves a job forward. */
+/** How strongly a service-level objective raises the priority of a job as its time limit approaches. */
 export interface UrgencyPolicy {
-  /** At the last moment the urgency is one plus this. */
+  /** The urgency factor is 1 + `maxBoost` when no slack is left. */
   readonly maxBoost: number;
-  /** With more time to spare than this an objective moves nothing. */
+  /** An objective with more slack than this has no effect. */
   readonly horizonSeconds: number;
 }
 
-/** What of a job's time counts against its objectives, in seconds. */
+/** The times of a job that count against its objectives, in seconds. */
 export interface JobTimes {
   readonly waitedSeconds: number;
   readonly pullSeconds: number;
@@ -38,9 +41,9 @@
 }
 
 /**
- * Returns how much sooner than by the priority function alone a job goes because an objective of its class, or its
- * deadline, comes near: 1 with time to spare, up to 1 + `maxBoost` at the last moment, and 1 again for each objective that
- * can't be met any more.
+ * Returns the factor by which an approaching objective of the job's class, or its deadline, raises the job's priority.
+ * It is 1 while every slack exceeds the horizon and rises to 1 + `maxBoost` when no slack is left. Objectives that can
+ * no longer be met are ignored.
  */
 export function urgencyFactor(
   spec: JobSpec,
@@ -48,17 +51,20 @@
   times: JobTimes,
   policy: UrgencyPolicy,
 ): number {
-  let nearest = 0;
+  let maxUrgency = 0;
   for (const objective of objectives) {
     if (objective.jobClass !== spec.jobClass) continue;
     const slackSeconds = slackOf(objective, spec, times);
     if (slackSeconds < 0) continue;
-    nearest = Math.max(nearest, 1 - slackSeconds / policy.horizonSeconds);
+    maxUrgency = Math.max(maxUrgency, 1 - slackSeconds / policy.horizonSeconds);
   }
-  return 1 + policy.maxBoost * Math.max(0, nearest);
+  return 1 + policy.maxBoost * Math.max(0, maxUrgency);
 }
 
-/** Seconds to spare until the objective is missed; infinite where it asks nothing of the job. */
+/**
+ * Returns the slack in seconds until the objective can no longer be met. It is negative once the objective is missed,
+ * and infinite if the objective does not apply to the job.
+ */
 function slackOf(objective: ServiceLevelObjective, spec: JobSpec, times: JobTimes): number {
   const { waitedSeconds, pullSeconds, runSeconds } = times;
   switch (objective.kind) {
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -1,4 +1,6 @@
-/** Rank, the first step of a round: which waiting jobs may start, and in which order they are planned. */
+/**
+ * Ranks the waiting jobs that may start now, the first step of a round. Jobs are planned in ranking order.
+ */
 import type { Job } from '../jobs/job.js';
 import { pullSeconds } from '../machines/image_cache.js';
 import type { TeamName } from '../types.js';
@@ -8,66 +10,81 @@
 import { teamsWithinGuarantee } from './team_guarantees.js';
 import { isOverdue, penaltyFactor, waitedSeconds } from './waiting_time.js';
 
-/** A waiting job with the tasks of it that the round plans. */
+/** A waiting job with its rank and the number of its tasks to plan in this round. */
 export interface RankedJob {
   readonly job: Job;
-  /** How many of its waiting tasks are planned; of a gang all. */
+  /** Number of waiting tasks to plan. For a gang this is all of its tasks. */
   readonly tasks: number;
   readonly waitedSeconds: number;
-  /** Groups are planned one after the other, higher ones first; within a group the smallest score goes first. */
+  /** Higher groups are planned before lower ones. Within a group, jobs are planned in ascending order of score. */
   readonly group: RankGroup;
   readonly score: number;
 }
 
-/** Overdue jobs by how long they have waited, then teams within their guarantee, then the rest; faulty ones last. */
+/**
+ * Overdue jobs come first, with the longest wait at the front. Jobs of teams within their guarantee follow, then all
+ * other jobs, and jobs that fail on every machine come last.
+ */
 const RANK_GROUPS = { overdue: 2, guaranteed: 1, others: 0, faulty: -1 } as const;
 type RankGroup = (typeof RANK_GROUPS)[keyof typeof RANK_GROUPS];
 
-/** Of one array a round plans so many tasks, and more where there are more machines for them. */
+/**
+ * A round plans at most this many tasks of one array, or `ARRAY_TASKS_PLANNED_PER_MACHINE` tasks for each machine if
+ * that is more.
+ */
 const MIN_ARRAY_TASKS_PLANNED = 400;
 const ARRAY_TASKS_PLANNED_PER_MACHINE = 2;
-/** Of an overdue array so many tasks are planned, so that others go on too. */
+/** Maximum number of tasks planned for an overdue array in one round, so that other jobs also make progress. */
 const OVERDUE_ARRAY_TASKS = 20;
-/** Of an array for which placement penalties have ceased to count so many tasks are planned: enough for it to go on. */
+/**
+ * Maximum number of tasks planned in one round for an array without GPUs whose placement penalties no longer apply.
+ * This is enough for the array to make progress.
+ */
 const UNPENALIZED_ARRAY_TASKS = 4;
 
 /**
- * Returns the jobs that wait and may start now, in the order in which they are planned (the relative priority of Section
- * II-A of the paper). Smallest first alone would let the largest wait for as long as smaller work keeps coming: a job that
- * has waited too long goes before all others until it has begun. Jobs of a team at its limit sit the round out.
+ * Returns the waiting jobs that may start now, in the order in which they are planned (the relative priority of Section
+ * II-A of the EVO-GP paper). Ranking the smallest jobs first could starve large jobs while smaller ones keep arriving.
+ * Therefore an overdue job precedes all others until its first start. Jobs of a team at its limit are left out.
  */
 export function rankWaitingJobs(cluster: ClusterState): RankedJob[] {
   const guaranteedTeams = teamsWithinGuarantee(cluster);
-  /** Teams whose limit is kept free for an overdue gang: small work would fill it as fast as it comes free. */
-  const heldTeams = new Set<TeamName>();
+  /**
+   * Teams whose remaining quota is kept for an overdue gang. Otherwise smaller jobs of the team would use the quota as
+   * soon as it becomes available.
+   */
+  const teamsWithReservedQuota = new Set<TeamName>();
   const ranked: RankedJob[] = [];
   for (const job of cluster.jobs.active) {
     if (!mayStartNow(cluster, job)) continue;
     const waitingTasks = tasksWithinLimit(cluster, job);
     if (waitingTasks > 0) ranked.push(rankJob(cluster, job, waitingTasks, guaranteedTeams));
-    else if (job.isGang && isOverdue(cluster, job)) heldTeams.add(job.spec.team);
+    else if (job.isGang && isOverdue(cluster, job)) teamsWithReservedQuota.add(job.spec.team);
   }
   return ranked
-    .filter(({ job, group }) => group === RANK_GROUPS.overdue || !heldTeams.has(job.spec.team))
+    .filter(({ job, group }) => group === RANK_GROUPS.overdue || !teamsWithReservedQuota.has(job.spec.team))
     .sort(
       (first, second) =>
         second.group - first.group || first.score - second.score || (first.job.id < second.job.id ? -1 : 1),
     );
 }
 
-/** Whether a job waits for a start that may happen now, as far as it and work of previous terms go. */
+/**
+ * Returns whether a job has waiting tasks that may start now: it is not a service, its retry delay has passed, and work
+ * left from previous terms does not prevent the start. Quotas and capacity are not checked.
+ */
 function mayStartNow(cluster: ClusterState, job: Job): boolean {
-  // Services have been placed before, by best fit outside the search (service_placement.ts).
+  // Services are placed before the round, by best fit outside the search (service_placement.ts).
   if (job.isService || job.pendingCount <= 0 || job.retries.isDelayed(cluster.context.now.monotonic)) return false;
   return cluster.previousTerms.startableTasks(job) > 0;
 }
 
-/** How many of the job's waiting tasks its team's limit allows now; of a gang all or none. */
+/** Returns how many of the job's waiting tasks its team's limit allows now. For a gang this is all of them or none. */
 function tasksWithinLimit(cluster: ClusterState, job: Job): number {
   const maxTasks = Math.max(MIN_ARRAY_TASKS_PLANNED, ARRAY_TASKS_PLANNED_PER_MACHINE * cluster.machines.size);
   const pending = Math.min(job.startableCount, maxTasks);
   const allowed = cluster.quotas.remainingTasks(job.spec);
-  // A job that fails wherever it runs is tried with one task at a time.
+  // An array that fails on every machine is retried with one task at a time.
   if (job.isFaulty && !job.isGang) return job.placedCount === 0 ? Math.min(pending, allowed, 1) : 0;
   if (job.isGang) return pending <= allowed ? pending : 0;
   return Math.min(pending, allowed);
@@ -87,7 +104,7 @@
   return { job, tasks, waitedSeconds: waited, group, score: jobRankingScore(cluster, job, tasks) };
 }
 
-/** How many tasks of a job the round plans, of those that wait and its team's limit allows. */
+/** Returns how many tasks of a job the round plans. `waitingTasks` is the number that its team's limit allows. */
 function plannedTasks(cluster: ClusterState, job: Job, waitingTasks: number, overdue: boolean): number {
   if (job.isGang) return waitingTasks;
   const tasks = overdue ? Math.min(waitingTasks, OVERDUE_ARRAY_TASKS) : waitingTasks;
@@ -100,7 +117,9 @@
   return guaranteedTeams.has(job.spec.team) ? RANK_GROUPS.guaranteed : RANK_GROUPS.others;
 }
 
-/** The priority function f(j), divided by the urgency of the job's objectives; the smallest goes first. */
+/**
+ * Returns the priority function f(j) divided by the urgency of the job's objectives. Lower scores are planned first.
+ */
 function jobRankingScore(cluster: ClusterState, job: Job, tasks: number): number {
   const { settings, tuning } = cluster.context;
   const { priority_base, urgency: maxBoost, urgency_horizon_s: horizonSeconds } = tuning.scheduler;
@@ -111,7 +130,10 @@
   return score / urgencyFactor(job.spec, settings.objectives, times, { maxBoost, horizonSeconds });
 }
 
-/** An image pull at the pace of the slowest type that takes the job: how long it takes if nothing is cached. */
+/**
+ * Returns the seconds for a full image pull on the feasible machine type with the slowest pull rate, or 0 if no type is
+ * feasible.
+ */
 function slowestPullSeconds(cluster: ClusterState, job: Job): number {
   let slowestGbPerSecond = Number.POSITIVE_INFINITY;
   for (const type of cluster.machineTypes.values()) {
--- a/src/core/scheduler/spare_capacity.ts
+++ b/src/core/scheduler/spare_capacity.ts
@@ -1,22 +1,28 @@
-/** Spare capacity: what work without GPUs may take of machines with GPUs. */
+/** Computes spare capacity, which is what jobs without GPUs may use of machines with GPUs. */
 import type { Machine } from '../machines/machine.js';
 import { countFitting } from '../resource_amounts.js';
 import type { MachineType, MachineTypeName, Resources } from '../types.js';
 import type { ClusterState } from './cluster_state.js';
 
-/** The cores and memory of a machine, GPUs left aside. */
+/** Amounts of cores and memory, without GPUs. */
 export interface CpusAndMemory {
   readonly cpus: number;
   readonly memoryGb: number;
 }
 
-/** For each machine type, what the GPU work there is now could use beside GPUs if it had all of them. */
+/**
+ * For each machine type, the cores and memory that the unfinished GPU jobs could use on one machine if they had all of
+ * its GPUs.
+ */
 export type GpuDemand = ReadonlyMap<MachineTypeName, CpusAndMemory>;
 
 const UNLIMITED: CpusAndMemory = { cpus: Number.POSITIVE_INFINITY, memoryGb: Number.POSITIVE_INFINITY };
 const NO_CAPACITY: CpusAndMemory = { cpus: 0, memoryGb: 0 };
 
-/** Returns the demand by type: reckoned once for each size of task, as hundreds of machines meet hundreds of sizes. */
+/**
+ * Returns the demand by machine type. It is computed once for each type and distinct task size, because there may be
+ * hundreds of machines and hundreds of task sizes.
+ */
 export function gpuDemand(cluster: ClusterState): GpuDemand {
   const sizes = gpuTaskSizes(cluster);
   const demand = new Map<MachineTypeName, CpusAndMemory>();
@@ -46,16 +52,16 @@
   return { cpus, memoryGb };
 }
 
-/** Returns what an empty machine of the type leaves beside all that GPU work could use. */
+/** Returns the cores and memory of an empty machine of the type that GPU work could not use. */
 export function spareCapacityOfType(type: MachineType, demand: GpuDemand): CpusAndMemory {
   const reserved = demand.get(type.name) ?? NO_CAPACITY;
   return { cpus: type.cpus - reserved.cpus, memoryGb: type.memoryGb - reserved.memoryGb };
 }
 
 /**
- * Returns the cores and memory that GPU work has no use for even when it has all GPUs of the machine; without limit where it
- * has none. Work without GPUs that took more would keep GPUs idle: a gang that needs whole machines would wait for the last
- * small task on each.
+ * Returns the cores and memory that GPU work could not use even with all GPUs of the machine, minus what tasks without
+ * GPUs already use. The result is unlimited for a machine without GPUs. If jobs without GPUs used more, GPUs would stay
+ * idle. A gang that needs whole machines would wait for the last small task on each of them.
  */
 export function spareCapacity(machine: Machine, demand: GpuDemand): CpusAndMemory {
   const { type } = machine;
--- a/src/core/scheduler/team_guarantees.ts
+++ b/src/core/scheduler/team_guarantees.ts
@@ -1,14 +1,17 @@
-/** Which teams' unfinished work fits what they are guaranteed. */
+/** Finds the teams whose unfinished work fits within their guaranteed quota. */
 import type { TeamName, TeamQuota } from '../types.js';
 import type { ClusterState } from './cluster_state.js';
 
-/** What all unfinished tasks of a team would take together. */
+/** Total demand of all unfinished tasks of a team. */
 interface TeamDemand {
   cpus: number;
   gpus: number;
 }
 
-/** Returns the teams whose unfinished work fits their guarantee: it need not wait for that of others. */
+/**
+ * Returns the teams whose unfinished work fits within their guarantee. Their jobs are ranked before those of other
+ * teams.
+ */
 export function teamsWithinGuarantee(cluster: ClusterState): Set<TeamName> {
   const demands = demandByTeam(cluster);
   const found = new Set<TeamName>();
@@ -32,7 +35,10 @@
   return demands;
 }
 
-/** A guarantee of 0 is none; a team without any guarantee is never within it. */
+/**
+ * Returns whether the demand fits within a team's guarantee. A guarantee of 0 means that there is none for the
+ * resource, and a team without any guarantee is never within it.
+ */
 function fitsGuarantee({ guaranteed }: TeamQuota, demand: TeamDemand): boolean {
   const { cpus, gpus } = guaranteed;
   if (cpus <= 0 && gpus <= 0) return false;
--- a/src/core/scheduler/waiting_time.ts
+++ b/src/core/scheduler/waiting_time.ts
@@ -1,22 +1,25 @@
-/** How long jobs have waited, and what follows from it. */
+/** Computes how long jobs have waited, whether they are overdue, and how much placement penalties apply to them. */
 import type { Job } from '../jobs/job.js';
 import type { ClusterState } from './cluster_state.js';
 
-/** Placement penalties count in full for so long without a running task, and not at all after twice that. */
+/**
+ * Time without a placed task up to which placement penalties apply in full, in seconds. They decrease linearly to zero
+ * at twice this time.
+ */
 const FULL_PENALTY_SECONDS = 35;
 
-/** Returns the seconds since the job was submitted: the queuing time q of the paper. */
+/** Returns the seconds since the job was submitted (the queuing time q in the EVO-GP paper). */
 export const waitedSeconds = ({ context }: ClusterState, job: Job): number =>
   Math.max(0, (context.now.wallClock - job.submittedAt) / 1000);
 
-/** Returns whether a job has waited for longer than `overdue_after_s` and has not begun. */
+/** Returns whether a job has never been started and has waited longer than `overdue_after_s`. */
 export function isOverdue(cluster: ClusterState, job: Job): boolean {
   return job.startTerm === 0 && waitedSeconds(cluster, job) > cluster.context.tuning.scheduler.overdue_after_s;
 }
 
 /**
- * Returns how much placement penalties count for a job, from 1 (in full) to 0: none of them may keep a job of which nothing
- * runs waiting beside free capacity for ever.
+ * Returns the factor on a job's placement penalties, from 1 (in full) to 0. It falls to 0 while no task of the job is
+ * placed, so that penalties cannot keep a job waiting indefinitely while there is free capacity.
  */
 export function penaltyFactor({ context }: ClusterState, job: Job): number {
   if (job.placedCount > 0) return 1;
--- a/src/core/scheduler/zone_allowance.ts
+++ b/src/core/scheduler/zone_allowance.ts
@@ -1,16 +1,16 @@
-/** How many more tasks of a job with a zone spread each zone may take. */
+/** Computes how many more tasks of a job with a zone spread may be placed in each zone. */
 import type { Job } from '../jobs/job.js';
 import type { ZoneName } from '../types.js';
 import type { ClusterState } from './cluster_state.js';
 
-/** Returns the largest number of the job's tasks that one zone may hold. */
+/** Returns the maximum number of the job's tasks in one zone, which is half of them (rounded up) with a zone spread. */
 export const maxTasksPerZone = ({ spec: { taskCount, zoneSpread } }: Job): number =>
   zoneSpread ? Math.ceil(taskCount / 2) : taskCount;
 
-/** By zone, how many more tasks it may take; null where the job has no zone spread, and so no such limit. */
+/** Number of additional tasks allowed in each zone. Null if the job has no zone spread and thus no such limit. */
 export type ZoneAllowance = Map<ZoneName, number> | null;
 
-/** Returns what each zone may take now, beside the tasks that the job has there. */
+/** Returns how many tasks each zone allows now in addition to the job's tasks that are placed there. */
 export function zoneAllowance({ context, placements }: ClusterState, job: Job): ZoneAllowance {
   if (!job.spec.zoneSpread) return null;
   const counts = placements.taskCountByZone(job);
@@ -18,11 +18,11 @@
   return new Map(zones.map((zone) => [zone, Math.max(0, maxTasksPerZone(job) - (counts.get(zone) ?? 0))]));
 }
 
-/** Returns whether the zone may take one more task. */
+/** Returns whether the zone allows one more task of the job. */
 export const hasZoneAllowance = (allowance: ZoneAllowance, zone: ZoneName, job: Job): boolean =>
   allowance === null || (allowance.get(zone) ?? maxTasksPerZone(job)) > 0;
 
-/** Counts so many tasks more in the zone, or with a negative number so many fewer. */
+/** Subtracts `tasks` from the zone's allowance. A negative number adds to it. Does nothing if there is no limit. */
 export function useZoneAllowance(allowance: ZoneAllowance, zone: ZoneName, job: Job, tasks: number): void {
   allowance?.set(zone, (allowance.get(zone) ?? maxTasksPerZone(job)) - tasks);
 }
--- a/src/core/scheduler/zone_search.ts
+++ b/src/core/scheduler/zone_search.ts
@@ -1,4 +1,7 @@
-/** Search, the second step of a round: finds a zone for each job, from one informed assignment on. */
+/**
+ * Finds a zone for each job, the second step of a round. The search starts from the zones that a plan over all zones
+ * uses most.
+ */
 import { xoroshiro128plus } from 'pure-rand';
 import type { ZoneName } from '../types.js';
 import { EvolutionarySearch } from './evolutionary_search.js';
@@ -6,24 +9,27 @@
 import type { Planner } from './planner.js';
 import type { SearchSettings } from './policy.js';
 
-/** What the search is made from. */
+/** Input of the search. */
 export interface SearchInput {
   readonly machines: readonly PlanMachine[];
-  /** The jobs that are planned in full, in order of rank. */
+  /** The jobs that are planned in full, in ranking order. */
   readonly jobs: readonly PlanJob[];
   /** The same seed gives the same result. */
   readonly seed: number;
 }
 
-/** What the search found. */
+/** Result of the search. */
 export interface SearchResult {
-  /** The plan with the lowest cost of those tried. */
+  /** The plan with the lowest cost among those evaluated. */
   readonly plan: Plan;
-  /** A plan over all zones at once, which shows what machines are missing; the same one where each job has one zone. */
+  /**
+   * The plan over all zones at once, which shows which machines are missing. It is the same as `plan` if each job has
+   * exactly one feasible zone.
+   */
   readonly capacityPlan: Plan;
 }
 
-/** Returns the best plan that the search finds, and the plan over all zones from which it starts. */
+/** Returns the best plan found and the plan over all zones from which the search starts. */
 export function searchZones(
   planner: Planner,
   { machines, jobs, seed }: SearchInput,
@@ -40,7 +46,7 @@
   return { plan, capacityPlan: overAllZones ?? plan };
 }
 
-/** For each job the zone in which a plan over all zones puts most of its tasks. */
+/** Returns, for each job, the zone in which a plan over all zones places most of its tasks. */
 function mainZones(plan: Plan, jobs: readonly PlanJob[]): ZoneName[] {
   const tasksByZone = jobs.map(() => new Map<ZoneName, number>());
   for (const { jobIndex, machineIndex, tasks } of plan.starts) {
--- a/test/core/scheduler/evolutionary_search.test.ts
+++ b/test/core/scheduler/evolutionary_search.test.ts
@@ -6,7 +6,7 @@
 import { makePlanJob, makePlanMachine, makePlanner } from '../../support/plan_fixtures.js';
 
 describe('EvolutionarySearch', () => {
-  test('finds the zones with the shortest waits, deterministically by seed, within its plan steps', () => {
+  test('finds the zones with the shortest waits, gives the same result for a seed, and keeps to its step limit', () => {
     const eightCores = makeMachineType('c8', 8, 0);
     const machines = [makePlanMachine(0, 'a', eightCores, 8), makePlanMachine(1, 'b', eightCores, 8)];
     const jobs = Array.from({ length: 8 }, (_, i) =>
--- a/test/core/scheduler/planner.test.ts
+++ b/test/core/scheduler/planner.test.ts
@@ -7,25 +7,25 @@
 import { makePlanJob, makePlanMachine, makePlanner } from '../../support/plan_fixtures.js';
 
 describe('Planner', () => {
-  test('backfills only where something could start, within its plan steps', () => {
+  test('backfills only on machines where a job could start, and stops at its plan step limit', () => {
     const machines = Array.from({ length: 300 }, (_, i) => makePlanMachine(i, 'a', makeMachineType('g4', 24, 4), 24));
     const jobs = Array.from({ length: 200 }, (_, i) => makePlanJob(i, { cpus: 2, gpus: 4 }));
-    const fill = (steps: number, fleet = machines): { steps: number; starts: number } => {
+    const runBackfill = (steps: number, fleet = machines): { steps: number; starts: number } => {
       const planner = makePlanner();
       const plan = planner.plan(fleet, [], null);
       const starts = planner.backfill(plan, jobs, steps).length;
       return { steps: planner.steps, starts };
     };
-    const free = fill(1_000_000);
+    const free = runBackfill(1_000_000);
     assert.equal(free.starts, 200);
-    const bounded = fill(1500);
+    const bounded = runBackfill(1500);
     assert.ok(bounded.steps < 1500 + 300 && bounded.starts > 0 && bounded.starts < 200, JSON.stringify(bounded));
-    // With nothing free for any of them, none of the 200 looks over the 300 machines.
+    // No machine has enough free GPUs, so that none of the 200 jobs examines the 300 machines.
     const occupied = machines.map((machine) => ({ ...machine, freeGpus: [3] }));
-    assert.deepEqual(fill(1_000_000, occupied), { steps: 0, starts: 0 });
+    assert.deepEqual(runBackfill(1_000_000, occupied), { steps: 0, starts: 0 });
   });
 
-  test('counts the image pull into the earliest start, and breaks ties by the least free capacity', () => {
+  test('includes the image pull in the earliest start, and breaks ties by the least free capacity', () => {
     const eightCores = makeMachineType('c8', 8, 0);
     const cached = makePlanner().plan(
       [makePlanMachine(0, 'a', eightCores, 8, 30), makePlanMachine(1, 'a', eightCores, 8, 0)],
@@ -44,23 +44,23 @@
   test('finds the feasible machines of a job among very many infeasible ones', () => {
     const eightCores = makeMachineType('c8', 8, 0);
     const fourGpus = makeMachineType('g4', 24, 4);
-    const unused = Array.from({ length: 500 }, (_, slot) => ({
+    const unusedGpuMachines = Array.from({ length: 500 }, (_, slot) => ({
       ...makePlanMachine(slot, 'a', fourGpus, 24),
       servesGpuWork: false,
     }));
-    const cores = Array.from({ length: 400 }, (_, i) => makePlanMachine(500 + i, 'a', eightCores, 8));
+    const cpuMachines = Array.from({ length: 400 }, (_, i) => makePlanMachine(500 + i, 'a', eightCores, 8));
     const job = makePlanJob(0, { tasks: 40, fitsTypesWithoutGpus: true, penaltyFactor: 1 });
-    const plan = makePlanner().plan([...unused, ...cores], [job], [zoneA]);
+    const plan = makePlanner().plan([...unusedGpuMachines, ...cpuMachines], [job], [zoneA]);
     assert.equal(plan.unplacedTasks.size, 0);
     assert.ok(plan.starts.every((start) => start.machineIndex >= 500));
-    const bound = makePlanJob(0, {
+    const restrictedJob = makePlanJob(0, {
       tasks: 40,
       allowedMachineTypes: ['c8' as MachineTypeName],
       fitsTypesWithoutGpus: true,
       penaltyFactor: 0,
     });
-    const boundPlan = makePlanner().plan([...unused, ...cores], [bound], [zoneA]);
-    assert.equal(boundPlan.unplacedTasks.size, 0);
+    const restrictedPlan = makePlanner().plan([...unusedGpuMachines, ...cpuMachines], [restrictedJob], [zoneA]);
+    assert.equal(restrictedPlan.unplacedTasks.size, 0);
   });
 
   test('gives work without GPUs only the part of a GPU machine that GPU work cannot use', () => {
@@ -75,7 +75,7 @@
     assert.equal(gpus.starts[0]?.tasks, 4);
   });
 
-  test('starts a gang where all of it fits, and keeps later jobs off that capacity', () => {
+  test('starts a gang when all of its tasks fit, and reserves that capacity against later jobs', () => {
     const eightCores = makeMachineType('c8', 8, 0);
     const jobs = [
       makePlanJob(0, { isGang: true, tasks: 2, cpus: 8 }),
@@ -112,8 +112,8 @@
 
   test('lets a gang pull its image on free capacity rather than wait for tasks expected to end', () => {
     const fourGpus = makeMachineType('g4', 24, 4);
-    const fetching = { ...makePlanMachine(0, 'a', fourGpus, 24, 40), freeGpus: [4] };
-    const holding = {
+    const machineWithoutImage = { ...makePlanMachine(0, 'a', fourGpus, 24, 40), freeGpus: [4] };
+    const machineWithImage = {
       ...makePlanMachine(1, 'a', fourGpus, 0, 0),
       stepTimesSeconds: [0, 20],
       freeCpus: [0, 24],
@@ -124,7 +124,7 @@
     const penalties = { ...NO_PENALTIES, futureDiscount: 0.5 };
     const chosen = (gangFutureDiscount: number): number | undefined =>
       new Planner({ averageWait: 1, maximumWait: 1, idleShare: 1 }, { ...penalties, gangFutureDiscount }).plan(
-        [fetching, holding],
+        [machineWithoutImage, machineWithImage],
         [gang],
         [zoneA],
       ).starts[0]?.machineIndex;
--- a/test/core/scheduler/plans.test.ts
+++ b/test/core/scheduler/plans.test.ts
@@ -10,13 +10,13 @@
 import type { ImageName, MachineType, MachineTypeName, ZoneName } from '../../../src/core/types.js';
 
 /**
- * Plans of seeded inputs, compared with the recorded digests in golden/plans.txt (one line a seed). A change that is meant
- * to plan otherwise replaces the file.
+ * Compares plans of seeded random inputs with the recorded digests in golden/plans.txt, which has one line for each
+ * seed. A change that intentionally alters plans replaces the file.
  */
 const GOLDEN = 'test/golden/plans.txt';
 const SEEDS = 300;
-/** Every so many seeds the fleet is so large that not all machines are considered. */
-const LARGE_FLEET_EVERY = 50;
+/** Interval between seeds with a fleet so large that the planner does not consider all machines. */
+const LARGE_FLEET_SEED_INTERVAL = 50;
 
 const ZONES = ['a', 'b', 'c'] as ZoneName[];
 const IMAGES = ['i0', 'i1', 'i2', 'i3', 'i4'] as ImageName[];
@@ -40,7 +40,7 @@
   machineType('g8', 96, 8, 800),
 ];
 
-/** Draws the parts of an input; the same seed draws the same. */
+/** Generates the random parts of an input. The same seed gives the same values. */
 class Draw {
   private readonly random: RandomGenerator;
 
@@ -149,7 +149,9 @@
   startAtSeconds,
 ];
 
-/** What a plan decides, in an order and form of its own that the names in the code don't enter. */
+/**
+ * Returns the content of a plan as nested lists without field names, so that renaming a field does not change digests.
+ */
 const planLines = (plan: Plan): unknown[] => [
   plan.starts.map(startLine),
   [...plan.unplacedTasks],
@@ -165,22 +167,25 @@
   ]),
 ];
 
-/** Any write to the object or its lists throws from here on. */
+/** Freezes an object and its arrays, so that any later write to them throws. */
 function freeze<T extends object>(value: T): T {
   for (const part of Object.values(value)) if (Array.isArray(part)) Object.freeze(part);
   return Object.freeze(value);
 }
 
-/** All plans that one input gives, which is frozen: over all zones, by the search, and the backfill behind it. */
+/**
+ * Returns, as JSON, all plans for the input of one seed: the plan over all zones, two plans of the search, and the
+ * subsequent backfill. The input is frozen, so that a planner that modifies it fails the test.
+ */
 function plansOf(seed: number): string {
   const draw = new Draw(seed);
-  const isLargeFleet = seed % LARGE_FLEET_EVERY === 0;
+  const isLargeFleet = seed % LARGE_FLEET_SEED_INTERVAL === 0;
   const fleet = isLargeFleet ? draw.int(900, 1300) : draw.int(1, 60);
   const machines = Array.from({ length: fleet }, (_, index) => freeze(drawMachine(draw, index)));
   const jobs = Array.from({ length: draw.int(1, isLargeFleet ? 10 : 25) }, (_, index) =>
     freeze(drawJob(draw, index, fleet)),
   );
-  const others = Array.from({ length: draw.int(1, 20) }, (_, i) => freeze(drawJob(draw, jobs.length + i, fleet)));
+  const backfillJobs = Array.from({ length: draw.int(1, 20) }, (_, i) => freeze(drawJob(draw, jobs.length + i, fleet)));
   const planner = new Planner(
     { averageWait: 1, maximumWait: draw.int(0, 2), idleShare: draw.int(0, 50) },
     drawPenalties(draw),
@@ -194,7 +199,7 @@
     jobs,
     jobs.map(({ feasibleZones }) => feasibleZones[0] as ZoneName),
   );
-  const backfilled = planner.backfill(seeded, others, draw.pick([200, 20_000]));
+  const backfilled = planner.backfill(seeded, backfillJobs, draw.pick([200, 20_000]));
   return JSON.stringify([
     planLines(overAllZones),
     planLines(best),
@@ -205,7 +210,7 @@
 }
 
 describe('plans', () => {
-  test('the same inputs and seeds give the same plans, byte for byte, and leave the inputs as they are', () => {
+  test('the same inputs and seeds give exactly the recorded plans, and the inputs are not modified', () => {
     const lines: string[] = [];
     for (let seed = 1; seed <= SEEDS; seed++) {
       lines.push(`${seed} ${createHash('sha256').update(plansOf(seed)).digest('hex')}`);
