--- a/src/core/leadership/candidacy.ts
+++ b/src/core/leadership/candidacy.ts
@@ -1,4 +1,4 @@
-/** One try to become the leader: reads the term, requests a lease, and acquires the leader key on it. */
+/** A single attempt to become the leader: reads the term, requests a lease and acquires the leader key with it. */
 import { encodeTerm, nextTermRecord, type TermRecord } from '../../recovery/index.js';
 import type { StateChange, StateStoreResultOf, VersionCondition } from '../messages.js';
 import { decodeLeader, encodeLeader, LEADER_KEY, type LeaderRecord, TERM_KEY } from '../records.js';
@@ -6,43 +6,45 @@
 import { ABSENT_VERSION, type FencingToken, type LeaseId, type MonotonicTime, type Revision } from '../types.js';
 import type { Leadership } from './leadership.js';
 
-/** Calls of the election are not throttled (clients/call_queue.ts). */
+/** Priority of the election's calls to the state store. They are exempt from throttling (clients/call_queue.ts). */
 export const ELECTION_PRIORITY = 0;
 
-/** The leader key was acquired. */
+/** Outcome of a candidacy that acquired the leader key. */
 export interface ElectionWon {
   readonly kind: 'won';
   readonly leadership: Leadership;
   readonly record: LeaderRecord;
-  /** When the lease was asked for: it began no earlier. */
+  /** When the request for the lease was sent. The lease cannot have begun earlier. */
   readonly grantSentAt: MonotonicTime;
 }
 
-/** How a candidacy ended. */
+/** Outcome of a candidacy. */
 export type CandidacyOutcome =
   | ElectionWon
-  /** The state store didn't answer, or granted no lease. */
+  /** The state store did not respond, or did not grant a lease. */
   | { readonly kind: 'unavailable' }
-  /** Another controller was faster, or the transaction was refused. */
+  /** Another controller acquired the leader key first, or the transaction was refused. */
   | { readonly kind: 'lost' }
-  /** The outcome of the transaction was unknown, and the key is not this candidate's. */
+  /**
+   * The outcome of the transaction was unknown, and a read of the leader key did not show this candidate as its holder.
+   */
   | { readonly kind: 'notConfirmed' };
 
-/** A lease that was granted to the candidate. */
+/** A lease granted to the candidate. */
 interface GrantedLease {
   readonly term: TermRecord;
   readonly leaseId: LeaseId;
   readonly grantSentAt: MonotonicTime;
 }
 
-/** What a candidacy depends on. */
+/** Parameters of a candidacy. */
 export interface CandidacyInit {
-  /** Names this process among those of the controller. */
+  /** Distinguishes this process from previous processes of the same controller. */
   readonly incarnation: string;
   readonly leaseDurationMs: number;
 }
 
-/** Runs once; `onOutcome` is called exactly once unless the state store never answers. */
+/** Each instance runs once. `onOutcome` is called exactly once, or not at all if the state store never responds. */
 export class Candidacy {
   constructor(
     private readonly context: StepContext,
@@ -50,7 +52,7 @@
     private readonly onOutcome: (outcome: CandidacyOutcome) => void,
   ) {}
 
-  /** Begins by reading the term. */
+  /** Starts the attempt by reading the term. */
   start(): void {
     this.context.stateStore.call({ op: 'get', key: TERM_KEY }, ELECTION_PRIORITY, (result) => {
       if (!result.ok) return this.onOutcome({ kind: 'unavailable' });
@@ -87,18 +89,18 @@
     this.context.stateStore.call({ op: 'compareAndSwap', conditions, changes }, ELECTION_PRIORITY, (result) => {
       if (result.ok) this.win(lease, result.value.revision);
       else if (result.error.code === 'outcomeUnknown') this.confirmAcquisition(lease);
-      else this.giveUp(leaseId, { kind: 'lost' });
+      else this.abandon(leaseId, { kind: 'lost' });
     });
   }
 
-  /** The transaction may have been carried out: the key itself tells. */
+  /** Reads the leader key to find out whether a transaction with an unknown outcome was executed. */
   private confirmAcquisition(lease: GrantedLease): void {
     this.context.stateStore.call({ op: 'get', key: LEADER_KEY }, ELECTION_PRIORITY, (result) => {
       const item = result.ok ? result.value.item : null;
       const holder = item ? decodeLeader(item.value) : null;
       const isOwn = holder?.lease === String(lease.leaseId) && holder.incarnation === this.init.incarnation;
       if (item && isOwn) this.win(lease, item.version);
-      else this.giveUp(lease.leaseId, { kind: 'notConfirmed' });
+      else this.abandon(lease.leaseId, { kind: 'notConfirmed' });
     });
   }
 
@@ -113,7 +115,7 @@
     this.onOutcome({ kind: 'won', leadership, record: this.leaderRecord(lease), grantSentAt });
   }
 
-  private giveUp(lease: LeaseId, outcome: CandidacyOutcome): void {
+  private abandon(lease: LeaseId, outcome: CandidacyOutcome): void {
     this.context.stateStore.call({ op: 'revoke', lease }, ELECTION_PRIORITY, () => {});
     this.onOutcome(outcome);
   }
--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -1,4 +1,4 @@
-/** Which controller is the leader: follows the leader key, and stands for election when it is free. */
+/** Tracks which controller is the leader by following the leader key, and starts a candidacy when the key is absent. */
 import { leaderLeaseMs } from '../lease_bounds.js';
 import type { StateStoreResultOf, StoredEntry } from '../messages.js';
 import { decodeLeader, LEADER_KEY, type LeaderRecord } from '../records.js';
@@ -11,7 +11,10 @@
 
 const WATCH_MS = 5000;
 const WATCH_TIMEOUT_MARGIN_MS = 2000;
-/** The watch of the key is answered at least every 5 s while the state store is there. */
+/**
+ * Maximum age of the leader record for the leader to count as known, in milliseconds. While the state store is
+ * reachable, it responds to the watch of the leader key at least every 5 s.
+ */
 const LEADER_RECORD_MAX_AGE_MS = 6500;
 const RETRY_MS = 300;
 const SHORT_RETRY_MS = 50;
@@ -21,32 +24,35 @@
 const RETRY_AFTER_FAILED_CONFIRMATION_MS = 100;
 const LEASE_ID_PATTERN = /^\d+$/;
 
-/** Why a leader gives up its role of its own accord; logged as it stands. */
+/** Why a leader steps down voluntarily. The text is logged unchanged. */
 export type StepDownReason = 'isolated from workers' | 'responses do not reach machines' | 'view of jobs too old';
 
-/** What the election sets off. */
+/** Receives changes of this controller's leadership. */
 export interface ElectionCallbacks {
   onElected(leadership: Leadership): void;
-  /** The role is lost or given up. */
+  /** Called after the leadership was lost or this controller stepped down. */
   onLost(): void;
 }
 
-/** What this controller does in the election. Every state but `leader` ends in another read of the leader key. */
+/** This controller's state in the election. Every state except `leader` ends with another read of the leader key. */
 type ElectionState =
-  /** The leader key is read when the timer is due. */
+  /** The leader key will be read when the retry timer fires. */
   | { readonly kind: 'waiting' }
   /** The leader key is being read or watched. */
   | { readonly kind: 'following' }
-  /** The key was found free, and a try to acquire it is under way. */
+  /** The leader key was found absent, and an attempt to acquire it is in progress. */
   | { readonly kind: 'candidate' }
   | { readonly kind: 'leader'; readonly lease: LeaderLease };
 
-/** One leader key on a lease of the state store; its holder is the leader. */
+/**
+ * Leader election with a single leader key that is attached to a lease of the state store. The controller that holds
+ * the key is the leader.
+ */
 export class Election {
-  /** When this controller was last elected, or began. */
+  /** When this controller was last elected, or when it started if it has not been elected yet. */
   electedAt: MonotonicTime;
   private state: ElectionState = { kind: 'waiting' };
-  /** What the leader key held when it was last read; null: nothing, or nothing that is understood. */
+  /** The leader key's value when it was last read. Null if the key was absent or its value could not be decoded. */
   private leaderRecord: LeaderRecord | null = null;
   private leaderRecordReadAt = Number.NEGATIVE_INFINITY as MonotonicTime;
   private observedRevision: Revision = ABSENT_VERSION;
@@ -54,7 +60,7 @@
   private readonly retryTimer: Timer;
   private readonly leaseDurationMs: number;
 
-  /** `incarnation` names this process among those of the controller. */
+  /** `incarnation` distinguishes this process from previous processes of the same controller. */
   constructor(
     private readonly context: StepContext,
     private readonly incarnation: string,
@@ -67,61 +73,64 @@
     });
   }
 
-  // ---- what others ask
+  // ---- queries
 
   /** Null while this controller is not the leader. */
   get leadership(): Leadership | null {
     return this.state.kind === 'leader' ? this.state.lease.leadership : null;
   }
 
-  /** Returns whether this controller is the leader, and no other can be at this moment. */
+  /** Returns whether this controller is the leader and its lease rules out any other leader at this moment. */
   isLeaseValid(): boolean {
     return this.state.kind === 'leader' && this.state.lease.isValid();
   }
 
-  /** Returns whether the leader is known from a recent answer of the state store. */
+  /** Returns whether the leader is known from a recent read of the leader key. */
   isLeaderKnown(): boolean {
     const ageMs = this.context.now.monotonic - this.leaderRecordReadAt;
     return this.leaderRecord !== null && ageMs < LEADER_RECORD_MAX_AGE_MS;
   }
 
-  /** Returns the leader's name as last read, however long ago; null: there was none. */
+  /** Returns the leader's name as last read, regardless of its age. Null if no leader was found. */
   leaderName(): ControllerName | null {
     return this.leaderRecord ? (this.leaderRecord.node as ControllerName) : null;
   }
 
   // ---- transitions
 
-  /** Begins to follow the leader key. */
+  /** Starts following the leader key. */
   start(): void {
     this.follow();
   }
 
-  /** Gives up the role at once, and doesn't stand for election for a while. Without effect where this is not the leader. */
+  /**
+   * Steps down immediately and starts no candidacy for the configured back-off time. Has no effect if this controller
+   * is not the leader.
+   */
   stepDown(reason: StepDownReason): void {
     if (this.state.kind !== 'leader') return;
     const { fencingToken, leaseId } = this.state.lease.leadership;
     this.context.log('stepping down as leader', { reason, fencingToken });
-    this.leaveOffice(this.state.lease);
+    this.endLeadership(this.state.lease);
     this.nextCandidacyAt = this.context.after(this.context.tuning.leadership.backoff_ms);
     this.revoke(leaseId);
-    this.waitFor(RETRY_AFTER_STEPPING_DOWN_MS);
+    this.scheduleRetry(RETRY_AFTER_STEPPING_DOWN_MS);
   }
 
   private onLeaseExpired(lease: LeaderLease): void {
     const { fencingToken } = lease.leadership;
     this.context.log('leadership lost: lease expired', { fencingToken });
-    this.leaveOffice(lease);
-    this.waitFor(IMMEDIATE_RETRY_MS);
+    this.endLeadership(lease);
+    this.scheduleRetry(IMMEDIATE_RETRY_MS);
   }
 
-  private leaveOffice(lease: LeaderLease): void {
+  private endLeadership(lease: LeaderLease): void {
     this.state = { kind: 'waiting' };
     lease.release();
     this.callbacks.onLost();
   }
 
-  private waitFor(ms: number): void {
+  private scheduleRetry(ms: number): void {
     this.state = { kind: 'waiting' };
     this.retryTimer.set(this.context.after(ms));
   }
@@ -131,10 +140,10 @@
     this.readLeaderKey();
   }
 
-  private stand(): void {
+  private startCandidacy(): void {
     const waitMs = this.nextCandidacyAt - this.context.now.monotonic;
     if (waitMs > 0) {
-      this.waitFor(waitMs);
+      this.scheduleRetry(waitMs);
       return;
     }
     this.state = { kind: 'candidate' };
@@ -145,21 +154,21 @@
   private onCandidacyOutcome(outcome: CandidacyOutcome): void {
     switch (outcome.kind) {
       case 'won':
-        this.takeOffice(outcome);
+        this.becomeLeader(outcome);
         return;
       case 'unavailable':
-        this.waitFor(RETRY_MS);
+        this.scheduleRetry(RETRY_MS);
         return;
       case 'lost':
-        this.waitFor(SHORT_RETRY_MS);
+        this.scheduleRetry(SHORT_RETRY_MS);
         return;
       case 'notConfirmed':
-        this.waitFor(RETRY_AFTER_FAILED_CONFIRMATION_MS);
+        this.scheduleRetry(RETRY_AFTER_FAILED_CONFIRMATION_MS);
         return;
     }
   }
 
-  private takeOffice(won: ElectionWon): void {
+  private becomeLeader(won: ElectionWon): void {
     const { leadership, record } = won;
     const { fencingToken, term } = leadership;
     const lease = new LeaderLease(this.context, won, this.leaseDurationMs, () => this.onLeaseExpired(lease));
@@ -176,7 +185,7 @@
 
   private readLeaderKey(): void {
     this.context.stateStore.call({ op: 'get', key: LEADER_KEY }, ELECTION_PRIORITY, (result) => {
-      if (!result.ok) return this.waitFor(RETRY_MS);
+      if (!result.ok) return this.scheduleRetry(RETRY_MS);
       this.leaderRecordReadAt = this.context.now.monotonic;
       this.observeRevision(result.value.revision);
       this.onLeaderKey(result.value.item);
@@ -186,21 +195,24 @@
   private onLeaderKey(item: StoredEntry | null): void {
     if (item === null) {
       this.leaderRecord = null;
-      this.stand();
+      this.startCandidacy();
       return;
     }
     this.observeRevision(item.version);
     this.leaderRecord = decodeLeader(item.value);
     if (!this.leaderRecord) this.context.log('leader key not understood', { key: LEADER_KEY });
-    const ownLease = this.leaderRecord && this.leaseOfPreviousIncarnation(this.leaderRecord);
-    if (ownLease) this.endPreviousIncarnation(ownLease);
+    const previousLease = this.leaderRecord && this.leaseOfPreviousIncarnation(this.leaderRecord);
+    if (previousLease) this.revokePreviousIncarnation(previousLease);
     else this.watchLeaderKey();
   }
 
-  /** A previous process of this controller can't run beside this one, so the lease that it left can end now. */
-  private endPreviousIncarnation(lease: LeaseId): void {
+  /**
+   * Revokes the lease that a previous process of this controller left behind. That process cannot still be running
+   * beside this one, so there is no need to wait for the lease to expire.
+   */
+  private revokePreviousIncarnation(lease: LeaseId): void {
     this.context.log('revoking lease of previous process', {});
-    this.revoke(lease, () => this.waitFor(IMMEDIATE_RETRY_MS));
+    this.revoke(lease, () => this.scheduleRetry(IMMEDIATE_RETRY_MS));
   }
 
   private leaseOfPreviousIncarnation({ node, incarnation, lease }: LeaderRecord): LeaseId | null {
@@ -216,11 +228,11 @@
 
   private onWatchAnswered(result: StateStoreResultOf<'watch'>): void {
     if (!result.ok) {
-      this.waitFor(result.error.code === 'gone' ? IMMEDIATE_RETRY_MS : RETRY_MS);
+      this.scheduleRetry(result.error.code === 'gone' ? IMMEDIATE_RETRY_MS : RETRY_MS);
       return;
     }
     this.observedRevision = result.value.revision;
-    this.waitFor(result.value.events.length > 0 ? RETRY_AFTER_EVENT_MS : SHORT_RETRY_MS);
+    this.scheduleRetry(result.value.events.length > 0 ? RETRY_AFTER_EVENT_MS : SHORT_RETRY_MS);
   }
 
   private observeRevision(revision: Revision | undefined): void {
--- a/src/core/leadership/job_record_lookup.ts
+++ b/src/core/leadership/job_record_lookup.ts
@@ -1,11 +1,11 @@
-/** Looks up whether jobs that only workers know of are on record. */
+/** Looks up whether the state store holds records of jobs that are known only from workers' statuses. */
 import type { JobCache } from '../jobs/job_cache.js';
 import { jobKey } from '../records.js';
 import type { PreviousTerms } from '../state/previous_terms.js';
 import type { StepContext } from '../step_context.js';
 import type { JobId } from '../types.js';
 
-/** Nobody but workers' tasks waits for these reads. */
+/** Priority of the lookups. Only tasks on workers wait for their results. */
 const LOOKUP_PRIORITY = 2;
 
 /** Reads the records of suspected orphans from the state store. */
@@ -18,12 +18,12 @@
     private readonly previousTerms: PreviousTerms,
   ) {}
 
-  /** Answers that still come are ignored. */
+  /** Ignores the responses to lookups that are still in flight. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Looks up each job that was suspected since the last time. */
+  /** Looks up the record of each job that has become a suspected orphan since the last call. */
   lookUpSuspectedOrphans(): void {
     for (const id of this.previousTerms.takeRecordsToLookUp()) this.lookUp(id);
   }
--- a/src/core/leadership/job_view.ts
+++ b/src/core/leadership/job_view.ts
@@ -1,13 +1,16 @@
-/** How old the leader's view of jobs is, and what may still be done on it. */
+/** Determines how old the leader's view of jobs is, and which actions its age still permits. */
 import type { JobCache } from '../jobs/job_cache.js';
 import { maxJobViewAgeMs } from '../lease_bounds.js';
 import type { StepContext } from '../step_context.js';
 import type { MonotonicTime } from '../types.js';
 
-/** A start is based on a view of jobs that is at most so old: a cancellation may be on record since. */
+/**
+ * Maximum age of the view of jobs for starting tasks, in milliseconds. A cancellation that was stored after the view
+ * was read is not visible in it.
+ */
 const MAX_AGE_FOR_STARTS_MS = 4000;
 
-/** The age of what the job cache knows. */
+/** The leader's view of jobs, which is as old as the content of the job cache. */
 export class JobView {
   constructor(
     private readonly context: StepContext,
@@ -15,16 +18,16 @@
   ) {}
 
   /**
-   * Returns whether the view is recent enough to renew workers' leases on. A leader whose lease is renewed while it hears
-   * nothing of jobs would keep cancelled tasks alive for ever (no-job-news.txt). `loadingSince`: when the state began to be
-   * read; null once it was.
+   * Returns whether the view is recent enough to renew workers' leases. Without this check, a leader whose own lease is
+   * renewed while it receives no updates of jobs would keep cancelled tasks alive indefinitely (no-job-news.txt).
+   * `loadingSince` is when the leader began to load the state, or null once it is loaded.
    */
   mayRenewLeases(loadingSince: MonotonicTime | null): boolean {
     const currentAsOf = loadingSince ?? this.jobCache.currentAsOf;
     return this.context.now.monotonic - currentAsOf < maxJobViewAgeMs(this.context.settings);
   }
 
-  /** Returns whether the view is recent enough to start tasks on. */
+  /** Returns whether the view is recent enough to start tasks. */
   mayStartTasks(): boolean {
     return this.context.now.monotonic - this.jobCache.currentAsOf < MAX_AGE_FOR_STARTS_MS;
   }
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -1,4 +1,4 @@
-/** The leader of one term: puts together the parts that act for it, and hands each input to the part it concerns. */
+/** The leader of one term: creates the components that act for it, and dispatches each input to one of them. */
 import type { RecoverySummary } from '../../recovery/index.js';
 import { Autoscaler } from '../autoscaling/autoscaler.js';
 import { HealthChecks } from '../health/health_checks.js';
@@ -29,16 +29,18 @@
 const HEALTH_CHECK_INTERVAL_MS = 1000;
 const FIRST_HEALTH_CHECK_MS = 500;
 
-/** How far a leader has come in its term; each state is followed by the next, or by `stopped`. */
+/** The state of a leader within its term. Each state is followed by the next one or by `stopped`. */
 type LeaderState =
-  /** Reading what previous terms left: workers' leases are renewed, and nothing else is done. */
+  /**
+   * Reads the state that previous terms left. Workers' leases are renewed meanwhile, but nothing is planned or started.
+   */
   | 'loading'
-  /** Acts on everything. */
+  /** The state is loaded, and the leader handles all inputs. */
   | 'active'
-  /** No longer the leader: whatever still arrives is ignored. */
+  /** This controller is no longer the leader. Inputs that still arrive are ignored. */
   | 'stopped';
 
-/** A new one is made for every term. */
+/** A new instance is created for every term. */
 export class Leader implements HeartbeatLeader, CommandLeader, ReconciliationLeader {
   private readonly cluster: Cluster;
   private readonly autoscaler: Autoscaler;
@@ -57,10 +59,10 @@
   private readonly statusRequestTimer: Timer;
   private readonly electedAt: MonotonicTime;
   private state: LeaderState = 'loading';
-  /** Since when most machines don't react to responses; null: they do. */
+  /** Since when most machines have not reacted to heartbeat responses. Null while they react. */
   private isolatedSince: MonotonicTime | null = null;
 
-  /** `seed` is what all random choices of the scheduler come from. */
+  /** `seed` determines all random choices of the scheduler. */
   constructor(
     private readonly context: StepContext,
     private readonly election: Election,
@@ -112,18 +114,18 @@
     });
   }
 
-  /** How many machines may exist. */
+  /** The number of machines that may exist. */
   get machineCount(): number {
     return this.cluster.machines.size;
   }
 
-  /** The cloud's list of machine types is there, or has changed. */
+  /** Sets the cloud's list of machine types when it has been read for the first time or has changed. */
   setMachineTypes(types: MachineTypes): void {
     this.cluster.machineTypes = types;
     this.loadState();
   }
 
-  /** The role is lost: nothing more is done or answered. */
+  /** Stops all activity after the leadership was lost. Heartbeats that still wait for a response receive status 503. */
   stop(): void {
     this.state = 'stopped';
     this.stateLoader.stop();
@@ -135,24 +137,24 @@
     this.cluster.timers.close();
   }
 
-  // ---- what the parts ask
+  // ---- queries and requests of the components
 
-  /** Returns whether no other controller can be the leader at this moment. */
+  /** Returns whether this controller is the leader and its lease rules out any other leader at this moment. */
   isLeaseValid(): boolean {
     return this.state !== 'stopped' && this.election.isLeaseValid();
   }
 
-  /** Returns whether the state is loaded, and no other controller can be the leader at this moment. */
+  /** Returns whether the state is loaded and the lease rules out any other leader at this moment. */
   private mayAct(): boolean {
     return this.state === 'active' && this.election.isLeaseValid();
   }
 
-  /** Returns whether the view of jobs is recent enough to renew workers' leases on. */
+  /** Returns whether the view of jobs is recent enough to renew workers' leases. */
   hasRecentJobView(): boolean {
     return this.jobView.mayRenewLeases(this.state === 'loading' ? this.electedAt : null);
   }
 
-  /** Returns whether the view of jobs is recent enough to start tasks on. */
+  /** Returns whether the view of jobs is recent enough to start tasks. */
   mayStartTasks(): boolean {
     return this.jobView.mayStartTasks();
   }
@@ -162,12 +164,12 @@
     return this.state === 'active';
   }
 
-  /** Returns whether records are being written that a start may wait for. */
+  /** Returns whether writes are in flight that a start may be waiting for. */
   hasWritesInFlight(): boolean {
     return this.recordWriter.hasWritesInFlight;
   }
 
-  /** Puts the machine on record. */
+  /** Adds the machine to the stored machine registry. */
   registerMachine(machine: Machine): void {
     this.recordWriter.registerMachine(machine);
   }
@@ -177,20 +179,21 @@
     this.planningRounds.scheduleSoon();
   }
 
-  /** Looks up the records of jobs that only workers know of. */
+  /** Looks up the records of jobs that are known only from workers' statuses. */
   lookUpSuspectedOrphans(): void {
     this.jobRecordLookup.lookUpSuspectedOrphans();
   }
 
   // ---- failover
 
-  /** Begins, or begins again, to read what previous terms left, once machine types are known. */
+  /** Starts reading the state that previous terms left, or reads it again, once the machine types are known. */
   private loadState(): void {
     if (this.state === 'loading' && this.cluster.machineTypes.size > 0) this.stateLoader.load();
   }
 
   private restoreState(pages: readonly StoredEntry[]): void {
-    // Previous leaders answered nobody since this one was elected; it has itself renewed some leases while it read the state.
+    // Previous leaders have renewed no worker lease since this leader was elected. This leader has renewed some of them
+    // while it was loading the state.
     const renewals = this.heartbeatHandler.renewalsWhileLoading;
     const lastLeaseRenewalAt = (machine: MachineId) => renewals.lastRenewalAt(machine, this.electedAt);
     new StateRestorer(this.cluster, this.registry, this.jobCache, lastLeaseRenewalAt).restore(pages);
@@ -204,7 +207,7 @@
 
   // ---- jobs
 
-  /** The cache has a newer record of a job: a submission, a cancellation, or what this leader wrote itself. */
+  /** Applies a newer job record from the cache, caused by a submission, a cancellation or a write of this leader. */
   onJobRecord(job: CachedJob): void {
     if (this.state !== 'active') return;
     const known = this.cluster.jobs.get(job.record.spec.id);
@@ -213,26 +216,29 @@
     this.schedulePlanningRoundSoon();
   }
 
-  /** A controller has put a cancellation on record; the state store's own news of it may take long to come through. */
+  /**
+   * Applies a cancellation that a controller has stored. The watch of the state store may report the same cancellation
+   * much later.
+   */
   onCancellationBroadcast(id: JobId): void {
     if (this.state !== 'stopped') this.cluster.applyCancellationBroadcast(id);
   }
 
-  /** Returns a job's counts for display; null where they are not known here. */
+  /** Returns a job's task counts for display, or null if they are not known here. */
   taskCounts(id: JobId): TaskCounts | null {
     if (!this.mayAct()) return null;
     const job = this.cluster.jobs.get(id);
     return job ? { done: job.doneTasks.count, running: this.cluster.placements.runningCount(job) } : null;
   }
 
-  /** Returns what was found of previous terms; null where the recovery feature is off. */
+  /** Returns what recovery has found of previous terms, or null if the recovery feature is disabled. */
   recoverySummary(): RecoverySummary | null {
     return this.cluster.previousTerms.summary();
   }
 
   // ---- workers
 
-  /** A worker's heartbeat has arrived, here or at a peer. `respond` is called once, at once or later. */
+  /** Handles a worker's heartbeat that this controller or a peer received. `respond` is called once, possibly later. */
   onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void {
     this.heartbeatHandler.onHeartbeat(heartbeat, respond);
   }
@@ -243,7 +249,10 @@
 
   // ---- health
 
-  /** Once a second: overdue heartbeats, lost machines, scale-in, and whether this controller can go on leading. */
+  /**
+   * Runs once a second. Handles overdue heartbeats, lost machines and scale-in, and steps down if this controller
+   * should no longer be the leader.
+   */
   private runHealthChecks(): void {
     this.healthCheckTimer.set(this.context.after(HEALTH_CHECK_INTERVAL_MS));
     if (!this.isLeaseValid()) return;
@@ -261,7 +270,10 @@
     this.stepDownIfIsolated();
   }
 
-  /** Where most machines report but don't react to responses, another controller should lead. */
+  /**
+   * Steps down so that another controller can become the leader, if most machines send heartbeats but have not reacted
+   * to responses for too long.
+   */
   private stepDownIfIsolated(): void {
     const now = this.context.now.monotonic;
     if (!this.healthChecks.isLeaderIsolated()) {
--- a/src/core/leadership/leader_lease.ts
+++ b/src/core/leadership/leader_lease.ts
@@ -1,4 +1,4 @@
-/** The lease of the leader key while this controller holds it: until when it is valid, and its renewals. */
+/** The lease of the leader key while this controller holds it: its validity and its renewals. */
 import { CLOCK_DRIFT } from '../lease_bounds.js';
 import type { StateStoreResult } from '../messages.js';
 import type { StepContext } from '../step_context.js';
@@ -12,19 +12,20 @@
 const MAX_RENEWAL_TIMEOUT_MS = 1500;
 const RENEWAL_TIMEOUT_SHARE = 1 / 3;
 
-/** What a renewal brought. */
+/** Outcome of a renewal. */
 type RenewalOutcome = 'renewed' | 'unanswered' | 'expired';
 
 /**
- * Validity runs from when the last successful renewal was *sent*, on this controller's clock, less drift and margin, and
- * callers ask for it at the moment of use: timers are late on a starved core.
+ * Tracks until when the lease is valid. The validity period starts when the last successful renewal was sent, measured
+ * by this controller's clock, and is shortened by the clock drift and a safety margin. Callers check the validity at
+ * the moment of use, because a timer that ended it would fire late on an overloaded core.
  */
 export class LeaderLease {
   readonly leadership: Leadership;
   private isReleased = false;
   private readonly renewalTimer: Timer;
 
-  /** `onExpired`: the state store says that the lease is no more. */
+  /** `onExpired` is called when the state store responds that the lease no longer exists. */
   constructor(
     private readonly context: StepContext,
     won: ElectionWon,
@@ -36,24 +37,24 @@
     this.extendValidity(won.grantSentAt);
   }
 
-  /** Returns whether no other controller can be the leader at this moment. */
+  /** Returns whether the lease rules out any other leader at this moment. */
   isValid(): boolean {
     return !this.isReleased && this.context.now.monotonic < this.context.leadership.validUntil;
   }
 
-  /** Begins to renew the lease. */
+  /** Starts renewing the lease. */
   start(): void {
     this.scheduleRenewal(this.durationMs / RENEWALS_PER_LEASE);
   }
 
-  /** Ends validity and renewals at once. The lease itself stays with the state store until it expires or is revoked. */
+  /** Ends the validity and the renewals immediately. The state store keeps the lease until it expires or is revoked. */
   release(): void {
     this.isReleased = true;
     this.context.leadership.validUntil = 0 as MonotonicTime;
     this.renewalTimer.clear();
   }
 
-  /** Sends a renewal. Does nothing once the lease was released. */
+  /** Sends a renewal. Has no effect after the lease was released. */
   private renew(): void {
     if (this.isReleased) return;
     let sentAt = this.context.now.monotonic;
@@ -84,10 +85,10 @@
   }
 
   private onRenewed(sentAt: MonotonicTime): void {
-    const hadLapsed = !this.isValid();
+    const wasInvalid = !this.isValid();
     this.extendValidity(sentAt);
     const { fencingToken } = this.leadership;
-    if (hadLapsed) this.context.log('leadership resumed after gap in renewals', { fencingToken });
+    if (wasInvalid) this.context.log('leadership resumed after gap in renewals', { fencingToken });
     this.start();
   }
 
--- a/src/core/leadership/planning_rounds.ts
+++ b/src/core/leadership/planning_rounds.ts
@@ -1,4 +1,4 @@
-/** When planning rounds and placements of replicas take place, and what follows from them. */
+/** Decides when planning rounds and placements of replicas run, and carries out the actions that follow from them. */
 import type { Autoscaler } from '../autoscaling/autoscaler.js';
 import { migrateToCachedImages } from '../scheduler/migration.js';
 import { preempt } from '../scheduler/preemption.js';
@@ -9,31 +9,31 @@
 import type { MonotonicTime } from '../types.js';
 
 const FIRST_ROUND_MS = 50;
-/** A round that something calls for waits a moment for more of it. */
+/** Minimum delay of a requested round, in milliseconds, so that one round can cover several requests. */
 const BATCHING_MS = 20;
-/** Sets the random choices of one round apart from those of the next. */
+/** Difference between the random seeds of successive rounds. */
 const SEED_STEP = 7919;
 
-/** What rounds depend on, and what follows from a round or a placement. */
+/** The condition for planning rounds, and the actions that follow a round or a placement. */
 export interface PlanningRoundCallbacks {
-  /** Returns whether the state is loaded, and this controller is the leader. */
+  /** Returns whether the state is loaded and this controller is the leader. */
   mayPlan(): boolean;
-  /** Writes the records that starts wait for. */
+  /** Writes the records that starts are waiting for. */
   flushRecords(): void;
-  /** Sends the starts of replicas. */
+  /** Pushes the start commands of replicas to the workers. */
   pushCommands(): void;
-  /** Answers heartbeats whose responses carry starts. */
+  /** Sends the deferred heartbeat responses, which carry start commands. */
   releaseDeferredResponses(): void;
 }
 
-/** Runs the scheduler for one leader. */
+/** Runs the scheduler for one leader during its term. */
 export class PlanningRounds {
   private readonly context: StepContext;
   private lastRoundAt = 0 as MonotonicTime;
   private lastRoundSteps = 0;
   private roundCount = 0;
 
-  /** `seed` is what all random choices of the rounds come from. */
+  /** `seed` determines all random choices of the rounds. */
   constructor(
     private readonly cluster: Cluster,
     private readonly autoscaler: Autoscaler,
@@ -47,12 +47,12 @@
     });
   }
 
-  /** The state has been restored: the first round follows at once. */
+  /** Schedules the first round. Called when the state has been restored. */
   start(): void {
     this.cluster.timers.planningRound.set(this.context.after(FIRST_ROUND_MS));
   }
 
-  /** Brings the next round forward, as far as the cost of rounds allows. */
+  /** Brings the next round forward. The minimum spacing of rounds grows with the cost of a round. */
   scheduleSoon(): void {
     this.cluster.servicePlacements.request();
     const { spacing_ms, spacing_per_machine_ms, spacing_per_step_ms } = this.context.tuning.scheduler;
@@ -62,7 +62,7 @@
     this.cluster.timers.planningRound.bringForward(at);
   }
 
-  /** Places replicas that wait; their starts are pushed, not left to responses. */
+  /** Places pending replicas. Their start commands are pushed instead of waiting for heartbeat responses. */
   private placeServices(): void {
     this.cluster.servicePlacements.onPlacement();
     if (placeServices(this.cluster) === 0) return;
@@ -70,14 +70,14 @@
     this.callbacks.pushCommands();
   }
 
-  /** The round after this one is scheduled, whether or not this one can be run. */
+  /** Runs a round if that is possible now, and schedules the next one in any case. */
   private onRoundDue(): void {
     this.cluster.timers.planningRound.set(this.context.after(this.context.tuning.scheduler.period_ms));
     this.lastRoundAt = this.context.now.monotonic;
     if (this.callbacks.mayPlan()) this.run();
   }
 
-  /** Plans all work that waits, and scales out for what the machines can't take. */
+  /** Plans all pending work, and scales out for the work that does not fit on the machines. */
   private run(): void {
     this.roundCount += 1;
     this.placeServices();
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -1,4 +1,4 @@
-/** Writes the leader's records of jobs and machines to the state store. */
+/** Writes the leader's job records and machine registry to the state store. */
 import type { Job } from '../jobs/job.js';
 import { RangeSet } from '../jobs/range_set.js';
 import type { Machine } from '../machines/machine.js';
@@ -12,44 +12,48 @@
 import { type Leadership, leaderCondition } from './leadership.js';
 import { type JobSnapshot, WriteBatch, type WriteLimits } from './write_batch.js';
 
-/** Results that nobody waits for are written this rarely, and more rarely still where writes are scarce. */
+/**
+ * Minimum interval between writes of a job record that nothing is waiting for, in milliseconds. While the write
+ * capacity is scarce, the interval is multiplied by the factor below.
+ */
 const LAZY_WRITE_INTERVAL_MS = 4000;
 const SCARCE_WRITES_INTERVAL_FACTOR = 4;
-/** Completions come in crowds: a moment's gathering puts them into one transaction. */
+/** Delay of a flush, in milliseconds, so that a burst of task completions is written in one transaction. */
 const BATCHING_MS = 30;
 const WRITE_RETRY_MS = 150;
 const REREAD_RETRY_MS = 200;
 const FLUSH_AFTER_REREAD_MS = 1;
-/** After a write that was rejected for its size. */
+/** Pause after a write that was rejected for its size, in milliseconds. */
 const REJECTED_PAUSE_MS = 1000;
 const MIN_VALUE_BYTES = 512;
 const VALUE_SHRINK_FACTOR = 0.75;
 const URGENT_PRIORITY = 1;
 const LAZY_PRIORITY = 3;
 
-/** What follows from reads and writes. */
+/** The condition for writes, and notifications of completed reads and writes. */
 export interface RecordWriterCallbacks {
-  /** Returns whether records may be written now: the state is loaded, and this controller is the leader. */
+  /** Returns whether records may be written now because the state is loaded and this controller is the leader. */
   mayWrite(): boolean;
-  /** A record as the state store was found to hold it. */
+  /** Called with a job record that was read from the state store. */
   onRecordRead(item: StoredEntry): void;
-  /** Something that others may wait for is now on record, or has failed to be. */
+  /** Called when a write that other work may be waiting for has succeeded or failed. */
   onWriteFinished(): void;
 }
 
-/** How a transaction ended. */
+/** Outcome of a transaction. */
 type WriteOutcome =
   | { readonly kind: 'written'; readonly version: Revision }
-  /** It was certainly not carried out. */
+  /** The transaction was certainly not executed. */
   | { readonly kind: 'notExecuted' }
-  /** Its conditions did not hold, or nobody knows: what is stored has to be read. */
+  /** A condition did not hold, or the outcome is unknown. The stored values have to be read again. */
   | { readonly kind: 'unknown' }
-  /** The state store calls it malformed: it may take less than was announced. */
+  /** The state store rejected the transaction as malformed. Its size limits may be lower than announced. */
   | { readonly kind: 'rejected' };
 
 /**
- * Puts many changes into a transaction, what others wait for first. Every transaction depends on the leader key and on each
- * changed key's version, so one that is carried out late changes nothing.
+ * Combines many changes into one transaction, beginning with those that other work waits for. Every transaction is
+ * conditional on the leader key and on the version of each changed key. A transaction that is executed late, after one
+ * of them has changed, therefore has no effect.
  */
 export class RecordWriter {
   private readonly context: StepContext;
@@ -70,23 +74,23 @@
     this.limits = { maxChanges: maxChangesPerTransaction, maxValueBytes };
   }
 
-  /** Whether transactions have been sent that are not answered. */
+  /** Whether transactions have been sent that have no response yet. */
   get hasWritesInFlight(): boolean {
     return this.writesInFlight > 0;
   }
 
-  /** Nothing more is written, and answers that still come are ignored. */
+  /** Stops writing, and ignores the responses to calls that are still in flight. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Puts a machine on record: before that is done, no command goes to it. */
+  /** Adds a machine to the registry. No command is sent to the machine until its record is stored. */
   registerMachine(machine: Machine): void {
     this.registry.add(machine);
     this.scheduleFlush();
   }
 
-  /** Takes a machine that is gone off the record. */
+  /** Removes a machine that no longer exists from the registry. */
   unregisterMachine(machine: Machine): void {
     this.registry.remove(machine.id);
     this.scheduleFlush();
@@ -102,7 +106,7 @@
 
   // ---- writing
 
-  /** Writes what is due. */
+  /** Writes all records that are due. */
   flush(): void {
     if (this.stopped || !this.callbacks.mayWrite()) return;
     const now = this.context.now.monotonic;
@@ -117,7 +121,7 @@
     while (jobs.length > 0 || pages.length > 0) this.send(this.nextBatch(jobs, pages, now));
   }
 
-  /** Jobs whose records are due, the urgent ones first. Those that need no attention any more are dropped on the way. */
+  /** Returns the jobs whose records are due, urgent ones first. Also deactivates the jobs that are settled. */
   private dueJobs(now: MonotonicTime, hasSpareWrites: boolean): Job[] {
     const due: Job[] = [];
     const lazyMs = hasSpareWrites ? LAZY_WRITE_INTERVAL_MS : SCARCE_WRITES_INTERVAL_FACTOR * LAZY_WRITE_INTERVAL_MS;
@@ -130,7 +134,7 @@
     return due.sort((a, b) => Number(b.writeUrgency === 'immediate') - Number(a.writeUrgency === 'immediate'));
   }
 
-  /** Takes from both lists what fits into one transaction: urgent pages, then jobs, then other pages. */
+  /** Moves as much of both lists as fits into one transaction: urgent pages first, then jobs, then the other pages. */
   private nextBatch(jobs: Job[], pages: RegistryPage[], now: MonotonicTime): WriteBatch {
     const batch = new WriteBatch(leaderCondition(this.leadership), this.limits);
     const addPage = (page: RegistryPage) => batch.addPage(page, this.registry, now);
@@ -191,7 +195,10 @@
     this.rescheduleFlush(WRITE_RETRY_MS);
   }
 
-  /** The same transaction is never sent again. */
+  /**
+   * Lowers the write limits and pauses writing, so that the rejected transaction is not sent again in the same form.
+   * The limits do not fall below one change and `MIN_VALUE_BYTES`.
+   */
   private reduceWriteSize(batch: WriteBatch): void {
     this.limits = reducedLimits(this.limits, batch.changes.length);
     this.registry.setValueLimit(this.limits.maxValueBytes);
@@ -199,7 +206,7 @@
     this.context.log('write refused for its size', { ...this.limits });
   }
 
-  // ---- reading what holds now
+  // ---- rereading stored records
 
   private rereadJob(job: Job): void {
     job.stored.beginRead();
@@ -211,7 +218,10 @@
     });
   }
 
-  /** Only the version matters: the page is written anew, on the condition that nothing has come in between. */
+  /**
+   * Reads the current version of a page. Its content is not needed, because the whole page is written again on the
+   * condition that this version is still current.
+   */
   private rereadPage(page: RegistryPage): void {
     page.beginRead();
     this.context.stateStore.call({ op: 'get', key: pageKey(page.index) }, URGENT_PRIORITY, (result) => {
@@ -229,7 +239,7 @@
   return { kind: result.error.code === 'invalidRequest' ? 'rejected' : 'unknown' };
 }
 
-/** Fewer changes at a time first, then smaller values. */
+/** Returns lower limits: first fewer changes per transaction, then smaller values. */
 function reducedLimits({ maxChanges, maxValueBytes }: WriteLimits, rejectedChanges: number): WriteLimits {
   if (rejectedChanges > 1) return { maxChanges: Math.max(1, Math.floor(rejectedChanges / 2)), maxValueBytes };
   const reduced = Math.floor(maxValueBytes * VALUE_SHRINK_FACTOR);
--- a/src/core/leadership/state_loader.ts
+++ b/src/core/leadership/state_loader.ts
@@ -1,4 +1,4 @@
-/** Reads the state that previous terms left in the state store, until it works. */
+/** Reads the state that previous terms left in the state store, and retries until that succeeds. */
 import { readPrefix } from '../clients/state_store_reads.js';
 import type { JobCache } from '../jobs/job_cache.js';
 import type { StoredEntry } from '../messages.js';
@@ -8,15 +8,15 @@
 
 const RETRY_MS = 300;
 
-/** `ended`: everything has been read, or the term is over. */
+/** `ended` means that everything has been read or that the term is over. */
 type LoaderState = 'idle' | 'reading' | 'ended';
 
-/** Machines and jobs are read as they stand after the leader key was acquired. */
+/** Reads the machine registry and the job records. The reads begin after the leader key was acquired. */
 export class StateLoader {
   private state: LoaderState = 'idle';
   private readonly retryTimer: Timer;
 
-  /** `onLoaded` is given the registry's pages once jobs and machines are read. */
+  /** `onLoaded` receives the pages of the machine registry once both jobs and machines have been read. */
   constructor(
     private readonly context: StepContext,
     timers: TimerFactory,
@@ -26,12 +26,15 @@
     this.retryTimer = timers.create(() => this.load());
   }
 
-  /** Answers that still come are ignored. */
+  /** Ends the loading. Responses to reads that are still in flight are ignored. */
   stop(): void {
     this.state = 'ended';
   }
 
-  /** Begins to read, or to read again after a failure. Without effect while it reads. */
+  /**
+   * Starts reading, or reads again after a failure. Has no effect while a read is in progress or after the loading
+   * ended.
+   */
   load(): void {
     if (this.state !== 'idle') return;
     this.state = 'reading';
--- a/src/core/leadership/state_restorer.ts
+++ b/src/core/leadership/state_restorer.ts
@@ -1,4 +1,4 @@
-/** Fills a new leader's cluster with what previous terms left in the state store. */
+/** Populates a new leader's cluster with the state that previous terms left in the state store. */
 import type { JobCache } from '../jobs/job_cache.js';
 import { Machine } from '../machines/machine.js';
 import type { MachineRegistry } from '../machines/machine_registry.js';
@@ -7,9 +7,12 @@
 import type { Cluster } from '../state/cluster.js';
 import type { MachineId, MonotonicTime } from '../types.js';
 
-/** Used once, when all records have been read. */
+/** Used once per term, after all records have been read. */
 export class StateRestorer {
-  /** `lastLeaseRenewalAt`: when anybody may last have renewed a machine's lease before this leader knew of the machine. */
+  /**
+   * `lastLeaseRenewalAt` returns the latest time at which any controller may have renewed a machine's lease before this
+   * leader knew of the machine.
+   */
   constructor(
     private readonly cluster: Cluster,
     private readonly registry: MachineRegistry,
@@ -17,7 +20,7 @@
     private readonly lastLeaseRenewalAt: (machine: MachineId) => MonotonicTime,
   ) {}
 
-  /** Adds the jobs of the cache and the machines of the registry's pages. */
+  /** Adds the jobs in the cache and the machines on the registry's pages to the cluster. */
   restore(pages: readonly StoredEntry[]): void {
     const { context, previousTerms, machines } = this.cluster;
     this.cluster.jobs.setUnreadable(this.jobCache.unreadableJobs);
@@ -53,7 +56,8 @@
       return;
     }
     const type = machineTypes.get(record.type);
-    // A record that isn't understood stays as it is: its page is never written without it. Its machine may run anything.
+    // A record of an unknown machine type is kept unchanged, and its page is never written without it. The machine may
+    // run any task.
     if (!type) {
       this.registry.keepUnknownMachine(key, record);
       previousTerms.onUnreadablePage();
@@ -61,8 +65,8 @@
     }
     const now = context.now.monotonic;
     const { id, zone, spot, address } = record;
-    // Provisioned by a previous leader and not known to be up: it may still boot (boots-leader-change.txt), or have come up just
-    // now, so that it counts as unreconciled all the same.
+    // A machine without an address was provisioned by a previous leader and is not known to be up. It may still be
+    // booting (boots-leader-change.txt), but it may also have come up just now, so it counts as unreconciled.
     const phase = address === '' ? 'booting' : 'up';
     const machine = new Machine({ id, type, zone, spot, address, reconciled: false, phase, now });
     machine.images.restore(record.images, record.imagePullSpeed, images.sizesGb, now);
--- a/src/core/leadership/write_batch.ts
+++ b/src/core/leadership/write_batch.ts
@@ -1,4 +1,4 @@
-/** What one transaction writes: records of jobs and pages of the machine registry, with the conditions that they depend on. */
+/** The content of one transaction: job records and pages of the machine registry, with the conditions of the write. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import type { MachineRegistry } from '../machines/machine_registry.js';
@@ -7,12 +7,12 @@
 import { encodeJob, type JobState, jobKey, pageKey } from '../records.js';
 import type { MonotonicTime, ZoneName } from '../types.js';
 
-/** A transaction may have 64 KiB; sizes are estimated. */
+/** Maximum estimated size of a transaction. The state store accepts 64 KiB, but the sizes here are only estimates. */
 const MAX_TRANSACTION_BYTES = 48_000;
 const ESTIMATED_JOB_RECORD_BYTES = 700;
 const ESTIMATED_DONE_RANGE_BYTES = 14;
 
-/** A job's record as the transaction writes it. */
+/** The part of a job's record that can change, as the transaction writes it. */
 export interface JobSnapshot {
   readonly job: Job;
   readonly state: JobState;
@@ -21,20 +21,20 @@
   readonly doneTasks: [number, number][];
 }
 
-/** A page of the registry as the transaction writes it. */
+/** A page of the machine registry, as the transaction writes it. */
 export interface PageSnapshot {
   readonly page: RegistryPage;
   readonly machines: readonly Machine[];
 }
 
-/** How much a transaction may write. */
+/** Limits on what a transaction may write. */
 export interface WriteLimits {
   readonly maxChanges: number;
-  /** Of one value. */
+  /** Maximum size of a single value. */
   readonly maxValueBytes: number;
 }
 
-/** Filled while there is space, then sent as it is. */
+/** Changes are added while there is space, and then all of them are sent in one transaction. */
 export class WriteBatch {
   readonly conditions: VersionCondition[];
   readonly changes: StateChange[] = [];
@@ -43,7 +43,7 @@
   private bytes = 0;
   private urgent = false;
 
-  /** `leaderCondition`: without it the batch could be written by a leader that was deposed. */
+  /** `leaderCondition` prevents the batch from being written after the leader has lost its leadership. */
   constructor(
     leaderCondition: VersionCondition,
     private readonly limits: WriteLimits,
@@ -51,17 +51,17 @@
     this.conditions = [leaderCondition];
   }
 
-  /** Whether somebody waits for a change of the batch. */
+  /** Whether other work waits for a change in the batch. */
   get isUrgent(): boolean {
     return this.urgent;
   }
 
-  /** Returns whether one more change may be added. */
+  /** Returns whether another change may be added. */
   hasSpace(): boolean {
     return this.changes.length < this.limits.maxChanges && this.bytes < MAX_TRANSACTION_BYTES;
   }
 
-  /** Adds the page as it is now. */
+  /** Adds the current content of a page. */
   addPage(page: RegistryPage, registry: MachineRegistry, now: MonotonicTime): void {
     if (page.isUrgent) this.urgent = true;
     const { change, bytes, machines } = registry.beginWrite(page, now);
@@ -71,7 +71,7 @@
     this.changes.push(change);
   }
 
-  /** Adds the job's record as it is now. */
+  /** Adds the current record of a job. */
   addJob(job: Job, now: MonotonicTime): void {
     if (job.writeUrgency === 'immediate') this.urgent = true;
     job.stored.beginWrite(now);
@@ -85,7 +85,7 @@
     this.changes.push({ put: jobKey(job.id), value });
   }
 
-  /** The transaction has ended, however it did. */
+  /** Called when the transaction has ended with any outcome. */
   onEnded(): void {
     for (const { job } of this.jobs) job.stored.endCall();
     for (const { page } of this.pages) page.endCall();
--- a/src/recovery/heartbeat_backlog.ts
+++ b/src/recovery/heartbeat_backlog.ts
@@ -1,12 +1,13 @@
-/** Bounds how many heartbeats are processed in a time, and keeps the others waiting. */
+/** Limits how many heartbeats are processed per time window, and queues the others. */
 import type { MachineId, MonotonicTime } from '../core/types.js';
 
-/** Heartbeats are counted in windows of so many milliseconds. */
+/** Length of the window in which admitted heartbeats are counted, in milliseconds. */
 const WINDOW_MS = 50;
 
 /**
- * Evens out the storm of heartbeats after a cold start: only so many are admitted in a window, the others wait here, the newest
- * of each machine, so never more than there are machines.
+ * Spreads the burst of heartbeats after a cold start over time. Only a limited number of heartbeats is admitted per
+ * window. The others wait here, and only the newest one of each machine is queued, so the backlog is never larger than
+ * the number of machines.
  */
 export class HeartbeatBacklog<Entry> {
   private readonly entries = new Map<MachineId, Entry>();
@@ -15,12 +16,12 @@
 
   constructor(private readonly heartbeatsPerWindow: number) {}
 
-  /** How many wait. */
+  /** The number of heartbeats that are waiting. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** Returns whether one more heartbeat may be processed now; if so it counts. */
+  /** Returns whether another heartbeat may be processed now. If so, it is counted in the current window. */
   admit(now: MonotonicTime): boolean {
     if (now - this.windowStart >= WINDOW_MS) {
       this.windowStart = now;
@@ -31,24 +32,27 @@
     return true;
   }
 
-  /** Keeps a heartbeat until its turn, in place of an older one of the same machine. */
+  /** Queues a heartbeat. It replaces an older one of the same machine. */
   add(machine: MachineId, entry: Entry): void {
     this.entries.set(machine, entry);
   }
 
-  /** Takes out the machine's heartbeat, as a newer one has come; returns undefined where none waits. */
+  /**
+   * Removes and returns the machine's queued heartbeat because a newer one has arrived. Returns undefined if no
+   * heartbeat of the machine is queued.
+   */
   remove(machine: MachineId): Entry | undefined {
     const entry = this.entries.get(machine);
     this.entries.delete(machine);
     return entry;
   }
 
-  /** Returns those that wait, the longest first. */
+  /** Returns the queued heartbeats, beginning with the one that has waited longest. */
   pending(): Iterable<Entry> {
     return this.entries.values();
   }
 
-  /** Takes out those whose turn it is now, the ones that have waited longest first. */
+  /** Removes and returns the heartbeats that may be processed now, beginning with the one that has waited longest. */
   takeDue(now: MonotonicTime): Entry[] {
     const due: Entry[] = [];
     for (const [machine, entry] of this.entries) {
@@ -59,7 +63,7 @@
     return due;
   }
 
-  /** Returns when more may be admitted; null: none waits. */
+  /** Returns when the next window begins, or null if no heartbeat is queued. */
   nextDueAt(): MonotonicTime | null {
     return this.entries.size === 0 ? null : ((this.windowStart + WINDOW_MS) as MonotonicTime);
   }
--- a/src/recovery/index.ts
+++ b/src/recovery/index.ts
@@ -1,6 +1,7 @@
 /**
- * Recovery after a failover, a cold start above all: what previous terms left is matched against what workers report, and only
- * true disagreement is acted on. Decisions only; `src/core` carries them out. docs/design/cold-start.md.
+ * Recovery after a failover, in particular after a cold start. The state that previous terms left is compared with what
+ * workers report, and action is taken only where the two really disagree. This package only makes the decisions, and
+ * `src/core` carries them out. See docs/design/cold-start.md.
  */
 
 export { HeartbeatBacklog } from './heartbeat_backlog.js';
--- a/src/recovery/lease_renewals.ts
+++ b/src/recovery/lease_renewals.ts
@@ -1,26 +1,31 @@
-/** When workers' leases were last renewed, before the machines were read from the state store. */
+/** Tracks when workers' leases were last renewed before the machines have been read from the state store. */
 import type { MachineId, MonotonicTime } from '../core/types.js';
 
-/** So many machines are told apart; with more, all are taken to have been renewed last. */
+/**
+ * Maximum number of machines tracked individually. The other machines share the time of the latest renewal among them.
+ */
 const MAX_MACHINES = 20_000;
 
-/** Bounded: what it can't tell of a machine any more, it takes to be as late as possible. */
+/** Uses bounded memory. For a machine that is not tracked, it assumes the latest possible renewal. */
 export class LeaseRenewals {
   private readonly renewedAtByMachine = new Map<MachineId, MonotonicTime>();
-  /** When a lease was last renewed of a machine that is not tracked, as there are too many. */
+  /** The latest renewal of a machine that is not tracked because the maximum was reached. Null if there was none. */
   private untrackedRenewedAt: MonotonicTime | null = null;
 
   constructor(private readonly maxMachines = MAX_MACHINES) {}
 
-  /** The machine's lease is renewed now. */
+  /** Records that the machine's lease is renewed now. */
   record(machine: MachineId, now: MonotonicTime): void {
     const isTracked = this.renewedAtByMachine.size < this.maxMachines || this.renewedAtByMachine.has(machine);
     if (isTracked) this.renewedAtByMachine.set(machine, now);
     else this.untrackedRenewedAt = now;
   }
 
-  /** Returns when the machine's lease may last have been renewed. `otherwise`: when others may last have renewed it. */
-  lastRenewalAt(machine: MachineId, otherwise: MonotonicTime): MonotonicTime {
-    return this.renewedAtByMachine.get(machine) ?? this.untrackedRenewedAt ?? otherwise;
+  /**
+   * Returns the latest time at which the machine's lease may have been renewed. `lastRenewalByOthers` is the latest
+   * time at which other controllers may have renewed it.
+   */
+  lastRenewalAt(machine: MachineId, lastRenewalByOthers: MonotonicTime): MonotonicTime {
+    return this.renewedAtByMachine.get(machine) ?? this.untrackedRenewedAt ?? lastRenewalByOthers;
   }
 }
--- a/src/recovery/orphan_tracker.ts
+++ b/src/recovery/orphan_tracker.ts
@@ -1,10 +1,12 @@
-/** Keeps track of jobs that workers report and the state store was not found to hold. */
+/** Tracks jobs that workers report but whose records have not been found in the state store. */
 import type { JobId, MachineId, MonotonicTime } from '../core/types.js';
 import type { Orphan, RecordLookupResult } from './types.js';
 
-/** So many tasks are listed for operators; any more are handled alike and not listed. */
-const MAX_LISTED_TASKS = 1000;
-/** So many jobs are kept; the tasks of any more are left alone until fewer are kept. */
+/** Maximum number of entries in the list for operators. Further orphans are handled in the same way but not listed. */
+const MAX_LISTED_ORPHANS = 1000;
+/**
+ * Maximum number of suspected jobs that are tracked. The tasks of further jobs are left alone until there are fewer.
+ */
 const MAX_SUSPECTED_JOBS = 10_000;
 
 interface SuspectedOrphan {
@@ -15,14 +17,15 @@
 }
 
 /**
- * A start goes out only after the job's record was written, and
- * a transaction that is carried out late can't have been answered before; so a record that justifies a start is there before
- * the task is, and a read sent after the report finds it whatever is still on its way.
+ * Distinguishes orphans from jobs whose records have only not been read yet. A start is sent only after the state store
+ * has confirmed the write of the job's record, and a transaction that is executed late cannot have been confirmed
+ * before. The record that justifies a start therefore exists before the task does. A read that is sent after the task
+ * was reported finds the record, regardless of any message that is still in flight.
  */
 export class OrphanTracker {
   private readonly jobs = new Map<JobId, SuspectedOrphan>();
 
-  /** A worker reports a task of a job that isn't known. Returns whether its record is to be read now. */
+  /** Records that a worker reported a task of an unknown job. Returns whether the job's record has to be read now. */
   onReported(job: JobId, machine: MachineId, now: MonotonicTime): boolean {
     let suspected = this.jobs.get(job);
     if (!suspected) {
@@ -36,7 +39,7 @@
     return true;
   }
 
-  /** Its record was looked up. Returns whether it is news that the record is absent. */
+  /** Records the result of looking up the job's record. Returns whether it is the first to confirm that none exists. */
   onLookedUp(job: JobId, result: RecordLookupResult): boolean {
     const suspected = this.jobs.get(job);
     if (!suspected) return false;
@@ -47,7 +50,7 @@
     return true;
   }
 
-  /** The record has turned up: what runs is taken over. */
+  /** Stops suspecting a job whose record has been found. Its running tasks are adopted. */
   onRecorded(job: JobId): void {
     this.jobs.delete(job);
   }
@@ -57,12 +60,12 @@
     return this.jobs.get(job)?.isConfirmed ?? false;
   }
 
-  /** Returns the tasks of suspected jobs for operators, 1000 at most. */
+  /** Returns the suspected jobs and the machines that reported them, for operators. Contains at most 1000 entries. */
   list(): Orphan[] {
     const orphans: Orphan[] = [];
     for (const [job, { machines, seenAt, isConfirmed }] of this.jobs) {
       for (const machine of machines) {
-        if (orphans.length >= MAX_LISTED_TASKS) return orphans;
+        if (orphans.length >= MAX_LISTED_ORPHANS) return orphans;
         orphans.push({ job, machine, seenAt, confirmed: isConfirmed });
       }
     }
--- a/src/recovery/recovery.ts
+++ b/src/recovery/recovery.ts
@@ -1,4 +1,4 @@
-/** What a leader knows and doesn't know of what previous terms left, from its election on. */
+/** Tracks what a leader knows, from its election on, about the state that previous terms left. */
 import type { JobId, MachineId, MonotonicTime } from '../core/types.js';
 import { OrphanTracker } from './orphan_tracker.js';
 import { type RecoverySummary, zeroReconciledByCounts, zeroTaskCounts } from './summary.js';
@@ -6,7 +6,7 @@
 import type { PreviousTermJob, ReconciledBy, RecordLookupResult, TaskClass, UnreconciledMachine } from './types.js';
 import { type Capacity, UnreconciledMachines } from './unreconciled_machines.js';
 
-/** What recovery begins with. */
+/** Parameters of a recovery. */
 export interface RecoveryInit {
   /** The term of this leader. */
   readonly term: number;
@@ -15,8 +15,8 @@
 }
 
 /**
- * Makes no calls and reads no clock: what is stored, reported and looked up is told to it, and it says what must wait for which
- * machines, and what was found.
+ * The recovery of one leader. It makes no calls and reads no clock. Its callers pass in what is stored, reported and
+ * looked up. It determines which jobs have to wait for which machines, and it summarizes what was found.
  */
 export class Recovery {
   private readonly unreconciled = new UnreconciledMachines();
@@ -35,66 +35,72 @@
 
   constructor(private readonly init: RecoveryInit) {}
 
-  // ---- what was stored
+  // ---- stored state
 
-  /** A machine is on record, and has yet to be reconciled. */
+  /** Adds a machine that is in the stored registry and has yet to be reconciled. */
   addMachine(machine: UnreconciledMachine): void {
     this.unreconciled.add(machine);
     this.machines += 1;
   }
 
-  /** A page of the registry can't be read in full: machines on it may run tasks unknown until their leases have ended. */
+  /**
+   * Records that a page of the machine registry cannot be read completely. Machines on it may run unknown tasks until
+   * their leases have expired.
+   */
   onUnreadablePage(leasesEndAt: MonotonicTime): void {
     this.unreadableRecords += 1;
     this.unreconciled.setMayHaveUnregisteredUntil(leasesEndAt);
   }
 
-  /** A job's record can't be read. */
+  /** Records that a job's record cannot be read. */
   onUnreadableJob(): void {
     this.unreadableRecords += 1;
   }
 
-  /** Everything on record has been added. */
+  /** Records that all stored records have been added. */
   onLoaded(): void {
     this.loaded = true;
   }
 
   // ---- machines
 
-  /** What is on the machine is certain from now on. Without effect if it was before. */
+  /** Records that all tasks on the machine are now known. Has no effect if the machine was reconciled before. */
   onMachineReconciled(machine: MachineId, how: ReconciledBy): void {
     if (this.unreconciled.remove(machine)) this.reconciledBy[how] += 1;
   }
 
-  /** A machine was found that no record shows. */
+  /** Counts a machine that was found although it is not in the stored registry. */
   onUnregisteredMachine(): void {
     this.unregisteredMachines += 1;
   }
 
-  /** How many machines on record have yet to be reconciled. */
+  /** The number of machines in the stored registry that have yet to be reconciled. */
   get unreconciledMachines(): number {
     return this.unreconciled.count;
   }
 
-  /** Returns whether it is certain what is on every machine. */
+  /** Returns whether the stored state is loaded and the tasks on every machine are known. */
   isReconciled(now: MonotonicTime): boolean {
     return this.loaded && this.unreconciled.isEmpty(now);
   }
 
   // ---- jobs
 
-  /** Returns whether a task of the job that was not found may be on a machine that is not reconciled. */
+  /** Returns whether a task of the job that has not been found may be on an unreconciled machine. */
   mayRunUnreconciled(job: PreviousTermJob, now: MonotonicTime): boolean {
     if (job.startTerm <= 0 || job.startTerm >= this.init.term || job.unaccountedCount <= 0) return false;
     return this.unreconciled.isFeasible(job, now);
   }
 
-  /** Returns the capacity of machines that are not reconciled; null: there may be others. */
+  /** Returns the capacity of the unreconciled machines, or null if there may be unregistered machines too. */
   unreconciledCapacity(now: MonotonicTime): Capacity | null {
     return this.unreconciled.capacity(now);
   }
 
-  /** Returns what each team's tasks of these jobs may take on machines not reconciled; null: it can't be told. */
+  /**
+   * Returns the resources that each team's tasks of these jobs may use on unreconciled machines, or null if that cannot
+   * be determined.
+   */
   teamExposure(jobs: Iterable<PreviousTermJob>, now: MonotonicTime): TeamExposure | null {
     const capacity = this.unreconciled.capacity(now);
     if (capacity === null || this.unreadableRecords > 0) return null;
@@ -103,22 +109,25 @@
 
   // ---- tasks
 
-  /** Counts a reported task by what it was found to be; called once for each. */
+  /** Counts a reported task by its class. Called once for each task. */
   countTask(taskClass: TaskClass): void {
     this.tasks[taskClass] += 1;
   }
 
-  /** A task of a job that isn't known is reported. Returns whether the job's record is to be looked up now. */
+  /** Records that a task of an unknown job was reported. Returns whether the job's record has to be looked up now. */
   onUnknownJobReported(job: JobId, machine: MachineId, now: MonotonicTime): boolean {
     return this.orphans.onReported(job, machine, now);
   }
 
-  /** The record of a job that wasn't known was looked up. Returns whether it is news that the record is absent. */
+  /**
+   * Records the result of the lookup of an unknown job's record. Returns whether it confirms for the first time that
+   * the record does not exist.
+   */
   onRecordLookedUp(job: JobId, result: RecordLookupResult): boolean {
     return this.orphans.onLookedUp(job, result);
   }
 
-  /** The job's record has turned up: it is no orphan. */
+  /** Records that the job's record has been found, so that the job is no orphan. */
   onRecorded(job: JobId): void {
     this.orphans.onRecorded(job);
   }
@@ -128,26 +137,28 @@
     return this.orphans.isConfirmed(job);
   }
 
-  /** A start goes out. */
+  /** Records that a start command is sent. */
   onTaskStarted(now: MonotonicTime): void {
     this.firstStartAt ??= now;
   }
 
-  /** Notes how many heartbeats wait for their turn. */
+  /** Records how many heartbeats are waiting in the backlog. */
   recordBacklogLength(length: number): void {
     this.longestBacklog = Math.max(this.longestBacklog, length);
   }
 
-  /** A status was passed over: it may be older than a command of an earlier leader that is still on its way. */
+  /**
+   * Counts a status that was ignored because it may be older than a previous leader's command that is still in flight.
+   */
   countOutdatedStatus(): void {
     this.outdatedStatuses += 1;
   }
 
-  // ---- the end
+  // ---- completion
 
   /**
-   * Returns whether recovery has just ended, as all machines are reconciled now. `countMissing` counts the tasks of jobs begun
-   * in previous terms that were found nowhere.
+   * Returns whether recovery has just finished because all machines are reconciled now. `countMissing` counts the tasks
+   * of jobs begun in previous terms that were not found on any machine.
    */
   finish(now: MonotonicTime, countMissing: () => number): boolean {
     if (this.finishedAt !== null || !this.isReconciled(now)) return false;
@@ -161,7 +172,7 @@
     return this.finishedAt !== null;
   }
 
-  /** Returns what has been found so far. */
+  /** Returns a summary of what has been found so far. */
   summary(): RecoverySummary {
     return {
       term: this.init.term,
--- a/src/recovery/start_zones.ts
+++ b/src/recovery/start_zones.ts
@@ -1,22 +1,25 @@
 /**
- * Which start zones of jobs can be trusted. A job's record names the zones in which it may have been started, and is written
- * before the first start in each, so that after a failover the job needn't wait for machines in other zones. Releases that
- * don't keep the list start tasks without adding to it. So a list is trusted only if every leader since the job's first start
- * kept it: the counter of terms, which each leader writes with its election, says since which term that holds. A leader that
- * doesn't know the field leaves it out, and the next one that does begins anew.
+ * Determines which recorded start zones of jobs can be trusted. A job's record lists the zones in which the job may
+ * have been started. The list is stored before the first start in each zone, so that after a failover the job does not
+ * have to wait for machines in other zones. Some releases do not maintain the list and start tasks without adding to
+ * it. A list is therefore trusted only if every leader since the job's first start has maintained it. The term counter,
+ * which each leader writes when it is elected, tells since which term that is the case. A leader that does not know
+ * this field omits it, and the next leader that knows the field sets it to its own term.
  */
 import type { ZoneName } from '../core/types.js';
 
-/** The counter of terms. */
+/** The term counter. */
 export interface TermRecord {
   readonly term: number;
-  /** The first of an unbroken row of terms that put start zones on record; missing where this term doesn't. */
+  /**
+   * The term since which every leader has recorded start zones. Undefined if this term's leader does not record them.
+   */
   readonly startZonesRecordedSince?: number;
 }
 
 const isTerm = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) > 0;
 
-/** Returns the counter as the leader of a new term writes it. `stored`: the counter as it is stored, of any release. */
+/** Returns the counter that the leader of a new term writes. `stored` is the stored counter, written by any release. */
 export function nextTermRecord(stored: unknown, recordsStartZones: boolean): TermRecord {
   const { n, zones } = (stored ?? {}) as { n?: unknown; zones?: unknown };
   const term = Number(n ?? 0) + 1;
@@ -24,15 +27,18 @@
   return { term, startZonesRecordedSince: isTerm(zones) && zones < term ? zones : term };
 }
 
-/** Returns the counter as it is stored, under names that never change. */
+/** Returns the stored form of the counter. Its field names never change. */
 export function encodeTerm({ term, startZonesRecordedSince }: TermRecord): Readonly<Record<string, number>> {
   return startZonesRecordedSince === undefined ? { n: term } : { n: term, zones: startZonesRecordedSince };
 }
 
-/** Since which term every leader has put start zones on record; null: this leader trusts none. */
+/** The term since which every leader has recorded start zones. Null if this leader trusts no recorded zones. */
 export type StartZonesRecordedSince = number | null;
 
-/** Returns the zones in which tasks of a job can be, as far as its record may be trusted; null: any. */
+/**
+ * Returns the zones in which tasks of a job may be, or null if they may be in any zone. The latter applies to a record
+ * without start zones and to one that cannot be trusted.
+ */
 export function trustedStartZones(
   startTerm: number,
   startZones: readonly ZoneName[] | null,
--- a/src/recovery/summary.ts
+++ b/src/recovery/summary.ts
@@ -1,34 +1,34 @@
-/** What a leader has found out of previous terms, for operators. */
+/** Summary for operators of what a leader has found out about the state that previous terms left. */
 import type { MonotonicTime } from '../core/types.js';
 import type { Orphan, ReconciledBy, TaskClass } from './types.js';
 
-/** How many tasks of each class were found. */
+/** The number of tasks found of each class. */
 export type TaskCounts = Readonly<Record<TaskClass, number>>;
-/** How many machines were reconciled in each way. */
+/** The number of machines reconciled in each way. */
 export type ReconciledByCounts = Readonly<Record<ReconciledBy, number>>;
 
-/** What a leader has found out since its election. Times are of this process's monotonic clock. */
+/** What a leader has found out since its election. Times are readings of this process's monotonic clock. */
 export interface RecoverySummary {
   readonly term: number;
   readonly startedAt: MonotonicTime;
-  /** When the last machine was reconciled; null: some are not. */
+  /** When the last machine was reconciled. Null while some machines are not reconciled. */
   readonly finishedAt: MonotonicTime | null;
-  /** When the first task was started; null: none was. */
+  /** When the first task was started. Null if none has been started. */
   readonly firstStartAt: MonotonicTime | null;
-  /** Machines on record at the election, and how they were reconciled. */
+  /** The number of machines in the stored registry when this leader read it. */
   readonly machines: number;
   readonly unreconciledMachines: number;
   readonly reconciledBy: ReconciledByCounts;
-  /** Machines that were found though no record showed them. */
+  /** Machines that were found although they were not in the stored registry. */
   readonly unregisteredMachines: number;
   readonly tasks: TaskCounts;
-  /** Tasks of jobs begun in previous terms that were on no machine when all were reconciled. */
+  /** Tasks of jobs begun in previous terms that were not on any machine when all machines were reconciled. */
   readonly missingTasks: number;
-  /** Jobs' records and pages of the registry that this version can't read. */
+  /** Job records and pages of the machine registry that this release cannot read. */
   readonly unreadableRecords: number;
-  /** The most heartbeats that waited for their turn. */
+  /** The largest number of heartbeats that were waiting in the backlog at once. */
   readonly longestBacklog: number;
-  /** Statuses that were passed over, as commands of an earlier leader might still have changed what they show. */
+  /** Statuses that were ignored because commands of a previous leader might still have changed what they show. */
   readonly outdatedStatuses: number;
   readonly orphans: readonly Orphan[];
 }
@@ -51,12 +51,12 @@
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** Returns counts to be raised. */
+/** Returns mutable task counts, all zero. */
 export const zeroTaskCounts = (): Mutable<TaskCounts> => ({ ...ZERO_TASK_COUNTS });
-/** Returns counts to be raised. */
+/** Returns mutable counts of reconciled machines, all zero. */
 export const zeroReconciledByCounts = (): Mutable<ReconciledByCounts> => ({ ...ZERO_RECONCILED_BY_COUNTS });
 
-/** Returns the fields of the log line of the summary; counts of 0 are left out. */
+/** Returns the summary's log fields. Counts of 0 are omitted. */
 export function summaryFields(summary: RecoverySummary): Record<string, number> {
   const { term, machines, unregisteredMachines, missingTasks, unreadableRecords, longestBacklog, outdatedStatuses } =
     summary;
--- a/src/recovery/task_classification.ts
+++ b/src/recovery/task_classification.ts
@@ -1,9 +1,11 @@
-/** What a task that a worker reports is, as far as this leader's records and placements tell, and what follows. */
+/**
+ * Classifies the tasks that workers report, by this leader's records and placements, and decides what to do about them.
+ */
 import type { Classification, OtherPlacement, ReportedTask, StoredJob } from './types.js';
 
 /**
- * Returns what a reported task is, and what follows. A pure function of what was stored and what is reported, so that a leader
- * that repeats it after another one failed comes to the same result.
+ * Returns the class of a reported task and the action to take. This is a pure function of the stored and the reported
+ * state, so a leader that repeats the decision after another leader has failed obtains the same result.
  */
 export function classify(task: ReportedTask): Classification {
   switch (task.job.kind) {
@@ -21,7 +23,7 @@
 type RecordedJob = Extract<StoredJob, { kind: 'recorded' }>;
 
 function classifyExited({ exitReason }: ReportedTask, job: RecordedJob): Classification {
-  // A replica that ends has no result, whatever it says of itself.
+  // A replica of a service never has a result, regardless of its exit reason.
   const hasResult = exitReason === 'done' && !job.isService;
   if (!hasResult) return { taskClass: 'endedOtherwise', action: job.cancelled ? 'acknowledge' : 'requeue' };
   if (job.taskDone || job.cancelled) return { taskClass: 'finishedOnRecord', action: 'acknowledge' };
@@ -36,10 +38,10 @@
 }
 
 /**
- * Attempts only grow, so the lower one is left over from an earlier start. Equal ones can't be told apart by any number that
- * two machines share: the place that was found first holds.
+ * Attempt numbers only increase, so the lower attempt is left over from an earlier start. No number that the two
+ * machines share can tell equal attempts apart, so the placement that was found first is retained.
  */
-function classifyDuplicate(attempt: bigint, elsewhere: OtherPlacement): Classification {
-  if (attempt > elsewhere.attempt) return { taskClass: 'newerDuplicate', action: 'adoptAndStopOther' };
+function classifyDuplicate(attempt: bigint, otherPlacement: OtherPlacement): Classification {
+  if (attempt > otherPlacement.attempt) return { taskClass: 'newerDuplicate', action: 'adoptAndStopOther' };
   return { taskClass: 'staleDuplicate', action: 'stop' };
 }
--- a/src/recovery/team_exposure.ts
+++ b/src/recovery/team_exposure.ts
@@ -1,14 +1,14 @@
-/** A bound for what each team may have running on machines that are not reconciled. */
+/** Computes an upper bound of the resources that each team may be using on unreconciled machines. */
 import type { TeamName } from '../core/types.js';
 import type { PreviousTermJob } from './types.js';
 import type { Capacity, UnreconciledMachines } from './unreconciled_machines.js';
 
-/** What each team's tasks may take at most on machines that are not reconciled; nothing for a team that is not in it. */
+/** The maximum resources that each team's tasks may use on unreconciled machines. A team without an entry uses none. */
 export type TeamExposure = ReadonlyMap<TeamName, Capacity>;
 
 /**
- * Returns for each team what all of its tasks take that may be on machines not reconciled, and never more than `capacity`, which
- * is what those machines have. A team without such tasks has its whole limit at once.
+ * Returns for each team the total resources of its tasks that may be on unreconciled machines, limited to `capacity`,
+ * the capacity of those machines. A team without such tasks can use its whole quota immediately.
  */
 export function teamExposure(
   jobs: Iterable<PreviousTermJob>,
--- a/src/recovery/types.ts
+++ b/src/recovery/types.ts
@@ -1,4 +1,4 @@
-/** What goes into the decisions of recovery, and what comes out of them. */
+/** The inputs and results of the decisions that recovery makes. */
 import type {
   Attempt,
   ExitReason,
@@ -11,7 +11,7 @@
   ZoneName,
 } from '../core/types.js';
 
-/** A machine on record that has not shown its tasks to this leader: it may hold tasks of previous terms. */
+/** A machine in the stored registry whose tasks this leader does not know yet. It may hold tasks of previous terms. */
 export interface UnreconciledMachine extends Pick<Resources, 'cpus' | 'gpus'> {
   readonly id: MachineId;
   readonly type: MachineTypeName;
@@ -19,38 +19,38 @@
   readonly spot: boolean;
 }
 
-/** How a machine was reconciled: what made certain which tasks are on it. */
+/** How a machine was reconciled, that is, how it became certain which tasks are on it. */
 export type ReconciledBy =
-  /** A status with this leader's fencing token. */
+  /** The machine sent a status with this leader's fencing token. */
   | 'listed'
-  /** Nobody can have renewed its lease for longer than the lease lasts. */
+  /** No controller can have renewed the machine's lease for longer than the lease lasts. */
   | 'leaseEnded'
-  /** Deleted, or stopped by itself as the cloud says. */
+  /** The machine was deleted, or the cloud reports that it stopped on its own. */
   | 'gone';
 
-/** A job as the state store held it at the failover, and what has been found of it since. */
+/** A job as it was stored at the failover, with what has been found out about it since. */
 export interface PreviousTermJob extends Pick<Resources, 'cpus' | 'gpus'> {
   readonly id: JobId;
   readonly team: TeamName;
-  /** The term of its first start; 0: never started. */
+  /** The term of the job's first start, or 0 if it was never started. */
   readonly startTerm: number;
-  /** The only zones in which it may have been started; null: there is no record that may be trusted. */
+  /** The only zones in which the job may have been started. Null if there is no trusted record of them. */
   readonly startZones: ReadonlySet<ZoneName> | null;
   readonly allowedMachineTypes: readonly MachineTypeName[] | null;
   readonly zone: ZoneName | null;
   readonly toleratesSpot: boolean;
-  /** Tasks that are neither done nor known to be on a machine. */
+  /** The number of tasks that are neither done nor known to be on a machine. */
   readonly unaccountedCount: number;
 }
 
-/** What the store says of the job that a reported task belongs to. */
+/** What is known of the stored record of the job to which a reported task belongs. */
 export type StoredJob =
   | { readonly kind: 'recorded'; readonly cancelled: boolean; readonly taskDone: boolean; readonly isService: boolean }
-  /** There is a record that this version can't read: nothing may be concluded from it. */
+  /** There is a record, but this release cannot read it. Nothing may be concluded from it. */
   | { readonly kind: 'unreadable' }
-  /** Not among the records read so far: it may be on its way. */
+  /** The job is not among the records read so far. Its record may still arrive. */
   | { readonly kind: 'unread' }
-  /** Confirmed by a read that was sent after the task had been reported. */
+  /** There is no record. A read that was sent after the task had been reported confirmed this. */
   | { readonly kind: 'absent' };
 
 /** A placement of the same task on another machine. */
@@ -59,80 +59,80 @@
   readonly attempt: Attempt;
 }
 
-/** One task of a worker's status, with all that decides what it is. */
+/** One task of a worker's status, with everything that determines its class. */
 export interface ReportedTask {
   readonly attempt: Attempt;
-  /** Null for a task that has not ended. */
+  /** Null for a task that has not exited. */
   readonly exitReason: ExitReason | null;
   readonly job: StoredJob;
-  /** Where else the task was found; planned starts that were never sent don't count. */
+  /** The placement of the same task on another machine. A planned start that was never sent does not count. */
   readonly otherPlacement: OtherPlacement | null;
 }
 
-/** What a task of a worker's list turns out to be. */
+/** The class of a task that a worker reported. */
 export type TaskClass =
-  /** Stored and reported agree. */
+  /** The stored and the reported state agree. */
   | 'agrees'
-  /** Completed, and the result has yet to be put on record. */
+  /** The task completed, and its result has yet to be stored. */
   | 'finished'
-  /** Completed, and on record. */
+  /** The task has exited as completed, and its result is already stored or its job was cancelled. */
   | 'finishedOnRecord'
-  /** Ended without a result. */
+  /** The task exited without a result. */
   | 'endedOtherwise'
-  /** Still there although its job was cancelled. */
+  /** The task is still on the worker although its job was cancelled. */
   | 'cancelled'
-  /** Still there although its result is on record. */
+  /** The task is still on the worker although its result is already stored. */
   | 'alreadyDone'
-  /** Found on two machines, and the other placement is the newer one. */
+  /** The task was found on two machines, and this placement is not the newer one. */
   | 'staleDuplicate'
-  /** Found on two machines, and this is the newer placement. */
+  /** The task was found on two machines, and this placement is the newer one. */
   | 'newerDuplicate'
-  /** Its job is not among the records read; a read has to confirm that. */
+  /** The job is not among the records read so far. A read has to confirm that it has no record. */
   | 'orphanSuspected'
-  /** Its job was never recorded. */
+  /** The job was never recorded. */
   | 'orphan'
-  /** Its job's record can't be read. */
+  /** The job's record cannot be read. */
   | 'unreadable';
 
-/** What is to be done about a reported task. */
+/** The action to take for a reported task. */
 type TaskAction =
-  /** Taken over where it runs. Nothing is sent. */
+  /** Adopt the task on the machine where it runs. Nothing is sent to the worker. */
   | 'adopt'
-  /** Taken over, and stopped as a cancelled job's task is. */
+  /** Adopt the task, and stop it in the same way as a task of a cancelled job. */
   | 'adoptAndStop'
-  /** Taken over here; the one on the other machine is stopped. */
+  /** Adopt the task on this machine, and stop the one on the other machine. */
   | 'adoptAndStopOther'
-  /** Stopped, and acknowledged once it has ended. */
+  /** Stop the task, and acknowledge its exit afterwards. */
   | 'stop'
-  /** The result is put on record; only then is it acknowledged to the worker. */
+  /** Store the result, and acknowledge it to the worker only after that. */
   | 'recordResult'
-  /** Counted once and acknowledged to the worker; the task waits for a placement again. */
+  /** Count the exit once and acknowledge it to the worker. The task waits for a new placement. */
   | 'requeue'
-  /** Acknowledged to the worker, which drops it. */
+  /** Acknowledge the exit to the worker, which then drops the task. */
   | 'acknowledge'
-  /** The job's record is looked up in the state store; meanwhile the task is left alone. */
+  /** Look up the job's record in the state store, and leave the task alone meanwhile. */
   | 'lookUpRecord'
-  /** Left alone, and nothing is concluded from it. */
+  /** Leave the task alone, and conclude nothing from it. */
   | 'ignore';
 
-/** A decision about one task, with its reason. */
+/** The decision about one task, with the class as its reason. */
 export interface Classification {
   readonly taskClass: TaskClass;
   readonly action: TaskAction;
 }
 
-/** What the state store says of the record of a job that only workers know. */
+/** Result of looking up, in the state store, the record of a job that is known only from workers' statuses. */
 export type RecordLookupResult =
   | 'present'
   | 'absent'
-  /** It didn't answer. */
+  /** The lookup failed. */
   | 'unavailable';
 
-/** A task on a worker whose job the state store does not hold. */
+/** A job whose tasks a worker reports but whose record has not been found in the state store. */
 export interface Orphan {
   readonly job: JobId;
   readonly machine: MachineId;
   readonly seenAt: MonotonicTime;
-  /** Whether the state store has confirmed that there is no record. */
+  /** Whether the state store has confirmed that the job has no record. */
   readonly confirmed: boolean;
 }
--- a/src/recovery/unreconciled_machines.ts
+++ b/src/recovery/unreconciled_machines.ts
@@ -1,14 +1,14 @@
-/** The machines on record that have yet to be reconciled, grouped by what jobs can ask of a machine. */
+/** Tracks the registered machines that have yet to be reconciled, grouped by the properties that jobs can constrain. */
 import type { MachineId, MonotonicTime } from '../core/types.js';
 import type { PreviousTermJob, UnreconciledMachine } from './types.js';
 
-/** CPUs and GPUs of machines that may hold unknown tasks. */
+/** The CPUs and GPUs of machines that may hold unknown tasks. */
 export interface Capacity {
   readonly cpus: number;
   readonly gpus: number;
 }
 
-/** Machines that no job's constraints can tell apart. */
+/** A group of machines that no constraint of a job can tell apart. */
 interface MachineGroup {
   readonly sample: UnreconciledMachine;
   count: number;
@@ -16,26 +16,31 @@
 
 const groupKey = ({ type, zone, spot }: UnreconciledMachine): string => `${type}|${zone}|${spot}`;
 
-/** Grouped, so that a question about a job costs the few groups, not the machines. */
+/**
+ * The machines are grouped so that the cost of a query about a job depends on the few groups, not on the many machines.
+ */
 export class UnreconciledMachines {
   private readonly machinesById = new Map<MachineId, UnreconciledMachine>();
   private readonly groups = new Map<string, MachineGroup>();
   private cpus = 0;
   private gpus = 0;
-  /** Machines may exist that the registry doesn't show, until their leases have surely ended. */
+  /**
+   * Until when machines may exist that are missing from the registry, which is until their leases have certainly
+   * expired. Null if the whole registry could be read.
+   */
   private unregisteredUntil: MonotonicTime | null = null;
 
-  /** How many machines on record are not reconciled. */
+  /** The number of registered machines that are not reconciled. */
   get count(): number {
     return this.machinesById.size;
   }
 
-  /** Returns whether no machine may hold unknown tasks. */
+  /** Returns whether no machine can hold unknown tasks any more. */
   isEmpty(now: MonotonicTime): boolean {
     return this.machinesById.size === 0 && !this.mayHaveUnregistered(now);
   }
 
-  /** Without effect for a machine that is there. */
+  /** Adds a machine. Has no effect if the machine was already added. */
   add(machine: UnreconciledMachine): void {
     if (this.machinesById.has(machine.id)) return;
     this.machinesById.set(machine.id, machine);
@@ -46,7 +51,7 @@
     this.gpus += machine.gpus;
   }
 
-  /** Returns whether the machine was there. */
+  /** Removes a machine. Returns whether it had been added before. */
   remove(id: MachineId): boolean {
     const machine = this.machinesById.get(id);
     if (!machine) return false;
@@ -60,22 +65,25 @@
     return true;
   }
 
-  /** A part of the registry can't be read: machines on it are known only once they report, or not at all. */
+  /**
+   * Records that a part of the registry cannot be read. The machines in it become known only when they send a
+   * heartbeat, or not at all.
+   */
   setMayHaveUnregisteredUntil(until: MonotonicTime): void {
     this.unregisteredUntil = until;
   }
 
-  /** Returns whether there may be machines that the registry doesn't show. */
+  /** Returns whether there may be machines that are missing from the registry. */
   mayHaveUnregistered(now: MonotonicTime): boolean {
     return this.unregisteredUntil !== null && now < this.unregisteredUntil;
   }
 
-  /** Returns the capacity that may be in use on them; null: it can't be told. */
+  /** Returns the capacity that may be in use on unreconciled machines, or null if it cannot be determined. */
   capacity(now: MonotonicTime): Capacity | null {
     return this.mayHaveUnregistered(now) ? null : { cpus: this.cpus, gpus: this.gpus };
   }
 
-  /** Returns whether a task of the job could be on one of them. */
+  /** Returns whether a task of the job could be on an unreconciled machine. */
   isFeasible(job: PreviousTermJob, now: MonotonicTime): boolean {
     if (this.mayHaveUnregistered(now)) return true;
     for (const { sample } of this.groups.values()) {
--- a/test/recovery_properties.test.ts
+++ b/test/recovery_properties.test.ts
@@ -23,9 +23,12 @@
 } from '../src/recovery/index.js';
 import { checkProperty } from './support/properties.js';
 
-/* Properties of what a new leader concludes, by models of what happened before (test/support/properties.ts on seeds). */
+/*
+ * Properties of the conclusions that a new leader draws, checked against models of what happened before its election.
+ * test/support/properties.ts describes the seeds.
+ */
 
-// ---- what may run unseen
+// ---- tasks that may run on unreconciled machines
 
 const ZONES = ['a', 'b', 'c'] as ZoneName[];
 const MACHINES = 6;
@@ -39,33 +42,36 @@
 
 interface JobState {
   startTerm: number;
-  /** The zones that the store holds, and those that the present leader goes by; null: any. */
+  /** The zones in the stored record, and the zones that the present leader relies on. Null means any zone. */
   recordedZones: ZoneName[] | null;
-  believedZones: ZoneName[] | null;
-  /** The machine of each task; null: it is on none. */
+  trustedZones: ZoneName[] | null;
+  /** The machine of each task. Null if the task is on no machine. */
   readonly machineByTask: (number | null)[];
 }
 
 type Step =
-  | { readonly kind: 'elect'; readonly keepsZones: boolean }
+  | { readonly kind: 'elect'; readonly recordsZones: boolean }
   | { readonly kind: 'start'; readonly job: number; readonly task: number; readonly machine: number; writes: boolean }
   | { readonly kind: 'end'; readonly job: number; readonly task: number };
 
-/** What is true: where tasks are, and what the store holds. Leaders come and go; some know nothing of zones. */
+/**
+ * A model of the actual state: where the tasks are, and what the state store holds. The leader changes, and some
+ * leaders do not record zones.
+ */
 class ClusterModel {
   leaderTerm = 0;
-  zonesKeptSince: number | null = null;
+  zonesRecordedSince: number | null = null;
   readonly jobs: JobState[] = Array.from({ length: JOBS }, () => ({
     startTerm: 0,
     recordedZones: null,
-    believedZones: null,
+    trustedZones: null,
     machineByTask: Array(TASKS).fill(null),
   }));
   private term: unknown = null;
 
   apply(step: Step): void {
     if (step.kind === 'elect') {
-      this.elect(step.keepsZones);
+      this.elect(step.recordsZones);
       return;
     }
     const job = this.jobs[step.job] as JobState;
@@ -73,50 +79,55 @@
     else if (job.machineByTask[step.task] === null) this.start(job, step.task, step.machine, step.writes);
   }
 
-  elect(keepsZones: boolean): void {
-    const value = nextTermRecord(this.term, keepsZones);
+  elect(recordsZones: boolean): void {
+    const value = nextTermRecord(this.term, recordsZones);
     this.term = encodeTerm(value);
     this.leaderTerm = value.term;
-    this.zonesKeptSince = value.startZonesRecordedSince ?? null;
+    this.zonesRecordedSince = value.startZonesRecordedSince ?? null;
     for (const job of this.jobs) {
-      const believed = keepsZones ? trustedStartZones(job.startTerm, job.recordedZones, this.zonesKeptSince) : null;
-      job.believedZones = believed && [...believed];
+      const trusted = recordsZones
+        ? trustedStartZones(job.startTerm, job.recordedZones, this.zonesRecordedSince)
+        : null;
+      job.trustedZones = trusted && [...trusted];
     }
   }
 
-  /** As a leader starts a task: what has to be on record is written first. `writes`: it has another reason to write. */
+  /**
+   * Starts a task in the way a leader does, which first stores what has to be stored. `writes` tells whether the leader
+   * has another reason to write the job's record.
+   */
   private start(job: JobState, task: number, machine: number, writes: boolean): void {
     const isFirst = job.startTerm === 0;
     if (isFirst) {
       job.startTerm = this.leaderTerm;
-      job.believedZones = this.zonesKeptSince === null ? null : [];
+      job.trustedZones = this.zonesRecordedSince === null ? null : [];
     }
     const zone = zoneOf(machine);
-    const isNewZone = job.believedZones !== null && !job.believedZones.includes(zone);
-    if (isNewZone) job.believedZones?.push(zone);
-    if (isFirst || isNewZone || writes) job.recordedZones = job.believedZones && [...job.believedZones];
+    const isNewZone = job.trustedZones !== null && !job.trustedZones.includes(zone);
+    if (isNewZone) job.trustedZones?.push(zone);
+    if (isFirst || isNewZone || writes) job.recordedZones = job.trustedZones && [...job.trustedZones];
     job.machineByTask[task] = machine;
   }
 
-  unseenMachines(job: number, listed: ReadonlySet<number>): number[] {
+  unlistedTaskMachines(job: number, listed: ReadonlySet<number>): number[] {
     return (this.jobs[job] as JobState).machineByTask.filter(
       (place) => place !== null && !listed.has(place),
     ) as number[];
   }
 
-  /** What the present leader knows of a job once these machines have told their lists. */
-  factsOf(job: number, listed: ReadonlySet<number>): PreviousTermJob {
-    const { startTerm, believedZones, machineByTask } = this.jobs[job] as JobState;
-    const found = machineByTask.filter((place) => place !== null && listed.has(place)).length;
-    const asks = { allowedMachineTypes: null, zone: null, toleratesSpot: true, cpus: 1, gpus: 0 };
-    const startZones = believedZones && new Set(believedZones);
+  /** Returns what the present leader knows of a job after the `listed` machines have sent their statuses. */
+  previousTermJob(job: number, listed: ReadonlySet<number>): PreviousTermJob {
+    const { startTerm, trustedZones, machineByTask } = this.jobs[job] as JobState;
+    const foundTasks = machineByTask.filter((place) => place !== null && listed.has(place)).length;
+    const constraints = { allowedMachineTypes: null, zone: null, toleratesSpot: true, cpus: 1, gpus: 0 };
+    const startZones = trustedZones && new Set(trustedZones);
     const facts = { id: `job-${job}` as JobId, team: TEAM, startTerm, startZones };
-    return { ...facts, unaccountedCount: TASKS - found, ...asks };
+    return { ...facts, unaccountedCount: TASKS - foundTasks, ...constraints };
   }
 }
 
 const arbitraryStep: fc.Arbitrary<Step> = fc.oneof(
-  fc.record({ kind: fc.constant('elect' as const), keepsZones: fc.boolean() }),
+  fc.record({ kind: fc.constant('elect' as const), recordsZones: fc.boolean() }),
   fc.record({
     kind: fc.constant('start' as const),
     job: fc.nat(JOBS - 1),
@@ -127,8 +138,8 @@
   fc.record({ kind: fc.constant('end' as const), job: fc.nat(JOBS - 1), task: fc.nat(TASKS - 1) }),
 );
 
-function recoveryWith(truth: ClusterModel, listed: ReadonlySet<number>): Recovery {
-  const recovery = new Recovery({ term: truth.leaderTerm, electedAt: NOW });
+function makeRecovery(model: ClusterModel, listed: ReadonlySet<number>): Recovery {
+  const recovery = new Recovery({ term: model.leaderTerm, electedAt: NOW });
   for (let machine = 0; machine < MACHINES; machine++) {
     const kind = { type: 'c8' as MachineTypeName, zone: zoneOf(machine), spot: false, cpus: CPUS, gpus: 0 };
     recovery.addMachine({ id: nameOf(machine), ...kind });
@@ -138,24 +149,28 @@
   return recovery;
 }
 
-test('whatever runs on a machine that told nothing is held to be possible, and counts against its team', () => {
+test('a task on an unreconciled machine is always considered possible, and counts against its team’s quota', () => {
   const listedMachines = fc.uniqueArray(fc.nat(MACHINES - 1));
   const history = fc.array(arbitraryStep, { maxLength: 40 });
-  const property = fc.property(history, fc.boolean(), listedMachines, (steps, lastKeeps, listedList) => {
-    const truth = new ClusterModel();
-    truth.elect(true);
-    for (const each of steps) truth.apply(each);
-    truth.elect(lastKeeps);
-    const listed = new Set(listedList);
-    const recovery = recoveryWith(truth, listed);
-    const jobs = truth.jobs.map((_, job) => truth.factsOf(job, listed));
+  const property = fc.property(history, fc.boolean(), listedMachines, (steps, lastRecordsZones, listedNumbers) => {
+    const model = new ClusterModel();
+    model.elect(true);
+    for (const each of steps) model.apply(each);
+    model.elect(lastRecordsZones);
+    const listed = new Set(listedNumbers);
+    const recovery = makeRecovery(model, listed);
+    const jobs = model.jobs.map((_, job) => model.previousTermJob(job, listed));
     jobs.forEach((job, i) => {
-      const places = truth.unseenMachines(i, listed);
-      if (places.length > 0) assert.ok(recovery.mayRunUnreconciled(job, NOW), `${job.id} runs on ${places.join(' ')}`);
+      const machines = model.unlistedTaskMachines(i, listed);
+      if (machines.length > 0)
+        assert.ok(recovery.mayRunUnreconciled(job, NOW), `${job.id} runs on unreconciled ${machines.join(' ')}`);
     });
-    const unseen = jobs.reduce((sum, _, job) => sum + truth.unseenMachines(job, listed).length, 0);
-    const counted = recovery.teamExposure(jobs, NOW)?.get(TEAM)?.cpus ?? 0;
-    assert.ok(counted >= unseen, `${unseen} tasks run unseen, ${counted} count`);
+    const unlistedTasks = jobs.reduce((sum, _, job) => sum + model.unlistedTaskMachines(job, listed).length, 0);
+    const countedCpus = recovery.teamExposure(jobs, NOW)?.get(TEAM)?.cpus ?? 0;
+    assert.ok(
+      countedCpus >= unlistedTasks,
+      `${unlistedTasks} tasks run on unreconciled machines, but only ${countedCpus} are counted`,
+    );
     const isAllListed = listed.size === MACHINES;
     assert.equal(recovery.isReconciled(NOW), isAllListed);
     if (isAllListed) assert.ok(jobs.every((job) => !recovery.mayRunUnreconciled(job, NOW)));
@@ -163,7 +178,7 @@
   checkProperty(import.meta.url, property, 3000);
 });
 
-// ---- what a task is
+// ---- classification of tasks
 
 const REASONS: ExitReason[] = [
   'done',
@@ -187,16 +202,16 @@
   arbitraryRecordedJob,
   fc.constantFrom<StoredJob>({ kind: 'unreadable' }, { kind: 'unread' }, { kind: 'absent' }),
 );
-const arbitraryOtherPlace = fc.option(
+const arbitraryOtherPlacement = fc.option(
   fc.record({ machine: fc.constant('i-9' as MachineId), attempt: arbitraryAttempt }),
 );
 
-test('nothing is concluded from what can’t be read, nothing dropped without a record, and results are recorded once', () => {
+test('tasks of unreadable jobs are ignored, unread records are looked up, and each result is recorded once', () => {
   const property = fc.property(
     arbitraryAttempt,
     arbitraryExitReason,
     arbitraryStoredJob,
-    arbitraryOtherPlace,
+    arbitraryOtherPlacement,
     (attempt, reason, job, otherPlacement) => {
       const { action } = classify({ attempt, exitReason: reason, job, otherPlacement });
       if (job.kind === 'unreadable') assert.equal(action, 'ignore');
@@ -211,7 +226,7 @@
   checkProperty(import.meta.url, property, 1000);
 });
 
-test('of two places of a task one alone is stopped, the same one whichever is found first', () => {
+test('of two placements of a task only the older one is stopped, regardless of which one is found first', () => {
   const property = fc.property(
     arbitraryAttempt,
     fc.bigInt({ min: 1n, max: 6n }),
@@ -219,48 +234,51 @@
     (lower, by, job) => {
       const machine = 'i-9' as MachineId;
       const higher = (lower + by) as Attempt;
-      const found = (attempt: Attempt, first: Attempt): string =>
+      const actionFor = (attempt: Attempt, first: Attempt): string =>
         classify({ attempt, exitReason: null, job, otherPlacement: { machine, attempt: first } }).action;
-      assert.equal(found(lower, higher), 'stop');
-      assert.equal(found(higher, lower), 'adoptAndStopOther');
+      assert.equal(actionFor(lower, higher), 'stop');
+      assert.equal(actionFor(higher, lower), 'adoptAndStopOther');
     },
   );
   checkProperty(import.meta.url, property, 300);
 });
 
-// ---- the storm
+// ---- bursts of heartbeats
 
-test('lists take turns: no more than so many in a window, and the newest of each machine is looked at in the end', () => {
+test('admitted heartbeats stay within the limit per window, and the newest of each machine is processed last', () => {
   const arrivals = fc.array(fc.record({ afterMs: fc.nat(20), machine: fc.nat(8) }), { maxLength: 200 });
   const property = fc.property(fc.integer({ min: 1, max: 5 }), arrivals, (perWindow, steps) => {
     const backlog = new HeartbeatBacklog<{ machine: number; number: number }>(perWindow);
-    const looked: { at: number; machine: number; number: number }[] = [];
+    const processed: { at: number; machine: number; number: number }[] = [];
     const newest = new Map<number, number>();
     let now = 0;
-    const drain = (): void => {
-      for (const list of backlog.takeDue(now as MonotonicTime)) looked.push({ at: now, ...list });
+    const processDue = (): void => {
+      for (const heartbeat of backlog.takeDue(now as MonotonicTime)) processed.push({ at: now, ...heartbeat });
     };
     steps.forEach(({ afterMs, machine }, number) => {
       now += afterMs;
-      drain();
+      processDue();
       newest.set(machine, number);
       if (backlog.admit(now as MonotonicTime)) {
         backlog.remove(nameOf(machine));
-        looked.push({ at: now, machine, number });
+        processed.push({ at: now, machine, number });
       } else backlog.add(nameOf(machine), { machine, number });
       assert.ok(backlog.size <= newest.size);
     });
     for (let next = backlog.nextDueAt(); next !== null; next = backlog.nextDueAt()) {
       now = next;
-      drain();
+      processDue();
     }
     for (const [machine, number] of newest) {
-      assert.equal(looked.filter((list) => list.machine === machine).at(-1)?.number, number);
+      assert.equal(processed.filter((heartbeat) => heartbeat.machine === machine).at(-1)?.number, number);
     }
-    for (const { at } of looked) {
-      // A window of 50 ms may begin anywhere: two of them touch any other.
-      const within = looked.filter((list) => list.at >= at && list.at < at + 50).length;
-      assert.ok(within <= 2 * perWindow, `${within} lists in 50 ms`);
+    for (const { at } of processed) {
+      // Windows of 50 ms can begin at any time, so any interval of 50 ms overlaps at most two of them.
+      const within = processed.filter((heartbeat) => heartbeat.at >= at && heartbeat.at < at + 50).length;
+      assert.ok(
+        within <= 2 * perWindow,
+        `${within} heartbeats processed in 50 ms, which is more than two windows allow`,
+      );
     }
   });
   checkProperty(import.meta.url, property, 500);
