--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -1,4 +1,4 @@
-/** One job as the leader holds it: its description, its state, and which of its tasks are done, placed or waiting. */
+/** One job in the leader's state: its spec, its state, and which of its tasks are done, placed or pending. */
 import type { JobRecord, JobState } from '../records.js';
 import type { JobId, JobSpec, MonotonicTime, Revision, WallClockTime, ZoneName } from '../types.js';
 import { FailureHistory } from './failure_history.js';
@@ -8,38 +8,38 @@
 import { SchedulingHistory } from './scheduling_history.js';
 import { StoredJobState } from './stored_job_state.js';
 
-/** How soon a job's record has to be written: `immediate` where something else can't happen before. */
+/** How soon a job's record has to be written. `immediate` means that something else has to wait for the write. */
 type WriteUrgency = 'none' | 'deferrable' | 'immediate';
 
-/** A job of the leader. What lasts beyond its term is in `stored`; the rest is learned anew by each leader. */
+/** A job as the leader sees it. `stored` holds what outlives the leader's term. Each leader rebuilds the rest. */
 export class Job {
   readonly spec: JobSpec;
   readonly submittedAt: WallClockTime;
-  /** What the state store is known to hold of it. */
+  /** The job's record as the state store is known to hold it. */
   readonly stored: StoredJobState;
-  /** From when on it may be started again after failures. */
+  /** When the job may be started again after failures. */
   readonly retries = new Retries();
-  /** How its tasks have failed, and whether it is itself at fault. */
+  /** How the job's tasks have failed, and whether the job itself is at fault. */
   readonly failureHistory = new FailureHistory();
-  /** How often it was moved or preempted others, and whether its run times were estimated wrongly. */
+  /** How often the job was migrated and preempted others, and whether its run time was estimated wrongly. */
   readonly schedulingHistory = new SchedulingHistory();
-  /** Which tasks were found after a failover, and how they ended. */
+  /** Which tasks have been located after a failover, and how their attempts ended. */
   readonly locatedTasks = new LocatedTasks();
-  /** What is known to be complete, durable or not. */
+  /** Tasks that are known to be complete, whether or not their completion is durable. */
   readonly doneTasks: RangeSet;
 
   private currentState: JobState;
   private firstStartTerm: number;
   private firstStartZone: ZoneName | null;
-  private zonesOfStarts: Set<ZoneName> | null = null;
+  private possibleStartZones: Set<ZoneName> | null = null;
   private isGangBroken = false;
   private mayRunUnreconciled = false;
-  /** Tasks that are also on a machine where they don't belong, and on how many. */
+  /** Number of machines on which each task is an unexpected task. Tasks without any are omitted. */
   private readonly unexpectedTasks = new Map<number, number>();
   private readonly placedTasks = new Set<number>();
-  private waitingReplicaSince: MonotonicTime | null = null;
+  private replicaWaitingSince: MonotonicTime | null = null;
   private lastActiveAt = 0 as MonotonicTime;
-  /** Every task below this number is done or has a place. */
+  /** Every task with a lower index is done or placed. */
   private firstPossiblyPending = 0;
 
   constructor(record: JobRecord, version: Revision) {
@@ -57,24 +57,24 @@
     return this.spec.id;
   }
 
-  /** Whether its tasks run all at once or not at all. */
+  /** Whether the job's tasks run all at the same time or not at all. */
   get isGang(): boolean {
     return this.spec.kind === 'gang';
   }
 
-  /** Whether its replicas run until it is cancelled. */
+  /** Whether the job's replicas run until the job is cancelled. */
   get isService(): boolean {
     return this.spec.kind === 'service';
   }
 
   // ---- state
 
-  /** Whether it is accepted, done or cancelled, as far as is known here: the record may lag behind. */
+  /** Whether the job is accepted, done or cancelled, as known to this leader. The stored record may lag behind. */
   get state(): JobState {
     return this.currentState;
   }
 
-  /** Takes over what a newer record says. */
+  /** Applies the job's stored record unless a newer one is known. */
   merge(record: JobRecord, version: Revision): void {
     if (!this.stored.applyRecord(record, version)) return;
     if (record.startTerm > 0 && this.firstStartTerm === 0) {
@@ -86,16 +86,16 @@
     if (this.doneTasks.count > 0) this.failureHistory.recordSuccess();
   }
 
-  /** Cancels the job. Returns false, and changes nothing, if it is over. */
+  /** Cancels the job. Returns false, and changes nothing, if the job has ended. */
   cancel(): boolean {
     if (this.currentState !== 'accepted') return false;
     this.currentState = 'cancelled';
     return true;
   }
 
-  /** A task has completed; of a gang that means all of them. */
+  /** Marks a task as complete. If the job is a gang, marks all of its tasks. */
   markDone(index: number): void {
-    // A replica that ends has to run again, whatever it says of itself.
+    // A replica that exits has to run again, whatever exit reason it reports.
     if (this.isService) return;
     if (this.isGang) for (let task = 0; task < this.spec.taskCount; task++) this.doneTasks.add(task);
     else this.doneTasks.add(index);
@@ -108,12 +108,12 @@
     return this.doneTasks.has(index);
   }
 
-  /** Whether the task may yet be started: the job goes on, and the task is not complete. */
+  /** Whether the task may be started again: the job is still accepted and the task is not complete. */
   mayStartAgain(index: number): boolean {
     return this.currentState === 'accepted' && !this.isDone(index);
   }
 
-  /** How soon the record has to be written. */
+  /** How soon the job's record has to be written. */
   get writeUrgency(): WriteUrgency {
     if (this.stored.state !== 'accepted') return 'none';
     const isStartUnstored = this.firstStartTerm !== this.stored.startTerm || this.hasUnstoredStartZone;
@@ -121,109 +121,117 @@
     return this.doneTasks.count > this.stored.doneTasks.count ? 'deferrable' : 'none';
   }
 
-  /** Whether nothing of it is left to write or to stop. */
+  /** Whether the job has ended, none of its tasks is placed and no write of its record is due. */
   get isSettled(): boolean {
     return this.currentState !== 'accepted' && this.placedTasks.size === 0 && this.writeUrgency === 'none';
   }
 
   // ---- starts
 
-  /** The term in which its first start was allowed; 0 before. */
+  /** The term in which the job's first start was allowed. 0 before the first start. */
   get startTerm(): number {
     return this.firstStartTerm;
   }
 
-  /** The zone of its first start; null before. */
+  /** The zone of the job's first start. Null before the first start. */
   get startZone(): ZoneName | null {
     return this.firstStartZone;
   }
 
-  /** Zones in which it may have been started, this leader's starts included; null: any. */
+  /** Zones in which the job may have been started, by this leader or a previous one. Null if any zone is possible. */
   get startZones(): ReadonlySet<ZoneName> | null {
-    return this.zonesOfStarts;
+    return this.possibleStartZones;
   }
 
-  /** The zones of its record are to be believed, and kept up; null: it may have been started in any. */
+  /**
+   * Restores the start zones from the job's record. They are trusted and extended from then on. Null means that the job
+   * may have been started in any zone.
+   */
   restoreStartZones(zones: readonly ZoneName[] | null): void {
-    this.zonesOfStarts = zones && new Set(zones);
+    this.possibleStartZones = zones && new Set(zones);
     this.stored.restoreStartZones(zones);
   }
 
-  /** Its first start is allowed. `recordsZones`: the zones of its starts go on record. */
+  /** Records that the job's first start is allowed. `recordsZones` says whether the zones of its starts are stored. */
   recordFirstStart(term: number, zone: ZoneName, recordsZones: boolean): void {
     this.firstStartTerm = term;
     this.firstStartZone = zone;
-    this.zonesOfStarts = recordsZones ? new Set() : null;
+    this.possibleStartZones = recordsZones ? new Set() : null;
   }
 
-  /** A task is to be started in the zone. */
+  /** Records that a task of the job is to be started in the zone. */
   recordStartZone(zone: ZoneName): void {
-    this.zonesOfStarts?.add(zone);
+    this.possibleStartZones?.add(zone);
   }
 
-  /** Whether the state store knows that it is started, and that it may be started in the zone. */
+  /**
+   * Whether the state store is known to hold the job's first start, and the zone among its start zones if they are
+   * stored.
+   */
   isStartDurable(zone: ZoneName): boolean {
-    return this.stored.startTerm > 0 && (this.zonesOfStarts === null || this.stored.startZones.has(zone));
+    return this.stored.startTerm > 0 && (this.possibleStartZones === null || this.stored.startZones.has(zone));
   }
 
   private get hasUnstoredStartZone(): boolean {
-    return this.zonesOfStarts !== null && this.zonesOfStarts.size > this.stored.startZones.size;
+    return this.possibleStartZones !== null && this.possibleStartZones.size > this.stored.startZones.size;
   }
 
   // ---- placed tasks
 
-  /** How many of its tasks are, or may be, or are about to be on machines. */
+  /** Number of the job's tasks that have placements: those that are, may be or are about to be on machines. */
   get placedCount(): number {
     return this.placedTasks.size;
   }
 
-  /** A task has got a place on a machine. */
+  /** Called when a placement of the task is added. */
   onTaskPlaced(index: number): void {
     this.placedTasks.add(index);
   }
 
-  /** A task has lost its place. */
+  /** Called when the placement of the task is removed. */
   onTaskReleased(index: number, now: MonotonicTime): void {
     this.placedTasks.delete(index);
     if (this.placedTasks.size === 0) this.lastActiveAt = now;
     if (index < this.firstPossiblyPending) this.firstPossiblyPending = index;
   }
 
-  /** Since when nothing of it has been on any machine, or it is known here. */
+  /**
+   * Since when the job has had no placement. If it has had none in this term, the time when the job became known here.
+   */
   get inactiveSince(): MonotonicTime {
     return this.lastActiveAt;
   }
 
-  /** The job becomes known here: until then it counts as active. */
+  /** Sets `inactiveSince` when the job becomes known here. Until then the job counts as active. */
   resetInactiveSince(now: MonotonicTime): void {
     this.lastActiveAt = now;
   }
 
-  /** Whether a gang's present attempt can't complete any more: all of it has to leave. */
+  /** Whether the current attempt of the gang can't complete any more, so that all of its tasks have to be evicted. */
   get gangBroken(): boolean {
     return this.isGangBroken;
   }
 
-  /** A task of the gang is lost. */
+  /** Records that a task of the gang's current attempt is lost. */
   markGangBroken(): void {
     this.isGangBroken = true;
   }
 
-  /** The last task of the broken attempt has left: a new attempt may begin. */
+  /** Called when the last task of the broken attempt has been released, so that a new attempt may begin. */
   clearGangBroken(): void {
     this.isGangBroken = false;
   }
 
-  // ---- waiting tasks
+  // ---- pending tasks
 
-  /** How many tasks wait for a place; of a gang all or none. */
+  /** Number of tasks that need a placement. For a gang, either all of its tasks or 0. */
   get pendingCount(): number {
     if (this.currentState !== 'accepted') return 0;
     if (this.isGang) return this.placedTasks.size === 0 && this.doneTasks.count === 0 ? this.spec.taskCount : 0;
     return this.spec.taskCount - this.doneTasks.count - this.placedTasks.size;
   }
 
-  /** How many tasks wait for a place and may be given one now. */
+  /** Number of tasks that need a placement and may get one now. */
   get startableCount(): number {
     const pending = this.pendingCount;
     if (pending === 0 || (!this.mayRunUnreconciled && this.unexpectedTasks.size === 0)) return pending;
@@ -232,12 +240,12 @@
     return pending - [...this.unexpectedTasks.keys()].filter((index) => this.isPending(index)).length;
   }
 
-  /** Returns up to `limit` task numbers that wait for a place and may be given one, lowest first. */
+  /** Returns the indices of up to `limit` tasks that need a placement and may get one, in ascending order. */
   pendingTasks(limit: number): number[] {
     const found: number[] = [];
     for (let index = this.firstPossiblyPending; index < this.spec.taskCount && found.length < limit; index++) {
       if (this.isStartable(index)) found.push(index);
-      else if (found.length === 0 && !this.isPending(index)) this.skipNotPending(index);
+      else if (found.length === 0 && !this.isPending(index)) this.advanceFirstPossiblyPending(index);
     }
     return found;
   }
@@ -251,40 +259,43 @@
     return !this.mayRunUnreconciled || this.locatedTasks.has(index);
   }
 
-  private skipNotPending(index: number): void {
+  private advanceFirstPossiblyPending(index: number): void {
     if (index === this.firstPossiblyPending) this.firstPossiblyPending = index + 1;
   }
 
-  /** Of a service: since when a replica has waited for a place; null: none waits. */
+  /** Since when replicas of the service have been waiting for a placement. Null if none is waiting. */
   get replicaPendingSince(): MonotonicTime | null {
-    return this.waitingReplicaSince;
+    return this.replicaWaitingSince;
   }
 
-  /** A replica waits for a place. */
+  /** Records that a replica is waiting for a placement. Keeps the time if one was waiting already. */
   beginReplicaWait(now: MonotonicTime): void {
-    this.waitingReplicaSince ??= now;
+    this.replicaWaitingSince ??= now;
   }
 
-  /** No replica waits any more. */
+  /** Records that no replica is waiting any more. */
   endReplicaWait(): void {
-    this.waitingReplicaSince = null;
+    this.replicaWaitingSince = null;
   }
 
   // ---- after a failover
 
-  /** While tasks of it may be on unreconciled machines, only located tasks may be started. */
+  /**
+   * Sets whether tasks of the job may be on unreconciled machines. While they may, only tasks that have been located
+   * may be started.
+   */
   setMayRunUnreconciled(mayRun: boolean): void {
     this.mayRunUnreconciled = mayRun;
   }
 
-  /** How many tasks of which this leader knows nothing: neither done nor located. */
+  /** Number of tasks that this leader can't account for, because they are neither done nor located. */
   get unaccountedCount(): number {
     if (this.isGang && this.doneTasks.count > 0) return 0;
     if (this.isGang) return this.spec.taskCount - this.locatedTasks.count;
     return this.spec.taskCount - this.doneTasks.count - this.placedTasks.size - this.locatedPendingCount;
   }
 
-  /** How many tasks were located in this term and wait for a place again. */
+  /** Number of tasks that were located in this term and need a placement again. */
   private get locatedPendingCount(): number {
     let count = 0;
     for (const index of this.locatedTasks.indices())
@@ -292,14 +303,17 @@
     return count;
   }
 
-  /** The task is on one machine more, or fewer, where it doesn't belong: while it is on any, it is started nowhere. */
+  /**
+   * Adds or removes one machine on which the task is an unexpected task. While there is any, the task is not started
+   * anywhere.
+   */
   countUnexpectedTask(index: number, change: 1 | -1): void {
     const machines = (this.unexpectedTasks.get(index) ?? 0) + change;
     if (machines > 0) this.unexpectedTasks.set(index, machines);
     else this.unexpectedTasks.delete(index);
   }
 
-  /** Whether it fails wherever it runs: then it is the job itself that is at fault. */
+  /** Whether the job fails on whatever machine it runs, so that the job itself is considered at fault. */
   get isFaulty(): boolean {
     return this.failureHistory.isFaulty;
   }
--- a/src/core/jobs/job_cache.ts
+++ b/src/core/jobs/job_cache.ts
@@ -1,4 +1,4 @@
-/** Keeps a controller's copy of the job records up to date by a watch. */
+/** Keeps a controller's copy of the job records up to date by watching the state store. */
 import { type PrefixRead, readPrefix } from '../clients/state_store_reads.js';
 import { CLOCK_DRIFT, maxJobViewAgeMs } from '../lease_bounds.js';
 import type { StateStoreResponses, StateStoreResultOf, StoredEntry, WatchEvent } from '../messages.js';
@@ -7,38 +7,45 @@
 import type { Timer } from '../timers.js';
 import { addMilliseconds, type JobId, type MonotonicTime, type Revision } from '../types.js';
 
-/** For how long a watch without news waits at the state store. */
-const FOLLOWER_WATCH_MS = 4000;
-/** The leader asks more often: what starts depends on how fresh its view of cancellations is. */
-const LEADER_WATCH_MS = 1000;
-/** So many watches fit into the greatest age that the leader's view may have. */
+/** How long a follower's watch waits at the state store for events, in milliseconds. */
+const FOLLOWER_WATCH_WAIT_MS = 4000;
+/**
+ * How long the leader's watch waits, in milliseconds. It is shorter because the starts of tasks depend on a fresh view
+ * of cancellations.
+ */
+const LEADER_WATCH_WAIT_MS = 1000;
+/** Number of watches that fit into the maximum age of the leader's view. */
 const WATCHES_PER_MAX_VIEW_AGE = 4;
-/** How long after one response of the watch the next is sent: each costs a call, and brings all that came meanwhile. */
+/**
+ * Delay between a watch response and the next watch, in milliseconds. Each watch costs a call and returns all events
+ * since the previous one.
+ */
 const LEADER_WATCH_PAUSE_MS = 120;
 const FOLLOWER_WATCH_PAUSE_MS = 800;
-const WATCH_GRACE_MS = 2000;
-const WATCH_QUEUE_MS = 5000;
+const WATCH_TIMEOUT_MARGIN_MS = 2000;
+const MAX_WATCH_QUEUE_TIME_MS = 5000;
 const WATCH_RETRY_MS = 250;
 const READ_RETRY_MS = 300;
 
-/** A job's record, and the version of its key that it was read at. */
+/** A job's record, and the version of its key at which it was read. */
 export interface CachedJob {
   readonly record: JobRecord;
   readonly version: Revision;
 }
 
-/** Hears whether a read of all records has worked. */
+/** Called with whether a read of all records succeeded. */
 type OnRead = (succeeded: boolean) => void;
 
 /**
- * A controller's copy of the job records. It may lag, so nothing that isn't final is told from it alone: it saves reads, as
- * one compare-only transaction then confirms many records at once (linearizable_reads.ts).
+ * A controller's copy of the job records. It may lag behind the state store, so only final states are reported from the
+ * copy alone. It saves reads because one compare-only transaction can then confirm many records at once
+ * (linearizable_reads.ts).
  */
 export class JobCache {
   private readonly jobs = new Map<JobId, CachedJob>();
-  /** Jobs on record whose records aren't understood: a later release may have written them. */
+  /** Jobs whose stored records can't be decoded. A later release may have written them. */
   private readonly unreadableIds = new Set<JobId>();
-  /** The revision from which the watch goes on; null: all has to be read first. */
+  /** The revision from which the watch continues. Null if all records have to be read first. */
   private watchRevision: Revision | null = null;
   private readInFlight = false;
   private rereadRequested = false;
@@ -46,54 +53,57 @@
   private watchInFlight = false;
   private readonly watchTimer: Timer;
   private isLeader = false;
-  private readonly leaderWatchMs: number;
+  private readonly leaderWatchWaitMs: number;
   private asOf: MonotonicTime;
 
-  /** `onRecord` is told of each record that is newer than what was known. */
+  /** `onRecord` is called with each record that is newer than the known one. */
   constructor(
     private readonly context: StepContext,
     private readonly onRecord: (job: CachedJob) => void,
   ) {
     this.watchTimer = context.timers.create(() => this.watchOrReadAll());
-    // Where `cancel_s` leaves little time, the view has to be the fresher (tight-cancel.txt).
-    this.leaderWatchMs = Math.min(LEADER_WATCH_MS, maxJobViewAgeMs(context.settings) / WATCHES_PER_MAX_VIEW_AGE);
+    // A short `cancel_s` requires a fresher view of the jobs, and therefore shorter watches (tight-cancel.txt).
+    this.leaderWatchWaitMs = Math.min(
+      LEADER_WATCH_WAIT_MS,
+      maxJobViewAgeMs(context.settings) / WATCHES_PER_MAX_VIEW_AGE,
+    );
     this.asOf = context.now.monotonic;
   }
 
-  /** Everything that the state store held at this time is known here. */
+  /** The time as of which the copy is current: it includes everything that the state store held at that time. */
   get currentAsOf(): MonotonicTime {
     return this.asOf;
   }
 
-  /** Jobs on record whose records aren't understood: a later release may have written them. */
+  /** Jobs whose stored records can't be decoded. A later release may have written them. */
   get unreadableJobs(): ReadonlySet<JobId> {
     return this.unreadableIds;
   }
 
-  /** Returns undefined for a job of which no record is known here. */
+  /** Returns undefined for a job without a known record. */
   get(id: JobId): CachedJob | undefined {
     return this.jobs.get(id);
   }
 
-  /** Returns all jobs, in no order. */
+  /** Returns all jobs, in no particular order. */
   all(): Iterable<CachedJob> {
     return this.jobs.values();
   }
 
-  /** How many jobs are known. */
+  /** Number of known jobs. */
   get size(): number {
     return this.jobs.size;
   }
 
-  /** A leader watches more often. */
+  /** Sets whether this controller leads. A leader watches more often. */
   setIsLeader(isLeader: boolean): void {
     this.isLeader = isLeader;
   }
 
-  /** Reads all records anew, beginning after this moment; `done` hears once whether that has worked. */
+  /** Reads all records again, beginning after this call. Calls `done` once with whether the read succeeded. */
   read(done: OnRead = () => {}): void {
     this.readCallbacks.push(done);
-    // A reading under way may have begun too early for this caller.
+    // A read in flight may have begun too early for this caller.
     if (this.readInFlight) this.rereadRequested = true;
     else this.readAll();
   }
@@ -139,28 +149,28 @@
   private watch(after: Revision): void {
     if (this.watchInFlight) return;
     this.watchInFlight = true;
-    const waitMs = this.isLeader ? this.leaderWatchMs : FOLLOWER_WATCH_MS;
+    const waitMs = this.isLeader ? this.leaderWatchWaitMs : FOLLOWER_WATCH_WAIT_MS;
     let sentAt = this.context.now.monotonic;
     const onResult = (result: StateStoreResultOf<'watch'>): void => {
       this.watchInFlight = false;
-      if (result.ok) this.onWatchAnswered(result.value, sentAt, waitMs);
+      if (result.ok) this.onWatchResponse(result.value, sentAt, waitMs);
       else this.onWatchFailed(result.error.code === 'gone');
     };
     this.context.stateStore.call({ op: 'watch', prefix: JOB_PREFIX, after, waitMs }, 1, onResult, {
-      timeoutMs: waitMs + WATCH_GRACE_MS,
-      maxQueueTimeMs: WATCH_QUEUE_MS,
+      timeoutMs: waitMs + WATCH_TIMEOUT_MARGIN_MS,
+      maxQueueTimeMs: MAX_WATCH_QUEUE_TIME_MS,
       onSend: (at) => {
         sentAt = at;
       },
     });
   }
 
-  private onWatchAnswered(
+  private onWatchResponse(
     { events, revision }: StateStoreResponses['watch'],
     sentAt: MonotonicTime,
     waitMs: number,
   ): void {
-    // A watch without news has waited for its whole time first.
+    // A watch response without events was sent only after the whole wait time, so the copy is current as of its end.
     const knownAt = events.length > 0 ? sentAt : addMilliseconds(sentAt, waitMs * (1 - CLOCK_DRIFT));
     const currentAsOf = Math.min(knownAt, this.context.now.monotonic) as MonotonicTime;
     if (currentAsOf > this.asOf) this.asOf = currentAsOf;
@@ -169,8 +179,8 @@
     this.scheduleNextWatch(this.isLeader ? LEADER_WATCH_PAUSE_MS : FOLLOWER_WATCH_PAUSE_MS);
   }
 
-  private onWatchFailed(tooFarBehind: boolean): void {
-    if (!tooFarBehind) {
+  private onWatchFailed(isRevisionGone: boolean): void {
+    if (!isRevisionGone) {
       this.scheduleNextWatch(WATCH_RETRY_MS);
       return;
     }
@@ -183,7 +193,10 @@
     this.update({ key: event.put, value: event.value, version: event.version });
   }
 
-  /** Takes over a record as the store holds or held it; one older than what is known is ignored. Null: it isn't understood. */
+  /**
+   * Applies a current or past version of a stored record, unless that version or a newer one is known. Returns null if
+   * the record can't be decoded.
+   */
   update(item: StoredEntry): CachedJob | null {
     const id = item.key.slice(JOB_PREFIX.length) as JobId;
     const known = this.jobs.get(id);
--- a/src/core/jobs/located_tasks.ts
+++ b/src/core/jobs/located_tasks.ts
@@ -1,44 +1,46 @@
-/** Which tasks of a job begun in an earlier term this leader has located, and what ended their earlier attempts. */
+/** Tracks which tasks of a job this leader has located, and how their attempts of previous terms ended. */
 import type { Attempt, MachineId } from '../types.js';
 
-/** Why a task is certain not to be on a machine any more, or never to have been. */
+/** Evidence that a task is no longer on a machine, or never was. */
 export type ReleaseReason =
-  /** Its start was planned and never sent. */
+  /** The start was planned but never sent. */
   | 'startNotSent'
-  /** The response with its start was dropped: a newer heartbeat doesn't show it. */
+  /** The heartbeat response with the start was lost. The evidence is a newer heartbeat that doesn't show the task. */
   | 'startDropped'
-  /** Its start was refused, as an earlier attempt is still there. */
+  /** The start was refused because an earlier attempt is still on the machine. */
   | 'earlierAttemptFound'
-  /** The worker says that it has exited. */
+  /** The worker reports that the task has exited. */
   | 'exited'
-  /** It was there, and a newer status doesn't show it. */
+  /** The task was on the machine, and a newer status doesn't show it. */
   | 'missingFromStatus'
   /** The worker has begun a new agent epoch. */
   | 'agentEpochEnded'
-  /** Nobody can have renewed the worker's lease for longer than it lasts. */
+  /**
+   * The worker's lease has certainly expired, because no controller can have renewed it for longer than its duration.
+   */
   | 'agentLeaseExpired'
-  /** The cloud has deleted the machine, or says that it has stopped. */
+  /** The cloud has deleted the machine or reports it as stopped. */
   | 'machineGone';
 
-/** The end of one attempt, and what it was concluded from. */
+/** The end of one attempt, and the evidence for it. */
 export interface TaskRelease {
   readonly machine: MachineId;
   readonly attempt: Attempt;
   readonly reason: ReleaseReason;
 }
 
-/** Tasks by their indices. */
+/** The located tasks of one job, by task index. */
 export class LocatedTasks {
   private readonly located = new Set<number>();
-  /** Only of attempts of earlier terms, and only until the task is started again. */
+  /** Only for attempts of previous terms, and only until the task is started again. */
   private readonly releases = new Map<number, TaskRelease>();
 
-  /** How many tasks have been located. */
+  /** Number of tasks that have been located. */
   get count(): number {
     return this.located.size;
   }
 
-  /** The indices of the located tasks. */
+  /** Returns the indices of the located tasks. */
   indices(): Iterable<number> {
     return this.located;
   }
@@ -48,18 +50,21 @@
     return this.located.has(index);
   }
 
-  /** This leader has found the task on a machine: wherever it is now, it is on no other. */
+  /**
+   * Records that this leader has found the task on a machine. From then on, the task can't be on another machine
+   * without this leader's knowledge.
+   */
   add(index: number): void {
     this.located.add(index);
   }
 
-  /** An attempt of an earlier term has ended. The latest attempt counts. */
+  /** Records that an attempt of a previous term has ended. Only the latest attempt of a task is retained. */
   recordRelease(index: number, release: TaskRelease): void {
     const known = this.releases.get(index);
     if (known === undefined || known.attempt < release.attempt) this.releases.set(index, release);
   }
 
-  /** Returns how the task's last attempt of an earlier term ended, once; null where that isn't known. */
+  /** Returns how the task's last attempt of a previous term ended, and forgets it. Returns null if that isn't known. */
   takeRelease(index: number): TaskRelease | null {
     const release = this.releases.get(index) ?? null;
     this.releases.delete(index);
--- a/src/core/jobs/range_set.ts
+++ b/src/core/jobs/range_set.ts
@@ -1,15 +1,15 @@
-/** Sets of task numbers that take little space: sorted, disjoint, inclusive ranges. */
+/** Compact sets of task indices, held as sorted, disjoint, inclusive ranges. */
 type Range = [first: number, last: number];
 
-/** What a range's text takes beside its numbers. */
+/** Bytes of a range's JSON text besides its two numbers. */
 const RANGE_PUNCTUATION_BYTES = 4;
 
-/** A set of task numbers: what the state store holds of a job's completions. */
+/** A set of task indices. The state store holds the completed tasks of a job in this form. */
 export class RangeSet {
   private readonly ranges: Range[] = [];
   private size = 0;
 
-  /** Makes a set of ranges as `pairs` returns them: they must be sorted and disjoint. */
+  /** Creates a set from ranges as returned by `pairs`. They must be sorted and disjoint. */
   static from(pairs: readonly (readonly [number, number])[]): RangeSet {
     const set = new RangeSet();
     for (const [first, last] of pairs) {
@@ -19,12 +19,12 @@
     return set;
   }
 
-  /** How many numbers are in the set. */
+  /** Number of indices in the set. */
   get count(): number {
     return this.size;
   }
 
-  /** Index of the first range that ends at or after the number. */
+  /** Returns the position of the first range that ends at or after the number. */
   private lowerBound(number: number): number {
     let low = 0;
     let high = this.ranges.length;
@@ -37,13 +37,13 @@
     return low;
   }
 
-  /** Whether the number is in the set. */
+  /** Returns whether the number is in the set. */
   has(number: number): boolean {
     const range = this.ranges[this.lowerBound(number)];
     return range !== undefined && range[0] <= number;
   }
 
-  /** Adds a number. Returns whether it is new. */
+  /** Adds a number. Returns whether it was not in the set before. */
   add(number: number): boolean {
     const index = this.lowerBound(number);
     const next = this.ranges[index];
@@ -70,13 +70,16 @@
     for (const [first, last] of other.ranges) for (let number = first; number <= last; number++) this.add(number);
   }
 
-  /** Returns the first ranges, as many as fit into so many bytes of text: a record must fit the store's limit for a value. */
-  pairs(bytes = Number.POSITIVE_INFINITY): [number, number][] {
+  /**
+   * Returns the first ranges, as many as fit into `maxBytes` of text. A record must not exceed the state store's limit
+   * for a value.
+   */
+  pairs(maxBytes = Number.POSITIVE_INFINITY): [number, number][] {
     const fitting: [number, number][] = [];
-    let left = bytes;
+    let bytesLeft = maxBytes;
     for (const [first, last] of this.ranges) {
-      left -= RANGE_PUNCTUATION_BYTES + String(first).length + String(last).length;
-      if (left < 0) break;
+      bytesLeft -= RANGE_PUNCTUATION_BYTES + String(first).length + String(last).length;
+      if (bytesLeft < 0) break;
       fitting.push([first, last]);
     }
     return fitting;
--- a/src/core/jobs/retries.ts
+++ b/src/core/jobs/retries.ts
@@ -1,64 +1,70 @@
-/** Decides from when on a job whose tasks failed may be started again. */
+/** Decides when a job may be started again after its tasks failed. */
 import { addMilliseconds, type MonotonicTime } from '../types.js';
 
-/** So many short runs of replicas are followed by no pause; then it doubles with each. */
+/**
+ * Number of consecutive short runs of replicas that cause no restart delay. After these, the delay doubles with each
+ * further short run.
+ */
 const SHORT_RUNS_WITHOUT_PAUSE = 2;
-const FIRST_RESTART_PAUSE_MS = 500;
+const RESTART_PAUSE_BASE_MS = 500;
 const MAX_RESTART_DOUBLINGS = 6;
 const MAX_RESTART_PAUSE_MS = 30_000;
 
-/** The failures of a job's tasks as far as they delay its next start. */
+/** Counts the failures of a job's tasks and holds the time before which the job must not be started again. */
 export class Retries {
   private delayedUntil = 0 as MonotonicTime;
   private failures = 0;
-  /** Of a service: replicas that ended soon after their start, one after the other. */
+  /** For a service: number of consecutive replica runs that ended soon after their start. */
   private shortRuns = 0;
   private lastShortRunAt = 0 as MonotonicTime;
 
-  /** The job is not started before this time. */
+  /** The job must not be started before this time. */
   get notBefore(): MonotonicTime {
     return this.delayedUntil;
   }
 
-  /** How many of its tasks have failed, or were stopped while they ran. */
+  /** Number of tasks that have failed or were stopped while running. */
   get failureCount(): number {
     return this.failures;
   }
 
-  /** Whether the job has to wait now. */
+  /** Returns whether the job may not be started now. */
   isDelayed(now: MonotonicTime): boolean {
     return this.delayedUntil > now;
   }
 
-  /** A task failed, or was stopped while it ran. */
+  /** Records that a task failed or was stopped while running. */
   recordFailure(): void {
     this.failures += 1;
   }
 
-  /** The job is not started before `time`, whatever was asked before. */
+  /** Sets the time before which the job must not be started, replacing any earlier setting. */
   delayUntil(time: MonotonicTime): void {
     this.delayedUntil = time;
   }
 
-  /** The job is not started before `time`, nor before what was asked before. */
+  /** Ensures that the job is not started before `time`. A later time that was set before stays. */
   delayAtLeastUntil(time: MonotonicTime): void {
     if (time > this.delayedUntil) this.delayedUntil = time;
   }
 
-  /** A replica ran for long enough to show that its service can stay up. */
+  /** Records that a replica ran long enough to show that its service is stable. */
   recordStableRun(): void {
     this.shortRuns = 0;
   }
 
-  /** A replica ended soon after its start: the next has to wait, with each one in a row for longer. */
+  /**
+   * Records that a replica exited soon after its start. The next start is delayed, and longer with each consecutive
+   * short run.
+   */
   recordShortRun(placedAt: MonotonicTime, now: MonotonicTime): void {
-    // Replicas that began together and end together have failed once.
+    // Replicas that started together and exit together count as one failure.
     if (placedAt >= this.lastShortRunAt) {
       this.shortRuns += 1;
       this.lastShortRunAt = now;
     }
     const doublings = Math.min(MAX_RESTART_DOUBLINGS, this.shortRuns - SHORT_RUNS_WITHOUT_PAUSE);
-    const pauseMs = doublings <= 0 ? 0 : FIRST_RESTART_PAUSE_MS * 2 ** doublings;
+    const pauseMs = doublings <= 0 ? 0 : RESTART_PAUSE_BASE_MS * 2 ** doublings;
     this.delayedUntil = addMilliseconds(now, Math.min(MAX_RESTART_PAUSE_MS, pauseMs));
   }
 }
--- a/src/core/jobs/runtime_estimator.ts
+++ b/src/core/jobs/runtime_estimator.ts
@@ -1,19 +1,25 @@
-/** Estimates run times: how far the estimates of job owners are off, by class of jobs. */
+/** Estimates run times by learning, per job class, how far the estimates of job owners are off. */
 import type { JobSpec } from '../types.js';
 
-/** As long as any plan looks ahead: capacity that a replica has taken doesn't come free. */
+/**
+ * Expected run time of a service replica, in seconds. It equals the longest planning horizon, because the capacity of a
+ * replica doesn't become free.
+ */
 const UNBOUNDED_RUNTIME_SECONDS = 3600;
 const MIN_RUNTIME_SECONDS = 0.5;
-/** The prior counts as so many tasks that ran as estimated, give or take half. */
+/** Weight of the prior, in tasks. The prior assumes that tasks run as long as estimated, plus or minus half. */
 const PRIOR_TASKS = 8;
 const PRIOR_STANDARD_DEVIATION = 0.5;
-/** So many tasks are remembered of a class. */
+/** Maximum number of tasks per class that the history represents. */
 const MAX_REMEMBERED_TASKS = 200;
-/** One task counts as no more than e^3 times too long or too short. */
+/** Limit of log(actual / estimate) for one task, as a factor e^3 too long or too short. */
 const MAX_LOG_RATIO = 3;
 const MIN_STANDARD_DEVIATION = 0.1;
 
-/** What the tasks of a class showed: their number, and sums of log(actual / estimate) and of its squared error. */
+/**
+ * Observations of a class: number of tasks, sum of log(actual / estimate), and sum of the squared errors of its
+ * prediction.
+ */
 interface ClassHistory {
   taskCount: number;
   logRatioSum: number;
@@ -26,13 +32,16 @@
   history ? history.logRatioSum / (history.taskCount + PRIOR_TASKS) : 0;
 
 /**
- * How far the owners' estimates are off, per class: mean and spread of log(actual / estimate), pulled towards "right, give
- * or take half" while few tasks have been seen.
+ * Learns per class the mean and standard deviation of log(actual / estimate). While few tasks have been observed, both
+ * are pulled towards the prior, which is a correct estimate plus or minus half.
  */
 export class RuntimeEstimator {
   private readonly classes = new Map<string, ClassHistory>();
 
-  /** A task of the job took so many seconds. Returns how much longer than expected that is, as a logarithm: 0 is as expected. */
+  /**
+   * Records that a task of the job ran for `actualSeconds`. Returns the logarithm of the ratio of actual to expected
+   * run time, which is 0 if the task ran as long as expected.
+   */
   observe(spec: JobSpec, actualSeconds: number): number {
     if (!(actualSeconds > 0) || !(spec.estimatedRuntimeSeconds > 0)) return 0;
     const ratio = Math.min(
@@ -56,7 +65,7 @@
     return history;
   }
 
-  /** Returns the expected run time of one task, in seconds. A service's replicas run until they are cancelled. */
+  /** Returns the expected run time of one task, in seconds. A service's replicas run until the service is cancelled. */
   expectedSeconds(spec: JobSpec): number {
     if (spec.kind === 'service') return UNBOUNDED_RUNTIME_SECONDS;
     return Math.max(
@@ -65,7 +74,7 @@
     );
   }
 
-  /** Returns how uncertain that is: the standard deviation of log(actual / expected). */
+  /** Returns the uncertainty of the expected run time: the standard deviation of log(actual / expected). */
   logStandardDeviation(spec: JobSpec): number {
     const { taskCount, squaredErrorSum } = this.classes.get(spec.jobClass) ?? emptyHistory();
     const prior = PRIOR_TASKS * PRIOR_STANDARD_DEVIATION ** 2;
@@ -73,10 +82,10 @@
   }
 }
 
-/** Keeps the history as if it were of so many tasks as are remembered. */
+/** Scales the history down to MAX_REMEMBERED_TASKS tasks. */
 function decay(history: ClassHistory): void {
-  const keep = MAX_REMEMBERED_TASKS / history.taskCount;
-  history.logRatioSum *= keep;
-  history.squaredErrorSum *= keep;
+  const factor = MAX_REMEMBERED_TASKS / history.taskCount;
+  history.logRatioSum *= factor;
+  history.squaredErrorSum *= factor;
   history.taskCount = MAX_REMEMBERED_TASKS;
 }
--- a/src/core/jobs/stored_job_state.ts
+++ b/src/core/jobs/stored_job_state.ts
@@ -1,9 +1,9 @@
-/** Tracks what the state store is known to hold of one job, and whether a write or read of it is under way. */
+/** Tracks what the state store is known to hold for one job, and whether a write or read of its record is in flight. */
 import type { JobRecord, JobState } from '../records.js';
 import type { MonotonicTime, Revision, ZoneName } from '../types.js';
 import type { RangeSet } from './range_set.js';
 
-/** The changing part of a job's record, as it was read or written. */
+/** The part of a job's record that changes, as it was read or written. */
 export type StoredJob = Pick<JobRecord, 'state' | 'startTerm' | 'startZones' | 'done'>;
 
 /** A job's record as the state store is known to hold it. */
@@ -16,7 +16,10 @@
   private callInFlight = false;
   private writtenAt = 0 as MonotonicTime;
 
-  /** Start zones count only from `restoreStartZones` on: whether those on record are complete is for the caller to judge. */
+  /**
+   * Leaves the start zones empty. The caller decides whether the stored ones are complete, and sets them with
+   * `restoreStartZones`.
+   */
   constructor(record: JobRecord, version: Revision) {
     this.knownVersion = version;
     this.knownState = record.state;
@@ -29,49 +32,49 @@
     return this.knownVersion;
   }
 
-  /** Whether the job is accepted, done or cancelled on record. */
+  /** Whether the stored record says accepted, done or cancelled. */
   get state(): JobState {
     return this.knownState;
   }
 
-  /** The term in which the job's first start was allowed; 0 before. */
+  /** The stored term in which the job's first start was allowed. 0 before the first start. */
   get startTerm(): number {
     return this.knownStartTerm;
   }
 
-  /** Zones in which the job may have been started. */
+  /** Stored zones in which the job may have been started. */
   get startZones(): ReadonlySet<ZoneName> {
     return this.knownStartZones;
   }
 
-  /** Tasks whose completion is on record. */
+  /** Tasks whose completion is stored. */
   get doneTasks(): RangeSet {
     return this.knownDoneTasks;
   }
 
-  /** Whether a write or a read of the record has yet to be answered. */
+  /** Whether a write or a read of the record is waiting for its response. */
   get isCallInFlight(): boolean {
     return this.callInFlight;
   }
 
-  /** When the record was last written, or tried to be. */
+  /** When a write of the record was last sent, whether or not it succeeded. */
   get lastWriteAt(): MonotonicTime {
     return this.writtenAt;
   }
 
-  /** Whether the result of a task may be dropped from its worker. */
+  /** Returns whether the worker may discard the result of the task. */
   isResultDurable(index: number): boolean {
     return this.knownState !== 'accepted' || this.knownDoneTasks.has(index);
   }
 
-  /** Takes over a record that was read. Returns false, and changes nothing, if a newer one is known. */
+  /** Applies a record that was read. Returns false, and changes nothing, if a newer version is known. */
   applyRecord(record: StoredJob, version: Revision): boolean {
     if (version < this.knownVersion) return false;
     this.set(record, version);
     return true;
   }
 
-  /** Takes over a record that was written; without effect if one as new is known. */
+  /** Applies a record that was written. Does nothing if that version or a newer one is known. */
   applyWrite(written: StoredJob, version: Revision): void {
     if (version > this.knownVersion) this.set(written, version);
   }
@@ -84,23 +87,23 @@
     if (startZones !== null) this.knownStartZones = new Set(startZones);
   }
 
-  /** The start zones on record are these; null: none. */
+  /** Sets the start zones that the state store holds. Null means none. */
   restoreStartZones(zones: readonly ZoneName[] | null): void {
     this.knownStartZones = new Set(zones);
   }
 
-  /** A write of the record goes out. */
+  /** Records that a write of the record is sent. */
   beginWrite(now: MonotonicTime): void {
     this.callInFlight = true;
     this.writtenAt = now;
   }
 
-  /** A read of the record goes out, after a write whose outcome is unknown. */
+  /** Records that a read of the record is sent, after a write whose outcome is unknown. */
   beginRead(): void {
     this.callInFlight = true;
   }
 
-  /** The write or read was answered, or failed. */
+  /** Records that the write or read was answered or failed. */
   endCall(): void {
     this.callInFlight = false;
   }
--- a/src/core/state/attempt_numbers.ts
+++ b/src/core/state/attempt_numbers.ts
@@ -1,26 +1,28 @@
-/** Numbers the starts of tasks, so that those of a later term are higher than those of any earlier one. */
+/**
+ * Numbers the attempts of tasks so that attempts of a later term have higher numbers than those of any previous term.
+ */
 import type { Attempt } from '../types.js';
 
-/** Attempts of one term are numbered within so many bits. */
-const ATTEMPTS_PER_TERM_BITS = 24n;
+/** Number of low bits of an attempt number that count the attempts of one term. The higher bits hold the term. */
+const ATTEMPT_COUNTER_BITS = 24n;
 
-/** The attempt numbers of one term. */
+/** Generates the attempt numbers of one term. */
 export class AttemptNumbers {
-  private readonly first: bigint;
+  private readonly base: bigint;
   private count = 0n;
 
   constructor(term: number) {
-    this.first = BigInt(term) << ATTEMPTS_PER_TERM_BITS;
+    this.base = BigInt(term) << ATTEMPT_COUNTER_BITS;
   }
 
-  /** Returns a number higher than any attempt of an earlier term, and than any earlier one of this term. */
+  /** Returns a number higher than any attempt of a previous term and any number returned before. */
   next(): Attempt {
     this.count += 1n;
-    return (this.first + this.count) as Attempt;
+    return (this.base + this.count) as Attempt;
   }
 
-  /** Returns whether the attempt was started in an earlier term. */
-  isOfEarlierTerm(attempt: Attempt): boolean {
-    return attempt < this.first;
+  /** Returns whether the attempt was started in a previous term. */
+  isOfPreviousTerm(attempt: Attempt): boolean {
+    return attempt < this.base;
   }
 }
--- a/src/core/state/cluster.ts
+++ b/src/core/state/cluster.ts
@@ -1,4 +1,4 @@
-/** What the leader knows, put together: jobs, machines, which task may be on which machine, quotas and estimates. */
+/** The cluster state that a leader holds: jobs, machines, placements, quotas and estimates. */
 import type { ReconciledBy, StartZonesRecordedSince } from '../../recovery/index.js';
 import { Job } from '../jobs/job.js';
 import type { ReleaseReason } from '../jobs/located_tasks.js';
@@ -22,7 +22,10 @@
 import { TermTimers } from './term_timers.js';
 import { UnexpectedTasks } from './unexpected_tasks.js';
 
-/** The state of one term, lost with it: what has to last is written to the state store (leadership/record_writer.ts). */
+/**
+ * The state of one term, which is lost when the term ends. Data that has to outlive the term is written to the state
+ * store (leadership/record_writer.ts).
+ */
 export class Cluster {
   readonly runtimeEstimator = new RuntimeEstimator();
   readonly bootTimeEstimator = new BootTimeEstimator();
@@ -37,7 +40,7 @@
   readonly unexpectedTasks: UnexpectedTasks;
   readonly servicePlacements: ServicePlacementSchedule;
   readonly placements: PlacementTable;
-  /** What the cloud offers; empty until its list has been read. */
+  /** The machine types that the cloud offers. Empty until the list of types has been read. */
   machineTypes: MachineTypes = new Map();
   private readonly attempts: AttemptNumbers;
 
@@ -61,30 +64,30 @@
     this.servicePlacements = servicePlacements;
     this.unexpectedTasks = new UnexpectedTasks(quotas, pendingCommands);
     this.previousTerms = new PreviousTerms(context, { term, quotas, machines, startZonesRecordedSince });
-    const notesLocatedTasks = this.previousTerms.recovery !== null;
+    const recordsLocatedTasks = this.previousTerms.recovery !== null;
     this.placements = new PlacementTable(context, {
       jobs,
       quotas,
       pendingCommands,
       servicePlacements,
       attempts,
-      notesLocatedTasks,
+      recordsLocatedTasks,
     });
   }
 
-  /** Returns an attempt number higher than any before. */
+  /** Returns an attempt number higher than any previous one. */
   nextAttempt(): Attempt {
     return this.attempts.next();
   }
 
-  /** Returns whether the attempt was started in an earlier term. */
+  /** Returns whether the attempt was started in a previous term. */
   isOfEarlierTerm(attempt: Attempt): boolean {
-    return this.attempts.isOfEarlierTerm(attempt);
+    return this.attempts.isOfPreviousTerm(attempt);
   }
 
   // ---- jobs
 
-  /** Takes over a job's record, whether or not the job is known. */
+  /** Applies a stored job record. Adds the job if it is not known yet. */
   applyJobRecord(record: JobRecord, version: Revision): void {
     const known = this.jobs.get(record.spec.id);
     if (!known) {
@@ -93,7 +96,7 @@
     }
     const stateBefore = known.state;
     known.merge(record, version);
-    if (known.state !== stateBefore) this.onJobOver(known);
+    if (known.state !== stateBefore) this.onJobEnded(known);
   }
 
   private addJob(record: JobRecord, version: Revision): void {
@@ -105,39 +108,42 @@
     if (job.isService && job.state === 'accepted') this.servicePlacements.request();
   }
 
-  /** A controller has put the job's cancellation on record, which is never undone: nothing more of it is started. */
+  /**
+   * Applies a cancellation that a controller has persisted. A persisted cancellation is never undone, so nothing more
+   * of the job is started.
+   */
   applyCancellationBroadcast(id: JobId): void {
     const job = this.jobs.get(id);
     if (!job) {
       this.jobs.cancelBeforeRecord(id);
       return;
     }
-    if (job.cancel()) this.onJobOver(job);
+    if (job.cancel()) this.onJobEnded(job);
   }
 
-  private onJobOver(job: Job): void {
+  private onJobEnded(job: Job): void {
     this.jobs.endService(job);
-    this.placements.onJobOver(job);
+    this.placements.onJobEnded(job);
     this.jobs.deactivateIfSettled(job);
   }
 
   // ---- machines
 
-  /** Nothing is on the machine any more: neither placements nor unexpected or ended tasks. */
+  /** Releases the placements, unexpected tasks and exited tasks of a machine on which nothing runs any more. */
   clearMachine(machine: Machine, reason: ReleaseReason): void {
     this.unexpectedTasks.drop(machine);
     this.placements.releaseAll(machine, reason);
     machine.reportedTasks.clearExits();
   }
 
-  /** The machine is proven gone, with everything on it. */
+  /** Removes a machine that is proven to be terminated, and releases everything that was on it. */
   removeMachine(machine: Machine): void {
     this.clearMachine(machine, 'machineGone');
     this.machines.remove(machine);
     this.previousTerms.onMachineReconciled(machine, 'gone');
   }
 
-  /** Nothing of a previous term can be on the machine that isn't known here. */
+  /** Marks the machine as reconciled. This leader then knows every task of a previous term that can be on it. */
   markReconciled(machine: Machine, how: ReconciledBy): void {
     machine.markReconciled();
     this.previousTerms.onMachineReconciled(machine, how);
--- a/src/core/state/image_usage.ts
+++ b/src/core/state/image_usage.ts
@@ -1,14 +1,14 @@
-/** Which images jobs use: their sizes, and the largest task of each. */
+/** Tracks the images that jobs use, with their sizes and the resources of their largest tasks. */
 import type { ImageName, JobSpec, Resources } from '../types.js';
 
-/** What is known of images from the jobs that use them. */
+/** Image data learned from the specs of the jobs that use the images. */
 export class ImageUsage {
-  /** Sizes in GB. */
+  /** Sizes of images in GB. */
   readonly sizesGb = new Map<ImageName, number>();
-  /** What the largest task seen takes that uses an image. */
+  /** Resources of the largest task per image. A task with more CPUs or more GPUs replaces the one held. */
   readonly largestTasks = new Map<ImageName, Resources>();
 
-  /** A job uses its image. */
+  /** Records that the job uses its image. */
   record(spec: JobSpec): void {
     this.sizesGb.set(spec.image, spec.imageGb);
     const largest = this.largestTasks.get(spec.image);
--- a/src/core/state/job_table.ts
+++ b/src/core/state/job_table.ts
@@ -1,11 +1,14 @@
-/** The jobs of a leader: all that are on record, and those that still need attention. */
+/** The jobs of a leader: all jobs with known records, and those that still need work. */
 import type { Job } from '../jobs/job.js';
 import type { JobId } from '../types.js';
 
-/** So many cancellations are remembered whose jobs are not on record here yet; any more take effect with the record. */
+/**
+ * Maximum number of remembered cancellations of jobs whose records are not known yet. Further ones take effect when the
+ * record arrives.
+ */
 const MAX_CANCELLED_BEFORE_RECORD = 10_000;
 
-/** Jobs by id, and the groups of them that planning and writing go through. */
+/** Jobs by id, and the subsets of them that planning and record writing iterate over. */
 export class JobTable {
   private readonly byId = new Map<JobId, Job>();
   private readonly activeJobs = new Set<Job>();
@@ -13,22 +16,22 @@
   private readonly cancelledBeforeRecord = new Set<JobId>();
   private unreadableIds: ReadonlySet<JobId> = new Set();
 
-  /** Jobs that still need attention: not over, or over with tasks left on machines or results left to write. */
+  /** Jobs that still need work: accepted jobs, and ended jobs with tasks left on machines or results left to write. */
   get active(): ReadonlySet<Job> {
     return this.activeJobs;
   }
 
-  /** Accepted services: their replicas are placed outside the search. */
+  /** Accepted services. Their replicas are placed separately from the evolutionary search. */
   get services(): ReadonlySet<Job> {
     return this.acceptedServices;
   }
 
-  /** Returns undefined for a job that is not on record here. */
+  /** Returns undefined for a job whose record is not known. */
   get(id: JobId): Job | undefined {
     return this.byId.get(id);
   }
 
-  /** Adds a job, as cancelled if its cancellation came before its record. */
+  /** Adds a job. Cancels it if its cancellation arrived before its record. */
   add(job: Job): void {
     if (this.cancelledBeforeRecord.delete(job.id)) job.cancel();
     this.byId.set(job.id, job);
@@ -37,38 +40,41 @@
     if (job.isService) this.acceptedServices.add(job);
   }
 
-  /** Notes the cancellation of a job whose record has yet to come. */
+  /** Remembers the cancellation of a job whose record is not known yet. */
   cancelBeforeRecord(id: JobId): void {
     if (this.cancelledBeforeRecord.size < MAX_CANCELLED_BEFORE_RECORD) this.cancelledBeforeRecord.add(id);
   }
 
-  /** The job has or had a task on a machine: it needs attention until nothing of it is left. */
+  /**
+   * Marks the job as active after one of its tasks was placed. It stays active until nothing of it is left to write or
+   * stop.
+   */
   activate(job: Job): void {
     this.activeJobs.add(job);
   }
 
-  /** Drops the job from the active ones if nothing of it is left to write or to stop. */
+  /** Removes the job from the active jobs if nothing of it is left to write or stop. */
   deactivateIfSettled(job: Job): void {
     if (job.isSettled) this.activeJobs.delete(job);
   }
 
-  /** The service is over: no more replicas are placed. Without effect for other jobs. */
+  /** Handles the end of a service, after which no more of its replicas are placed. Does nothing for other jobs. */
   endService(job: Job): void {
     this.acceptedServices.delete(job);
   }
 
-  /** Returns whether any replica of a service has no placement. */
+  /** Returns whether any accepted service has a replica without a placement. */
   hasPendingReplicas(): boolean {
     for (const job of this.acceptedServices) if (job.pendingCount > 0) return true;
     return false;
   }
 
-  /** Sets the jobs whose records this version can't read. */
+  /** Sets the jobs whose records this release can't read. */
   setUnreadable(ids: ReadonlySet<JobId>): void {
     this.unreadableIds = ids;
   }
 
-  /** Returns whether the job has a record that this version can't read. */
+  /** Returns whether the job has a record that this release can't read. */
   isUnreadable(id: JobId): boolean {
     return this.unreadableIds.has(id);
   }
--- a/src/core/state/machine_table.ts
+++ b/src/core/state/machine_table.ts
@@ -1,10 +1,12 @@
-/** The machines of a leader: all that may exist, and those proven gone in its term. */
+/**
+ * The machines of a leader: those that may exist, and those removed in its term because they are proven to be
+ * terminated.
+ */
 import type { BootTimeEstimator } from '../machines/boot_time_estimator.js';
 import type { Machine } from '../machines/machine.js';
 import type { StepContext } from '../step_context.js';
 import type { MachineId } from '../types.js';
 
-/** Machines by id. */
 export class MachineTable {
   private readonly byId = new Map<MachineId, Machine>();
   private readonly removedIds = new Set<MachineId>();
@@ -14,55 +16,55 @@
     private readonly bootTimeEstimator: BootTimeEstimator,
   ) {}
 
-  /** How many machines are known. */
+  /** Number of known machines. */
   get size(): number {
     return this.byId.size;
   }
 
-  /** Machines in the order in which they became known. */
+  /** Returns the known machines in the order in which they became known. */
   values(): IterableIterator<Machine> {
     return this.byId.values();
   }
 
-  /** Returns undefined for a machine that isn't known, or is no more. */
+  /** Returns undefined for a machine that is unknown or has been removed. */
   get(id: MachineId): Machine | undefined {
     return this.byId.get(id);
   }
 
-  /** Returns whether the machine is known, and not proven gone. */
+  /** Returns whether the machine is known and has not been removed. */
   has(id: MachineId): boolean {
     return this.byId.has(id);
   }
 
-  /** Adds a machine, in place of one that had its id. */
+  /** Adds a machine, replacing any machine with the same id. */
   add(machine: Machine): void {
     this.byId.set(machine.id, machine);
   }
 
-  /** The machine is proven gone. */
+  /** Removes a machine that is proven to be terminated. */
   remove({ id }: Machine): void {
     this.byId.delete(id);
     this.removedIds.add(id);
   }
 
-  /** Returns whether the machine was proven gone in this term: a late heartbeat of its brings nothing back. */
+  /** Returns whether the machine was removed in this term. A late heartbeat from it must not add it again. */
   wasRemoved(id: MachineId): boolean {
     return this.removedIds.has(id);
   }
 
-  /** Returns whether the machine is still the one that is known by its id. */
+  /** Returns whether this object still represents the machine with its id. */
   isCurrent(machine: Machine): boolean {
     return this.byId.get(machine.id) === machine;
   }
 
-  /** Returns whether a machine on its way has not come up in the time that boots take. */
+  /** Returns whether the machine is still booting although the time that boots take has passed. */
   isBootOverdue(machine: Machine): boolean {
     const now = this.context.now.monotonic;
     const { phase, type, zone } = machine;
     return phase === 'booting' && this.bootTimeEstimator.isOverdue(type, zone, machine.lifecycle.ageSeconds(now), now);
   }
 
-  /** Returns whether the machine is on its way, and may be counted on. */
+  /** Returns whether the machine is being provisioned and can be expected to come up, as its boot is not overdue. */
   isExpected(machine: Machine): boolean {
     return machine.isProvisioning() && !this.isBootOverdue(machine);
   }
--- a/src/core/state/pending_commands.ts
+++ b/src/core/state/pending_commands.ts
@@ -1,9 +1,9 @@
-/** Which machines are to be sent commands without waiting for their heartbeats. */
+/** Tracks the machines that are to be sent commands without waiting for their heartbeats. */
 import type { Machine } from '../machines/machine.js';
 import type { StepContext } from '../step_context.js';
 import type { TermTimers } from './term_timers.js';
 
-/** Machines with tasks to stop, or with replicas to start: only these are looked at when commands are pushed. */
+/** Machines with tasks to stop or replicas to start. Only these machines are examined when commands are pushed. */
 export class PendingCommands {
   private readonly withStops = new Set<Machine>();
   private readonly withStarts = new Set<Machine>();
@@ -13,18 +13,18 @@
     private readonly timers: TermTimers,
   ) {}
 
-  /** Stops of tasks on the machine are pushed with the next step. */
+  /** Schedules the tasks to stop on the machine for a command push in the next step. */
   scheduleStops(machine: Machine): void {
     this.withStops.add(machine);
     this.timers.commandPush.set(this.context.now.monotonic);
   }
 
-  /** Replicas on the machine are to be started, when commands are pushed next. */
+  /** Requests that the replicas placed on the machine be started with the next command push. */
   requestStarts(machine: Machine): void {
     this.withStarts.add(machine);
   }
 
-  /** Returns all machines with stops or starts, those with stops first. */
+  /** Returns all machines with stops or starts. Those with stops come first. */
   machines(): ReadonlySet<Machine> {
     return new Set([...this.withStops, ...this.withStarts]);
   }
@@ -39,12 +39,12 @@
     return this.withStarts.has(machine);
   }
 
-  /** All stops have been carried out. */
+  /** Called when all stops on the machine have been carried out. */
   clearStops(machine: Machine): void {
     this.withStops.delete(machine);
   }
 
-  /** No replica is left to be started. */
+  /** Called when no replica on the machine is left to be started. */
   clearStarts(machine: Machine): void {
     this.withStarts.delete(machine);
   }
--- a/src/core/state/placement.ts
+++ b/src/core/state/placement.ts
@@ -1,30 +1,33 @@
-/** One task's place on a machine, from the moment it is planned until it is proven not to be there. */
+/** The placement of a task on a machine, from its planning until the task is proven not to be on the machine. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
 import type { Attempt, MonotonicTime, SequenceNumber } from '../types.js';
 
-/** How far a placed task has come, as far as the leader knows. */
+/** The progress of a placed task, as far as the leader knows. */
 export type PlacementPhase =
-  /** No start has been sent yet, so the place can be taken back freely. */
+  /** No start has been sent yet, so the placement can be withdrawn without a stop. */
   | 'planned'
-  /** A start went out: the task may be on the machine until a newer status says otherwise. */
+  /** A start was sent. The task may be on the machine until a newer status shows otherwise. */
   | 'sent'
   | 'pulling'
   | 'gathering'
   | 'running'
   | 'checkpointing';
 
-/** The phases in which a status shows a task. */
+/** The phases of tasks that a status can show as live. */
 export type LivePhase = Exclude<PlacementPhase, 'planned' | 'sent'>;
 
 /** A request to stop a task. */
 export interface StopRequest {
-  /** For how long the task may save its work; 0: it is killed. */
+  /** How long the task may save its work, in seconds. 0 means that it is killed. */
   readonly gracePeriodSeconds: number;
   readonly requestedAt: MonotonicTime;
 }
 
-/** What a placement begins with: `planned` if a start is to be sent, otherwise as the task was found on the machine. */
+/**
+ * The initial values of a placement. The phase is `planned` if a start is to be sent, otherwise the phase in which the
+ * task was found on the machine.
+ */
 export interface PlacementInit {
   readonly job: Job;
   readonly index: number;
@@ -34,19 +37,22 @@
   readonly placedAt: MonotonicTime;
 }
 
-/** A task that is, or may be, or is about to be on a machine. */
+/** A task that is, may be or is about to be on a machine. */
 export class Placement {
   readonly job: Job;
   readonly index: number;
   readonly machine: Machine;
-  /** Numbers the start that the placement stands for. */
+  /** The attempt number of the start that the placement represents. */
   readonly attempt: Attempt;
   readonly placedAt: MonotonicTime;
   private currentPhase: PlacementPhase;
-  private responseTo: SequenceNumber | null = null;
-  private running: MonotonicTime | null;
-  private stop: StopRequest | null = null;
-  /** Whether it ran already when this leader first heard of it: nobody here knows for how long. */
+  private startSentInResponseTo: SequenceNumber | null = null;
+  private firstSeenRunningAt: MonotonicTime | null;
+  private stopRequest: StopRequest | null = null;
+  /**
+   * Whether the task was already running when this leader first received a status with it. How long it had run by then
+   * is not known.
+   */
   readonly foundRunning: boolean;
 
   constructor({ job, index, machine, attempt, phase, placedAt }: PlacementInit) {
@@ -57,53 +63,61 @@
     this.placedAt = placedAt;
     this.currentPhase = phase;
     this.foundRunning = phase === 'running';
-    this.running = this.foundRunning ? placedAt : null;
+    this.firstSeenRunningAt = this.foundRunning ? placedAt : null;
   }
 
-  /** How far the task has come on its machine. */
+  /** The progress of the task on its machine. */
   get phase(): PlacementPhase {
     return this.currentPhase;
   }
 
-  /** The heartbeat in whose response the start last went out; null: it was pushed, or has not gone out. */
+  /**
+   * The sequence number of the heartbeat whose response carried the last start. Null if the start was pushed or has not
+   * been sent.
+   */
   get sentInResponseTo(): SequenceNumber | null {
-    return this.responseTo;
+    return this.startSentInResponseTo;
   }
 
-  /** Since when it runs, or was first seen to; null: it has not been seen running. */
+  /** When the task started to run or was first seen running. Null if it has not been seen running. */
   get runningSince(): MonotonicTime | null {
-    return this.running;
+    return this.firstSeenRunningAt;
   }
 
-  /** The request to stop it; null: it may go on. */
+  /** The request to stop the task. Null if there is none. */
   get pendingStop(): StopRequest | null {
-    return this.stop;
+    return this.stopRequest;
   }
 
-  /** Its start goes out: in the response to a heartbeat, or pushed (null). */
+  /** Records that the start is sent, either in the response to a heartbeat or pushed (null). */
   recordStartSent(inResponseTo: SequenceNumber | null): void {
     this.currentPhase = 'sent';
-    this.responseTo = inResponseTo;
+    this.startSentInResponseTo = inResponseTo;
   }
 
-  /** The start that went out has not arrived and can't any more. */
+  /** Reverts the placement to `planned` after its start was lost and can't arrive any more. */
   revertStart(): void {
     this.currentPhase = 'planned';
-    this.responseTo = null;
+    this.startSentInResponseTo = null;
   }
 
-  /** A status shows the task. Returns whether it is seen running for the first time. */
+  /**
+   * Records the phase in which a status shows the task. Returns whether the task is seen running for the first time.
+   */
   recordPhase(phase: LivePhase, now: MonotonicTime): boolean {
     this.currentPhase = phase;
-    if (phase !== 'running' || this.running !== null) return false;
-    this.running = now;
+    if (phase !== 'running' || this.firstSeenRunningAt !== null) return false;
+    this.firstSeenRunningAt = now;
     return true;
   }
 
-  /** Asks for a stop, unless one with no longer a grace period is asked for already. Returns whether it was changed. */
+  /**
+   * Requests a stop, unless one with the same or a shorter grace period has been requested. Returns whether the request
+   * changed.
+   */
   requestStop(gracePeriodSeconds: number, now: MonotonicTime): boolean {
-    if (this.stop !== null && this.stop.gracePeriodSeconds <= gracePeriodSeconds) return false;
-    this.stop = { gracePeriodSeconds, requestedAt: now };
+    if (this.stopRequest !== null && this.stopRequest.gracePeriodSeconds <= gracePeriodSeconds) return false;
+    this.stopRequest = { gracePeriodSeconds, requestedAt: now };
     return true;
   }
 }
--- a/src/core/state/placement_index.ts
+++ b/src/core/state/placement_index.ts
@@ -1,4 +1,4 @@
-/** Finds placements by their jobs and by their machines. */
+/** Indexes placements by job and by machine. */
 import type { Job } from '../jobs/job.js';
 import { type TaskKey, taskKey } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
@@ -8,22 +8,25 @@
 const NO_TASKS: ReadonlyMap<number, Placement> = new Map();
 const NO_PLACEMENTS: ReadonlyMap<TaskKey, Placement> = new Map();
 
-/** All placements. Each stands under its job and under its machine, or under neither; both know what is placed. */
+/**
+ * All placements. Each one is indexed both by its job and by its machine, and both are notified when placements are
+ * added or removed.
+ */
 export class PlacementIndex {
   private readonly byJob = new Map<Job, Map<number, Placement>>();
   private readonly byMachine = new Map<Machine, Map<TaskKey, Placement>>();
 
-  /** The placements of a job by the indices of its tasks, in the order in which they were placed. */
+  /** Returns the placements of a job by task index, in the order in which they were added. */
   ofJob(job: Job): ReadonlyMap<number, Placement> {
     return this.byJob.get(job) ?? NO_TASKS;
   }
 
-  /** The placements on a machine, in the order in which they were placed. */
+  /** Returns the placements on a machine, in the order in which they were added. */
   onMachine(machine: Machine): ReadonlyMap<TaskKey, Placement> {
     return this.byMachine.get(machine) ?? NO_PLACEMENTS;
   }
 
-  /** A task's placement on a machine; undefined where it has none there. */
+  /** Returns the task's placement on the machine, or undefined if it has none there. */
   find(machine: Machine, job: JobId, index: number): Placement | undefined {
     return this.byMachine.get(machine)?.get(taskKey(job, index));
   }
@@ -42,7 +45,7 @@
     machine.allocations.add(key, job.spec);
   }
 
-  /** Removes a placement. Returns whether it was there. */
+  /** Removes a placement. Returns whether it was in the index. */
   remove(placement: Placement, now: MonotonicTime): boolean {
     const { job, machine, index } = placement;
     const tasks = this.byJob.get(job);
@@ -58,21 +61,21 @@
     return true;
   }
 
-  /** How many of a job's tasks run or save a checkpoint. */
+  /** Returns how many of a job's tasks are running or saving a checkpoint. */
   runningCount(job: Job): number {
     let count = 0;
     for (const { phase } of this.ofJob(job).values()) if (phase === 'running' || phase === 'checkpointing') count += 1;
     return count;
   }
 
-  /** How many of a job's tasks are placed on a machine. */
+  /** Returns how many of a job's tasks are placed on a machine. */
   taskCountOn(job: Job, machine: Machine): number {
     let count = 0;
     for (const placement of this.ofJob(job).values()) if (placement.machine === machine) count += 1;
     return count;
   }
 
-  /** How many of a job's tasks are placed in each zone; zones without any are left out. */
+  /** Returns how many of a job's tasks are placed in each zone. Zones without any are omitted. */
   taskCountByZone(job: Job): Map<ZoneName, number> {
     const counts = new Map<ZoneName, number>();
     for (const { machine } of this.ofJob(job).values()) counts.set(machine.zone, (counts.get(machine.zone) ?? 0) + 1);
--- a/src/core/state/placement_table.ts
+++ b/src/core/state/placement_table.ts
@@ -1,4 +1,4 @@
-/** Which task has a placement on which machine: the one place where placements are made, stopped and taken away. */
+/** The table that says which task is placed on which machine. Placements are only added, stopped and released here. */
 import type { Job } from '../jobs/job.js';
 import type { ReleaseReason } from '../jobs/located_tasks.js';
 import type { TaskKey } from '../jobs/task_keys.js';
@@ -13,25 +13,28 @@
 import type { Quotas } from './quotas.js';
 import type { ServicePlacementSchedule } from './service_placement_schedule.js';
 
-/** A task is given more time to save a checkpoint than it says it needs. */
+/** Factor and extra seconds by which a task's grace period exceeds the checkpoint duration that its job declares. */
 const CHECKPOINT_TIME_FACTOR = 1.5;
 const CHECKPOINT_TIME_EXTRA_SECONDS = 1;
 
-/** The other parts of the state that a change of placements touches. */
+/** The other parts of the state that are affected by a change of placements. */
 export interface PlacementTableParts {
   readonly jobs: JobTable;
   readonly quotas: Quotas;
   readonly pendingCommands: PendingCommands;
   readonly servicePlacements: ServicePlacementSchedule;
   readonly attempts: AttemptNumbers;
-  /** Whether tasks that are found on machines are noted in their jobs: with the recovery feature. */
-  readonly notesLocatedTasks: boolean;
+  /**
+   * Whether tasks that are found on machines are recorded in their jobs as located. True if the recovery feature is
+   * enabled.
+   */
+  readonly recordsLocatedTasks: boolean;
 }
 
-/** A task to be given a placement. */
+/** A task that is to get a placement. */
 export type NewPlacement = Omit<PlacementInit, 'placedAt'>;
 
-/** Makes, stops and takes away placements, and keeps jobs, machines and quotas in line with them. */
+/** Adds, stops and releases placements, and keeps jobs, machines and quotas consistent with them. */
 export class PlacementTable {
   private readonly index = new PlacementIndex();
 
@@ -40,24 +43,24 @@
     private readonly parts: PlacementTableParts,
   ) {}
 
-  // ---- finding
+  // ---- look-ups
 
-  /** Returns undefined where the task has no placement on the machine. */
+  /** Returns undefined if the task has no placement on the machine. */
   find(machine: Machine, job: JobId, index: number): Placement | undefined {
     return this.index.find(machine, job, index);
   }
 
-  /** Returns the placements of a job by the indices of its tasks, in the order in which they were placed. */
+  /** Returns the placements of a job by task index, in the order in which they were added. */
   ofJob(job: Job): ReadonlyMap<number, Placement> {
     return this.index.ofJob(job);
   }
 
-  /** Returns the placements on a machine, in the order in which they were placed. */
+  /** Returns the placements on a machine, in the order in which they were added. */
   onMachine(machine: Machine): ReadonlyMap<TaskKey, Placement> {
     return this.index.onMachine(machine);
   }
 
-  /** Returns how many of a job's tasks run or save a checkpoint. */
+  /** Returns how many of a job's tasks are running or saving a checkpoint. */
   runningCount(job: Job): number {
     return this.index.runningCount(job);
   }
@@ -67,17 +70,20 @@
     return this.index.taskCountOn(job, machine);
   }
 
-  /** Returns how many of a job's tasks are placed in each zone; zones without any are left out. */
+  /** Returns how many of a job's tasks are placed in each zone. Zones without any are omitted. */
   taskCountByZone(job: Job): Map<ZoneName, number> {
     return this.index.taskCountByZone(job);
   }
 
-  // ---- placing
+  // ---- adding
 
-  /** Gives the task a placement: `planned` if a start is to be sent, otherwise as it was found on the machine. */
+  /**
+   * Adds a placement for the task. The phase is `planned` if a start is to be sent, otherwise the phase in which the
+   * task was found on the machine.
+   */
   add(task: NewPlacement): Placement {
     const { job, index, phase } = task;
-    if (phase !== 'planned' && this.parts.notesLocatedTasks) job.locatedTasks.add(index);
+    if (phase !== 'planned' && this.parts.recordsLocatedTasks) job.locatedTasks.add(index);
     const placement = new Placement({ ...task, placedAt: this.context.now.monotonic });
     this.index.add(placement);
     this.parts.quotas.recordUsage(job.spec, 1);
@@ -85,14 +91,17 @@
     return placement;
   }
 
-  // ---- taking away
+  // ---- releasing
 
-  /** The task is proven not to be on the machine, or not to be any more: `reason` says by what. The rest of a gang leaves too. */
+  /**
+   * Releases a placement whose task is proven not to be on the machine. `reason` is the evidence. The other tasks of a
+   * gang are evicted too.
+   */
   release(placement: Placement, reason: ReleaseReason): void {
     const { job, index, machine, attempt } = placement;
     if (!this.detach(placement)) return;
     const { jobs, servicePlacements, attempts } = this.parts;
-    if (attempts.isOfEarlierTerm(attempt) && job.mayStartAgain(index))
+    if (attempts.isOfPreviousTerm(attempt) && job.mayStartAgain(index))
       job.locatedTasks.recordRelease(index, { machine: machine.id, attempt, reason });
     if (jobs.services.has(job) || machine.hasReservation) servicePlacements.request();
     if (job.isGang && job.state === 'accepted') this.onGangTaskReleased(job);
@@ -104,7 +113,9 @@
     else job.clearGangBroken();
   }
 
-  /** Takes the placement away, whatever that means for the others of its job. Returns whether it was there. */
+  /**
+   * Removes a placement without affecting the other tasks of its job. Returns whether the placement was in the table.
+   */
   detach(placement: Placement): boolean {
     if (!this.index.remove(placement, this.context.now.monotonic)) return false;
     this.parts.quotas.recordUsage(placement.job.spec, -1);
@@ -116,15 +127,21 @@
     for (const placement of [...this.onMachine(machine).values()]) this.release(placement, reason);
   }
 
-  /** Releases the placements on the machine of which no start was sent: they go elsewhere. */
+  /**
+   * Releases the placements on the machine for which no start has been sent, so that their tasks can be placed
+   * elsewhere.
+   */
   releasePlanned(machine: Machine): void {
     for (const placement of [...this.onMachine(machine).values()]) {
       if (placement.phase === 'planned') this.release(placement, 'startNotSent');
     }
   }
 
-  /** The job is done or cancelled: what is only planned is released, what may be on a machine is stopped. */
-  onJobOver(job: Job): void {
+  /**
+   * Handles the end of a job. Releases the placements that are only planned, and stops the tasks of a cancelled job
+   * that may be on machines.
+   */
+  onJobEnded(job: Job): void {
     for (const placement of [...this.ofJob(job).values()]) {
       if (placement.phase === 'planned') this.release(placement, 'startNotSent');
       else if (job.state === 'cancelled') this.stop(placement, 0);
@@ -133,19 +150,22 @@
 
   // ---- stopping
 
-  /** Asks the worker to stop the task. A stop that was asked for with no longer a grace period stands. */
+  /**
+   * Requests that the worker stop the task. An earlier request stays in force if its grace period is as short or
+   * shorter.
+   */
   stop(placement: Placement, gracePeriodSeconds: number): void {
     const isChanged = placement.requestStop(gracePeriodSeconds, this.context.now.monotonic);
     if (isChanged) this.parts.pendingCommands.scheduleStops(placement.machine);
   }
 
-  /** Takes the task from its machine: at once if no start was sent, otherwise by a stop. */
+  /** Removes the task from its machine: at once if no start has been sent, otherwise by a stop. */
   evict(placement: Placement, gracePeriodSeconds: number): void {
     if (placement.phase === 'planned') this.release(placement, 'startNotSent');
     else this.stop(placement, gracePeriodSeconds);
   }
 
-  /** Evicts the task with time to save a checkpoint, if it saves any; a gang is evicted as a whole. */
+  /** Evicts the task with time to save a checkpoint, if it saves any. A gang is evicted as a whole. */
   evictWithCheckpoint(placement: Placement): void {
     const { job } = placement;
     const gracePeriodSeconds = checkpointGracePeriodSeconds(job);
@@ -153,12 +173,14 @@
     else this.evict(placement, gracePeriodSeconds);
   }
 
-  /** One task of a gang is lost: the others of its attempt have nothing to wait for. */
+  /**
+   * Evicts the other tasks of a gang's attempt after one task was lost, because the attempt can't complete without it.
+   */
   breakGang(job: Job): void {
     if (!job.gangBroken) this.evictGang(job, 0);
   }
 
-  /** All of a gang leaves; what was only planned is gone at once. */
+  /** Evicts all tasks of a gang. Placements that are only planned are released at once. */
   private evictGang(job: Job, gracePeriodSeconds: number): void {
     job.markGangBroken();
     for (const placement of [...this.ofJob(job).values()]) this.evict(placement, gracePeriodSeconds);
--- a/src/core/state/previous_terms.ts
+++ b/src/core/state/previous_terms.ts
@@ -1,4 +1,7 @@
-/** What this leader knows of the work of previous terms: which jobs must wait, and what counts against quotas meanwhile. */
+/**
+ * What this leader knows of the tasks of previous terms: which jobs must wait, and which capacity counts against quotas
+ * until all machines are reconciled.
+ */
 import {
   type PreviousTermJob,
   type ReconciledBy,
@@ -21,32 +24,38 @@
 import type { Placement } from './placement.js';
 import type { Quotas } from './quotas.js';
 
-/** So many restarts of tasks begun in earlier terms have a line of their own in each term; of any more, one in so many. */
-const MAX_RESTARTS_LOGGED = 200;
-const RESTARTS_PER_LATER_LINE = 100;
+/**
+ * Number of restarts per term that are each logged. Only tasks that were started in previous terms count. After that,
+ * one in RESTART_LOG_INTERVAL restarts is logged.
+ */
+const RESTARTS_LOGGED_INDIVIDUALLY = 200;
+const RESTART_LOG_INTERVAL = 100;
 
-/** While machines that no record shows may run anything, limited teams get nothing new. */
+/** Assumed while there may be unregistered machines with unknown tasks. Teams with a limit then get no new tasks. */
 const UNKNOWN_CAPACITY = { cpus: Number.POSITIVE_INFINITY, gpus: Number.POSITIVE_INFINITY };
 
-/** What a leader's knowledge of previous terms depends on. */
+/** What `PreviousTerms` needs to know of this leader's term and state. */
 export interface PreviousTermsInit {
   /** The term of this leader. */
   readonly term: number;
   readonly quotas: Quotas;
   readonly machines: MachineTable;
-  /** Since which term every leader has put start zones on record; null: this one doesn't. */
+  /** The first term since which every leader has stored start zones. Null if this leader does not store them. */
   readonly startZonesRecordedSince: StartZonesRecordedSince;
 }
 
-/** Carries out what `src/recovery` decides, on the jobs, machines and quotas of this term. */
+/** Applies the decisions of `src/recovery` to the jobs, machines and quotas of this term. */
 export class PreviousTerms {
-  /** Null where the feature is off: then every job begun in a previous term waits until all machines are reconciled. */
+  /**
+   * Null if the recovery feature is disabled. Every job first started in a previous term then waits until all machines
+   * are reconciled.
+   */
   readonly recovery: Recovery | null;
-  /** Jobs begun in previous terms of which tasks may be anywhere. */
+  /** Jobs first started in previous terms of which tasks may be on any machine. */
   private readonly jobs = new Set<Job>();
-  private unreconciledCount = 0;
+  private unreconciledMachineCount = 0;
   private recordsToLookUp: JobId[] = [];
-  private restarts = 0;
+  private restartCount = 0;
 
   constructor(
     private readonly context: StepContext,
@@ -56,16 +65,22 @@
     this.recovery = context.features.recovery.enabled ? new Recovery(recoveryInit) : null;
   }
 
-  /** Returns whether the zones in which the job is started go on record: asked as it is started for the first time. */
+  /**
+   * Returns whether the zones of the job's starts are stored in its record. Called when the job is started for the
+   * first time.
+   */
   recordsStartZones(job: Job): boolean {
     if (this.init.startZonesRecordedSince === null) return false;
     const { zones, stateStore } = this.context.settings;
     return fitsWithStartZones(job, zones, stateStore.maxValueBytes);
   }
 
-  // ---- what was stored
+  // ---- stored state
 
-  /** A job's record is known now. `startZones`: as recorded, whether or not to be trusted. */
+  /**
+   * Handles a job whose record has become known. `startZones` are the zones in the record, which may not be
+   * trustworthy.
+   */
   onJobAdded(job: Job, startZones: readonly ZoneName[] | null): void {
     this.recovery?.onRecorded(job.id);
     job.restoreStartZones(trustedStartZones(job.startTerm, startZones, this.init.startZonesRecordedSince));
@@ -76,22 +91,24 @@
     return startTerm > 0 && startTerm < this.init.term;
   }
 
-  /** A machine was on record when this leader was elected. */
+  /** Handles a machine that was registered in the state store when this leader was elected. */
   onMachineRestored({ id, type, zone, spot }: Machine): void {
     this.recovery?.addMachine({ id, type: type.name, zone, spot, cpus: type.cpus, gpus: type.gpus });
   }
 
-  /** Machines on a page that can't be read may run tasks until their leases have surely expired. */
+  /**
+   * Handles a registry page that can't be read. Machines on it may run tasks until their leases have certainly expired.
+   */
   onUnreadablePage(): void {
     this.recovery?.onUnreadablePage(this.context.after(workerLeaseExpiryMs(this.context.settings)));
   }
 
-  /** How many jobs were begun in previous terms and are not known to be done. */
+  /** Number of jobs that were first started in previous terms and are not known to be done. */
   get begunJobs(): number {
     return this.jobs.size;
   }
 
-  /** All records have been read. */
+  /** Called when all records have been read. */
   onLoaded(unreadableJobs: number): void {
     for (let i = 0; i < unreadableJobs; i++) this.recovery?.onUnreadableJob();
     this.recovery?.onLoaded();
@@ -101,28 +118,29 @@
 
   // ---- reconciliation of machines
 
-  /** What is on the machine is certain now. */
+  /** Called when it is certain which tasks are on the machine. */
   onMachineReconciled(machine: Machine, how: ReconciledBy): void {
-    // What counts against quotas is reckoned anew before placements are made; until then it is rather too much.
+    // The capacity that counts against quotas is recalculated before placements are made. Until then it may be too
+    // high.
     if (this.recovery) this.recovery.onMachineReconciled(machine.id, how);
     else this.updateUnreconciledCount();
     this.finishIfReconciled();
   }
 
   /**
-   * Counts the machines that may hold anybody's tasks, and holds against each limited team what may be its own there. Returns
-   * how many machines they are.
+   * Recounts the unreconciled machines, which may hold tasks of any team. Charges each team with a limit for what its
+   * own tasks may use there. Returns the number of these machines.
    */
   updateUnreconciled(): number {
     if (this.recovery) this.updateExposure(this.recovery);
     else this.updateUnreconciledCount();
-    return this.unreconciledCount;
+    return this.unreconciledMachineCount;
   }
 
   private updateExposure(recovery: Recovery): void {
-    const before = this.unreconciledCount;
-    this.unreconciledCount = recovery.unreconciledMachines;
-    if (before === 0 && this.unreconciledCount === 0 && recovery.isFinished) return;
+    const before = this.unreconciledMachineCount;
+    this.unreconciledMachineCount = recovery.unreconciledMachines;
+    if (before === 0 && this.unreconciledMachineCount === 0 && recovery.isFinished) return;
     const { quotas } = this.init;
     const { monotonic } = this.context.now;
     quotas.unreconciledCapacity = recovery.unreconciledCapacity(monotonic) ?? UNKNOWN_CAPACITY;
@@ -146,11 +164,11 @@
       cpus += type.cpus;
       gpus += type.gpus;
     }
-    this.unreconciledCount = count;
+    this.unreconciledMachineCount = count;
     this.init.quotas.unreconciledCapacity = { cpus, gpus };
   }
 
-  /** Logs once that all machines are reconciled, and what was found. */
+  /** Once all machines are reconciled, ends recovery and logs its result. Later calls do nothing. */
   finishIfReconciled(): void {
     const { recovery } = this;
     if (!recovery?.finish(this.context.now.monotonic, () => this.countMissing())) return;
@@ -167,31 +185,36 @@
 
   // ---- starts
 
-  /** Notes whether tasks of a job may run unreconciled, and returns how many of it may be given placements now. */
+  /**
+   * Updates whether tasks of the job may be on unreconciled machines. Returns how many of its tasks may be placed now.
+   */
   startableTasks(job: Job): number {
     job.setMayRunUnreconciled(this.mayRunUnreconciled(job));
     return job.startableCount;
   }
 
-  /** Returns whether tasks of the job may be on a machine that is not reconciled. */
+  /** Returns whether tasks of the job may be on an unreconciled machine. */
   mayRunUnreconciled(job: Job): boolean {
     if (!this.isFromPreviousTerm(job)) return false;
-    if (!this.recovery) return this.unreconciledCount > 0;
+    if (!this.recovery) return this.unreconciledMachineCount > 0;
     if (this.recovery.isFinished) return false;
     return this.recovery.mayRunUnreconciled(toPreviousTermJob(job), this.context.now.monotonic);
   }
 
-  /** A start goes out. */
+  /** Called when the start of a task is sent. */
   onTaskStarted(placement: Placement): void {
     this.recovery?.onTaskStarted(this.context.now.monotonic);
     const release = placement.job.locatedTasks.takeRelease(placement.index);
     if (release) this.logRestart(placement, release);
   }
 
-  /** Says why a task that an earlier leader began was held to be on no machine; of very many restarts not each. */
+  /**
+   * Logs the evidence from which this leader concluded that a task started by a previous leader was on no machine. If
+   * there are very many restarts, only some are logged.
+   */
   private logRestart({ job, index, machine, attempt }: Placement, release: TaskRelease): void {
-    this.restarts += 1;
-    if (this.restarts > MAX_RESTARTS_LOGGED && this.restarts % RESTARTS_PER_LATER_LINE !== 0) return;
+    this.restartCount += 1;
+    if (this.restartCount > RESTARTS_LOGGED_INDIVIDUALLY && this.restartCount % RESTART_LOG_INTERVAL !== 0) return;
     this.context.log('task started again', {
       task: taskKey(job.id, index),
       machine: machine.id,
@@ -199,31 +222,34 @@
       evidence: job.locatedTasks.has(index) ? release.reason : 'noFeasibleMachine',
       earlierMachine: release.machine,
       earlierAttempt: release.attempt,
-      restarts: this.restarts,
+      restarts: this.restartCount,
     });
   }
 
-  /** Returns what has been found so far; null where the feature is off. */
+  /** Returns what recovery has found so far. Null if the recovery feature is disabled. */
   summary(): RecoverySummary | null {
     return this.recovery?.summary() ?? null;
   }
 
   // ---- orphans
 
-  /** A worker has a task of a job that isn't known: its record is to be looked up, once. */
+  /**
+   * Requests a lookup of a job's record after a worker reported a task of this job, which is unknown here. No further
+   * lookup is requested while one is in flight or once it has confirmed that the record is absent.
+   */
   suspectOrphan(job: JobId, { id }: Machine): void {
     const isNew = this.recovery?.onUnknownJobReported(job, id, this.context.now.monotonic);
     if (isNew) this.recordsToLookUp.push(job);
   }
 
-  /** Returns the jobs whose records are to be looked up, each once. */
+  /** Returns the jobs whose records are to be looked up, and clears the list. */
   takeRecordsToLookUp(): JobId[] {
     const jobs = this.recordsToLookUp;
     this.recordsToLookUp = [];
     return jobs;
   }
 
-  /** A job's record was looked up. */
+  /** Handles the result of looking up a job's record. */
   onRecordLookedUp(job: JobId, result: RecordLookupResult): void {
     if (!this.recovery?.onRecordLookedUp(job, result)) return;
     this.context.log('task of a job not on record', { job });
--- a/src/core/state/quotas.ts
+++ b/src/core/state/quotas.ts
@@ -1,11 +1,11 @@
-/** What each team may have on machines, and what it has. */
+/** The quota of each team, and how much of it the team uses. */
 import type { TeamExposure } from '../../recovery/index.js';
 import type { JobSpec, TeamName, TeamQuota } from '../types.js';
 
-/** Sums of decimal amounts differ from what they should be by less than this. */
+/** Upper limit of the rounding error in sums of decimal amounts. */
 const TOLERANCE = 1e-9;
 
-/** What a team's tasks take, or machines have. */
+/** An amount of resources used by a team's tasks, or the capacity of machines. */
 interface Usage {
   cpus: number;
   gpus: number;
@@ -13,15 +13,21 @@
 
 const NO_USAGE: Usage = { cpus: 0, gpus: 0 };
 
-/** Everything that was sent to a machine counts until it is proven gone. */
+/** Tracks usage by team. A task counts from its placement until it is proven not to be on the machine. */
 export class Quotas {
   private readonly teams = new Map<TeamName, TeamQuota>();
   private readonly usage = new Map<TeamName, Usage>();
-  /** Capacity of machines that may hold anybody's tasks: it counts against every limited team. */
+  /** Capacity of machines that may hold tasks of any team. It counts against every team with a limit. */
   unreconciledCapacity: Usage = { cpus: 0, gpus: 0 };
-  /** Capacity of machines that hold tasks of jobs that aren't known: whose they are can't be told, so it counts alike. */
+  /**
+   * Capacity of machines that hold tasks of unknown jobs. It counts against every team with a limit, because the teams
+   * of these tasks can't be determined.
+   */
   readonly unattributedCapacity: Usage = { cpus: 0, gpus: 0 };
-  /** Of `unreconciledCapacity`, what each team's tasks may take at most; null: all of it. */
+  /**
+   * The most that the tasks of each team can use of `unreconciledCapacity`. Null means that all of it counts against
+   * each team.
+   */
   exposure: TeamExposure | null = null;
 
   constructor(teams: readonly TeamQuota[]) {
@@ -31,12 +37,12 @@
     }
   }
 
-  /** Teams in the order of the settings. */
+  /** Returns the teams in the order of the settings. */
   teamsInOrder(): Iterable<TeamQuota> {
     return this.teams.values();
   }
 
-  /** Counts tasks that got a placement, or with a negative number such as lost theirs. */
+  /** Adds tasks that got placements to the usage of their team. A negative number subtracts tasks that lost theirs. */
   recordUsage(spec: JobSpec, tasks: number): void {
     const use = this.usage.get(spec.team);
     if (!use) return;
@@ -44,19 +50,23 @@
     use.gpus += spec.gpus * tasks;
   }
 
-  /** Returns how many more tasks like these the team's limit allows now; infinite where it has none. */
+  /** Returns how many more tasks of this spec the team's limit allows now. Infinite if the team has no limit. */
   remainingTasks(spec: JobSpec): number {
     const team = this.teams.get(spec.team);
     const use = this.usage.get(spec.team);
     if (!team || !use) return 0;
-    const unseen = this.exposure === null ? this.unreconciledCapacity : (this.exposure.get(spec.team) ?? NO_USAGE);
+    const unreconciled =
+      this.exposure === null ? this.unreconciledCapacity : (this.exposure.get(spec.team) ?? NO_USAGE);
     return Math.min(
-      tasksWithinLimit(team.limit.cpus, use.cpus + unseen.cpus + this.unattributedCapacity.cpus, spec.cpus),
-      tasksWithinLimit(team.limit.gpus, use.gpus + unseen.gpus + this.unattributedCapacity.gpus, spec.gpus),
+      tasksWithinLimit(team.limit.cpus, use.cpus + unreconciled.cpus + this.unattributedCapacity.cpus, spec.cpus),
+      tasksWithinLimit(team.limit.gpus, use.gpus + unreconciled.gpus + this.unattributedCapacity.gpus, spec.gpus),
     );
   }
 
-  /** Counts a machine with tasks of unknown jobs, or with -1 one that has none any more. */
+  /**
+   * Adds the capacity of a machine with tasks of unknown jobs. With -1, subtracts that of a machine that has none any
+   * more.
+   */
   addUnattributed({ cpus, gpus }: Usage, machines: 1 | -1): void {
     this.unattributedCapacity.cpus += cpus * machines;
     this.unattributedCapacity.gpus += gpus * machines;
@@ -69,14 +79,17 @@
   }
 }
 
-/** Returns whether a job could ever run within its team's limit: one task of an array, all tasks of anything else. */
+/**
+ * Returns whether the job could ever run within its team's limit. One task of an array has to fit. Of any other kind of
+ * job, all tasks have to fit.
+ */
 export function fitsTeamLimit(team: TeamQuota, spec: JobSpec): boolean {
   const tasks = spec.kind === 'array' ? 1 : spec.taskCount;
   const fits = (limit: number, each: number) => limit <= 0 || each * tasks <= limit + TOLERANCE;
   return fits(team.limit.cpus, spec.cpus) && fits(team.limit.gpus, spec.gpus);
 }
 
-/** How many more tasks a limit allows; a limit of 0 means none. */
+/** Returns how many more tasks a limit allows. A limit of 0 means no limit. */
 function tasksWithinLimit(limit: number, used: number, each: number): number {
   if (limit <= 0 || each <= 0) return Number.POSITIVE_INFINITY;
   return Math.max(0, Math.floor((limit - used) / each + TOLERANCE));
--- a/src/core/state/service_placement_schedule.ts
+++ b/src/core/state/service_placement_schedule.ts
@@ -1,14 +1,20 @@
-/** When replicas that have no placement are looked at next: soon, not with the next planning round. */
+/**
+ * Schedules the next attempt to place replicas without a placement, so that they don't have to wait for a planning
+ * round.
+ */
 import type { StepContext } from '../step_context.js';
 import type { MonotonicTime } from '../types.js';
 import type { JobTable } from './job_table.js';
 import type { TermTimers } from './term_timers.js';
 
-/** Least spacing of placements of replicas, and how long one waits for more to place. */
-const SPACING_MS = 100;
-const BATCHING_MS = 10;
+/**
+ * Minimum interval between placements of replicas, and the delay that lets further replicas join the same placement.
+ * Both are in milliseconds.
+ */
+const MIN_PLACEMENT_INTERVAL_MS = 100;
+const BATCHING_DELAY_MS = 10;
 
-/** Spaces the placements of replicas. */
+/** Limits how often replicas are placed. */
 export class ServicePlacementSchedule {
   private lastPlacementAt = 0 as MonotonicTime;
 
@@ -18,16 +24,19 @@
     private readonly jobs: JobTable,
   ) {}
 
-  /** Replicas are placed in this step. */
+  /** Records that replicas are placed in this step. */
   onPlacement(): void {
     this.lastPlacementAt = this.context.now.monotonic;
   }
 
-  /** A replica has no placement, or capacity for one was freed. `at`: not before this time. */
+  /**
+   * Schedules a placement of replicas, not before `at`. Called when a replica has no placement or capacity for one was
+   * freed.
+   */
   request(at: MonotonicTime = this.context.now.monotonic): void {
     if (!this.jobs.hasPendingReplicas()) return;
-    const spaced = this.lastPlacementAt + SPACING_MS;
-    const earliest = Math.max(at, spaced, this.context.after(BATCHING_MS)) as MonotonicTime;
+    const spaced = this.lastPlacementAt + MIN_PLACEMENT_INTERVAL_MS;
+    const earliest = Math.max(at, spaced, this.context.after(BATCHING_DELAY_MS)) as MonotonicTime;
     this.timers.servicePlacement.bringForward(earliest);
   }
 }
--- a/src/core/state/term_timers.ts
+++ b/src/core/state/term_timers.ts
@@ -1,7 +1,7 @@
-/** The timers of one term: those that several parts set, and the scope in which parts create their own. */
+/** The timers of one term: those that several components set, and the scope in which components create their own. */
 import type { Timer, TimerFactory, TimerScope, Timers } from '../timers.js';
 
-/** They end with the term. The part that does the work names it with `handle`. */
+/** Timers that stop when the term ends. The component that does a timer's work assigns it with `handle`. */
 export class TermTimers implements TimerFactory {
   readonly planningRound: Timer;
   readonly servicePlacement: Timer;
@@ -17,12 +17,12 @@
     this.commandPush = this.scope.create();
   }
 
-  /** Creates a timer that ends with the term. */
+  /** Creates a timer that stops when the term ends. */
   create(work?: () => void): Timer {
     return this.scope.create(work);
   }
 
-  /** The term is over: no timer of it runs again. */
+  /** Stops all timers of the term when it ends. */
   close(): void {
     this.scope.close();
   }
--- a/src/core/state/unexpected_tasks.ts
+++ b/src/core/state/unexpected_tasks.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps account of unexpected tasks: those that a worker reports and that have no placement on its machine, as their job
- * isn't known or as they were found on two machines at once. While one is there its machine gets no new work, and the same
- * task is started nowhere.
+ * Tracks unexpected tasks. These are tasks that a worker reports without a placement on its machine, because their job
+ * is unknown or because they were found on two machines at once. While a machine has an unexpected task, it gets no new
+ * work, and the same task is not started anywhere.
  */
 import { type TaskKey, taskKey } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
@@ -9,14 +9,14 @@
 import type { PendingCommands } from './pending_commands.js';
 import type { Quotas } from './quotas.js';
 
-/** Keeps machines' unexpected tasks, and counts them against quotas and in their jobs. */
+/** Maintains the unexpected tasks of machines, and counts them in quotas and in their jobs. */
 export class UnexpectedTasks {
   constructor(
     private readonly quotas: Quotas,
     private readonly pendingCommands: PendingCommands,
   ) {}
 
-  /** Replaces the unexpected tasks of the machine by those that its newest status shows. */
+  /** Replaces the unexpected tasks of the machine with those that its newest status shows. */
   replace(machine: Machine, tasks: readonly UnexpectedTask[]): void {
     if (tasks.length === 0 && machine.reportedTasks.unexpected.size === 0) return;
     const before = machine.reportedTasks.unexpected;
@@ -28,17 +28,23 @@
     if (tasks.some(({ shouldStop }) => shouldStop)) this.pendingCommands.scheduleStops(machine);
   }
 
-  /** Forgets the unexpected tasks of a machine that is gone, or whose tasks are. */
+  /** Drops the unexpected tasks of a machine that is terminated or has lost its tasks. */
   drop(machine: Machine): void {
     this.replace(machine, []);
   }
 
-  /** Adds a task whose placement turned out to be left over from an earlier start: it counts until it is gone. */
+  /**
+   * Adds a task whose placement turned out to belong to an outdated start. It counts until it is no longer on the
+   * machine.
+   */
   add(machine: Machine, task: UnexpectedTask): void {
     this.replace(machine, [...machine.reportedTasks.unexpected.values(), task]);
   }
 
-  /** Tasks of known jobs count against their team's limit, and keep the same task from being started again. */
+  /**
+   * Counts the task against its team's limit and prevents it from being started again. Has no effect on tasks of
+   * unknown jobs.
+   */
   private count({ knownJob, index }: UnexpectedTask, change: 1 | -1): void {
     if (!knownJob) return;
     this.quotas.recordUsage(knownJob.spec, change);
--- a/test/core/jobs/runtime_estimator.test.ts
+++ b/test/core/jobs/runtime_estimator.test.ts
@@ -4,7 +4,7 @@
 import { makeJobSpec } from '../../sim/job_options.js';
 
 describe('RuntimeEstimator', () => {
-  test('follows the observed runtimes of a class, cautiously while there are few', () => {
+  test('approaches the observed run times of a class, slowly while few tasks have been observed', () => {
     const estimates = new RuntimeEstimator();
     const spec = makeJobSpec('job-1', 'array', { estimatedRuntime: '10' });
     assert.equal(estimates.expectedSeconds(spec), 10);
--- a/test/core/state/restart_log.test.ts
+++ b/test/core/state/restart_log.test.ts
@@ -19,44 +19,51 @@
 const TASKS = 1000;
 const NOW = { monotonic: 1000 as MonotonicTime, wallClock: 0 as WallClockTime };
 
-/** A leader of the second term, with a job that the first began and the machines where its tasks were and will be. */
+/**
+ * Sets up a leader of the second term, a job that was started in the first term, and machines for its tasks before and
+ * after the failover.
+ */
 function setUp() {
   const context = new StepContext(settings, CURRENT_BUILD.tuning, NOW, CURRENT_BUILD.features);
   const cluster = new Cluster(context, TERM);
-  const before = makeMachine('i-1', '10.0.0.1:1', 'up', NOW.monotonic, true);
-  const after = makeMachine('i-2', '10.0.0.2:1', 'up', NOW.monotonic, true);
+  const oldMachine = makeMachine('i-1', '10.0.0.1:1', 'up', NOW.monotonic, true);
+  const newMachine = makeMachine('i-2', '10.0.0.2:1', 'up', NOW.monotonic, true);
   const record = {
     spec: makeJobSpec('job-1', 'array', { tasks: String(TASKS) }),
     submittedAt: NOW.wallClock,
     state: 'accepted' as const,
     startTerm: TERM - 1,
-    startZone: before.zone,
+    startZone: oldMachine.zone,
     startZones: null,
     done: new RangeSet(),
   };
   const job = new Job(record, 1n as Revision);
-  const earlierAttempts = new AttemptNumbers(TERM - 1);
+  const previousAttempts = new AttemptNumbers(TERM - 1);
 
-  /** The task is found running on the first machine, and then certain to be over for a reason. */
-  const findAndRelease = (index: number, reason: ReleaseReason, attempt: Attempt = earlierAttempts.next()): void => {
+  /** Adopts the task as running on the old machine, and then releases the placement for the given reason. */
+  const findAndRelease = (index: number, reason: ReleaseReason, attempt: Attempt = previousAttempts.next()): void => {
     cluster.placements.release(
-      cluster.placements.add({ job, index, machine: before, attempt, phase: 'running' }),
+      cluster.placements.add({ job, index, machine: oldMachine, attempt, phase: 'running' }),
       reason,
     );
   };
   const start = (index: number): void => {
     const attempt = cluster.nextAttempt();
-    recordStartSent(cluster, cluster.placements.add({ job, index, machine: after, attempt, phase: 'planned' }), null);
+    recordStartSent(
+      cluster,
+      cluster.placements.add({ job, index, machine: newMachine, attempt, phase: 'planned' }),
+      null,
+    );
   };
   const restartsLogged = () =>
     context.endStep().flatMap((output) => {
       return output.kind === 'log' && output.event === 'task started again' ? [output.fields] : [];
     });
-  return { cluster, job, earlierAttempts, findAndRelease, start, restartsLogged };
+  return { cluster, job, previousAttempts, findAndRelease, start, restartsLogged };
 }
 
-describe('the log line of a task that is started again after an earlier term', () => {
-  test('names the earlier attempt, its machine and what showed that it is over', () => {
+describe('log event of a restart of a task that a previous leader started', () => {
+  test('contains the previous attempt, its machine and the evidence that the attempt ended', () => {
     const { findAndRelease, start, restartsLogged } = setUp();
     findAndRelease(7, 'agentLeaseExpired');
     start(7);
@@ -73,7 +80,7 @@
     ]);
   });
 
-  test('is written once for each restart, and not for tasks that this leader began', () => {
+  test('is written once for each restart, and not for tasks that this leader started first', () => {
     const { cluster, findAndRelease, start, restartsLogged } = setUp();
     start(1);
     findAndRelease(2, 'exited', cluster.nextAttempt());
@@ -87,7 +94,7 @@
     assert.deepEqual(restartsLogged(), []);
   });
 
-  test('is written for 200 restarts of a term, and then for one in a hundred', () => {
+  test('is written for the first 200 restarts of a term, and then for every hundredth', () => {
     const { findAndRelease, start, restartsLogged } = setUp();
     for (let index = 0; index < 450; index++) {
       findAndRelease(index, 'machineGone');
@@ -98,19 +105,23 @@
     assert.deepEqual(counts.slice(198), [199, 200, 300, 400]);
   });
 
-  test('names the latest attempt where several ended', () => {
-    const { job, earlierAttempts, start, restartsLogged } = setUp();
+  test('contains the latest attempt if several have ended', () => {
+    const { job, previousAttempts, start, restartsLogged } = setUp();
     const machine = makeMachine('i-3', '10.0.0.3:1', 'up', NOW.monotonic, true).id;
-    const [first, second] = [earlierAttempts.next(), earlierAttempts.next()];
+    const [first, second] = [previousAttempts.next(), previousAttempts.next()];
     job.locatedTasks.recordRelease(5, { machine, attempt: second, reason: 'exited' });
     job.locatedTasks.recordRelease(5, { machine, attempt: first, reason: 'exited' });
     start(5);
-    const [line] = restartsLogged();
-    assert.equal(line?.earlierAttempt, second);
-    assert.equal(line?.evidence, 'noFeasibleMachine', 'an exit of an earlier term locates nothing');
+    const [fields] = restartsLogged();
+    assert.equal(fields?.earlierAttempt, second);
+    assert.equal(
+      fields?.evidence,
+      'noFeasibleMachine',
+      'an exit of an attempt of a previous term does not locate the task',
+    );
   });
 
-  test('nothing is kept for it of tasks that are complete, nor of jobs that are over', () => {
+  test('no release is stored for a complete task or for a task of an ended job', () => {
     const { job, findAndRelease } = setUp();
     job.markDone(1);
     findAndRelease(1, 'exited');
@@ -123,13 +134,13 @@
 });
 
 describe('attempt numbers', () => {
-  test('those of a later term are higher than any of an earlier one, and tell their term', () => {
+  test('are higher in a later term than in any previous one, and show whether they are of a previous term', () => {
     const earlier = new AttemptNumbers(TERM - 1);
     const later = new AttemptNumbers(TERM);
     const [first, second, third] = [earlier.next(), earlier.next(), later.next()];
     assert.ok(first < second && second < third);
-    assert.ok(later.isOfEarlierTerm(second));
-    assert.ok(!later.isOfEarlierTerm(third));
-    assert.ok(!earlier.isOfEarlierTerm(first));
+    assert.ok(later.isOfPreviousTerm(second));
+    assert.ok(!later.isOfPreviousTerm(third));
+    assert.ok(!earlier.isOfPreviousTerm(first));
   });
 });
