--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -1,4 +1,4 @@
-/** One controller as a state machine: hands each input to the part that deals with it. */
+/** One controller as a state machine. Dispatches each input to the component that handles it. */
 import type { RecoverySummary } from '../recovery/index.js';
 import { ALL_OFF, type Features } from './features.js';
 import { JobCache } from './jobs/job_cache.js';
@@ -21,16 +21,22 @@
 
 const STATUS_INTERVAL_MS = 1000;
 const FIRST_STATUS_DELAY_MS = 100;
-/** The state store may fail for so long before load balancers hear of it. */
+/** How long the state store may fail before the controller may report itself as unhealthy to load balancers. */
 const UNHEALTHY_AFTER_MS = 3000;
 
-/** Users wait 2 s for the response to a status query, and 5 s for others: what isn't final is not said after that. */
+/**
+ * How long after its arrival a request may still be answered with a state that is not final. Users wait 2 s for the
+ * response to a status query, and 5 s for the responses to other requests.
+ */
 const STATUS_QUERY_TIMEOUT_MS = 1900;
 const REQUEST_TIMEOUT_MS = 4900;
 
 type PeerMessageOf<K extends PeerMessage['kind']> = Extract<PeerMessage, { readonly kind: K }>;
 
-/** Inputs in, outputs out; it has no clock, no sockets and no chance of its own. */
+/**
+ * Deterministic state machine of a controller. The caller passes in each input with the current time, and executes the
+ * outputs. The controller reads no clock, opens no sockets, and draws all random numbers from a seed.
+ */
 export class Controller {
   private readonly context: StepContext;
   private readonly election: Election;
@@ -46,10 +52,16 @@
   private readonly statusExchange: StatusExchange;
   /** Null while this controller doesn't lead. */
   private leader: Leader | null = null;
-  /** What the last term of this controller found; null: it had none, or the feature is off. */
+  /**
+   * Recovery summary of the last term that this controller led. Null if it has led none, or if the recovery feature is
+   * off.
+   */
   private lastRecovery: RecoverySummary | null = null;
 
-  /** `incarnation` names this process among those of the controller; all random choices come from `seed`. */
+  /**
+   * `incarnation` distinguishes this process from earlier processes of the controller. All random choices are drawn
+   * from `seed`.
+   */
   constructor(
     settings: Settings,
     tuning: Tuning,
@@ -116,8 +128,8 @@
   }
 
   /**
-   * Takes one input and returns what the outside has to carry out. Timers that are due have a step of their own: what an
-   * input brings about doesn't wait for a planning round.
+   * Processes one input and returns the outputs that the caller has to execute. Due timers run only in a step with a
+   * `timer` input, so that the outputs for other inputs do not wait for a planning round.
    */
   step(now: ClockReading, input: Input): Output[] {
     this.context.beginStep(now);
@@ -125,19 +137,25 @@
     return this.context.endStep();
   }
 
-  /** When the next step is due even if no input comes; null: never. */
+  /** The time at which the next timer is due and a `timer` input must be passed in. Null if no timer is set. */
   nextTimerAt(): MonotonicTime | null {
     return this.context.timers.nextDueAt();
   }
 
-  /** What load balancers are told. A controller without the state store still serves while a peer can stand in. */
+  /**
+   * Returns the health status for load balancers. A controller that cannot reach the state store still counts as
+   * healthy while a peer is alive, since it forwards requests to peers.
+   */
   isHealthy(now: MonotonicTime): boolean {
     const since = this.context.stateStore.failingSince;
     if (since === null || now - since < UNHEALTHY_AFTER_MS) return true;
     return this.peers.isAnyAlive(now);
   }
 
-  /** What this controller found when it was last elected; null: it never was, or the feature is off. */
+  /**
+   * The recovery summary of the current term, or of the last term that this controller led. Null if it was never
+   * elected, or if the recovery feature is off.
+   */
   recoverySummary(): RecoverySummary | null {
     return this.leader?.recoverySummary() ?? this.lastRecovery;
   }
@@ -187,7 +205,10 @@
     );
   }
 
-  /** Once a second: peers hear how this controller is, and what they left without a response is given up. */
+  /**
+   * Runs once a second. Sends this controller's status to the peers, times out forwarded requests and heartbeats that
+   * got no response, and steps down if this leader is isolated from workers.
+   */
   private exchangeStatus(): void {
     this.statusTimer.set(this.context.after(STATUS_INTERVAL_MS));
     this.statusExchange.sendStatus();
--- a/src/core/features.ts
+++ b/src/core/features.ts
@@ -1,6 +1,8 @@
-/** Parts of the service that a deployment switches on. */
+/** Optional features that a deployment can enable. */
 
-/** The keys are those of deploy/features.toml, where units and reasons stand. */
+/**
+ * The features of a deployment. The keys are those of deploy/features.toml, which documents their units and reasons.
+ */
 export interface Features {
   readonly recovery: {
     readonly enabled: boolean;
@@ -10,7 +12,7 @@
   };
 }
 
-/** What holds where deploy/features.toml says nothing of recovery. */
+/** The recovery settings that apply if deploy/features.toml has no recovery section. */
 export const RECOVERY_OFF: Features['recovery'] = {
   enabled: false,
   record_zones: false,
@@ -18,5 +20,5 @@
   ask_after_ms: 0,
 };
 
-/** What holds without a file of features. */
+/** The features that apply if no features file is given. */
 export const ALL_OFF: Features = { recovery: RECOVERY_OFF };
--- a/src/core/leadership_validity.ts
+++ b/src/core/leadership_validity.ts
@@ -1,14 +1,20 @@
-/** Whether this controller leads, and until when no other can: what outputs that only the leader may make depend on. */
+/**
+ * Whether this controller is the leader, and until when no other controller can be. Outputs that are reserved to the
+ * leader depend on it.
+ */
 import type { MonotonicTime } from './types.js';
 
-/** Written by the election and the controller, read by whatever sends. */
+/** Validity of this controller's leadership. Set by the election and the controller, and read by senders of outputs. */
 export class LeadershipValidity {
   /** Whether this controller acts as the leader. */
   isLeader = false;
-  /** Until when no other controller can lead, if this one does; it counts at the moment of sending (election.ts). */
+  /**
+   * While this controller is the leader, the time until which no other controller can be. It must be checked when an
+   * output is sent, not when it is created (leader_lease.ts).
+   */
   validUntil = 0 as MonotonicTime;
 
-  /** The expiry of outputs that only the leader may make. */
+  /** The expiry of outputs that are reserved to the leader. */
   get expiry(): { readonly expiresAt: MonotonicTime } {
     return { expiresAt: this.validUntil };
   }
--- a/src/core/log_events.ts
+++ b/src/core/log_events.ts
@@ -1,6 +1,7 @@
 /**
- * The catalogue of log events: each with its level and its fields. An event is a constant phrase, what varies is in the fields,
- * whose names give the unit. docs/operations.md tells operators what each event means; a test compares the two.
+ * The catalogue of log events, each with its level and its fields. An event is a constant phrase. Values that vary are
+ * in the fields, whose names include the unit. docs/operations.md explains each event to operators, and a test compares
+ * the two.
  */
 import type { ReleaseReason } from './jobs/located_tasks.js';
 import type {
@@ -16,7 +17,7 @@
 
 export type LogLevel = 'error' | 'info' | 'debug';
 
-/** What a line says beside its event. */
+/** The fields of a log line. */
 export type LogFields = Readonly<
   Record<string, string | number | bigint | boolean | null | readonly string[] | undefined>
 >;
@@ -28,7 +29,7 @@
   readonly fields: LogFields;
 }
 
-/** An event with fields of type `Fields`; they are a matter of types alone. */
+/** The level of an event, and the type of its fields. `fields` exists only for the type checker and is never set. */
 interface EventDefinition<Fields extends LogFields> {
   readonly level: LogLevel;
   readonly fields?: Fields;
@@ -37,12 +38,12 @@
 const event = <Fields extends LogFields>(level: LogLevel): EventDefinition<Fields> => ({ level });
 
 type NoFields = Readonly<Record<never, never>>;
-type OfMachine = { readonly machine: MachineId };
-type OfMachineKind = { readonly type: MachineTypeName; readonly zone: ZoneName; readonly spot: boolean };
-type OfStoredKey = { readonly key: string };
-type OfLeadership = { readonly fencingToken: FencingToken };
+type MachineFields = { readonly machine: MachineId };
+type MachineTypeFields = { readonly type: MachineTypeName; readonly zone: ZoneName; readonly spot: boolean };
+type StoredKeyFields = { readonly key: string };
+type LeadershipFields = { readonly fencingToken: FencingToken };
 
-/** Of a process and its connections. */
+/** Events of the process and its connections. */
 const PROCESS_EVENTS = {
   started: event<{ readonly listenAddress: string; readonly peers: number }>('info'),
   'listen failed': event<{ readonly listenAddress: string; readonly error: string }>('error'),
@@ -53,12 +54,12 @@
   'malformed message dropped': event<{ readonly description: string; readonly count: number }>('info'),
 };
 
-/** Of leadership, and of what a leader finds on record. */
+/** Events of leadership, and of the stored state that a leader reads. */
 const LEADERSHIP_EVENTS = {
-  'elected leader': event<OfLeadership & { readonly term: number }>('info'),
-  'leadership resumed after gap in renewals': event<OfLeadership>('info'),
-  'leadership lost: lease expired': event<OfLeadership>('info'),
-  'stepping down as leader': event<OfLeadership & { readonly reason: string }>('info'),
+  'elected leader': event<LeadershipFields & { readonly term: number }>('info'),
+  'leadership resumed after gap in renewals': event<LeadershipFields>('info'),
+  'leadership lost: lease expired': event<LeadershipFields>('info'),
+  'stepping down as leader': event<LeadershipFields & { readonly reason: string }>('info'),
   'revoking lease of previous process': event<NoFields>('info'),
   'state read': event<{
     readonly term: number;
@@ -69,54 +70,58 @@
   }>('info'),
   'recovery finished': event<LogFields>('info'),
   'task of a job not on record': event<{ readonly job: JobId }>('error'),
-  'leader key not understood': event<OfStoredKey>('error'),
-  'registry page not understood': event<OfStoredKey>('error'),
-  'job record not understood': event<OfStoredKey>('error'),
+  'leader key not understood': event<StoredKeyFields>('error'),
+  'registry page not understood': event<StoredKeyFields>('error'),
+  'job record not understood': event<StoredKeyFields>('error'),
   'state store limits lowered': event<{ readonly requestsPerSecond: number; readonly writesPerSecond: number }>('info'),
   'write refused for its size': event<{ readonly maxChanges: number; readonly maxValueBytes: number }>('info'),
 };
 
-/** Of machines and their workers. */
+/** Events of machines and their workers. */
 const MACHINE_EVENTS = {
-  'machines provisioned': event<OfMachineKind & { readonly requested: number; readonly provisioned: number }>('info'),
-  'machine up': event<OfMachine & OfMachineKind & { readonly ageSeconds: number }>('info'),
-  'terminating machine': event<OfMachine & { readonly type: MachineTypeName; readonly reason: string }>('info'),
-  'unregistered machine listed': event<OfMachine & { readonly phase: string }>('info'),
-  'heartbeat from unregistered machine': event<OfMachine>('info'),
-  'machine stopped': event<OfMachine & { readonly lostTasks: number }>('info'),
-  'machine failing tasks': event<OfMachine>('info'),
-  'straggler detected': event<OfMachine>('info'),
-  'agent lease expired': event<OfMachine & { readonly lostTasks: number; readonly reconciled: boolean }>('info'),
-  'agent epoch began': event<OfMachine & { readonly agentEpoch: bigint; readonly lostTasks: number }>('info'),
-  'interruption notice': event<OfMachine & { readonly interruptionNoticeSeconds: number }>('info'),
-  'machine unresponsive': event<OfMachine>('info'),
-  'machine reachable again': event<OfMachine>('info'),
-  'duplicate heartbeat': event<OfMachine & { readonly sequence: SequenceNumber; readonly duplicates: number }>('debug'),
+  'machines provisioned': event<MachineTypeFields & { readonly requested: number; readonly provisioned: number }>(
+    'info',
+  ),
+  'machine up': event<MachineFields & MachineTypeFields & { readonly ageSeconds: number }>('info'),
+  'terminating machine': event<MachineFields & { readonly type: MachineTypeName; readonly reason: string }>('info'),
+  'unregistered machine listed': event<MachineFields & { readonly phase: string }>('info'),
+  'heartbeat from unregistered machine': event<MachineFields>('info'),
+  'machine stopped': event<MachineFields & { readonly lostTasks: number }>('info'),
+  'machine failing tasks': event<MachineFields>('info'),
+  'straggler detected': event<MachineFields>('info'),
+  'agent lease expired': event<MachineFields & { readonly lostTasks: number; readonly reconciled: boolean }>('info'),
+  'agent epoch began': event<MachineFields & { readonly agentEpoch: bigint; readonly lostTasks: number }>('info'),
+  'interruption notice': event<MachineFields & { readonly interruptionNoticeSeconds: number }>('info'),
+  'machine unresponsive': event<MachineFields>('info'),
+  'machine reachable again': event<MachineFields>('info'),
+  'duplicate heartbeat': event<MachineFields & { readonly sequence: SequenceNumber; readonly duplicates: number }>(
+    'debug',
+  ),
 };
 
-/** Of tasks, and of where they are placed. */
+/** Events of tasks and of their placement. */
 const TASK_EVENTS = {
-  'task missing from status': event<OfMachine & { readonly task: string }>('info'),
-  'task exited early': event<OfMachine & { readonly task: string; readonly exitReason: ExitReason | null }>('info'),
+  'task missing from status': event<MachineFields & { readonly task: string }>('info'),
+  'task exited early': event<MachineFields & { readonly task: string; readonly exitReason: ExitReason | null }>('info'),
   'task reported by two machines': event<{
     readonly task: string;
     readonly machines: readonly string[];
     readonly attempts: readonly string[];
   }>('error'),
   'task started again': event<
-    OfMachine & {
+    MachineFields & {
       readonly task: string;
       readonly attempt: Attempt;
-      /** What showed that the earlier attempt is over. */
+      /** Why the previous attempt is known to be over. */
       readonly evidence: ReleaseReason | 'noFeasibleMachine';
       readonly earlierMachine: MachineId;
       readonly earlierAttempt: Attempt;
-      /** How many tasks of earlier terms this leader has started again. */
+      /** How many tasks of previous terms this leader has started again. */
       readonly restarts: number;
     }
   >('info'),
   'task running': event<
-    OfMachine & {
+    MachineFields & {
       readonly task: string;
       readonly jobClass: string;
       readonly image: string;
@@ -136,7 +141,7 @@
   }>('debug'),
   'gang preemption': event<{ readonly job: JobId; readonly machines: number }>('debug'),
   'gang migration': event<{ readonly job: JobId; readonly machines: readonly string[] }>('debug'),
-  'replica preemption': event<OfMachine & { readonly job: JobId }>('debug'),
+  'replica preemption': event<MachineFields & { readonly job: JobId }>('debug'),
   'replica migration': event<{
     readonly job: JobId;
     readonly fromMachine: MachineId;
@@ -144,16 +149,17 @@
   }>('info'),
 };
 
-/** All events, by their phrase. */
+/** All events, keyed by their phrases. */
 export const LOG_EVENTS = { ...PROCESS_EVENTS, ...LEADERSHIP_EVENTS, ...MACHINE_EVENTS, ...TASK_EVENTS };
 
+/** The phrase of an event in the catalogue. */
 export type LogEvent = keyof typeof LOG_EVENTS;
 
 /** The fields of an event. */
 export type FieldsOf<Event extends LogEvent> =
   (typeof LOG_EVENTS)[Event] extends EventDefinition<infer Fields> ? Fields : never;
 
-/** Returns the line for an event, at the event's own level. */
+/** Returns the log line for an event, with the level that the catalogue defines. */
 export function logEntry<Event extends LogEvent>(event: Event, fields: FieldsOf<Event>): LogEntry {
   return { level: LOG_EVENTS[event].level, event, fields };
 }
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -1,4 +1,4 @@
-/** What goes in and out of a controller's core: inputs, outputs, and what they carry. Nothing here is a wire name. */
+/** Inputs and outputs of a controller's core, and the data that they carry. None of these names are wire names. */
 import type { LogEntry } from './log_events.js';
 import type {
   AgentEpoch,
@@ -18,81 +18,92 @@
   ZoneName,
 } from './types.js';
 
-/** The call was not executed: the service refused it, or it was never sent. */
+/** The call was certainly not executed, because the service refused it or because it was never sent. */
 interface NotExecuted {
-  /** `throttled`: refused for coming too often (429). `unavailable`: refused for any other reason (503), or given up here. */
+  /**
+   * `throttled`: the service refused the call because of its rate limit (429). `unavailable`: the service refused it
+   * for any other reason (503), or this controller gave up before sending it.
+   */
   readonly code: 'throttled' | 'unavailable';
 }
 
-/** No response that could be read: the call may have been executed, or may still be. */
+/** No readable response was received. The call may have been executed, or may still be executed later. */
 export interface OutcomeUnknown {
   readonly code: 'outcomeUnknown';
 }
 
-/** The service called the request malformed. */
+/** The service rejected the request as malformed. */
 interface InvalidRequest {
   readonly code: 'invalidRequest';
 }
 
-/** Why a call to the state store brought no response. */
+/** Why a call to the state store failed. */
 export type StateStoreError =
   | NotExecuted
   | OutcomeUnknown
   | InvalidRequest
-  /** What the call names no longer exists: a lease that expired, a watch from a revision too far back. */
+  /** The call refers to a lease that has expired, or to a revision too old to watch from. */
   | { readonly code: 'gone' }
-  /** Conditions of a compare-and-swap did not hold; `keys`: those that did not have the version asked for. */
+  /**
+   * Conditions of a compare-and-swap did not hold. `keys` are the keys whose versions differ from the expected ones.
+   */
   | { readonly code: 'conflict'; readonly keys: readonly string[] };
 
-/** Why a call to the cloud brought no response. */
+/** Why a call to the cloud failed. */
 export type CloudError =
   | NotExecuted
   | OutcomeUnknown
   | InvalidRequest
-  /** It has no machine of this type in this zone to provision. */
+  /** The cloud has no capacity for machines of this type in this zone. */
   | { readonly code: 'noCapacity' };
 
-/** Why commands pushed to a worker brought no response. */
+/** Why a push of commands to a worker failed. */
 type CommandPushError = NotExecuted | OutcomeUnknown | InvalidRequest;
 
-/** Whether the service certainly did not execute the call. */
+/** Returns whether the service certainly did not execute the call. */
 export const wasNotExecuted = ({ code }: StateStoreError | CloudError): boolean =>
   code === 'throttled' || code === 'unavailable';
 
-/** What a call to an outside service brought: its response, or why there is none. */
+/** The result of a call to an external service: its response, or the error. */
 export type Result<T, E> = { readonly ok: true; readonly value: T } | { readonly ok: false; readonly error: E };
 
-/** What any call to the state store brought. */
+/** The result of any call to the state store. */
 export type StateStoreResult = Result<StateStoreResponse, StateStoreError>;
-/** What any call to the cloud brought. */
+/** The result of any call to the cloud. */
 export type CloudResult = Result<CloudResponse, CloudError>;
-/** What a push of commands brought. */
+/** The result of a push of commands. */
 export type CommandPushResult = Result<CommandPushResponse, CommandPushError>;
 
-/** A value of the state store, with the revision of its last change. */
+/** A key and value of the state store. `version` is the revision of the key's last change. */
 export interface StoredEntry {
   readonly key: string;
   readonly value: unknown;
   readonly version: Revision;
 }
 
-/** The version that a key must have for a compare-and-swap to be carried out. */
+/** The version that a key must have for a compare-and-swap to be executed. */
 export interface VersionCondition {
   readonly key: string;
   readonly version: Revision;
 }
 
-/** A change of a compare-and-swap: a value put under a key, with the lease on which it depends, or a key dropped. */
+/**
+ * A change of a compare-and-swap: stores a value under a key, or deletes a key. The state store deletes a key that is
+ * attached to a lease when the lease ends.
+ */
 export type StateChange =
   | { readonly put: string; readonly value: unknown; readonly lease?: LeaseId }
   | { readonly drop: string };
 
-/** A change that a watch tells of, with the version that the key has since. */
+/** A change reported by a watch. `version` is the key's version after the change. */
 export type WatchEvent =
   | { readonly put: string; readonly value: unknown; readonly version: Revision }
   | { readonly drop: string; readonly version: Revision };
 
-/** Calls to the state store. `watch` waits so many milliseconds for changes after a revision. */
+/**
+ * Calls to the state store. A `watch` waits up to `waitMs` for changes after the revision `after`. A `list` returns the
+ * keys that follow the key `after`, or all keys with the prefix if it is null.
+ */
 export type StateStoreOperation =
   | { readonly op: 'get'; readonly key: string }
   | { readonly op: 'list'; readonly prefix: string; readonly after: string | null; readonly limit: number }
@@ -106,32 +117,35 @@
   | { readonly op: 'revoke'; readonly lease: LeaseId }
   | { readonly op: 'watch'; readonly prefix: string; readonly after: Revision; readonly waitMs: number };
 
-/** What the state store responds to each call. */
+/** The state store's response to each call. */
 export interface StateStoreResponses {
-  /** `item`: null where the key does not exist; only then `revision` is there, the present one. */
+  /**
+   * `item` is null if the key does not exist. Only then is `revision` present, which is the state store's current
+   * revision.
+   */
   readonly get: { readonly item: StoredEntry | null; readonly revision?: Revision };
-  /** `more`: whether there are more after the last item. */
+  /** `more` tells whether further items follow the last one. */
   readonly list: { readonly items: readonly StoredEntry[]; readonly more: boolean; readonly revision: Revision };
-  /** `revision`: the version of all changed keys. */
+  /** `revision` is the new version of all changed keys. */
   readonly compareAndSwap: { readonly revision: Revision };
   readonly grant: { readonly lease: LeaseId };
   readonly renew: Readonly<Record<string, never>>;
   readonly revoke: Readonly<Record<string, never>>;
-  /** `revision`: changes up to there are among the events. */
+  /** `events` contains all changes up to `revision`. */
   readonly watch: { readonly events: readonly WatchEvent[]; readonly revision: Revision };
 }
 
 /** The name of a call to the state store. */
 export type StateStoreOperationName = StateStoreOperation['op'];
-/** The response to one of the calls. */
+/** The response to any call to the state store. */
 export type StateStoreResponse = StateStoreResponses[StateStoreOperationName];
-/** What a call of one kind brought. */
+/** The result of one kind of call to the state store. */
 export type StateStoreResultOf<Op extends StateStoreOperationName> = Result<StateStoreResponses[Op], StateStoreError>;
 
-/** Takes what a push of commands brought. */
+/** Receives the result of a push of commands. */
 export type OnCommandPushResult = (result: CommandPushResult) => void;
 
-/** Calls to the cloud. A provisioning repeated under the same idempotency key provisions nothing more. */
+/** Calls to the cloud. Repeating a `provision` call with the same idempotency key provisions no further machines. */
 export type CloudOperation =
   | { readonly op: 'types' }
   | { readonly op: 'list'; readonly after: MachineId | null }
@@ -145,24 +159,24 @@
     }
   | { readonly op: 'terminate'; readonly machines: readonly MachineId[] };
 
-/** What the cloud responds to each call. */
+/** The cloud's response to each call. */
 interface CloudResponses {
   readonly types: { readonly machineTypes: readonly MachineType[] };
-  /** `more`: whether there are more after the last machine. */
+  /** `more` tells whether further machines follow the last one. */
   readonly list: { readonly machines: readonly CloudMachine[]; readonly more: boolean };
-  /** As many as were asked for, or fewer. */
+  /** The provisioned machines. There may be fewer than requested. */
   readonly provision: { readonly provisioned: readonly MachineId[] };
   readonly terminate: Readonly<Record<string, never>>;
 }
 
 /** The name of a call to the cloud. */
 export type CloudOperationName = CloudOperation['op'];
-/** The response to one of the calls. */
+/** The response to any call to the cloud. */
 export type CloudResponse = CloudResponses[CloudOperationName];
-/** What a call of one kind brought. */
+/** The result of one kind of call to the cloud. */
 export type CloudResultOf<Op extends CloudOperationName> = Result<CloudResponses[Op], CloudError>;
 
-/** Commands pushed to a worker for one agent epoch; none at all still raises its fencing token. */
+/** Commands pushed to a worker for one agent epoch. A push without commands still raises the worker's fencing token. */
 export interface CommandPush {
   readonly address: string;
   readonly fencingToken: FencingToken;
@@ -170,28 +184,28 @@
   readonly commands: readonly Command[];
 }
 
-/** A worker's response to pushed commands: whether it executed them, and its status. */
+/** A worker's response to pushed commands: whether it executed them, and a heartbeat with its status. */
 export interface CommandPushResponse {
   readonly executed: boolean;
   readonly heartbeat: Heartbeat;
 }
 
-/** What users ask; `spec` is null where the submission is malformed, and `problem` says why. */
+/** Requests of users. If a submission is malformed, `spec` is null and `problem` says why. */
 export type UserRequest =
   | { readonly op: 'submit'; readonly id: JobId; readonly spec: JobSpec | null; readonly problem: string }
   | { readonly op: 'query'; readonly id: JobId }
   | { readonly op: 'cancel'; readonly id: JobId };
 
-/** What users are told of a job. */
+/** The status of a job in responses to users. */
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** How many of a job's tasks are done and run, for display. */
+/** How many of a job's tasks are done and how many are running, for display. */
 export interface TaskCounts {
   readonly done: number;
   readonly running: number;
 }
 
-/** What users are told, with its HTTP status. `problem`: one line for the user. */
+/** A response to a user, with its HTTP status. `problem` is a one-line error message for the user. */
 export type UserResponse =
   | {
       readonly status: 200 | 201;
@@ -202,34 +216,40 @@
     }
   | { readonly status: 400 | 404 | 422 | 503; readonly problem: string; readonly retryAfterSeconds?: number };
 
-/** What a worker is told in response to its heartbeat, with its HTTP status. 421: heartbeats go to another controller. */
+/**
+ * The response to a worker's heartbeat, with its HTTP status. 421 tells the worker to send its heartbeats to another
+ * controller.
+ */
 export type HeartbeatResponse =
   | { readonly status: 200; readonly fencingToken: FencingToken; readonly commands: readonly Command[] }
   | { readonly status: 421; readonly redirectTo: ControllerName | null }
   | { readonly status: 503 };
 
-/** What a controller tells its peers of itself once a second. */
+/** The status that a controller sends to its peers once a second. */
 export interface PeerStatus {
-  /** Whether the sender leads, as far as it knows. */
+  /** Whether the sender is the leader and its lease is valid, as far as it knows. */
   readonly isLeader: boolean;
-  /** Whether the state store answered the sender lately. */
+  /** Whether the sender's last call to the state store was neither refused nor left without a reply. */
   readonly stateStoreReachable: boolean;
-  /** Milliseconds since a worker last reached the sender; negative: never. */
+  /** Milliseconds since a heartbeat last reached the sender, directly or through a peer. Negative if none ever did. */
   readonly sinceLastHeartbeatMs: number;
-  /** Heartbeats a second that reach the sender from the workers themselves. */
+  /** Heartbeats per second that the sender receives directly from workers. */
   readonly heartbeatsPerSecond: number;
-  /** The sender leads, and would rather have heartbeats from the workers themselves. */
+  /** Whether the sender is the leader and prefers to receive heartbeats directly from workers. */
   readonly prefersDirectHeartbeats: boolean;
-  /** The sender knows `cancellation` and `cancellationAck`: releases before them end the connection over one. */
+  /**
+   * Whether the sender supports `cancellation` and `cancellationAck` messages. Releases that do not support them close
+   * the connection when they receive one.
+   */
   readonly acknowledgesCancellations: boolean;
 }
 
-/** What controllers tell each other; a response repeats the id of what it answers. */
+/** Messages between controllers. A response carries the id of the message that it responds to. */
 export type PeerMessage =
   | { readonly kind: 'status'; readonly status: PeerStatus }
   | { readonly kind: 'request'; readonly id: number; readonly request: UserRequest }
   | { readonly kind: 'requestResponse'; readonly id: number; readonly response: UserResponse }
-  /** A heartbeat that reached a follower, passed on as it came; and the leader's response to it. */
+  /** A heartbeat that a follower received and forwards unchanged. The leader responds with a `heartbeatResponse`. */
   | { readonly kind: 'heartbeat'; readonly id: number; readonly heartbeat: Heartbeat }
   | {
       readonly kind: 'heartbeatResponse';
@@ -237,16 +257,19 @@
       readonly machine: MachineId;
       readonly response: HeartbeatResponse;
     }
-  /** The sender has put a cancellation on record: that is never undone, so the broadcast alone may be acted on. */
+  /**
+   * The sender has persisted a cancellation. Cancellations are never undone, so the recipient may act on this message
+   * without reading the record.
+   */
   | { readonly kind: 'cancellation'; readonly id: number; readonly job: JobId }
   | { readonly kind: 'cancellationAck'; readonly id: number };
 
-/** Numbers a request from outside that awaits a response. */
+/** Identifies a request from outside the core that awaits a response. */
 export type RequestId = number;
-/** Numbers a call to an outside service that awaits a reply. */
+/** Identifies a call to an external service that awaits a reply. */
 export type CallId = number;
 
-/** What a step of the core takes. `timer`: the time that `nextTimerAt` gave has come. */
+/** Input of a step of the core. A `timer` input is passed in when the time returned by `nextTimerAt` is reached. */
 export type Input =
   | { readonly kind: 'start' }
   | { readonly kind: 'timer' }
@@ -258,14 +281,15 @@
   | { readonly kind: 'peerMessage'; readonly sender: ControllerName; readonly message: PeerMessage };
 
 /**
- * Until when an output may leave. What only the leader may say is worth nothing once its lease may have run out, and what
- * was confirmed of a job that isn't over may be old: the process may have been paused since the step that made it.
+ * The time until which an output may be sent. The process may be paused between the step that creates an output and its
+ * sending. By then the lease may have expired, so that outputs reserved to the leader are no longer valid, and a
+ * confirmed state of an unfinished job may be outdated.
  */
 interface Expiring {
   readonly expiresAt?: MonotonicTime;
 }
 
-/** What a step of the core asks the outside to carry out. */
+/** Output of a step of the core, which the caller executes. */
 export type Output =
   | ({ readonly kind: 'userResponse'; readonly requestId: RequestId; readonly response: UserResponse } & Expiring)
   | ({
--- a/src/core/outbox.ts
+++ b/src/core/outbox.ts
@@ -1,17 +1,17 @@
-/** Collects what a step asks the outside to carry out, each with the time until which it may leave. */
+/** Collects the outputs of a step, each with the time until which it may be sent. */
 import type { LeadershipValidity } from './leadership_validity.js';
 import { type FieldsOf, type LogEvent, logEntry } from './log_events.js';
 import type { HeartbeatResponse, Output, PeerMessage, RequestId, UserResponse } from './messages.js';
 import type { StepClock } from './step_clock.js';
 import type { ControllerName, MonotonicTime } from './types.js';
 
-/** What is said of a job that isn't over leaves within this time, or not at all. */
-const OPEN_JOB_RESPONSE_MS = 250;
+/** A response about an unfinished job is discarded if it is not sent within this time. */
+const UNFINISHED_JOB_RESPONSE_MS = 250;
 
-/** The expiry of an output; null: it may leave at any time. */
+/** The expiry of an output. Null if it may be sent at any time. */
 type Expiry = { readonly expiresAt: MonotonicTime } | null;
 
-/** The outputs of the current step, in the order in which they were made. */
+/** The outputs of the current step, in the order of their creation. */
 export class Outbox {
   private outputs: Output[] = [];
 
@@ -20,19 +20,19 @@
     private readonly leadership: LeadershipValidity,
   ) {}
 
-  /** Adds a call to an outside service; the clients know how long it may wait. */
+  /** Adds a call to an external service. The client that makes the call sets its timeout or expiry. */
   push(output: Output): void {
     this.outputs.push(output);
   }
 
-  /** Returns all outputs since the last time, and begins anew. */
+  /** Returns all outputs since the previous call, and empties the outbox. */
   takeAll(): Output[] {
     const { outputs } = this;
     this.outputs = [];
     return outputs;
   }
 
-  /** Logs an event of the catalogue, at its level. */
+  /** Logs an event of the catalogue at the event's level. */
   log<Event extends LogEvent>(event: Event, fields: FieldsOf<Event>): void {
     this.outputs.push({ kind: 'log', ...logEntry(event, fields) });
   }
@@ -48,22 +48,26 @@
     return renewsLease ? this.leadership.expiry : null;
   }
 
-  /** Answers a user; `deadline`: when the user no longer waits for the response. */
+  /** Sends a response to a user. After `deadline`, the user no longer waits for it. */
   respondToUser(requestId: RequestId, response: UserResponse, deadline: MonotonicTime): void {
     const expiry = this.userResponseExpiry(response);
     const expiresAt = expiry && (Math.min(expiry.expiresAt, deadline) as MonotonicTime);
     this.outputs.push({ kind: 'userResponse', requestId, response, ...(expiresAt ? { expiresAt } : {}) });
   }
 
-  /** What isn't final is true of the moment at which it was confirmed: another controller may be cancelling the job. */
+  /**
+   * A state that isn't final holds only for the moment at which it was confirmed, since another controller may cancel
+   * the job. Responses with such a state expire soon.
+   */
   private userResponseExpiry(response: UserResponse): Expiry {
-    const isOpen = 'jobStatus' in response && (response.jobStatus === 'queued' || response.jobStatus === 'running');
-    return isOpen ? { expiresAt: this.clock.after(OPEN_JOB_RESPONSE_MS) } : null;
+    const isUnfinished =
+      'jobStatus' in response && (response.jobStatus === 'queued' || response.jobStatus === 'running');
+    return isUnfinished ? { expiresAt: this.clock.after(UNFINISHED_JOB_RESPONSE_MS) } : null;
   }
 
-  /** Answers a worker's heartbeat. */
+  /** Sends the response to a worker's heartbeat. */
   respondToWorker(requestId: RequestId, response: HeartbeatResponse): void {
-    // A controller that doesn't lead hands on the leader's response as it came.
+    // A follower passes on the leader's response unchanged, and this controller's validity does not apply to it.
     const renewsLease = response.status === 200 && this.leadership.isLeader;
     this.outputs.push({
       kind: 'heartbeatResponse',
--- a/src/core/peers/cancellation_broadcasts.ts
+++ b/src/core/peers/cancellation_broadcasts.ts
@@ -1,4 +1,4 @@
-/** Tells whoever leads of cancellations that this controller has put on record. */
+/** Notifies the leader of cancellations that this controller has persisted. */
 import type { StepContext } from '../step_context.js';
 import type { Timer } from '../timers.js';
 import type { ControllerName, JobId } from '../types.js';
@@ -6,18 +6,19 @@
 import type { PeerTable } from './peer_table.js';
 import { PendingMessages } from './pending_messages.js';
 
-/** So long a user's response waits for the leader's acknowledgement; users wait 5 s. */
+/** How long the response to a user waits for the leader's acknowledgement. Users wait 5 s for the response. */
 const TIMEOUT_MS = 300;
 
 interface PendingBroadcast {
   readonly onDone: () => void;
-  /** Leaders that have yet to acknowledge. */
+  /** The leaders that have not acknowledged the broadcast yet. */
   readonly unacknowledged: Set<ControllerName>;
 }
 
 /**
- * The state store may not tell the leader of a cancellation: one that it refuses is entitled to start work until its
- * validity ends (refusal-then-outage.txt).
+ * Broadcasts cancellations to the peers directly, because the leader may not learn of them from the state store. A
+ * leader whose calls the state store refuses may still start tasks until its lease validity ends
+ * (refusal-then-outage.txt).
  */
 export class CancellationBroadcasts {
   private readonly pending: PendingMessages<PendingBroadcast>;
@@ -32,13 +33,17 @@
     this.expiryTimer = context.timers.create(() => this.expire());
   }
 
-  /** `onDone` follows once every leader has acknowledged, or soon after in any case. */
+  /**
+   * Broadcasts the cancellation of a job. `onDone` is called when every peer that is the leader has acknowledged it, or
+   * at the timeout.
+   */
   broadcast(job: JobId, onDone: () => void): void {
     const id = this.messageIds.next();
     const unacknowledged = new Set<ControllerName>();
     for (const peer of this.peers.all()) {
       if (!peer.status.acknowledgesCancellations || !this.peers.isAlive(peer)) continue;
-      // One whose validity has lapsed may find its lease alive and lead on: it is told, but not waited for.
+      // A leader whose validity has lapsed resumes if it can still renew its lease. All peers are therefore notified,
+      // but only the acknowledgements of leaders with a valid lease are awaited.
       if (peer.status.isLeader) unacknowledged.add(peer.name);
       this.context.outbox.sendToPeer(peer.name, { kind: 'cancellation', id, job });
     }
@@ -50,7 +55,7 @@
     this.expiryTimer.setIfUnset(this.context.after(TIMEOUT_MS));
   }
 
-  /** A peer has taken in a broadcast. */
+  /** Handles a peer's acknowledgement of a broadcast. */
   onAcknowledged(sender: ControllerName, id: number): void {
     const broadcast = this.pending.get(id);
     if (!broadcast?.unacknowledged.delete(sender) || broadcast.unacknowledged.size > 0) return;
@@ -58,7 +63,7 @@
     broadcast.onDone();
   }
 
-  /** Goes on without the acknowledgements that have not come in time. */
+  /** Finishes the broadcasts whose acknowledgements have timed out. */
   private expire(): void {
     for (const { entry } of this.pending.takeOverdue()) entry.onDone();
     const next = this.pending.nextDeadline();
--- a/src/core/peers/heartbeat_forwarding.ts
+++ b/src/core/peers/heartbeat_forwarding.ts
@@ -1,4 +1,4 @@
-/** Passes heartbeats that reached a follower to the leader, and the leader's responses back, both as they came. */
+/** Forwards heartbeats from a follower to the leader, and passes the leader's responses back. Both stay unchanged. */
 import type { HeartbeatResponse } from '../messages.js';
 import type { StepContext } from '../step_context.js';
 import type { ControllerName, Heartbeat, MachineId } from '../types.js';
@@ -6,7 +6,10 @@
 import type { PeerTable } from './peer_table.js';
 import { PendingMessages } from './pending_messages.js';
 
-/** Workers wait 4 s for a response, and the leader defers those to idle machines for up to 2.5 s. */
+/**
+ * How long a forwarded heartbeat waits for the leader's response. The leader defers responses to idle machines for up
+ * to 2.5 s, and workers wait 4 s for a response.
+ */
 const TIMEOUT_MS = 3200;
 
 type Respond = (response: HeartbeatResponse) => void;
@@ -17,7 +20,7 @@
   readonly respond: Respond;
 }
 
-/** Each forwarded heartbeat gets one response: the leader's, or 503. */
+/** Tracks forwarded heartbeats. Each of them gets exactly one response, which is the leader's or a 503. */
 export class HeartbeatForwarding {
   private readonly pending: PendingMessages<ForwardedHeartbeat>;
 
@@ -29,23 +32,26 @@
     this.pending = new PendingMessages(context, TIMEOUT_MS);
   }
 
-  /** Passes a heartbeat on; `respond` is called once, within the time that workers wait. */
+  /** Forwards a heartbeat to the leader. `respond` is called once, within the time that workers wait. */
   forward(leader: ControllerName, heartbeat: Heartbeat, respond: Respond): void {
     const id = this.messageIds.next();
     this.pending.add(id, { leader, machine: heartbeat.machine, respond });
     this.context.outbox.sendToPeer(leader, { kind: 'heartbeat', id, heartbeat });
   }
 
-  /** Takes the leader's response. */
+  /** Handles the leader's response. */
   onResponse(sender: ControllerName, id: number, machine: MachineId, response: HeartbeatResponse): void {
     const forwarded = this.pending.get(id);
-    // A response meant for another machine must never reach this one: its starts would run twice.
+    // A response for another machine must never reach this one, since the tasks that it starts would run twice.
     if (forwarded?.leader !== sender || forwarded.machine !== machine) return;
     this.pending.take(id);
     forwarded.respond(response);
   }
 
-  /** Answers 503 where the leader has not responded in time, or is not the leader any more. */
+  /**
+   * Responds with 503 to heartbeats whose leader has not responded in time or is no longer the leader. Heartbeats are
+   * not forwarded for a while to a leader that has not responded in time.
+   */
   expire(currentLeader: ControllerName | null): void {
     for (const { entry, isExpired } of this.pending.takeOverdue(({ leader }) => leader !== currentLeader)) {
       if (isExpired) this.peers.pauseHeartbeats(entry.leader, TIMEOUT_MS);
--- a/src/core/peers/peer_table.ts
+++ b/src/core/peers/peer_table.ts
@@ -1,72 +1,75 @@
-/** What is known of the other controllers. */
+/** The known state of the other controllers. */
 import type { PeerStatus } from '../messages.js';
 import type { StepContext } from '../step_context.js';
 import type { ControllerName, MonotonicTime } from '../types.js';
 
-/** A peer that was heard within this time counts as alive. */
+/** Maximum age of the last status of a peer that counts as alive. */
 const PEER_ALIVE_MS = 3500;
-/** Only a leader heard this recently is passed heartbeats, or named to workers without asking the state store. */
+/**
+ * Maximum age of a leader's last status at which heartbeats are forwarded to it, or workers redirected to it without
+ * confirmation from the state store.
+ */
 const REACHABLE_MS = 2500;
 
-/** What is known of a peer. */
+/** The known state of a peer. */
 export interface Peer {
   readonly name: ControllerName;
-  /** As the peer last told it. */
+  /** The last status that the peer sent. */
   readonly status: PeerStatus;
-  readonly lastHeardAt: MonotonicTime;
-  /** Since when it has been heard without a gap. */
+  readonly lastStatusAt: MonotonicTime;
+  /** The time since which the peer has been alive without interruption. */
   readonly reachableSince: MonotonicTime;
-  /** It left a forwarded heartbeat without a response: until then it is given no others. */
+  /** The time until which no heartbeats are forwarded to the peer, because it did not respond to one. */
   readonly heartbeatsPausedUntil: MonotonicTime;
 }
 
-/** The peers that were heard at least once, by the status that each sends once a second. */
+/** The peers that have sent at least one status. Each controller sends its status once a second. */
 export class PeerTable {
   private readonly peers = new Map<ControllerName, Peer>();
 
   constructor(private readonly context: StepContext) {}
 
-  /** Undefined where the peer was never heard. */
+  /** Returns undefined if the peer has never sent a status. */
   get(name: ControllerName): Peer | undefined {
     return this.peers.get(name);
   }
 
-  /** The peers that were heard at least once, alive or not. */
+  /** Returns the peers that have sent at least one status, alive or not. */
   all(): Iterable<Peer> {
     return this.peers.values();
   }
 
-  /** A peer has told how it is. */
+  /** Handles a status message of a peer. */
   onStatus(name: ControllerName, status: PeerStatus): void {
     const { monotonic } = this.context.now;
     const known = this.peers.get(name);
     const reachableSince = known && this.isAlive(known) ? known.reachableSince : monotonic;
     const heartbeatsPausedUntil = known?.heartbeatsPausedUntil ?? monotonic;
-    this.peers.set(name, { name, status, lastHeardAt: monotonic, reachableSince, heartbeatsPausedUntil });
+    this.peers.set(name, { name, status, lastStatusAt: monotonic, reachableSince, heartbeatsPausedUntil });
   }
 
-  /** No heartbeats are forwarded to the peer for so many milliseconds. */
+  /** Stops forwarding heartbeats to the peer for `ms` milliseconds. */
   pauseHeartbeats(name: ControllerName, ms: number): void {
     const peer = this.peers.get(name);
     if (peer) this.peers.set(name, { ...peer, heartbeatsPausedUntil: this.context.after(ms) });
   }
 
-  /** Whether heartbeats may be forwarded to the peer again. */
+  /** Returns whether the forwarding of heartbeats to the peer is not paused. */
   takesHeartbeats({ heartbeatsPausedUntil }: Peer): boolean {
     return heartbeatsPausedUntil <= this.context.now.monotonic;
   }
 
-  /** Whether the peer was heard lately enough to count on. */
+  /** Returns whether the peer's last status is recent enough for it to count as alive. */
   isAlive(peer: Peer, now: MonotonicTime = this.context.now.monotonic): boolean {
-    return now - peer.lastHeardAt < PEER_ALIVE_MS;
+    return now - peer.lastStatusAt < PEER_ALIVE_MS;
   }
 
-  /** Whether messages to it are likely to arrive and be answered now. */
+  /** Returns whether the peer's last status is so recent that it is likely to receive messages and respond to them. */
   isReachable(peer: Peer): boolean {
-    return this.context.now.monotonic - peer.lastHeardAt < REACHABLE_MS;
+    return this.context.now.monotonic - peer.lastStatusAt < REACHABLE_MS;
   }
 
-  /** Whether any peer was heard lately enough to count on. */
+  /** Returns whether any peer is alive. */
   isAnyAlive(now: MonotonicTime): boolean {
     for (const peer of this.peers.values()) if (this.isAlive(peer, now)) return true;
     return false;
--- a/src/core/peers/pending_messages.ts
+++ b/src/core/peers/pending_messages.ts
@@ -1,66 +1,66 @@
-/** Messages to peers that await an answer, each until its deadline. */
+/** Messages to peers that await a response, each until its deadline. */
 import type { StepContext } from '../step_context.js';
 import type { MonotonicTime } from '../types.js';
 
-/** What is remembered of a message, and whether its answer is too late. */
+/** The data stored for a message, and whether its deadline has passed. */
 interface PendingMessage<T> {
   readonly entry: T;
   readonly isExpired: boolean;
 }
 
-interface Entered<T> {
+interface PendingEntry<T> {
   readonly entry: T;
   readonly deadline: MonotonicTime;
 }
 
-/** The messages of one kind, by the number that the answer repeats. */
+/** The pending messages of one kind, by the message id that the response carries. */
 export class PendingMessages<T> {
-  private readonly entered = new Map<number, Entered<T>>();
+  private readonly entries = new Map<number, PendingEntry<T>>();
 
-  /** `timeoutMs`: how long an answer is awaited. */
+  /** `timeoutMs` is how long a message waits for its response. */
   constructor(
     private readonly context: StepContext,
     private readonly timeoutMs: number,
   ) {}
 
-  /** Remembers a message that is sent in this step. */
+  /** Adds a message that is sent in this step. */
   add(id: number, entry: T): void {
-    this.entered.set(id, { entry, deadline: this.context.after(this.timeoutMs) });
+    this.entries.set(id, { entry, deadline: this.context.after(this.timeoutMs) });
   }
 
-  /** Returns what was remembered, and goes on waiting; undefined where nothing waits for that answer. */
+  /** Returns the data of a message that stays pending. Undefined if no message with this id is pending. */
   get(id: number): T | undefined {
-    return this.entered.get(id)?.entry;
+    return this.entries.get(id)?.entry;
   }
 
-  /** Returns what was remembered, and waits no longer; undefined where nothing waits for that answer. */
+  /** Removes a message and returns it. Undefined if no message with this id is pending. */
   take(id: number): PendingMessage<T> | undefined {
-    const found = this.entered.get(id);
+    const found = this.entries.get(id);
     if (!found) return undefined;
-    this.entered.delete(id);
+    this.entries.delete(id);
     return { entry: found.entry, isExpired: this.isExpired(found) };
   }
 
-  /** Takes the messages whose deadline has come, and those for which `isObsolete` holds. */
+  /** Removes and returns the messages whose deadline has passed or for which `isObsolete` returns true. */
   takeOverdue(isObsolete: (entry: T) => boolean = () => false): PendingMessage<T>[] {
     const taken: PendingMessage<T>[] = [];
-    for (const [id, entered] of this.entered) {
-      const isExpired = this.isExpired(entered);
-      if (!isExpired && !isObsolete(entered.entry)) continue;
-      this.entered.delete(id);
-      taken.push({ entry: entered.entry, isExpired });
+    for (const [id, pendingEntry] of this.entries) {
+      const isExpired = this.isExpired(pendingEntry);
+      if (!isExpired && !isObsolete(pendingEntry.entry)) continue;
+      this.entries.delete(id);
+      taken.push({ entry: pendingEntry.entry, isExpired });
     }
     return taken;
   }
 
-  /** When the first deadline comes; null where nothing waits. */
+  /** Returns the earliest deadline. Null if no message is pending. */
   nextDeadline(): MonotonicTime | null {
     let first: MonotonicTime | null = null;
-    for (const { deadline } of this.entered.values()) if (first === null || deadline < first) first = deadline;
+    for (const { deadline } of this.entries.values()) if (first === null || deadline < first) first = deadline;
     return first;
   }
 
-  private isExpired({ deadline }: Entered<T>): boolean {
+  private isExpired({ deadline }: PendingEntry<T>): boolean {
     return deadline <= this.context.now.monotonic;
   }
 }
--- a/src/core/peers/request_forwarding.ts
+++ b/src/core/peers/request_forwarding.ts
@@ -1,4 +1,4 @@
-/** Passes users' requests to a peer that the state store answers, where it refuses this controller. */
+/** Forwards user requests to a peer that reaches the state store, when this controller's calls to it fail. */
 import type { UserRequest, UserResponse } from '../messages.js';
 import type { StepContext } from '../step_context.js';
 import type { MessageIds } from './message_ids.js';
@@ -11,7 +11,7 @@
 
 type Respond = (response: UserResponse) => void;
 
-/** Each forwarded request gets one response: the peer's, or 503 where none came in time. */
+/** Tracks forwarded requests. Each of them gets exactly one response, which is the peer's or, at the timeout, a 503. */
 export class RequestForwarding {
   private readonly pending: PendingMessages<Respond>;
 
@@ -23,7 +23,7 @@
     this.pending = new PendingMessages(context, TIMEOUT_MS);
   }
 
-  /** Returns false, and does nothing, where no peer can stand in. */
+  /** Forwards a request. Returns false, and does nothing, if no live peer reaches the state store. */
   forward(request: UserRequest, respond: Respond): boolean {
     for (const peer of this.peers.all()) {
       if (!peer.status.stateStoreReachable || !this.peers.isAlive(peer)) continue;
@@ -35,14 +35,14 @@
     return false;
   }
 
-  /** Takes a peer's response. */
+  /** Handles a peer's response. */
   onResponse(id: number, response: UserResponse): void {
     const forwarded = this.pending.take(id);
-    // A response that this process found on waking from a pause may be as old as that.
+    // If this process was paused, the response may have been waiting for the whole pause and be outdated.
     forwarded?.entry(forwarded.isExpired ? NO_RESPONSE : response);
   }
 
-  /** Answers 503 where no response has come in time. */
+  /** Responds with 503 to requests that have timed out. */
   expire(): void {
     for (const { entry: respond } of this.pending.takeOverdue()) respond(NO_RESPONSE);
   }
--- a/src/core/peers/status_exchange.ts
+++ b/src/core/peers/status_exchange.ts
@@ -1,34 +1,34 @@
-/** Tells the peers how this controller is, and steps down where a peer is better placed to lead. */
+/** Sends this controller's status to the peers, and steps down if workers reach a peer but not this leader. */
 import type { PeerStatus } from '../messages.js';
 import type { StepContext } from '../step_context.js';
 import type { MonotonicTime } from '../types.js';
 import type { Peer, PeerTable } from './peer_table.js';
 
-/** What peers are told where no worker was ever heard. */
+/** The value of `sinceLastHeartbeatMs` in the status of a controller that has never received a heartbeat. */
 const NO_HEARTBEAT_YET = -1;
 
-/** What is asked of the election. */
+/** The parts of the election that the status exchange uses. */
 interface LeadershipControl {
   /** Null while this controller is not the leader. */
   readonly leadership: object | null;
-  /** When this controller was last elected, or began. */
+  /** The time at which this controller was last elected, or was started. */
   readonly electedAt: MonotonicTime;
-  /** Whether this controller is the leader, and no other can be at this moment. */
+  /** Returns whether this controller is the leader, and no other controller can be at this moment. */
   isLeaseValid(): boolean;
   stepDown(reason: 'isolated from workers'): void;
 }
 
-/** What is asked of the heartbeats that reach this controller. */
+/** Statistics of the heartbeats that this controller receives. */
 interface HeartbeatTraffic {
   readonly heartbeatsPerSecond: number;
-  /** Milliseconds since a worker last reached this controller; null: never. */
+  /** Milliseconds since a heartbeat last reached this controller, directly or through a peer. Null if none ever did. */
   readonly sinceLastHeartbeatMs: number | null;
-  /** Takes in the rate since the last time. */
+  /** Updates `heartbeatsPerSecond` with the heartbeats since the previous call. */
   updateRate(): void;
   prefersDirectHeartbeats(): boolean;
 }
 
-/** Sends this controller's status, and compares it with what the peers say. */
+/** Sends this controller's status, and compares its heartbeat traffic with the status of the peers. */
 export class StatusExchange {
   constructor(
     private readonly context: StepContext,
@@ -57,11 +57,14 @@
     };
   }
 
-  /** A leader that no worker reaches, while they reach a peer, keeps the role from being of use: it steps down. */
+  /**
+   * Steps down if no worker's heartbeats reach this leader while they reach a peer. Such a leader cannot do its work,
+   * and keeps the peer from being elected.
+   */
   stepDownIfIsolated(): void {
-    if (!this.election.leadership || !this.isWithoutHeartbeats()) return;
+    if (!this.election.leadership || !this.receivesNoHeartbeats()) return;
     for (const peer of this.peers.all()) {
-      if (!this.hearsWorkers(peer)) continue;
+      if (!this.receivesHeartbeats(peer)) continue;
       this.election.stepDown('isolated from workers');
       return;
     }
@@ -71,14 +74,15 @@
     return this.context.tuning.leadership.resign_after_ms;
   }
 
-  private isWithoutHeartbeats(): boolean {
+  private receivesNoHeartbeats(): boolean {
     const { monotonic } = this.context.now;
     const leadingMs = monotonic - this.election.electedAt;
     return Math.min(this.traffic.sinceLastHeartbeatMs ?? monotonic, leadingMs) >= this.isolationMs;
   }
 
-  private hearsWorkers(peer: Peer): boolean {
-    // A peer that has just come back heard its workers without us; now it passes their heartbeats on.
+  private receivesHeartbeats(peer: Peer): boolean {
+    // A peer that has just become reachable received its heartbeats while it could not forward them. It forwards them
+    // from now on, so they don't show that this leader is isolated.
     if (this.context.now.monotonic - peer.reachableSince < this.isolationMs) return false;
     const { sinceLastHeartbeatMs } = peer.status;
     return this.peers.isReachable(peer) && sinceLastHeartbeatMs >= 0 && sinceLastHeartbeatMs < this.isolationMs / 2;
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -1,62 +1,62 @@
-/** The forms in which the state store holds what has to outlast a process, and their codec. */
+/** The records that are persisted in the state store, and their codec. */
 import { RangeSet } from './jobs/range_set.js';
 import type { ImageName, JobId, JobSpec, MachineId, MachineTypeName, WallClockTime, ZoneName } from './types.js';
 
 /*
- * Nothing else survives a process. The stored names and versions are read by earlier and later releases while a deployment
- * is renewed: they don't change with names in the code.
+ * No other state survives a restart of the process. During a rolling upgrade, earlier and later releases read the
+ * stored names and versions. They must therefore stay the same when names in the code change.
  */
 
-/** Holds who leads; it is there as long as the leader's lease. */
+/** The key of the leader's record. It is attached to the leader's lease and exists as long as the lease. */
 export const LEADER_KEY = 'leader';
-/** Holds the counter of terms. */
+/** The key of the term counter. */
 export const TERM_KEY = 'term';
-/** Jobs' records are under keys that begin so. */
+/** Prefix of the keys of job records. */
 export const JOB_PREFIX = 'j/';
-/** Pages of the machine registry are under keys that begin so. */
+/** Prefix of the keys of the machine registry's pages. */
 export const MACHINE_PREFIX = 'm/';
 /** Returns the key of a job's record. */
 export const jobKey = (id: JobId): string => JOB_PREFIX + id;
-/** Returns the key of a page of the machine registry; pages are numbered from 0. */
+/** Returns the key of a page of the machine registry. Pages are numbered from 0. */
 export const pageKey = (index: number): string => MACHINE_PREFIX + index;
 
 const JOB_RECORD_VERSION = 1;
 const PAGE_VERSION = 2;
-/** The state store may count the bytes of a value somewhat otherwise than they are counted here. */
+/** Margin below the size limit of a value, because the state store may count bytes slightly differently. */
 const SPARE_BYTES = 48;
 
-/** What is durable of a job's progress; that it runs is not. */
+/** The persisted state of a job. Whether it is running is not persisted. */
 export type JobState = 'accepted' | 'done' | 'cancelled';
 const JOB_STATES: readonly unknown[] = ['accepted', 'done', 'cancelled'] satisfies JobState[];
 
-/** What is durable of a job. */
+/** The persisted record of a job. */
 export interface JobRecord {
   readonly spec: JobSpec;
   readonly submittedAt: WallClockTime;
   readonly state: JobState;
-  /** The term in which its first start was allowed, 0 before. */
+  /** The term in which the leader first permitted a start of its tasks. 0 if none was permitted yet. */
   readonly startTerm: number;
   readonly startZone: ZoneName | null;
-  /** Zones in which it may have been started (src/recovery/start_zones.ts); null: not kept. */
+  /** The zones in which tasks may have been started (src/recovery/start_zones.ts). Null if they are not recorded. */
   readonly startZones: readonly ZoneName[] | null;
-  /** Numbers of the tasks that are complete. */
+  /** Indices of the completed tasks. */
   readonly done: RangeSet;
 }
 
-/** What is durable of a machine. */
+/** The persisted record of a machine. */
 export interface MachineRecord {
   readonly id: MachineId;
   readonly address: string;
   readonly type: MachineTypeName;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  /** Images that it is known to hold: a hint that saves a new leader from finding out again. */
+  /** Images known to be cached on the machine. This is a hint, so that a new leader need not discover them again. */
   readonly images: readonly ImageName[];
-  /** How fast it pulls images, relative to its type's nominal speed: a hint too. */
+  /** Image pull speed relative to the nominal speed of the machine type. This is a hint, too. */
   readonly imagePullSpeed: number;
 }
 
-/** Who leads, on which lease, in which term. */
+/** The record of the current leader, its lease and its term. */
 export interface LeaderRecord {
   readonly node: string;
   readonly incarnation: string;
@@ -64,10 +64,10 @@
   readonly term: number;
 }
 
-/** A page of the registry as far as it is understood. */
+/** The machines of a registry page that could be decoded. */
 export interface DecodedMachinePage {
   readonly machines: readonly MachineRecord[];
-  /** False where it holds something else too: then it must not be written over. */
+  /** False if the page also contains entries that could not be decoded. Such a page must not be overwritten. */
   readonly complete: boolean;
 }
 
@@ -77,7 +77,7 @@
 const isFields = (value: unknown): value is StoredFields =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
-/** The names under which the fields of a job's description are stored, by their names in the code. */
+/** Maps the field names of `JobSpec` to the names under which the fields are stored. */
 const STORED_SPEC_NAMES = {
   id: 'id',
   jobClass: 'jobClass',
@@ -101,18 +101,18 @@
   deadlineSeconds: 'deadlineS',
 } as const satisfies { readonly [Name in keyof JobSpec]: string };
 
-/** A job's description by its stored names; a record of another release may lack fields, or have more. */
+/** A job spec under its stored field names. A record of another release may lack fields or have additional ones. */
 type StoredSpec = {
   readonly [Name in keyof typeof STORED_SPEC_NAMES as (typeof STORED_SPEC_NAMES)[Name]]: JobSpec[Name];
 };
 
 /**
- * The stored form of each description: one that was read is written again as it was, with the fields that a later release
- * has added, and without those that were missing.
+ * The stored form of each job spec. A spec that was read is written back unchanged: fields that a later release added
+ * are preserved, and missing fields are not added.
  */
 const storedSpecs = new WeakMap<JobSpec, StoredFields>();
 
-/** A job's description as it is stored: as it was read, or its fields in their order. */
+/** Returns the stored form of a spec: the one that was read, or else its fields in the order of the spec. */
 function encodeSpec(spec: JobSpec): StoredFields {
   const known = storedSpecs.get(spec);
   if (known) return known;
@@ -125,8 +125,9 @@
 }
 
 /**
- * Nothing is checked: a description is checked once, when the job is submitted. Written out field by field: a loop over the
- * names takes ten times as long, and every controller reads every record that is written.
+ * Decodes a stored job spec without validating it, since specs are validated once, when the job is submitted. The
+ * fields are assigned one by one because a loop over the names takes ten times as long, and every controller decodes
+ * every record that is written.
  */
 function decodeSpec(stored: StoredFields): JobSpec {
   const fields = stored as StoredFields & StoredSpec;
@@ -156,18 +157,24 @@
   return spec;
 }
 
-/** A job's record in `valueBytes` at most: results that find no room in it stay with the workers that have them. */
+/**
+ * Returns the stored form of a job record, limited to `valueBytes`. Completed tasks that do not fit are left out. Their
+ * results stay with the workers that hold them.
+ */
 export function encodeJob(record: JobRecord, valueBytes: number): StoredFields & { done: [number, number][] } {
   const { spec, submittedAt: at, state, startTerm: term, startZone: zone, startZones: zones, done } = record;
-  const kept = zones === null ? {} : { zones };
-  const fields = { v: JOB_RECORD_VERSION, spec: encodeSpec(spec), at, state, term, zone, ...kept };
+  const zonesField = zones === null ? {} : { zones };
+  const fields = { v: JOB_RECORD_VERSION, spec: encodeSpec(spec), at, state, term, zone, ...zonesField };
   const value = { ...fields, done: [] as [number, number][] };
   if (done.count === 0) return value;
   const bytesLeft = valueBytes - SPARE_BYTES - Buffer.byteLength(JSON.stringify(value));
   return { ...value, done: done.pairs(bytesLeft) };
 }
 
-/** Whether a job's record has room for the names of these zones. Earlier releases leave none when they accept a job. */
+/**
+ * Returns whether the names of these zones fit into a job's record. Earlier releases reserve no space for them when
+ * they accept a job.
+ */
 export function fitsWithStartZones(
   record: Omit<JobRecord, 'startZones' | 'done'>,
   zones: readonly ZoneName[],
@@ -179,14 +186,14 @@
   return Buffer.byteLength(JSON.stringify(value)) <= valueBytes - SPARE_BYTES;
 }
 
-/** Null for a value that isn't a job record: it is passed over, not believed. */
+/** Returns null if the value is not a valid job record of this version. Callers ignore such a value. */
 export function decodeJob(value: unknown): JobRecord | null {
   if (!isFields(value) || value.v !== JOB_RECORD_VERSION) return null;
   if (!isFields(value.spec) || !Array.isArray(value.done) || !JOB_STATES.includes(value.state)) return null;
   const spec = decodeSpec(value.spec);
   const state = value.state as JobState;
-  // A service is never done. A leader of a release that knows no services may have put it on record as such when its
-  // replicas ended (upgrade-service-old-leader.txt).
+  // A service is never done. A leader of a release without support for services may have stored it as done when its
+  // replicas exited (upgrade-service-old-leader.txt).
   const isService = spec.kind === 'service';
   return {
     spec,
@@ -204,7 +211,10 @@
   return isList ? (value as ZoneName[]) : null;
 }
 
-/** A page of the registry: each machine as a short list, since a page holds many; with so many images at most. */
+/**
+ * Returns the stored form of a registry page. Each machine is stored as an array without field names, since a page
+ * holds many. At most `maxImages` images are stored for each machine.
+ */
 export function encodePage(machines: readonly MachineRecord[], maxImages: number): StoredFields {
   return { v: PAGE_VERSION, machines: machines.map((record) => encodeMachine(record, maxImages)) };
 }
@@ -215,12 +225,12 @@
   return [id, address, type, zone, spot ? 1 : 0, roundedSpeed, maxImages > 0 ? images.slice(-maxImages) : []];
 }
 
-/** Null for a value that isn't a page. */
+/** Returns null if the value is not a registry page of this version. */
 export function decodePage(value: unknown): DecodedMachinePage | null {
   if (!isFields(value) || value.v !== PAGE_VERSION || !Array.isArray(value.machines)) return null;
   const machines = value.machines.map(decodeMachine);
-  const understood = machines.filter((record) => record !== null);
-  return { machines: understood, complete: understood.length === machines.length };
+  const decoded = machines.filter((record) => record !== null);
+  return { machines: decoded, complete: decoded.length === machines.length };
 }
 
 function decodeMachine(raw: unknown): MachineRecord | null {
@@ -238,12 +248,11 @@
   };
 }
 
-/** Returns the stored form of a leader's record. */
 export function encodeLeader({ node, incarnation, lease, term }: LeaderRecord): StoredFields {
   return { node, incarnation, lease, term };
 }
 
-/** Null for a value that isn't a leader's record. */
+/** Returns null if the value is not a leader's record. */
 export function decodeLeader(value: unknown): LeaderRecord | null {
   if (!isFields(value)) return null;
   return {
--- a/src/core/requests/job_cancellation.ts
+++ b/src/core/requests/job_cancellation.ts
@@ -1,4 +1,4 @@
-/** Puts a cancellation on record, and tells the leader of it before the user hears that it holds. */
+/** Persists the cancellation of a job, and notifies the leader before the user receives the confirmation. */
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
 import { type StateStoreResultOf, wasNotExecuted } from '../messages.js';
 import { encodeJob, type JobRecord, jobKey } from '../records.js';
@@ -11,19 +11,22 @@
 const WRITE_PRIORITY = 2;
 const WRITE_OPTIONS = { timeoutMs: 1000, maxQueueTimeMs: 1000, failFast: true } as const;
 
-/** Tells whoever leads of a cancellation that is on record; `onDone` follows soon, acknowledged or not. */
+/**
+ * Notifies the leader of a persisted cancellation. `onDone` is called when the leader has acknowledged it, or shortly
+ * after without an acknowledgement.
+ */
 export type BroadcastCancellation = (id: JobId, onDone: () => void) => void;
 
-/** The record of a cancelled job in the making. */
+/** The record of a cancelled job that is being written. */
 interface CancelledEntry {
   readonly key: string;
   readonly value: unknown;
   readonly record: JobRecord;
-  /** Counted from 1. */
+  /** The number of the attempt to cancel the job, counted from 1. */
   readonly attempt: number;
 }
 
-/** Cancels jobs that are not over; of others it tells the state. */
+/** Cancels unfinished jobs. For a finished or cancelled job, the response is its state. */
 export class JobCancellation {
   constructor(
     private readonly context: StepContext,
@@ -32,7 +35,10 @@
     private readonly broadcast: BroadcastCancellation,
   ) {}
 
-  /** Tried first on the cached record: the condition on its version shows whether that is the present one. */
+  /**
+   * Cancels a job. The first attempt uses the cached record, since the condition on its version shows whether the
+   * record is up to date.
+   */
   cancel(id: JobId, continuation: RequestContinuation): void {
     const known = this.jobCache.get(id);
     if (known) this.cancelKnown(known, continuation, 1);
@@ -50,7 +56,7 @@
   private cancelKnown(job: CachedJob, continuation: RequestContinuation, attempt: number): void {
     switch (job.record.state) {
       case 'cancelled':
-        // One that an earlier attempt put on record, without an answer, is news to the leader all the same.
+        // An earlier attempt may have persisted the cancellation without a reply. The leader may not know of it yet.
         this.respondCancelled(job.record, continuation);
         return;
       case 'done':
@@ -86,7 +92,7 @@
       this.respondCancelled(record, continuation);
       return;
     }
-    // Somebody wrote in between, or the outcome is unknown: the record is read again.
+    // Another controller has changed the record meanwhile, or the outcome is unknown. The record is read again.
     if (wasNotExecuted(result.error) || attempt >= MAX_ATTEMPTS) continuation.onUnavailable();
     else this.readAndCancel(record.spec.id, continuation, attempt + 1);
   }
--- a/src/core/requests/job_reader.ts
+++ b/src/core/requests/job_reader.ts
@@ -1,4 +1,4 @@
-/** Reads single job records from the state store, and puts into words for users what they say. */
+/** Reads single job records from the state store, and converts them into responses to users. */
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
 import type { JobStatus, TaskCounts, UserResponse } from '../messages.js';
 import { type JobRecord, jobKey } from '../records.js';
@@ -9,31 +9,31 @@
 const READ_PRIORITY = 2;
 const READ_OPTIONS = { timeoutMs: 1000, maxQueueTimeMs: 700, failFast: true } as const;
 
-/** A question about one job. */
+/** A query for the status of one job. */
 export interface StatusQuery extends RequestContinuation {
   readonly id: JobId;
-  /** The response where there is no such job. */
+  /** The response if the job does not exist. */
   readonly responseIfMissing: UserResponse;
 }
 
-/** How a read goes on. */
+/** Callbacks for the outcomes of a read, of which exactly one is called. */
 interface ReadContinuation {
   readonly onFound: (job: CachedJob) => void;
   readonly onMissing: () => void;
-  /** The state store gave no answer, or holds a value that is not understood. */
+  /** The call to the state store failed, or the stored value could not be decoded. */
   readonly onUnavailable: () => void;
 }
 
-/** Answers questions about one job at a time. */
+/** Handles status queries for one job at a time. */
 export class JobReader {
-  /** `taskCounts`: null where this controller doesn't lead. */
+  /** `taskCounts` returns null if this controller is not the leader. */
   constructor(
     private readonly context: StepContext,
     private readonly jobCache: JobCache,
     private readonly taskCounts: (id: JobId) => TaskCounts | null,
   ) {}
 
-  /** Returns what users are told of a job with this record. */
+  /** Returns the status response for a job with this record. */
   statusResponse(record: JobRecord): UserResponse {
     const { id } = record.spec;
     if (record.state !== 'accepted') {
@@ -45,7 +45,7 @@
     return { status: 200, id, jobStatus, done: counts?.done ?? record.done.count, running: counts?.running ?? 0 };
   }
 
-  /** Answers with the job's state as the state store holds it now. */
+  /** Reads the job's record from the state store and responds with its state. */
   respond({ id, respond, responseIfMissing, onUnavailable }: StatusQuery): void {
     this.read(id, {
       onFound: ({ record }) => respond(this.statusResponse(record)),
@@ -54,7 +54,7 @@
     });
   }
 
-  /** Reads a job's record; the cache takes it in. */
+  /** Reads a job's record from the state store and updates the cache with it. */
   read(id: JobId, { onFound, onMissing, onUnavailable }: ReadContinuation): void {
     this.context.stateStore.call(
       { op: 'get', key: jobKey(id) },
--- a/src/core/requests/job_submission.ts
+++ b/src/core/requests/job_submission.ts
@@ -1,4 +1,4 @@
-/** Puts a submitted job on record, once however often it is submitted. */
+/** Persists a submitted job. Repeated submissions of the same job persist it only once. */
 import type { JobCache } from '../jobs/job_cache.js';
 import { RangeSet } from '../jobs/range_set.js';
 import type { StateStoreResultOf } from '../messages.js';
@@ -10,17 +10,19 @@
 
 const WRITE_PRIORITY = 2;
 const WRITE_OPTIONS = { timeoutMs: 1200, maxQueueTimeMs: 1500, failFast: true } as const;
-/** A new record leaves so much of a value's limit free for what is added to it later, beside the names of zones. */
+/** Bytes below the size limit that a new record leaves free for later additions other than the names of zones. */
 const RESERVED_BYTES = 64;
 
-/** The stored form of a new job, under its key. */
+/** The key and stored value of a new job's record. */
 interface NewEntry {
   readonly id: JobId;
   readonly key: string;
   readonly value: unknown;
 }
 
-/** The job id is the idempotency key: a repeated submission is answered with the state of the job. */
+/**
+ * Handles valid submissions. The job id is the idempotency key: a repeated submission is answered with the job's state.
+ */
 export class JobSubmission {
   constructor(
     private readonly context: StepContext,
@@ -28,7 +30,7 @@
     private readonly reader: JobReader,
   ) {}
 
-  /** Writes the job's record and answers. Returns false, and does nothing, where the record would be too long. */
+  /** Writes the job's record and responds. Returns false, and does nothing, if the record would be too long. */
   trySubmit(spec: JobSpec, continuation: RequestContinuation): boolean {
     const { id } = spec;
     const { maxValueBytes } = this.context.settings.stateStore;
@@ -60,8 +62,8 @@
       return;
     }
     switch (result.error.code) {
-      // Another submission was first, or this one may have been written: a read tells. If it shows nothing, the user asks
-      // again.
+      // Another submission of the job was written first, or this one may have been written. A read shows which. If it
+      // finds no record, the user has to retry.
       case 'conflict':
       case 'outcomeUnknown':
         this.reader.respond({ id, responseIfMissing: STATE_STORE_UNAVAILABLE, ...continuation });
@@ -75,7 +77,7 @@
     }
   }
 
-  /** What a record may yet grow by: its first start, and the zones of all its starts. */
+  /** Returns the bytes by which a record may grow later: its first start, and the zones of all its starts. */
   private reservedBytes(): number {
     return RESERVED_BYTES + JSON.stringify(this.context.settings.zones).length;
   }
--- a/src/core/requests/linearizable_reads.ts
+++ b/src/core/requests/linearizable_reads.ts
@@ -1,4 +1,4 @@
-/** Confirms cached job records with the state store, many in one call. */
+/** Linearizable reads of cached job records. One call to the state store confirms many of them. */
 import type { CachedJob, JobCache } from '../jobs/job_cache.js';
 import type { StateStoreResultOf } from '../messages.js';
 import { JOB_PREFIX, jobKey } from '../records.js';
@@ -7,24 +7,25 @@
 import type { JobId } from '../types.js';
 import type { JobReader, StatusQuery } from './job_reader.js';
 
-/** Queries that come within this time are confirmed by one call. Users wait 2 s for a response. */
-const GATHER_MS = 120;
+/** How long queries are collected before one call confirms them together. Users wait 2 s for a response. */
+const BATCH_WINDOW_MS = 120;
 const NEXT_BATCH_MS = 1;
-/** The state store takes so many times as many conditions as changes in a compare-and-swap. */
+/** The state store accepts this many conditions in a compare-and-swap for each change that its limit permits. */
 const CONDITIONS_PER_CHANGE = 4;
 const MAX_CONCURRENT = 2;
 const CONFIRM_PRIORITY = 2;
 const CONFIRM_OPTIONS = { timeoutMs: 1000, maxQueueTimeMs: 600, failFast: true } as const;
 
-/** A cached record, and the queries that its confirmation answers. */
+/** A cached record, and the queries that are answered when it is confirmed. */
 interface BatchedJob {
   readonly job: CachedJob;
   readonly queries: StatusQuery[];
 }
 
 /**
- * A compare-and-swap without changes only compares versions: begun after the queries arrived, it says as much as a read of
- * each record. One that fails confirms nothing: the records that it names are read, and the others go with the next.
+ * Answers status queries with linearizable reads. A compare-and-swap without changes only compares versions. If it
+ * begins after the queries arrived, it is equivalent to a read of each record. A conflict confirms none of the records.
+ * The records that it names are then read, and the other queries join the next batch.
  */
 export class LinearizableReads {
   private waiting: StatusQuery[] = [];
@@ -39,21 +40,21 @@
     this.batchTimer = context.timers.create(() => this.sendBatch());
   }
 
-  /** A query about a job that the cache knows waits for the next confirmation; for any other the record is read. */
+  /** Enqueues a query for a cached job until the next confirmation. For a job that is not cached, reads the record. */
   enqueue(query: StatusQuery): void {
     if (!this.jobCache.get(query.id)) {
       this.reader.respond(query);
       return;
     }
     this.waiting.push(query);
-    this.schedule(GATHER_MS);
+    this.schedule(BATCH_WINDOW_MS);
   }
 
   private schedule(ms: number): void {
     this.batchTimer.setIfUnset(this.context.after(ms));
   }
 
-  /** Confirms what was gathered. */
+  /** Sends a compare-and-swap that confirms the collected queries. */
   private sendBatch(): void {
     if (this.waiting.length === 0 || this.inFlight >= MAX_CONCURRENT) return;
     const batch = this.takeBatch();
@@ -73,7 +74,7 @@
     );
   }
 
-  /** As many jobs as one call can compare; what needs no confirmation is answered at once. */
+  /** Returns as many jobs as one call can compare. Answers queries that need no confirmation at once. */
   private takeBatch(): Map<JobId, BatchedJob> {
     const limit = CONDITIONS_PER_CHANGE * this.context.settings.stateStore.maxChangesPerTransaction;
     const batch = new Map<JobId, BatchedJob>();
@@ -108,7 +109,7 @@
   }
 
   private resolveConflict(batch: ReadonlyMap<JobId, BatchedJob>, changedKeys: ReadonlySet<string>): void {
-    // A conflict that names nothing that was asked for confirms nothing.
+    // If the conflict names none of the requested keys, any of the records may have changed.
     const namesAny = [...changedKeys].some((key) => batch.has(key.slice(JOB_PREFIX.length) as JobId));
     for (const [id, { queries }] of batch) {
       const mayHaveChanged = !namesAny || changedKeys.has(jobKey(id));
--- a/src/core/requests/request_handler.ts
+++ b/src/core/requests/request_handler.ts
@@ -1,4 +1,4 @@
-/** Takes in users' requests, on every controller: answers them here, or passes them to a peer. */
+/** Accepts user requests, on every controller. Handles a request itself or forwards it to a peer. */
 import type { JobCache } from '../jobs/job_cache.js';
 import type { MachineTypes } from '../machines/machine_type_catalog.js';
 import type { TaskCounts, UserRequest, UserResponse } from '../messages.js';
@@ -11,8 +11,11 @@
 import { JOB_NOT_FOUND, type RequestContinuation, type Respond, STATE_STORE_UNAVAILABLE } from './responses.js';
 import { INFEASIBILITY_PROBLEMS, infeasibilityReason } from './submission_validation.js';
 
-/** The state store has refused this controller for so long: a peer is asked first, or nobody. */
+/** How long the state store may fail before requests are forwarded to a peer without trying the state store first. */
 const FORWARD_AFTER_MS = 300;
+/**
+ * How long the state store may fail before requests that no peer can handle are refused without trying the state store.
+ */
 const GIVE_UP_AFTER_MS = 1500;
 
 const MACHINE_TYPES_UNKNOWN: UserResponse = {
@@ -22,30 +25,34 @@
 };
 const RECORD_TOO_LONG: UserResponse = { status: 422, problem: 'its description is longer than can be kept' };
 
-/** What the handler asks of the rest of the controller. */
+/** Operations of the rest of the controller that the handler uses. */
 interface RequestDependencies {
   machineTypes(): MachineTypes;
-  /** Null where this controller doesn't lead. */
+  /** Returns null if this controller is not the leader. */
   taskCounts(id: JobId): TaskCounts | null;
-  /** Passes a request to a peer that the state store answers; false, and nothing is done, if there is none. */
+  /**
+   * Forwards a request to a peer that reaches the state store. Returns false, and does nothing, if there is no such
+   * peer.
+   */
   forward(request: UserRequest, respond: Respond): boolean;
   broadcastCancellation: BroadcastCancellation;
 }
 
-/** Where a request came from: one from a peer isn't passed on again. */
+/** The origin of a request. A request from a peer is not forwarded again. */
 type RequestOrigin = 'user' | 'peer';
 
-/** A submission that was looked at before anything is done about it. */
+/** A submission after validation. */
 type Submission =
   | { readonly kind: 'valid'; readonly spec: JobSpec }
-  /** Refused whoever is asked; `spec` is null where it could not be read. */
+  /** Must be refused, whichever controller handles it. `spec` is null if the request was malformed. */
   | { readonly kind: 'refused'; readonly spec: JobSpec | null; readonly response: UserResponse };
 
 type SubmitRequest = Extract<UserRequest, { readonly op: 'submit' }>;
 
 /**
- * What is said of a job that isn't over is confirmed by the state store in that request: another controller may have
- * cancelled or finished it a moment ago. Only final states, which never change, are told from the cache.
+ * Handles submissions, queries and cancellations. For an unfinished job, the state store confirms the state during the
+ * request, since another controller may have cancelled or finished the job a moment ago. Only final states are taken
+ * from the cache without confirmation, because they never change.
  */
 export class RequestHandler {
   private readonly reader: JobReader;
@@ -67,7 +74,7 @@
     );
   }
 
-  /** Answers a request, now or later, within the time that users wait. */
+  /** Handles a request. `respond` is called now or later, within the time that users wait. */
   handle(request: UserRequest, respond: Respond, origin: RequestOrigin): void {
     const known = this.jobCache.get(request.id);
     if (known && known.record.state !== 'accepted') {
@@ -78,13 +85,13 @@
     const tryForward = (): boolean => origin === 'user' && this.forward(request, submission, respond);
     const failingMs = this.stateStoreFailingMs();
     if (failingMs > FORWARD_AFTER_MS && tryForward()) return;
-    // Nothing here can be confirmed, and nobody else is there to ask: said at once, with when to come back.
+    // This controller can confirm no state, and no peer can handle the request. The response tells when to retry.
     if (failingMs > GIVE_UP_AFTER_MS) {
       respond(STATE_STORE_UNAVAILABLE);
       return;
     }
-    // A call that brought nothing here may still work for a controller that the state store hasn't shut out. Passing the
-    // whole request on also settles an unknown outcome: there it is found carried out, or carried out now.
+    // A call that failed here may succeed for a peer that the state store does not refuse. Forwarding the whole request
+    // also resolves an unknown outcome: the peer finds that the request was executed, or executes it.
     const onUnavailable = (): void => {
       if (!tryForward()) respond(STATE_STORE_UNAVAILABLE);
     };
@@ -102,15 +109,16 @@
     }
   }
 
-  /** For how long the state store has refused this controller or not answered it, in milliseconds; 0: it answers. */
+  /** How long the state store has refused or not answered this controller's calls, in milliseconds. 0 if it answers. */
   private stateStoreFailingMs(): number {
     const since = this.context.stateStore.failingSince;
     return since === null ? 0 : this.context.now.monotonic - since;
   }
 
   /**
-   * A submission that must be refused is only looked up at the peer, as a repeat of an accepted one is answered with its
-   * state: an earlier version there may accept what can never run (upgrade-invalid-requests.txt).
+   * Forwards a request to a peer. A refused submission is forwarded as a query only, because a peer with an earlier
+   * release might accept a job that can never run (upgrade-invalid-requests.txt). The query is still needed, since a
+   * repeated submission of an accepted job is answered with the state of the job.
    */
   private forward(request: UserRequest, submission: Submission | null, respond: Respond): boolean {
     if (submission?.kind !== 'refused') return this.dependencies.forward(request, respond);
@@ -130,7 +138,7 @@
   }
 
   private submit(id: JobId, submission: Submission, continuation: RequestContinuation): void {
-    // A repeat of a submission that was taken.
+    // The submission of an accepted job was repeated.
     if (submission.spec && this.jobCache.get(id)) {
       this.linearizableReads.enqueue({ id, responseIfMissing: STATE_STORE_UNAVAILABLE, ...continuation });
     } else if (submission.kind === 'refused') {
--- a/src/core/requests/responses.ts
+++ b/src/core/requests/responses.ts
@@ -1,22 +1,22 @@
-/** How a user's request ends: what it is answered, and what becomes of it where the state store gives no answer. */
+/** Continuations and common responses of user requests. */
 import type { UserResponse } from '../messages.js';
 
-/** Answers a request; called once. */
+/** Sends the response to a request. It is called once. */
 export type Respond = (response: UserResponse) => void;
 
-/** The ways in which a request goes on. */
+/** Callbacks for the outcomes of a request, of which exactly one is called. */
 export interface RequestContinuation {
   readonly respond: Respond;
-  /** The state store gave this controller no answer: another one may get one. */
+  /** This controller's call to the state store failed. The request may succeed on another controller. */
   readonly onUnavailable: () => void;
 }
 
-/** Neither this controller nor a peer got an answer of the state store. */
+/** Neither this controller nor a peer could reach the state store. */
 export const STATE_STORE_UNAVAILABLE: UserResponse = {
   status: 503,
   problem: 'the state service does not answer',
   retryAfterSeconds: 1,
 };
 
-/** No job is on record under the id. */
+/** No job with this id is stored. */
 export const JOB_NOT_FOUND: UserResponse = { status: 404, problem: 'no such job' };
--- a/src/core/requests/submission_validation.ts
+++ b/src/core/requests/submission_validation.ts
@@ -1,11 +1,11 @@
-/** Checks submissions against what the deployment offers. */
+/** Checks whether submitted jobs can run with the machine types, zones and team limits of the deployment. */
 import { fitsTeamLimit } from '../state/quotas.js';
 import type { JobSpec, MachineType, MachineTypeName, TeamQuota, ZoneName } from '../types.js';
 
 /** Why a job can never run. */
 type InfeasibilityReason = 'unknownTeam' | 'fitsNoMachineType' | 'exceedsTeamLimit' | 'needsSeveralZones';
 
-/** What users are told. */
+/** The error message to the user for each reason. */
 export const INFEASIBILITY_PROBLEMS: Readonly<Record<InfeasibilityReason, string>> = {
   unknownTeam: 'unknown team',
   fitsNoMachineType: 'a task fits no allowed machine type',
@@ -13,7 +13,7 @@
   needsSeveralZones: 'its tasks must be in several zones and can only be in one',
 };
 
-/** The zones in which a task of the job fits a machine type that the job allows. */
+/** Returns the zones in which a task of the job fits a machine type that the job allows. */
 function feasibleZones(spec: JobSpec, types: ReadonlyMap<MachineTypeName, MachineType>): Set<ZoneName> {
   const zones = new Set<ZoneName>();
   for (const type of types.values()) {
@@ -24,7 +24,7 @@
   return zones;
 }
 
-/** Returns why a job can never run on this deployment; null: it can. */
+/** Returns why a job can never run in this deployment. Null if it can run. */
 export function infeasibilityReason(
   spec: JobSpec,
   types: ReadonlyMap<MachineTypeName, MachineType>,
@@ -35,7 +35,8 @@
   const zones = feasibleZones(spec, types);
   if (zones.size === 0) return 'fitsNoMachineType';
   if (!fitsTeamLimit(team, spec)) return 'exceedsTeamLimit';
-  // What has to run all at once and may have half of it in a zone needs two zones; an array goes on in turns.
+  // All tasks of a gang or a service run at the same time. With zone spread, a zone may hold at most half of them, so
+  // they need two zones. The tasks of an array can run one after another.
   const needsTwoZones = spec.kind !== 'array' && spec.zoneSpread && spec.taskCount > 1;
   return needsTwoZones && (spec.singleZone || zones.size < 2) ? 'needsSeveralZones' : null;
 }
--- a/src/core/resource_amounts.ts
+++ b/src/core/resource_amounts.ts
@@ -1,8 +1,8 @@
-/** Arithmetic of cores, GPUs and memory. */
+/** Arithmetic with amounts of cores, GPUs and memory. */
 
-/** Sums of decimal amounts of cores, GPUs and memory differ from what they should be by less than this. */
+/** Upper bound of the rounding error in sums of fractional amounts of cores, GPUs and memory. */
 export const RESOURCE_TOLERANCE = 1e-6;
 
-/** Returns how many times `each` fits into `free`; infinity where nothing is asked for. */
+/** Returns how many times `each` fits into `free`. Infinity if `each` is 0. */
 export const countFitting = (free: number, each: number): number =>
   each > 0 ? Math.floor(free / each + RESOURCE_TOLERANCE) : Number.POSITIVE_INFINITY;
--- a/src/core/settings.ts
+++ b/src/core/settings.ts
@@ -1,57 +1,63 @@
-/** What operators say about a deployment, as the core needs it. */
+/** The settings and the tuning of a deployment, in the form that the core uses. */
 import type { ControllerName, TeamQuota, ZoneName } from './types.js';
 
-/** What the operators expect of a class of jobs; only what bears on order is kept. */
+/**
+ * The operators' objective for a class of jobs, with the fields that affect the order of jobs. `wait` limits the time
+ * until a job runs, `finished` the time until it is done, and `deadline` relates that time to the job's own deadline.
+ */
 export interface ServiceLevelObjective {
   readonly kind: 'wait' | 'finished' | 'deadline';
   readonly jobClass: string;
-  /** For `wait` and `finished`. */
+  /** The time limit of `wait` and `finished` objectives. */
   readonly withinSeconds: number;
-  /** For deadlines: how many times the deadline. */
+  /** For `deadline` objectives, the factor by which a job's deadline is multiplied. */
   readonly deadlineFactor: number;
 }
 
-/** What the platform says about this deployment, as the core needs it. */
+/** The platform's settings for this deployment. */
 export interface Settings {
-  /** This controller. */
+  /** The name of this controller. */
   readonly controller: ControllerName;
   readonly zone: ZoneName;
-  /** The other controllers that are known at start. */
+  /** The other controllers that are known at startup. */
   readonly peers: readonly { readonly name: ControllerName; readonly zone: ZoneName }[];
-  /** All controllers with this one: they share the limits of the state store. */
+  /** The number of controllers, including this one. They share the limits of the state store. */
   readonly controllerCount: number;
-  /** What a controller may use: its share of a core, and its sockets. */
+  /** The resource limits of a controller: its share of a core, and the number of its sockets. */
   readonly limits: { readonly cpuShare: number; readonly maxConnections: number };
   readonly zones: readonly ZoneName[];
-  /** How far the clocks of two machines may be apart. */
+  /** Maximum difference between the clocks of two machines. */
   readonly clockSkewMs: number;
   readonly teamQuotas: readonly TeamQuota[];
   readonly objectives: readonly ServiceLevelObjective[];
   readonly workers: {
     readonly heartbeatIntervalMs: number;
-    /** How long a worker goes on without a response to its heartbeats. */
+    /** How long a worker keeps running its tasks without a response to its heartbeats. */
     readonly leaseMs: number;
-    /** How long the tasks of a gang wait for each other before they exit. */
+    /** How long the tasks of a gang wait for each other at the barrier before they exit. */
     readonly gangBarrierTimeoutMs: number;
-    /** How soon the tasks of a running gang notice that one is gone. */
+    /** The time within which the tasks of a running gang notice that one of them is missing. */
     readonly gangPeerTimeoutMs: number;
-    /** Within this time after a cancellation no task of the job may run. */
+    /** Maximum time after a job's cancellation during which its tasks may still run. */
     readonly cancellationTimeoutMs: number;
   };
   readonly stateStore: {
     readonly requestsPerSecond: number;
     readonly writesPerSecond: number;
-    /** The rates that come into force without notice, where lower ones are announced; else the same. */
+    /**
+     * The announced lower rates, which the state store may enforce at any time without further notice. Equal to the
+     * present rates if no lower ones are announced.
+     */
     readonly announcedRequestsPerSecond: number;
     readonly announcedWritesPerSecond: number;
     readonly maxValueBytes: number;
     readonly maxChangesPerTransaction: number;
   };
-  /** `listStalenessMs`: by how much the list of machines usually lags. */
+  /** `listStalenessMs` is the usual lag of the cloud's list of machines. */
   readonly cloud: { readonly requestsPerSecond: number; readonly listStalenessMs: number };
 }
 
-/** The operators' own tuning; units and reasons stand in deploy/tuning.toml. */
+/** The operators' tuning parameters. deploy/tuning.toml documents their units and reasons. */
 export interface Tuning {
   readonly leadership: {
     readonly lease_share: number;
--- a/src/core/step_clock.ts
+++ b/src/core/step_clock.ts
@@ -1,9 +1,9 @@
-/** The time of the current step: it stands still until the next one begins. */
+/** The time of the current step. It does not change until the next step begins. */
 import { addMilliseconds, type ClockReading, type MonotonicTime } from './types.js';
 
-/** Both clocks as they were read when the step began. */
+/** The readings of both clocks at the beginning of the step. */
 export class StepClock {
-  /** `now`: the reading with which the first step begins. */
+  /** `reading` is the initial reading, until the first step begins. */
   constructor(private reading: ClockReading) {}
 
   /** The time at which the step began. */
@@ -11,12 +11,12 @@
     return this.reading;
   }
 
-  /** Begins a step. */
+  /** Begins a step at the time `now`. */
   advance(now: ClockReading): void {
     this.reading = now;
   }
 
-  /** Returns the time so many milliseconds from now. */
+  /** Returns the time `ms` milliseconds after the beginning of the step. */
   after(ms: number): MonotonicTime {
     return addMilliseconds(this.reading.monotonic, ms);
   }
--- a/src/core/step_context.ts
+++ b/src/core/step_context.ts
@@ -1,4 +1,4 @@
-/** What all parts of a controller share in a step: the time, settings, timers, the outbox and the clients. */
+/** What all components of a controller share: the time, the settings, the timers, the outbox and the clients. */
 import { CloudClient } from './clients/cloud_client.js';
 import { CommandPushClient } from './clients/command_push_client.js';
 import { StateStoreClient } from './clients/state_store_client.js';
@@ -12,7 +12,7 @@
 import { Timers } from './timers.js';
 import type { ClockReading, MonotonicTime } from './types.js';
 
-/** One for each controller; steps begin and end here. */
+/** The shared context of one controller. The controller calls it at the beginning and the end of each step. */
 export class StepContext {
   readonly timers = new Timers();
   readonly leadership = new LeadershipValidity();
@@ -43,30 +43,30 @@
     return this.clock.now;
   }
 
-  /** Returns the time so many milliseconds from now. */
+  /** Returns the time `ms` milliseconds after the beginning of the step. */
   after(ms: number): MonotonicTime {
     return this.clock.after(ms);
   }
 
-  /** Begins a step at this time. */
+  /** Begins a step at the time `now`. */
   beginStep(now: ClockReading): void {
     this.clock.advance(now);
   }
 
-  /** Sends queued calls as far as the rate limits allow, and returns all outputs of the step. */
+  /** Dispatches queued calls as far as the rate limits allow, and returns all outputs of the step. */
   endStep(): Output[] {
     this.stateStore.dispatch();
     this.cloud.dispatch();
     return this.outbox.takeAll();
   }
 
-  /** This controller acts as the leader from now on, or no longer. */
+  /** Sets whether this controller acts as the leader. */
   setIsLeader(isLeader: boolean): void {
     this.leadership.isLeader = isLeader;
     this.stateStore.setIsLeader(isLeader);
   }
 
-  /** Logs an event of the catalogue, at its level. */
+  /** Logs an event of the catalogue at the event's level. */
   log<Event extends LogEvent>(event: Event, fields: FieldsOf<Event>): void {
     this.outbox.log(event, fields);
   }
--- a/src/core/timers.ts
+++ b/src/core/timers.ts
@@ -1,38 +1,41 @@
-/** One-shot timers of a controller; the outside only needs to know when the next is due. */
+/** One-shot timers of a controller. The caller of the core only needs to know when the next one is due. */
 import type { MonotonicTime } from './types.js';
 
 /** Creates timers. */
 export interface TimerFactory {
-  /** Creates a timer that isn't set yet. `work`: done when it is due; left out, the timer only brings a step about. */
-  create(work?: () => void): Timer;
+  /** Creates an unset timer. `callback` is called when the timer is due. Without it, the timer only triggers a step. */
+  create(callback?: () => void): Timer;
 }
 
-/** Where timers are entered. */
+/** Stores the due times of timers. */
 interface Schedule {
   set(timer: Timer, at: MonotonicTime): void;
-  /** Null where the timer isn't set. */
+  /** Returns null if the timer isn't set. */
   dueAt(timer: Timer): MonotonicTime | null;
   clear(timer: Timer): void;
 }
 
-/** A timer, created by the part whose work it brings about. */
+/** A one-shot timer. The component that it belongs to creates it, and may set it any number of times. */
 export class Timer {
   constructor(
     private readonly schedule: Schedule,
-    private work: () => void,
+    private callback: () => void,
   ) {}
 
-  /** Names the work of a timer that was created below the part that does it; it may set the timer again. */
-  handle(work: () => void): void {
-    this.work = work;
+  /**
+   * Sets the function that is called when the timer is due. This is for timers whose creator does not depend on the
+   * component that handles them. The function may set the timer again.
+   */
+  handle(callback: () => void): void {
+    this.callback = callback;
   }
 
-  /** Sets the timer, or moves it if it is set. */
+  /** Sets the timer, or reschedules it if it is already set. */
   set(at: MonotonicTime): void {
     this.schedule.set(this, at);
   }
 
-  /** Sets the timer, or moves it if it is due later; one that is due sooner stays. */
+  /** Sets the timer, or reschedules it if it is due later than `at`. A timer that is due sooner keeps its time. */
   bringForward(at: MonotonicTime): void {
     const dueAt = this.schedule.dueAt(this);
     if (dueAt === null || dueAt > at) this.set(at);
@@ -43,33 +46,33 @@
     if (this.schedule.dueAt(this) === null) this.set(at);
   }
 
-  /** Sets the timer, or clears it where the time is null. */
+  /** Sets the timer, or clears it if the time is null. */
   setOrClear(at: MonotonicTime | null): void {
     if (at === null) this.clear();
     else this.set(at);
   }
 
-  /** Takes the timer back, also one that is due in this step and has not run. */
+  /** Clears the timer. A timer that is due in this step and has not run yet is cleared, too. */
   clear(): void {
     this.schedule.clear(this);
   }
 
-  /** Whether the timer is set and due by then. */
+  /** Returns whether the timer is set and due no later than `deadline`. */
   isDueBy(deadline: MonotonicTime): boolean {
     const dueAt = this.schedule.dueAt(this);
     return dueAt !== null && dueAt <= deadline;
   }
 
-  /** Does what the timer is for. */
+  /** Calls the timer's function. */
   run(): void {
-    this.work();
+    this.callback();
   }
 }
 
 /** All timers of a controller. */
 export class Timers implements TimerFactory {
   private readonly dueTimes = new Map<Timer, MonotonicTime>();
-  /** Due in this step, and not run yet. */
+  /** Timers that are due in this step and have not run yet. */
   private readonly running = new Set<Timer>();
   private readonly schedule: Schedule = {
     set: (timer, at) => this.dueTimes.set(timer, at),
@@ -80,24 +83,24 @@
     },
   };
 
-  /** Creates a timer that lasts as long as the controller. */
-  create(work: () => void = () => {}): Timer {
-    return new Timer(this.schedule, work);
+  /** Creates a timer that exists as long as the controller. */
+  create(callback: () => void = () => {}): Timer {
+    return new Timer(this.schedule, callback);
   }
 
-  /** Returns a factory of timers that end together: those of one term. */
+  /** Returns a factory for timers that are closed together, such as the timers of one term. */
   makeScope(): TimerScope {
     return new TimerScope(this.schedule);
   }
 
-  /** When the first timer is due; null if none is set. */
+  /** Returns the time at which the first timer is due. Null if none is set. */
   nextDueAt(): MonotonicTime | null {
     let first: MonotonicTime | null = null;
     for (const at of this.dueTimes.values()) if (first === null || at < first) first = at;
     return first;
   }
 
-  /** Runs the timers that are due, in the order in which they were set; one set meanwhile waits for the next step. */
+  /** Runs the due timers in the order in which they were set. A timer set meanwhile runs in a later step. */
   runDue(now: MonotonicTime): void {
     for (const [timer, at] of this.dueTimes) if (at <= now) this.running.add(timer);
     for (const timer of this.running) this.dueTimes.delete(timer);
@@ -108,7 +111,7 @@
   }
 }
 
-/** Timers that end together. */
+/** Creates timers that are closed together. */
 export class TimerScope implements TimerFactory {
   private readonly timers: Timer[] = [];
   private isClosed = false;
@@ -124,14 +127,14 @@
     };
   }
 
-  /** Creates a timer that ends with the scope. */
-  create(work: () => void = () => {}): Timer {
-    const timer = new Timer(this.scoped, work);
+  /** Creates a timer that is cleared when the scope is closed. */
+  create(callback: () => void = () => {}): Timer {
+    const timer = new Timer(this.scoped, callback);
     this.timers.push(timer);
     return timer;
   }
 
-  /** Clears all timers of the scope for good: setting one has no effect from now on. */
+  /** Clears all timers of the scope permanently. Setting one of them has no effect afterwards. */
   close(): void {
     this.isClosed = true;
     for (const timer of this.timers) timer.clear();
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -1,69 +1,76 @@
-/** The domain's types. Ids, versions and times are branded, so that none is taken for another. */
+/**
+ * Domain types. Ids, versions and times are branded types, so that one cannot be used in place of another by mistake.
+ */
 declare const brand: unique symbol;
 type Brand<T, B extends string> = T & { readonly [brand]: B };
 
-/** Given by the user; a submission repeated under the same id is the same job. */
+/** Job id, assigned by the user. Repeated submissions with the same id refer to the same job. */
 export type JobId = Brand<string, 'JobId'>;
-/** Given by the cloud. */
+/** Machine id, assigned by the cloud. */
 export type MachineId = Brand<string, 'MachineId'>;
-/** Names a controller over its restarts. */
+/** Name of a controller. It stays the same across restarts. */
 export type ControllerName = Brand<string, 'ControllerName'>;
-/** Given by the settings; machines of a zone fail together more often than others. */
+/** Name of a zone, from the settings. Machines in the same zone are more likely to fail together. */
 export type ZoneName = Brand<string, 'ZoneName'>;
-/** Given by the cloud. */
+/** Name of a machine type, assigned by the cloud. */
 export type MachineTypeName = Brand<string, 'MachineTypeName'>;
-/** Given by the settings. */
+/** Name of a team, from the settings. */
 export type TeamName = Brand<string, 'TeamName'>;
-/** What a task runs; workers pull it. */
+/** Name of the image that a task runs. Workers pull images. */
 export type ImageName = Brand<string, 'ImageName'>;
 
-/** A revision of the state store, or the version of one key: the revision of its last change. */
+/** A revision of the state store. The version of a key is the revision of its last change. */
 export type Revision = Brand<bigint, 'Revision'>;
-/** The fencing token of a leader: the revision at which it acquired the leader key. A later leader's is higher. */
+/** Fencing token of a leader: the revision at which it acquired the leader key. Later leaders have higher tokens. */
 export type FencingToken = Brand<bigint, 'FencingToken'>;
 /** A lease of the state store. */
 export type LeaseId = Brand<bigint, 'LeaseId'>;
-/** Numbers the starts of tasks, over all terms; the tasks of a gang that are started together share one. */
+/** Number of a task start, increasing across all terms. Tasks of a gang that are started together share a number. */
 export type Attempt = Brand<bigint, 'Attempt'>;
-/** Counts the leases of a worker: what ran under an earlier one has ended. */
+/** Number of a worker's lease. Tasks that ran under an earlier epoch have ended. */
 export type AgentEpoch = Brand<bigint, 'AgentEpoch'>;
-/** Numbers a worker's heartbeats within an agent epoch. */
+/** Number of a worker's heartbeat within an agent epoch. */
 export type SequenceNumber = Brand<bigint, 'SequenceNumber'>;
 
 /** Milliseconds on this process's monotonic clock. */
 export type MonotonicTime = Brand<number, 'MonotonicTime'>;
-/** Milliseconds since 1970, as the clock of this machine tells them; it may jump. */
+/** Milliseconds since the Unix epoch, read from this machine's clock. The clock may jump. */
 export type WallClockTime = Brand<number, 'WallClockTime'>;
 
-/** One instant on both clocks. */
+/** One point in time on both clocks. */
 export interface ClockReading {
   readonly monotonic: MonotonicTime;
   readonly wallClock: WallClockTime;
 }
 
-/** Returns the time so many milliseconds after another. */
+/** Returns the time `ms` milliseconds after `time`. */
 export const addMilliseconds = (time: MonotonicTime, ms: number): MonotonicTime => (time + ms) as MonotonicTime;
-/** Brands a number that the state store gave as a revision. */
+/** Brands a number received from the state store as a revision. */
 export const revision = (value: bigint | number): Revision => BigInt(value) as Revision;
 /** The version of a key that does not exist. */
 export const ABSENT_VERSION = revision(0n);
 
-/** An array's tasks are independent, a gang's run all at once or not at all, a service's run until it is cancelled. */
+/**
+ * The tasks of an array are independent. The tasks of a gang run all at the same time or not at all. The tasks of a
+ * service run until it is cancelled.
+ */
 export type JobKind = 'array' | 'gang' | 'service';
-/** 0 is the lowest user priority, 3 the highest. */
+/** Priority set by the user. 0 is the lowest, 3 the highest. */
 export type PriorityLevel = 0 | 1 | 2 | 3;
 
-/** What a task takes, or a machine has: cores, GPUs, and gigabytes of memory. Cores may be fractions. */
+/**
+ * Resources that a task needs or a machine has: cores, GPUs, and gigabytes of memory. Core counts may be fractional.
+ */
 export interface Resources {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
 }
 
-/** A job as its user described it; the resources are those of one task. */
+/** A job as submitted by its user. The resources are those of one task. */
 export interface JobSpec extends Resources {
   readonly id: JobId;
-  /** What the operators' objectives and the runtime estimates are kept by. */
+  /** The class of the job. Operators' objectives apply to a class, and runtime estimates are kept for each class. */
   readonly jobClass: string;
   readonly team: TeamName;
   readonly kind: JobKind;
@@ -71,9 +78,9 @@
   readonly taskCount: number;
   readonly image: ImageName;
   readonly imageGb: number;
-  /** Null: any. */
+  /** The machine types that may run its tasks. Null means any. */
   readonly allowedMachineTypes: readonly MachineTypeName[] | null;
-  /** The zone that all tasks must be in; null: any. */
+  /** The zone that all tasks must be in. Null means any. */
   readonly zone: ZoneName | null;
   /** Whether all tasks must be in the same zone at any time. */
   readonly singleZone: boolean;
@@ -81,35 +88,38 @@
   readonly zoneSpread: boolean;
   /** Whether tasks may be on spot instances. */
   readonly toleratesSpot: boolean;
-  /** The owner's estimate of a task's run time without the image pull; often wrong by half and more. */
+  /** The owner's estimate of a task's run time, excluding the image pull. It is often wrong by 50 % or more. */
   readonly estimatedRuntimeSeconds: number;
-  /** The progress after which a task saves a checkpoint by itself; 0: it never saves. */
+  /** The progress, in seconds, after which a task saves a checkpoint automatically. 0 means that it never saves one. */
   readonly checkpointIntervalSeconds: number;
-  /** The time that a task needs to save when it is stopped. */
+  /** The time that a task needs to save a checkpoint when it is stopped. */
   readonly checkpointDurationSeconds: number;
-  /** When the job should be complete, from its submission; null: no deadline. */
+  /** The time from submission within which the job should be complete. Null means no deadline. */
   readonly deadlineSeconds: number | null;
 }
 
 /** A type of machine that the cloud provisions. */
 export interface MachineType extends Resources {
   readonly name: MachineTypeName;
-  /** How much of images a machine keeps. */
+  /** The size of a machine's image cache. */
   readonly imageCacheGb: number;
   readonly imagePullGbPerSecond: number;
   readonly pricePerHour: number;
   readonly spotPricePerHour: number;
   /** The usual time from provisioning to the first heartbeat. */
   readonly bootSeconds: number;
-  /** Where it is offered. */
+  /** The zones in which the type is offered. */
   readonly zones: readonly ZoneName[];
 }
 
-/** What a task does on its worker. `pulling`: its image; `gathering`: waits at the gang barrier for the others. */
+/**
+ * The phase of a task on its worker. In `pulling`, the worker pulls the image. In `gathering`, the task waits at the
+ * gang barrier for the other tasks.
+ */
 export type TaskPhase = 'pulling' | 'gathering' | 'running' | 'checkpointing' | 'exited';
 /**
- * Why a task exited. The last three mean that its start was refused: resources are lacking, another attempt is there, or the
- * job is not known.
+ * Why a task exited. The last three mean that the worker refused the start, because resources are lacking, because
+ * another attempt of the task is on the machine, or because the job is unknown.
  */
 export type ExitReason =
   | 'done'
@@ -121,7 +131,7 @@
   | 'busy'
   | 'unknown';
 
-/** A task on a machine, as its worker tells it. */
+/** A task on a machine, as reported by its worker. */
 export interface TaskStatus {
   readonly job: JobId;
   readonly index: number;
@@ -129,31 +139,31 @@
   readonly phase: TaskPhase;
   /** Null unless it has exited. */
   readonly exitReason: ExitReason | null;
-  /** Whether progress was saved when it was stopped. */
+  /** Whether a checkpoint was saved when the task was stopped. */
   readonly checkpointSaved: boolean;
 }
 
 /** A task that has not exited. */
 export type LiveTaskStatus = TaskStatus & { readonly phase: Exclude<TaskPhase, 'exited'> };
 
-/** What a worker sends at intervals: its machine, the state of its agent, and all tasks on the machine. */
+/** The message that a worker sends periodically: its machine, the state of its agent, and all tasks on the machine. */
 export interface Heartbeat {
   readonly machine: MachineId;
-  /** Where commands can be pushed to, as host and port. */
+  /** Host and port to which commands can be pushed. */
   readonly address: string;
   readonly type: MachineTypeName;
   readonly zone: ZoneName;
   readonly spot: boolean;
   readonly agentEpoch: AgentEpoch;
   readonly sequence: SequenceNumber;
-  /** The highest that the worker has seen. */
+  /** The highest fencing token that the worker has seen. */
   readonly fencingToken: FencingToken;
-  /** The time until the cloud takes the spot instance; null: no notice was given. */
+  /** The time until the cloud reclaims the spot instance. Null if no interruption notice was given. */
   readonly interruptionNoticeSeconds: number | null;
   readonly tasks: readonly TaskStatus[];
 }
 
-/** What a worker is told to do. `acknowledge`: it need not tell of an exited task any more. */
+/** A command to a worker. After an `acknowledge`, the worker need not report the exited task any longer. */
 export type Command =
   | { readonly op: 'start'; readonly job: JobId; readonly index: number; readonly attempt: Attempt }
   | {
@@ -161,7 +171,7 @@
       readonly job: JobId;
       readonly index: number;
       readonly attempt: Attempt;
-      /** For a checkpoint; 0: the task ends at once. */
+      /** The time that the task has to save a checkpoint. 0 means that it ends at once. */
       readonly gracePeriodSeconds: number;
     }
   | { readonly op: 'acknowledge'; readonly job: JobId; readonly index: number; readonly attempt: Attempt };
@@ -174,14 +184,14 @@
   readonly zone: ZoneName;
   readonly spot: boolean;
   readonly phase: 'booting' | 'running' | 'failed';
-  /** Since it was provisioned. */
+  /** The time since the machine was provisioned. */
   readonly ageSeconds: number;
 }
 
-/** Quotas count cores and GPUs; memory has none. */
+/** Quotas apply to cores and GPUs, but not to memory. */
 type QuotaAmounts = Pick<Resources, 'cpus' | 'gpus'>;
 
-/** What a team is guaranteed, and what it may have at most; 0: no guarantee, or no limit. */
+/** The guaranteed resources of a team and its resource limit. 0 means no guarantee, or no limit. */
 export interface TeamQuota {
   readonly name: TeamName;
   readonly guaranteed: QuotaAmounts;
--- a/test/core/records.test.ts
+++ b/test/core/records.test.ts
@@ -7,7 +7,7 @@
 import { zoneA } from '../support/machine_fixtures.js';
 
 describe('job records', () => {
-  test('keep the start zones of a job only where the record has space for all of them', () => {
+  test('include the start zones of a job only if all of them fit into the record', () => {
     const zones = ['north', 'south'] as ZoneName[];
     const spec = makeJobSpec('job-1', 'array', { tasks: '4' });
     const record = {
