--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -1,4 +1,4 @@
-/** Keeps as many machines as work and guarantees need: puts scale out, scale in and the list of machines together. */
+/** Adapts the number of machines to the work and the guaranteed quotas by running scale-out and scale-in. */
 import type { Machine } from '../machines/machine.js';
 import type { RoundResult } from '../scheduler/round_result.js';
 import type { Cluster } from '../state/cluster.js';
@@ -9,22 +9,22 @@
 import { ScaleOut } from './scale_out.js';
 import { ScaleOutDemand } from './scale_out_demand.js';
 
-/** Interruptions of spot machines are reckoned over at most so many seconds at once. */
+/** Maximum period that one observation adds to the spot interruption rate, in seconds. */
 const MAX_OBSERVED_SECONDS = 5;
-/** So many machines' worth of work that might run on spot machines is worth one of them ... */
+/** Spot-tolerant work on on-demand machines, as a number of machines, from which a spot machine is requested. */
 const MIN_SPOT_ELIGIBLE_MACHINES = 0.7;
-/** ... where its price is at most this part of the price on demand. */
+/** Maximum ratio of the spot price to the on-demand price at which on-demand machines are replaced. */
 const MAX_SPOT_PRICE_RATIO = 0.6;
 
-/** Keeps the machines on record in the state store. */
+/** Maintains the stored records of machines. */
 interface MachineRegistrar {
-  /** Puts a machine on record. */
+  /** Adds a machine to the stored records. */
   registerMachine(machine: Machine): void;
-  /** Takes a machine off the record. */
+  /** Removes a machine from the stored records. */
   unregisterMachine(machine: Machine): void;
 }
 
-/** Provisions machines for planned work, terminates those that are of no use, and keeps the list of machines true. */
+/** Provisions machines for waiting work, terminates unneeded machines, and keeps the list of machines up to date. */
 export class Autoscaler {
   private readonly machineList: MachineList;
   private readonly scaleOut: ScaleOut;
@@ -51,29 +51,32 @@
     this.spotObservedAt = cluster.context.now.monotonic;
   }
 
-  /** Reads the cloud's list of machines now. */
+  /** Reads the cloud's list of machines now, unless a read is in flight. */
   listMachines(): void {
     this.machineList.read();
   }
 
-  /** Once a second: terminates machines that should go. */
+  /** Runs once a second. Reads the machine list if due, updates the spot interruption rate and terminates machines. */
   runScaleIn(leadingSince: MonotonicTime): void {
     this.machineList.readIfDue();
     this.observeSpotMachines();
     this.scaleIn.run(leadingSince, this.guaranteedCapacity.deficit());
   }
 
-  /** Once a round: provisions what would start waiting work sooner than the plan can. */
+  /**
+   * Runs once per planning round. Provisions machines on which waiting work would start sooner than in the plan,
+   * machines for guarantees, and spot replacements.
+   */
   runScaleOut(round: RoundResult): void {
-    this.guaranteedCapacity.noteActiveWork();
-    // Without the list, machines may be there that nobody knows of here.
+    this.guaranteedCapacity.recordActiveWork();
+    // Until the list has been read, machines may exist that this leader does not know.
     if (!this.machineList.isComplete) return;
     new ScaleOutDemand(this.cluster, this.scaleOut, round).provision();
     this.guaranteedCapacity.provisionDeficit();
     this.provisionSpotReplacements();
   }
 
-  /** Counts the loss of a spot machine, once for each. */
+  /** Records the interruption of a spot machine. Each machine is counted once. */
   private recordInterruption(machine: Machine): void {
     if (machine.spot && machine.cordon.countInterruption()) this.cluster.spotInterruptions.recordInterruption();
   }
@@ -92,8 +95,9 @@
   }
 
   /**
-   * Work that may run on spot machines but sits on others is paid several times over: while there is a machine's worth of
-   * it, a spot machine is requested. New work then prefers it, and the others fall idle and are terminated.
+   * Requests spot machines to replace on-demand machines. Spot-tolerant work costs several times as much on on-demand
+   * machines. While there is about a machine's worth of such work, a spot machine is requested. New work then prefers
+   * the spot machine, and the on-demand machines become idle and are terminated.
    */
   private provisionSpotReplacements(): void {
     for (const [name, share] of this.spotEligibleMachinesByType()) {
@@ -110,7 +114,7 @@
     }
   }
 
-  /** By type, how many machines' worth of work sits on machines on demand and might be on spot ones. */
+  /** Returns, by machine type, how many machines the spot-tolerant work on on-demand machines would fill. */
   private spotEligibleMachinesByType(): Map<MachineTypeName, number> {
     const shares = new Map<MachineTypeName, number>();
     for (const machine of this.cluster.machines.values()) {
@@ -125,7 +129,7 @@
     return shares;
   }
 
-  /** Whether a spot machine of the type is requested or booting. */
+  /** Returns whether a spot machine of the type is requested or booting. */
   private isSpotProvisioning(type: MachineType): boolean {
     for (const { pool } of this.scaleOut.pendingRequests()) if (pool.spot && pool.type.name === type.name) return true;
     for (const { typeName, spot, phase } of this.cluster.machines.values()) {
--- a/src/core/autoscaling/guaranteed_capacity.ts
+++ b/src/core/autoscaling/guaranteed_capacity.ts
@@ -1,23 +1,26 @@
-/** Keeps capacity for the teams' guaranteed quotas while there is work. */
+/** Provisions and keeps capacity for the teams' guaranteed quotas while there are active jobs. */
 import type { CapacityPool } from '../machines/capacity_pool.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MachineType, MonotonicTime } from '../types.js';
 import type { ScaleOut } from './scale_out.js';
 
-/** Capacity for guarantees is kept until there has been no work at all for so long. */
-const KEEP_WHILE_IDLE_MS = 30_000;
-/** Guarantees count as met up to this many cores or GPUs: amounts are decimal, and their sums leave a rest. */
+/** Time without any active job after which no capacity is kept for guarantees, in milliseconds. */
+const IDLE_RETENTION_MS = 30_000;
+/**
+ * Deficit, in cores or GPUs, below which guarantees count as met. Amounts are decimal numbers, whose sums are not
+ * exact.
+ */
 export const CAPACITY_TOLERANCE = 0.5;
-/** Added to the price of a core or GPU: a guarantee is not left to spot machines while others can be had. */
+/** Added to the price per core or GPU of spot pools, so that they are used only if no on-demand pool is available. */
 const SPOT_PENALTY = 1000;
 
-/** Cores and GPUs; changed in place while machines are judged. */
+/** Amounts of cores and GPUs. Scale-in updates them in place while it evaluates machines. */
 export interface Capacity {
   cpus: number;
   gpus: number;
 }
 
-/** The capacity that all teams' guarantees ask for, so that guaranteed teams need not wait for machines to boot. */
+/** Capacity for the guarantees of all teams, so that their work does not have to wait for machines to boot. */
 export class GuaranteedCapacity {
   private lastWorkAt: MonotonicTime;
 
@@ -25,15 +28,18 @@
     private readonly cluster: Cluster,
     private readonly scaleOut: ScaleOut,
   ) {
-    this.lastWorkAt = cluster.context.after(-KEEP_WHILE_IDLE_MS);
+    this.lastWorkAt = cluster.context.after(-IDLE_RETENTION_MS);
   }
 
-  /** Notes whether there is work now: while there was some lately, guarantees are kept. */
-  noteActiveWork(): void {
+  /** Records whether there are active jobs now. Capacity for guarantees is kept for a while after the last one. */
+  recordActiveWork(): void {
     if (this.cluster.jobs.active.size > 0) this.lastWorkAt = this.cluster.context.now.monotonic;
   }
 
-  /** What the guarantees ask for beyond what is there; negative: to spare; minus infinity where nothing is guaranteed. */
+  /**
+   * Returns the guaranteed capacity that is neither available nor requested. Negative amounts are a surplus, and minus
+   * infinity means that nothing is guaranteed.
+   */
   deficit(): Capacity {
     const required = this.required();
     const missing: Capacity = { ...required };
@@ -52,12 +58,15 @@
     };
   }
 
-  /** What the guarantees ask for now: nothing while there is no work, or where they are not to be kept. */
+  /**
+   * Returns the capacity that all guarantees require. It is zero if there has been no active job recently, or if the
+   * setting `keep_guarantees` is off.
+   */
   private required(): Capacity {
     const required: Capacity = { cpus: 0, gpus: 0 };
     const { context, quotas } = this.cluster;
-    const workMs = context.now.monotonic - this.lastWorkAt;
-    if (!context.tuning.machines.keep_guarantees || workMs >= KEEP_WHILE_IDLE_MS) return required;
+    const msSinceWork = context.now.monotonic - this.lastWorkAt;
+    if (!context.tuning.machines.keep_guarantees || msSinceWork >= IDLE_RETENTION_MS) return required;
     for (const { guaranteed } of quotas.teamsInOrder()) {
       required.cpus += guaranteed.cpus;
       required.gpus += guaranteed.gpus;
@@ -65,26 +74,30 @@
     return required;
   }
 
-  /** Provisions what is missing, from the pool that gives most for its price. Waits for requests that are pending. */
+  /**
+   * Provisions the deficit from the pool with the lowest price per missing core or GPU. Does nothing while requests are
+   * pending.
+   */
   provisionDeficit(): void {
     const deficit = this.deficit();
     const lacksGpus = deficit.gpus >= CAPACITY_TOLERANCE;
     if (!lacksGpus && deficit.cpus < CAPACITY_TOLERANCE) return;
     if (this.scaleOut.hasPendingRequests()) return;
-    const gain = (type: MachineType): number => (lacksGpus ? type.gpus : type.cpus);
-    const pool = this.cheapestPool(gain);
+    const capacityOf = (type: MachineType): number => (lacksGpus ? type.gpus : type.cpus);
+    const pool = this.cheapestPool(capacityOf);
     if (!pool) return;
     const missingAmount = lacksGpus ? deficit.gpus : deficit.cpus;
-    this.scaleOut.provision(pool, Math.ceil(missingAmount / gain(pool.type)));
+    this.scaleOut.provision(pool, Math.ceil(missingAmount / capacityOf(pool.type)));
   }
 
-  private cheapestPool(gain: (type: MachineType) => number): CapacityPool | null {
+  /** Returns the pool with the lowest price per unit of `capacityOf`, except pools that are backed off. */
+  private cheapestPool(capacityOf: (type: MachineType) => number): CapacityPool | null {
     let cheapest: CapacityPool | null = null;
     let lowestCost = Number.POSITIVE_INFINITY;
     for (const type of this.cluster.machineTypes.values()) {
-      if (gain(type) <= 0) continue;
+      if (capacityOf(type) <= 0) continue;
       for (const pool of poolsOf(type)) {
-        const cost = type.pricePerHour / gain(type) + (pool.spot ? SPOT_PENALTY : 0);
+        const cost = type.pricePerHour / capacityOf(type) + (pool.spot ? SPOT_PENALTY : 0);
         if (cost >= lowestCost || this.scaleOut.isBackedOff(pool)) continue;
         cheapest = pool;
         lowestCost = cost;
--- a/src/core/autoscaling/machine_list.ts
+++ b/src/core/autoscaling/machine_list.ts
@@ -1,36 +1,44 @@
-/** Reads the cloud's list of machines, and squares what is known of machines with it. */
+/** Reads the cloud's list of machines, and updates the machines that the leader knows accordingly. */
 import { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { CloudMachine, MachineId, MonotonicTime } from '../types.js';
 
+/** Minimum time between a complete read of the list and the next periodic read, in milliseconds. */
 const LIST_PERIOD_MS = 6000;
 const LIST_PRIORITY = 2;
+/** Number of machines at which no further page of the list is read. */
 const MAX_LISTED_MACHINES = 20_000;
 
-/** The cloud's list of machines, which is late: what it lacks proves nothing, what it has may be news. */
+/**
+ * The cloud's list of machines, which lags behind. A machine that is missing from it may still exist, but a listed
+ * machine may be one that this leader did not know.
+ */
 export class MachineList {
   private readInFlight = false;
   private lastReadAt = 0 as MonotonicTime;
   private complete = false;
 
-  /** `onMachineStopped` is told of machines that have stopped by themselves; `onApplied` is called after each whole list. */
+  /**
+   * `onMachineStopped` is called for machines that stopped without a termination request. `onApplied` is called after
+   * each complete list was applied.
+   */
   constructor(
     private readonly cluster: Cluster,
     private readonly onMachineStopped: (machine: Machine) => void,
     private readonly onApplied: () => void,
   ) {}
 
-  /** Whether a whole list was read at least once. */
+  /** Whether a complete list was read at least once. */
   get isComplete(): boolean {
     return this.complete;
   }
 
-  /** Reads the list unless it was read a short time ago. */
+  /** Reads the list, unless a read is in flight or the last one was completed recently. */
   readIfDue(): void {
     if (this.cluster.context.now.monotonic - this.lastReadAt > LIST_PERIOD_MS) this.read();
   }
 
-  /** Reads the list, unless that is under way. */
+  /** Reads the list, unless a read is in flight. */
   read(): void {
     if (this.readInFlight) return;
     this.readInFlight = true;
@@ -64,14 +72,21 @@
     if (listed.phase === 'failed' && !machine.lifecycle.isTerminating) this.handleStopped(machine);
   }
 
-  /** A previous leader's machine that is up and hasn't been heard by this one: from now on its heartbeats can be overdue. */
+  /**
+   * Marks a previous leader's machine as up before it has sent a heartbeat to this leader. From now on its heartbeats
+   * can become overdue.
+   */
   private onListedRunning(machine: Machine): void {
     const now = this.cluster.context.now.monotonic;
     machine.lifecycle.markUp();
     machine.messages.expectHeartbeats(now);
   }
 
-  /** Provisioned by a previous leader, or by a request carried out late: taken into use like any other. */
+  /**
+   * Adds a listed machine that this leader did not know. It was provisioned by a previous leader or by a request that
+   * the cloud carried out late, and is used like any other machine. Returns null if its type is unknown or if it was
+   * removed in this term.
+   */
   private addUnknown({ id, type: typeName, zone, spot, address, phase }: CloudMachine): Machine | null {
     const type = this.cluster.machineTypes.get(typeName);
     if (!type || this.cluster.machines.wasRemoved(id)) return null;
@@ -83,7 +98,9 @@
     return machine;
   }
 
-  /** A failed machine has stopped by itself: nothing is on it any more. */
+  /**
+   * Handles a machine that the cloud lists as failed. It stopped without a request, and no task runs on it any more.
+   */
   private handleStopped(machine: Machine): void {
     this.cluster.context.log('machine stopped', { machine: machine.id, lostTasks: machine.allocations.taskCount });
     this.cluster.clearMachine(machine, 'machineGone');
--- a/src/core/autoscaling/scale_in.ts
+++ b/src/core/autoscaling/scale_in.ts
@@ -1,4 +1,4 @@
-/** Terminates machines: those that stand idle, are drained and empty, or will not be heard again. */
+/** Terminates machines that are idle, drained and empty, lost, unresponsive, or whose boot timed out. */
 import { startKey, startKeyOf } from '../jobs/task_keys.js';
 import { HEARTBEAT_OVERDUE_AFTER_PERIODS } from '../machines/agent_messages.js';
 import type { DrainReason } from '../machines/cordon.js';
@@ -7,42 +7,56 @@
 import type { MonotonicTime } from '../types.js';
 import { CAPACITY_TOLERANCE, type Capacity } from './guaranteed_capacity.js';
 
-/** What the cloud takes in one request, and how many requests are under way at once. */
+/** Maximum number of machines that the cloud accepts in one termination request. */
 const TERMINATION_BATCH_SIZE = 100;
+/** Maximum number of termination requests in flight. */
 const MAX_CONCURRENT_TERMINATIONS = 2;
 const TERMINATION_PRIORITY = 1;
-const ROUND_AFTER_TERMINATION_MS = 20;
-/** So many machines with overdue heartbeats, or such a share of all, are few: the fault is theirs. */
+/** Delay of the planning round that follows a successful termination request, in milliseconds. */
+const PLANNING_DELAY_AFTER_TERMINATION_MS = 20;
+/**
+ * Machines with overdue heartbeats, as a number and as a share of all, up to which the machines themselves are assumed
+ * to be at fault. The larger limit applies.
+ */
 const FEW_OVERDUE_MACHINES = 2;
 const FEW_OVERDUE_SHARE = 0.03;
-/** A new leader judges heartbeats only after so many of their intervals. */
-const JUDGE_HEARTBEATS_AFTER_PERIODS = 3;
-/** A spot machine without contact for so many intervals is taken for lost. */
+/** Heartbeat intervals after its election in which a leader terminates no machine as overdue or unresponsive. */
+const NEW_LEADER_GRACE_PERIODS = 3;
+/** Heartbeat intervals without contact after which a spot machine counts as lost. */
 const SPOT_LOST_AFTER_PERIODS = 4;
-/** A machine that stays without contact, or unresponsive, for this long beyond a lease is given up. */
-const GIVE_UP_AFTER_LEASE_MS = 15_000;
-/** No boot is given up sooner. */
+/** Time beyond the lease duration after which a machine without contact, or unresponsive, is terminated. */
+const TERMINATE_AFTER_LEASE_MS = 15_000;
+/** Lower bound of the boot timeout. */
 const MIN_BOOT_TIMEOUT_SECONDS = 30;
-/** A machine is charged for a minute whatever happens: it is not terminated much sooner. */
-const MIN_CHARGED_SECONDS = 55;
+/** Minimum age at which an idle machine is terminated. The cloud charges every machine for at least one minute. */
+const MIN_IDLE_MACHINE_AGE_SECONDS = 55;
 
-/** What one look at all machines needs to judge each of them. */
+/** Summary of all machines that the evaluation of each machine depends on. */
 interface FleetOverview {
   readonly now: MonotonicTime;
   readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
-  /** Most machines are heard, and have been for long enough: one that isn't is at fault itself. */
-  readonly mayJudgeHeartbeats: boolean;
-  /** Few are not heard. If more are, the network may be cut widely, and heal before their leases expire. */
+  /**
+   * Whether at least half of the machines have recent contact, and this controller has led for long enough. A machine
+   * without contact is then likely at fault itself.
+   */
+  readonly mayActOnOverdueHeartbeats: boolean;
+  /**
+   * Whether few machines lack recent contact. If many do, the cause may be a large network partition that heals before
+   * their leases expire.
+   */
   readonly fewOverdue: boolean;
 }
 
-/** Judges machines and terminates them, in batches. */
+/** Decides which machines to terminate, and sends their terminations to the cloud in batches. */
 export class ScaleIn {
   private queue: Machine[] = [];
   private requestsInFlight = 0;
 
-  /** `unregister` is told of machines that are terminated, `onLost` of those that were lost before. */
+  /**
+   * `unregister` is called for each terminated machine. `onLost` is called when the termination of a machine is
+   * requested because its heartbeats are overdue or because it stopped.
+   */
   constructor(
     private readonly cluster: Cluster,
     private readonly unregister: (machine: Machine) => void,
@@ -50,8 +64,8 @@
   ) {}
 
   /**
-   * Judges all machines once. `deficit`: what guarantees ask for beyond what is there, negative where there is some to spare;
-   * it is changed in place.
+   * Evaluates all machines once. `deficit` is the guaranteed capacity that is missing, negative for a surplus. It is
+   * updated in place.
    */
   run(leadingSince: MonotonicTime, deficit: Capacity): void {
     const overview = this.overview(leadingSince);
@@ -67,29 +81,30 @@
     const { settings, now } = this.cluster.context;
     const { heartbeatIntervalMs, leaseMs } = settings.workers;
     let up = 0;
-    let heard = 0;
+    let withRecentContact = 0;
     for (const { phase, messages } of this.cluster.machines.values()) {
       if (phase !== 'up') continue;
       up += 1;
-      if (now.monotonic - messages.lastContactAt < HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs) heard += 1;
+      if (now.monotonic - messages.lastContactAt < HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs)
+        withRecentContact += 1;
     }
-    const ledLongEnough = now.monotonic - leadingSince > JUDGE_HEARTBEATS_AFTER_PERIODS * heartbeatIntervalMs;
+    const ledLongEnough = now.monotonic - leadingSince > NEW_LEADER_GRACE_PERIODS * heartbeatIntervalMs;
     return {
       now: now.monotonic,
       heartbeatIntervalMs,
       leaseMs,
-      mayJudgeHeartbeats: heard * 2 >= up && ledLongEnough,
-      fewOverdue: up - heard <= Math.max(FEW_OVERDUE_MACHINES, FEW_OVERDUE_SHARE * up),
+      mayActOnOverdueHeartbeats: withRecentContact * 2 >= up && ledLongEnough,
+      fewOverdue: up - withRecentContact <= Math.max(FEW_OVERDUE_MACHINES, FEW_OVERDUE_SHARE * up),
     };
   }
 
-  /** Why the machine should go, whatever capacity is needed; null: it may stay. */
+  /** Returns why the machine must be terminated even if its capacity is needed, or null if it may stay. */
   private terminationReason(machine: Machine, overview: FleetOverview): DrainReason | null {
     const { cordon, isEmpty, lifecycle } = machine;
     if (cordon.isDraining) return isEmpty || lifecycle.wasTerminationRequested ? cordon.drainReason : null;
     if (cordon.interruptionAt !== null && isEmpty) return 'spot interruption';
     if (machine.phase === 'booting') return this.hasBootTimedOut(machine, overview.now) ? 'boot timeout' : null;
-    const overdueReason = overview.mayJudgeHeartbeats ? overdueHeartbeatReason(machine, overview) : null;
+    const overdueReason = overview.mayActOnOverdueHeartbeats ? overdueHeartbeatReason(machine, overview) : null;
     if (overdueReason !== null) return overdueReason;
     if (
       holdsOnlyUnconfirmedStarts(this.cluster, machine) &&
@@ -97,7 +112,7 @@
     ) {
       return 'unconfirmed start';
     }
-    return overview.mayJudgeHeartbeats && isLongUnresponsive(machine, overview) ? 'unresponsive' : null;
+    return overview.mayActOnOverdueHeartbeats && isLongUnresponsive(machine, overview) ? 'unresponsive' : null;
   }
 
   private hasBootTimedOut(machine: Machine, now: MonotonicTime): boolean {
@@ -109,13 +124,17 @@
     return machine.lifecycle.ageSeconds(now) > Math.max(MIN_BOOT_TIMEOUT_SECONDS, type.bootSeconds * factor);
   }
 
-  /** Where the machine stands idle and no guarantee needs it; takes it off what is to spare. */
+  /**
+   * Returns a reason if the machine is idle and no guarantee needs its capacity, which is then subtracted from the
+   * surplus in `deficit`.
+   */
   private idleReason(machine: Machine, deficit: Capacity): DrainReason | null {
     if (machine.cordon.isDraining || machine.phase === 'booting') return null;
     if (!machine.isEmpty || holdsUnstoredResults(machine) || !this.isIdle(machine)) return null;
     const { cpus, gpus } = machine.type;
-    const isGuaranteed = deficit.gpus >= CAPACITY_TOLERANCE - gpus || deficit.cpus >= CAPACITY_TOLERANCE - cpus;
-    if (isGuaranteed) return null;
+    const isNeededForGuarantees =
+      deficit.gpus >= CAPACITY_TOLERANCE - gpus || deficit.cpus >= CAPACITY_TOLERANCE - cpus;
+    if (isNeededForGuarantees) return null;
     deficit.gpus += gpus;
     deficit.cpus += cpus;
     return 'idle';
@@ -123,9 +142,9 @@
 
   private isIdle(machine: Machine): boolean {
     const now = this.cluster.context.now.monotonic;
-    // Made empty on purpose, for a job that is on its way here.
+    // The machine was emptied for a job that is about to be placed on it.
     if (machine.reservedFor(now) !== null) return false;
-    if (machine.lifecycle.ageSeconds(now) < MIN_CHARGED_SECONDS) return false;
+    if (machine.lifecycle.ageSeconds(now) < MIN_IDLE_MACHINE_AGE_SECONDS) return false;
     const idleSince = Math.max(
       machine.allocations.idleSince,
       machine.messages.firstHeartbeatAt ?? machine.allocations.idleSince,
@@ -133,18 +152,21 @@
     return (now - idleSince) / 1000 >= this.cluster.context.tuning.machines.idle_return_s;
   }
 
-  /** Drains a machine and queues its termination; `sendTerminations` sends it. Without effect if that is under way. */
+  /**
+   * Drains a machine and enqueues its termination, which `sendTerminations` sends. Has no effect if its termination is
+   * already enqueued or in flight.
+   */
   requestTermination(machine: Machine, reason: DrainReason): void {
     if (machine.lifecycle.isTerminating) return;
     machine.lifecycle.beginTermination();
     if (reason === 'heartbeat overdue' || reason === 'stopped') this.onLost(machine);
     machine.cordon.drain(reason);
-    if (reason === 'boot timeout') this.recordAbandonedBoot(machine);
+    if (reason === 'boot timeout') this.recordBootTimeout(machine);
     this.cluster.context.log('terminating machine', { machine: machine.id, type: machine.typeName, reason });
     this.queue.push(machine);
   }
 
-  private recordAbandonedBoot({ type, zone, lifecycle }: Machine): void {
+  private recordBootTimeout({ type, zone, lifecycle }: Machine): void {
     this.cluster.bootTimeEstimator.recordAbandoned(
       type,
       zone,
@@ -153,7 +175,7 @@
     );
   }
 
-  /** Sends what is queued, as many to a request as the cloud takes. */
+  /** Sends enqueued terminations in batches, up to the limit of concurrent requests. */
   sendTerminations(): void {
     while (this.queue.length > 0 && this.requestsInFlight < MAX_CONCURRENT_TERMINATIONS) {
       this.sendBatch(this.queue.splice(0, TERMINATION_BATCH_SIZE));
@@ -165,13 +187,13 @@
     this.requestsInFlight += 1;
     context.cloud.call({ op: 'terminate', machines: batch.map(({ id }) => id) }, TERMINATION_PRIORITY, (result) => {
       this.requestsInFlight -= 1;
-      for (const machine of batch) this.onTerminationAnswered(machine, result.ok);
-      if (result.ok) this.cluster.timers.planningRound.set(context.after(ROUND_AFTER_TERMINATION_MS));
+      for (const machine of batch) this.onTerminationResult(machine, result.ok);
+      if (result.ok) this.cluster.timers.planningRound.set(context.after(PLANNING_DELAY_AFTER_TERMINATION_MS));
       this.sendTerminations();
     });
   }
 
-  private onTerminationAnswered(machine: Machine, terminated: boolean): void {
+  private onTerminationResult(machine: Machine, terminated: boolean): void {
     if (!this.cluster.machines.isCurrent(machine)) return;
     if (!terminated) {
       machine.lifecycle.failTermination();
@@ -182,7 +204,7 @@
   }
 }
 
-/** Why a machine that has not been heard for some time is terminated; null: it may come back. */
+/** Returns why a machine without recent contact is terminated, or null if it may resume contact. */
 function overdueHeartbeatReason(
   machine: Machine,
   { now, heartbeatIntervalMs, leaseMs, fewOverdue }: FleetOverview,
@@ -190,25 +212,32 @@
   const sinceContactMs = now - machine.messages.lastContactAt;
   const isOverdue = sinceContactMs > HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs;
   if (machine.spot && machine.cordon.interruptionAt !== null && isOverdue) return 'spot interruption';
-  // Terminating it proves it empty sooner than its lease would.
+  // Its termination proves that no task runs on it, sooner than the expiry of its lease would.
   if (machine.spot && sinceContactMs > SPOT_LOST_AFTER_PERIODS * heartbeatIntervalMs) return 'heartbeat overdue';
-  // Users of a service wait until it is proven that the replica is gone.
+  // A replica is replaced only after it is proven that it no longer runs. Users of the service wait until then.
   if (fewOverdue && isOverdue && machine.allocations.hasReplica) return 'heartbeat overdue';
-  return sinceContactMs > leaseMs + GIVE_UP_AFTER_LEASE_MS ? 'heartbeat overdue' : null;
+  return sinceContactMs > leaseMs + TERMINATE_AFTER_LEASE_MS ? 'heartbeat overdue' : null;
 }
 
+/** Returns whether the machine has been unresponsive for long enough to be terminated. */
 function isLongUnresponsive(machine: Machine, { now, leaseMs }: FleetOverview): boolean {
   const { unresponsiveSince } = machine.reachability;
-  return unresponsiveSince !== null && now - unresponsiveSince > leaseMs + GIVE_UP_AFTER_LEASE_MS;
+  return unresponsiveSince !== null && now - unresponsiveSince > leaseMs + TERMINATE_AFTER_LEASE_MS;
 }
 
-/** Whether results are there that aren't on record; exits kept only against a late start go with the machine. */
+/**
+ * Returns whether the machine holds task results that are not stored yet. Exits that are kept only because a pushed
+ * start may still arrive do not count, and are lost with the machine.
+ */
 const holdsUnstoredResults = (machine: Machine): boolean =>
   machine.reportedTasks.exited.some(
     ({ job, index, attempt }) => !machine.commandChannel.isUnconfirmed(startKey(job, index, attempt)),
   );
 
-/** Whether nothing is there but starts of replicas that are no longer needed, and whose pushed commands were never answered. */
+/**
+ * Returns whether the machine holds only replicas that are no longer needed and whose pushed starts have received no
+ * response.
+ */
 function holdsOnlyUnconfirmedStarts(cluster: Cluster, machine: Machine): boolean {
   const { commandChannel } = machine;
   if (!commandChannel.hasUnconfirmedStarts || commandChannel.isBusy) return false;
--- a/src/core/autoscaling/scale_out.ts
+++ b/src/core/autoscaling/scale_out.ts
@@ -1,20 +1,24 @@
-/** Provisions machines: requests to the cloud, and the pools that lately had no capacity. */
+/** Sends provisioning requests to the cloud, and backs off from pools that recently had no capacity. */
 import { type CapacityPool, capacityPoolKey } from '../machines/capacity_pool.js';
 import { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { MachineId, MonotonicTime } from '../types.js';
 
-/** What the cloud takes in one request. */
+/** Maximum number of machines that the cloud accepts in one provisioning request. */
 const MAX_MACHINES_PER_REQUEST = 50;
-/** So many requests are pending at once; more would only wait for tokens of the rate limit. */
+/** Maximum number of pending requests. More would only wait for tokens of the rate limit. */
 const MAX_PENDING_REQUESTS = 12;
 const PROVISION_PRIORITY = 1;
-/** A request without an answer is repeated for so long; its id makes that safe. */
+/**
+ * Time during which a request with an unknown outcome is retried, in milliseconds. Its idempotency key makes this safe.
+ */
 const RETRY_WINDOW_MS = 20_000;
+/** Factor by which the backoff grows with each refusal in a row. */
 const BACKOFF_FACTOR = 1.5;
+/** Number of refusals in a row after which the backoff no longer grows. */
 const MAX_BACKOFF_STEPS = 4;
 
-/** A request for machines that has yet to be answered. Its id makes it idempotent: it can be sent again. */
+/** A pending request for machines. `requestId` is its idempotency key, so that it can be sent again. */
 interface ProvisioningRequest {
   readonly pool: CapacityPool;
   readonly requestId: string;
@@ -22,50 +26,57 @@
   readonly requestedAt: MonotonicTime;
 }
 
-/** A pool that lately had no capacity: it is asked again after `until`. */
+/** Backoff of a pool that recently had no capacity. No machines are requested from the pool before `until`. */
 interface CapacityBackoff {
   readonly until: MonotonicTime;
   readonly refusalCount: number;
 }
 
-/** Requests to provision machines, and the pools that lately had none. */
+/** Pending provisioning requests, and the backoffs of pools that recently had no capacity. */
 export class ScaleOut {
   private readonly pending = new Map<string, ProvisioningRequest>();
   private readonly backoffs = new Map<string, CapacityBackoff>();
   private requestCount = 0;
 
-  /** `register` is told of each machine that was provisioned: it has to be put on record before it is used. */
+  /** `register` is called for each provisioned machine, which must be stored in the registry before it is used. */
   constructor(
     private readonly cluster: Cluster,
     private readonly register: (machine: Machine) => void,
   ) {}
 
-  /** Returns the requests that have yet to be answered. */
+  /** Returns the requests whose outcome is not known yet. */
   pendingRequests(): Iterable<ProvisioningRequest> {
     return this.pending.values();
   }
 
-  /** Whether any request has yet to be answered. */
+  /** Returns whether the outcome of any request is not known yet. */
   hasPendingRequests(): boolean {
     return this.pending.size > 0;
   }
 
-  /** Whether the pool lately had no machine, so that it is not asked now. */
+  /** Returns whether the pool recently had no capacity, so that no machines are requested from it now. */
   isBackedOff(pool: CapacityPool): boolean {
     const backoff = this.backoffs.get(capacityPoolKey(pool));
     return backoff !== undefined && backoff.until > this.cluster.context.now.monotonic;
   }
 
-  /** Requests so many machines, in as many requests as it takes; what is left over is requested in a later round. */
+  /**
+   * Requests machines, in several requests if necessary. Machines that would exceed the limit of pending requests are
+   * left to a later planning round.
+   */
   provision(pool: CapacityPool, count: number): void {
-    for (let left = count; left > 0 && this.pending.size < MAX_PENDING_REQUESTS; left -= MAX_MACHINES_PER_REQUEST) {
-      this.startRequest(pool, Math.min(left, MAX_MACHINES_PER_REQUEST));
+    for (
+      let remaining = count;
+      remaining > 0 && this.pending.size < MAX_PENDING_REQUESTS;
+      remaining -= MAX_MACHINES_PER_REQUEST
+    ) {
+      this.startRequest(pool, Math.min(remaining, MAX_MACHINES_PER_REQUEST));
     }
   }
 
   private startRequest(pool: CapacityPool, count: number): void {
     this.requestCount += 1;
-    // The term makes the id unique among all leaders; an id is never used for a second request.
+    // The term makes the id unique among all leaders. An id is never reused for another request.
     const requestId = `r-${this.cluster.term}-${this.requestCount}`;
     const requestedAt = this.cluster.context.now.monotonic;
     const request: ProvisioningRequest = { pool, requestId, count, requestedAt };
@@ -123,7 +134,7 @@
     }
   }
 
-  /** Each refusal in a row makes the pause before the next request longer. */
+  /** Starts or extends the backoff of a pool. It grows with each refusal in a row. */
   private backOff(pool: CapacityPool): void {
     const key = capacityPoolKey(pool);
     const refusalCount = Math.min(MAX_BACKOFF_STEPS, (this.backoffs.get(key)?.refusalCount ?? 0) + 1);
--- a/src/core/autoscaling/scale_out_demand.ts
+++ b/src/core/autoscaling/scale_out_demand.ts
@@ -1,4 +1,4 @@
-/** Works out, once a round, which machines would start waiting work sooner than the plan can. */
+/** Computes, once per planning round, which new machines would start waiting work sooner than the plan does. */
 import { type CapacityPool, capacityPoolKey } from '../machines/capacity_pool.js';
 import { pullSeconds } from '../machines/image_cache.js';
 import { countFitting, RESOURCE_TOLERANCE } from '../resource_amounts.js';
@@ -9,31 +9,31 @@
 import type { MachineType, MachineTypeName, ZoneName } from '../types.js';
 import type { ScaleOut } from './scale_out.js';
 
-/** Spot machines are interrupted now and then: their price counts so much more. */
+/** Factor on the price of spot machines in comparisons, because they can be interrupted. */
 const SPOT_PRICE_FACTOR = 1.1;
-/** Of equal prices the zone with fewer machines of the type is taken. */
+/** Relative cost increase per machine of the type in the zone. At equal prices the zone with fewer machines is used. */
 const CROWDED_ZONE_FACTOR = 0.01;
-/** A type and zone of which no machine came up lately counts as so much dearer. */
-const UNRELIABLE_FACTOR = 1;
-/** What a machine takes of tasks that ask for nothing. */
+/** Relative cost increase of a type and zone, multiplied by the share of its recent boots that were overdue. */
+const OVERDUE_BOOT_FACTOR = 1;
+/** Assumed number of tasks per machine for a job whose tasks request no resources. */
 const UNBOUNDED_TASKS = 1000;
 
 /** Waiting tasks for which machines may have to be provisioned. */
 interface DelayedTasks {
   readonly job: PlanJob;
   readonly tasks: number;
-  /** Some of them fit no machine of the plan at all. */
+  /** Whether some of the tasks fit no machine of the plan. */
   readonly unplaced: boolean;
 }
 
-/** Machines of one pool that would start waiting work sooner; fractions add up over jobs. */
+/** Demand for machines of one pool. `machines` is fractional and summed over jobs. `minimum` is a lower bound. */
 interface PoolDemand {
   readonly pool: CapacityPool;
   machines: number;
   minimum: number;
 }
 
-/** The demand of one round for machines, by capacity pool. */
+/** Demand of one planning round for new machines, by capacity pool. */
 export class ScaleOutDemand {
   private readonly demandByPool = new Map<string, PoolDemand>();
   private readonly machineCounts: ReadonlyMap<string, number>;
@@ -48,7 +48,7 @@
     this.gpuDemand = gpuDemand(cluster);
   }
 
-  /** Requests what is needed and not pending already. */
+  /** Requests the machines that are needed and not covered by pending requests. */
   provision(): void {
     for (const delayed of this.delayedTasks()) this.addDelayed(delayed);
     this.addUnplanned();
@@ -63,7 +63,10 @@
     }
   }
 
-  /** Machines requested before this round, by type: what it requests itself for one pool doesn't meet the demand of another. */
+  /**
+   * Returns the number of machines in pending requests, by type. It is taken before this round makes its own requests,
+   * so that a request for one pool does not cover the demand for another.
+   */
   private countPending(): Map<MachineTypeName, number> {
     const counts = new Map<MachineTypeName, number>();
     for (const { pool, count } of this.scaleOut.pendingRequests()) {
@@ -80,25 +83,31 @@
     this.demandByPool.set(key, demand);
   }
 
-  /** Adds the machines for delayed tasks, from the cheapest pool, and from one in each zone where a zone takes only a part. */
+  /**
+   * Adds demand for machines of the cheapest pool for delayed tasks. If the job's zone allowance admits only part of
+   * them to that pool's zone, the rest goes to the cheapest pool in another zone.
+   */
   private addDelayed({ job, tasks, unplaced }: DelayedTasks): void {
-    // Work that no machine can take gets one, however little it is: rounding must not starve it.
+    // Tasks that fit no machine get at least one new machine, because rounding down could starve a small job.
     const minimum = unplaced ? 1 : 0;
     const fullZones = new Set<ZoneName>();
-    for (let left = tasks; left > 0; ) {
-      const pool = this.cheapestPool(job, left, fullZones);
+    for (let remaining = tasks; remaining > 0; ) {
+      const pool = this.cheapestPool(job, remaining, fullZones);
       if (!pool) return;
-      // What is spread over zones needs machines in several at once.
-      const here = Math.min(left, job.zoneAllowance?.get(pool.zone) ?? left);
-      this.add(pool, this.machinesNeeded(job, pool.type, here), minimum);
+      // A job with a zone spread needs machines in several zones at once.
+      const tasksInZone = Math.min(remaining, job.zoneAllowance?.get(pool.zone) ?? remaining);
+      this.add(pool, this.machinesNeeded(job, pool.type, tasksInZone), minimum);
       fullZones.add(pool.zone);
-      left -= here;
+      remaining -= tasksInZone;
     }
   }
 
-  /** Jobs beyond those that the round planned in full: machines on their way that the plan leaves free take some. */
+  /**
+   * Adds demand for jobs beyond those that the round planned in full. Booting machines that the plan does not use cover
+   * part of it.
+   */
   private addUnplanned(): void {
-    const unused = this.unusedProvisioning();
+    const unused = this.unusedExpectedMachines();
     for (const { job, tasks } of this.round.unplannedTasks) {
       const pool = this.mayTriggerScaleOut(job) ? this.cheapestPool(job, tasks) : null;
       if (!pool) continue;
@@ -110,8 +119,8 @@
     }
   }
 
-  /** Booting machines, by type, on which the plan starts nothing. */
-  private unusedProvisioning(): Map<MachineTypeName, number> {
+  /** Returns, by type, the number of expected machines on which the plan starts nothing. */
+  private unusedExpectedMachines(): Map<MachineTypeName, number> {
     const used = new Set(this.round.capacityPlan.starts.map((start) => start.machineIndex));
     const unused = new Map<MachineTypeName, number>();
     this.round.machines.forEach((machine, index) => {
@@ -121,7 +130,7 @@
     return unused;
   }
 
-  /** Tasks that the plan starts later than a new machine could, or not at all. */
+  /** Returns the tasks that the plan starts later than a new machine could, or not at all. */
   private delayedTasks(): DelayedTasks[] {
     const { capacityPlan, planJobs } = this.round;
     const marginSeconds = this.cluster.context.tuning.machines.rent_margin_s;
@@ -131,7 +140,8 @@
     };
     for (const start of capacityPlan.starts) {
       const job = planJobs[start.jobIndex] as PlanJob;
-      if (start.startAtSeconds > this.soonestOnNewMachineSeconds(job) + marginSeconds) add(start.jobIndex, start.tasks);
+      if (start.startAtSeconds > this.earliestStartOnNewMachineSeconds(job) + marginSeconds)
+        add(start.jobIndex, start.tasks);
     }
     for (const [jobIndex, tasks] of capacityPlan.unplacedTasks) add(jobIndex, tasks);
     return [...delayed]
@@ -143,31 +153,39 @@
       .filter(({ job }) => this.mayTriggerScaleOut(job));
   }
 
-  /** Jobs that fail wherever they run are tried on what is there. */
+  /**
+   * Returns whether machines may be provisioned for the job. A job that recently failed on several machines is retried
+   * on existing machines only.
+   */
   private mayTriggerScaleOut({ index }: PlanJob): boolean {
     const job = this.round.jobs[index];
     return job === undefined || job.failureHistory.mayTriggerScaleOut(this.cluster.context.now.monotonic);
   }
 
-  /** Seconds until a machine provisioned now could start the job; infinite where none can. */
-  private soonestOnNewMachineSeconds(job: PlanJob): number {
+  /**
+   * Returns the seconds until a machine provisioned now could start the job. Infinite if no type and zone can run it.
+   */
+  private earliestStartOnNewMachineSeconds(job: PlanJob): number {
     const { bootTimeEstimator, context, machineTypes } = this.cluster;
-    let soonest = Number.POSITIVE_INFINITY;
+    let earliest = Number.POSITIVE_INFINITY;
     for (const type of machineTypes.values()) {
       if (!this.canRun(job, type)) continue;
       const imagePullSeconds = pullSeconds(job.imageGb, type.imagePullGbPerSecond);
       for (const zone of type.zones) {
-        if (!isOpenZone(job, zone)) continue;
-        soonest = Math.min(
-          soonest,
+        if (!mayUseZone(job, zone)) continue;
+        earliest = Math.min(
+          earliest,
           bootTimeEstimator.expectedSeconds(type, zone, context.now.monotonic) + imagePullSeconds,
         );
       }
     }
-    return soonest;
+    return earliest;
   }
 
-  /** How many machines work off the tasks within the horizon; of a gang as many as it takes at once. */
+  /**
+   * Returns how many machines complete the tasks within the horizon `rent_horizon_s`. For a gang, returns how many
+   * machines run all of its tasks at once.
+   */
   private machinesNeeded(job: PlanJob, type: MachineType, tasks: number): number {
     const perMachine = tasksPerMachine(job, type);
     if (job.isGang) return tasks / perMachine;
@@ -176,7 +194,10 @@
     return tasks / (perMachine * runsInHorizon);
   }
 
-  /** The pool that takes the job's tasks at the lowest price a task, among those not backed off; null: none. */
+  /**
+   * Returns the pool with the lowest cost per task of the job, or null if there is none. Pools that are backed off or
+   * in `fullZones` are excluded.
+   */
   private cheapestPool(job: PlanJob, tasks: number, fullZones?: ReadonlySet<ZoneName>): CapacityPool | null {
     const { bootTimeEstimator, context } = this.cluster;
     let cheapest: CapacityPool | null = null;
@@ -185,10 +206,11 @@
       if (this.scaleOut.isBackedOff(pool) || fullZones?.has(pool.zone)) continue;
       const { type, zone, spot } = pool;
       const price = spot ? type.spotPricePerHour * SPOT_PRICE_FACTOR : type.pricePerHour;
-      const crowding = 1 + CROWDED_ZONE_FACTOR * (this.machineCounts.get(countKey(type.name, zone)) ?? 0);
-      // Where machines lately came up late or never, others that fit are tried first.
-      const unreliable = 1 + UNRELIABLE_FACTOR * bootTimeEstimator.overdueShare(type, zone, context.now.monotonic);
-      const cost = (price / Math.min(tasks, tasksPerMachine(job, type))) * crowding * unreliable;
+      const crowdingFactor = 1 + CROWDED_ZONE_FACTOR * (this.machineCounts.get(countKey(type.name, zone)) ?? 0);
+      // If boots of this type and zone were recently overdue, other pools that can run the job are preferred.
+      const overdueBootFactor =
+        1 + OVERDUE_BOOT_FACTOR * bootTimeEstimator.overdueShare(type, zone, context.now.monotonic);
+      const cost = (price / Math.min(tasks, tasksPerMachine(job, type))) * crowdingFactor * overdueBootFactor;
       if (cost >= lowestCost) continue;
       lowestCost = cost;
       cheapest = pool;
@@ -197,8 +219,9 @@
   }
 
   /**
-   * Whether a machine of the type would take the job. Work without GPUs is held to what GPU work leaves of a machine: one
-   * provisioned for more would stand idle, be terminated, and be provisioned again.
+   * Returns whether a new machine of the type could run a task of the job. On a type with GPUs, a job without GPUs is
+   * limited to the cores and memory that GPU work leaves, unless its placement penalties no longer count. A machine
+   * provisioned for a job beyond that limit would stay idle, be terminated and be provisioned again.
    */
   private canRun(job: PlanJob, type: MachineType): boolean {
     if (
@@ -211,21 +234,21 @@
     return spare.cpus + RESOURCE_TOLERANCE >= job.cpus && spare.memoryGb + RESOURCE_TOLERANCE >= job.memoryGb;
   }
 
-  /** Pools whose machines may run the job. */
+  /** Yields the pools whose machines may run the job. */
   private *feasiblePools(job: PlanJob): Iterable<CapacityPool> {
     const types = [...this.cluster.machineTypes.values()].filter((type) => this.canRun(job, type));
-    // Machines with GPUs are provisioned for work without only where nothing else runs it.
+    // Machines with GPUs are provisioned for a job without GPUs only if no type without GPUs can run it.
     const avoidGpus = job.gpus === 0 && types.some((type) => type.gpus === 0);
     const spotChoices = job.toleratesSpot ? [true, false] : [false];
     for (const type of types) {
       if (avoidGpus && type.gpus > 0) continue;
-      // A machine in another zone would be provisioned, found of no use, terminated, and provisioned again.
-      const zones = type.zones.filter((zone) => isOpenZone(job, zone));
+      // A machine in a zone that the job may not use would stay idle, be terminated and be provisioned again.
+      const zones = type.zones.filter((zone) => mayUseZone(job, zone));
       for (const zone of zones) for (const spot of spotChoices) yield { type, zone, spot };
     }
   }
 
-  /** Machines that are there or requested, by type and zone. */
+  /** Returns the number of known and requested machines, by type and zone. */
   private countMachines(): Map<string, number> {
     const counts = new Map<string, number>();
     const add = (type: MachineTypeName, zone: ZoneName, count: number): void => {
@@ -238,13 +261,13 @@
   }
 }
 
-/** Whether the job may use a machine in the zone, and has not filled its share of it. */
-const isOpenZone = (job: PlanJob, zone: ZoneName): boolean =>
+/** Returns whether the job may run in the zone and its zone allowance there is not used up. */
+const mayUseZone = (job: PlanJob, zone: ZoneName): boolean =>
   (job.boundZone === null || job.boundZone === zone) && job.zoneAllowance?.get(zone) !== 0;
 
 const countKey = (type: MachineTypeName, zone: ZoneName): string => `${type}|${zone}`;
 
-/** How many of the job's tasks one machine of the type takes at once. */
+/** Returns how many of the job's tasks an empty machine of the type can run at once. */
 function tasksPerMachine(job: PlanJob, type: MachineType): number {
   const { cpus, gpus, memoryGb } = type;
   const tasks = Math.min(
--- a/src/core/clients/call_queue.ts
+++ b/src/core/clients/call_queue.ts
@@ -1,31 +1,38 @@
-/** Queues calls to an outside service until its rate limits let them through. */
+/** Queues calls to an external service until its rate limits allow them to be sent. */
 import type { MonotonicTime } from '../types.js';
 import type { TokenBucket } from './token_bucket.js';
 
-/** Lower goes first: lease renewal, the leader's records, users' writes, reads, what can wait. */
+/**
+ * Priority of a call. Lower values are sent first. The order is the leader election and its lease, calls that the
+ * leader needs to act, users' requests, and calls that can be deferred.
+ */
 export type CallPriority = 0 | 1 | 2 | 3 | 4;
 const PRIORITY_COUNT = 5;
-/** Renewals pass even an empty bucket: a lease lost to our own thrift would stop everything. */
+/**
+ * Calls of this priority, such as lease renewals, are sent even without tokens. A leader that lost its lease to its own
+ * rate limit would stop all scheduling.
+ */
 const UNTHROTTLED_PRIORITY = 0;
+/** Lower bound of the delay until the queue is dispatched again. */
 const MIN_WAIT_MS = 1;
 
-/** A call that waits for tokens. */
+/** A call that waits for rate limit tokens. */
 export interface QueuedCall {
-  /** The tokens that it takes from the bucket of writes; a request token is taken for every call. */
+  /** Tokens that the call takes from the bucket of writes. Every call also takes one request token. */
   readonly writeTokens: number;
-  /** What has not been sent by then is refused. */
+  /** Time at which the call is refused if it has not been sent. */
   readonly expiresAt: MonotonicTime;
   readonly send: () => void;
   /** Called instead of `send`. */
   readonly refuse: () => void;
 }
 
-/** Calls to one outside service, let through in order of priority as its token buckets allow. */
+/** Calls to one external service, sent in order of priority as its token buckets allow. */
 export class CallQueue {
   private readonly waiting: QueuedCall[][] = Array.from({ length: PRIORITY_COUNT }, () => []);
-  /** The write tokens that the waiting calls of each priority ask for. */
+  /** Sum of the write tokens that the waiting calls of each priority need. */
   private readonly waitingWriteTokens: number[] = Array(PRIORITY_COUNT).fill(0);
-  /** Calls that can't be sent in time, to be refused at the end of the step in which they were made. */
+  /** Calls that can't be sent in time. They are refused at the end of the step in which they were added. */
   private refusedEarly: QueuedCall[] = [];
   private pausedUntil = 0 as MonotonicTime;
 
@@ -34,19 +41,21 @@
     private readonly writeTokens: TokenBucket | null,
   ) {}
 
-  /** Adds a call behind those of its priority. */
+  /** Enqueues a call behind the waiting calls of its priority. */
   add(priority: CallPriority, call: QueuedCall): void {
     this.waiting[priority]?.push(call);
     this.waitingWriteTokens[priority] = (this.waitingWriteTokens[priority] ?? 0) + call.writeTokens;
   }
 
-  /** Adds a call that somebody waits for: where it can't be sent before it expires, it is refused at once. */
+  /** Enqueues a call whose caller waits for the result. It is refused at once if it can't be sent before it expires. */
   addOrRefuse(priority: CallPriority, call: QueuedCall, now: MonotonicTime): void {
     if (this.canSendInTime(priority, call, now)) this.add(priority, call);
     else this.refusedEarly.push(call);
   }
 
-  /** Whether the tokens for all that goes before it and for itself come in before it expires. */
+  /**
+   * Returns whether the tokens for the call, and for all waiting calls ahead of it, become available before it expires.
+   */
   private canSendInTime(priority: CallPriority, { writeTokens, expiresAt }: QueuedCall, now: MonotonicTime): boolean {
     if (this.pausedUntil >= expiresAt) return false;
     let callsBefore = 0;
@@ -55,7 +64,7 @@
       callsBefore += this.waiting[before]?.length ?? 0;
       writesBefore += this.waitingWriteTokens[before] ?? 0;
     }
-    // A token that comes in as the call expires comes too late.
+    // A token that becomes available exactly when the call expires is too late.
     if (this.requestTokens.availableBy(expiresAt, now) <= callsBefore + 1) return false;
     return (
       writeTokens === 0 ||
@@ -64,31 +73,34 @@
     );
   }
 
-  /** The service refused a call: all but the first priority waits until then. */
+  /** Sends no calls except those of the highest priority until the given time, because the service refused a call. */
   pause(until: MonotonicTime): void {
     if (until > this.pausedUntil) this.pausedUntil = until;
   }
 
-  /** Sends what the buckets allow, and refuses what has expired; returns when to look again, null if nothing waits. */
+  /**
+   * Sends the calls that the buckets allow, and refuses expired calls. Returns when to dispatch again, or null if no
+   * call waits.
+   */
   dispatch(now: MonotonicTime): MonotonicTime | null {
     const { refusedEarly } = this;
     this.refusedEarly = [];
     for (const call of refusedEarly) call.refuse();
     let next: MonotonicTime | null = null;
-    // Without request tokens nothing of a lower priority may pass, but what has expired is still refused.
-    let exhausted = false;
+    // Without request tokens no call of a lower priority may be sent, but expired calls are still refused.
+    let requestTokensExhausted = false;
     this.waiting.forEach((queue, priority) => {
       for (
         let first = this.firstUnexpired(queue, priority, now);
         first;
         first = this.firstUnexpired(queue, priority, now)
       ) {
-        const wait = priority === UNTHROTTLED_PRIORITY ? null : this.requiredWait(first, exhausted, now);
+        const wait = priority === UNTHROTTLED_PRIORITY ? null : this.requiredWait(first, requestTokensExhausted, now);
         if (wait) {
           const retryAt = Math.min(wait.until, first.expiresAt) as MonotonicTime;
           if (next === null || retryAt < next) next = retryAt;
-          exhausted ||= wait.isForRequests;
-          // Without write tokens reads may still go.
+          requestTokensExhausted ||= wait.isForRequests;
+          // If only write tokens are missing, calls of lower priorities that write nothing may still be sent.
           return;
         }
         this.removeFirst(queue, priority);
@@ -100,7 +112,7 @@
     return next;
   }
 
-  /** The first call of a queue that has not expired; those before it are refused. */
+  /** Returns the first call of a queue that has not expired, and refuses the expired calls ahead of it. */
   private firstUnexpired(queue: QueuedCall[], priority: number, now: MonotonicTime): QueuedCall | undefined {
     while (queue[0] && queue[0].expiresAt <= now) this.removeFirst(queue, priority)?.refuse();
     return queue[0];
@@ -112,19 +124,23 @@
     return call;
   }
 
-  /** Until when a call has to wait, and whether that is for request tokens; null: it may go now. */
+  /** Returns until when a call has to wait and whether it waits for request tokens, or null if it may be sent now. */
   private requiredWait(
     call: QueuedCall,
-    exhausted: boolean,
+    requestTokensExhausted: boolean,
     now: MonotonicTime,
   ): { until: MonotonicTime; isForRequests: boolean } | null {
     if (now < this.pausedUntil) return { until: this.pausedUntil, isForRequests: false };
-    const callsMs = exhausted || !this.requestTokens.hasTokens(1, now) ? this.requestTokens.waitMs(1, now) : 0;
-    const writesMs =
+    const requestWaitMs =
+      requestTokensExhausted || !this.requestTokens.hasTokens(1, now) ? this.requestTokens.waitMs(1, now) : 0;
+    const writeWaitMs =
       this.writeTokens && !this.writeTokens.hasTokens(call.writeTokens, now)
         ? this.writeTokens.waitMs(call.writeTokens, now)
         : 0;
-    if (!exhausted && callsMs === 0 && writesMs === 0) return null;
-    return { until: (now + Math.max(MIN_WAIT_MS, callsMs, writesMs)) as MonotonicTime, isForRequests: callsMs > 0 };
+    if (!requestTokensExhausted && requestWaitMs === 0 && writeWaitMs === 0) return null;
+    return {
+      until: (now + Math.max(MIN_WAIT_MS, requestWaitMs, writeWaitMs)) as MonotonicTime,
+      isForRequests: requestWaitMs > 0,
+    };
   }
 }
--- a/src/core/clients/cloud_client.ts
+++ b/src/core/clients/cloud_client.ts
@@ -1,4 +1,4 @@
-/** Calls to the cloud: their rate limit, and that only the leader changes anything there. */
+/** Calls the cloud within its rate limit. Only the leader may provision or terminate machines. */
 import type { LeadershipValidity } from '../leadership_validity.js';
 import type { CallId, CloudOperation, CloudOperationName, CloudResult, CloudResultOf } from '../messages.js';
 import type { Outbox } from '../outbox.js';
@@ -9,21 +9,21 @@
 import { OpenCalls } from './open_calls.js';
 import { TokenBucket } from './token_bucket.js';
 
-/** The share of the cloud's rate limit that is used over time; bursts may use all of it. */
+/** Share of the cloud's rate limit that is used as the sustained rate. Bursts may use the whole limit. */
 const RATE_SHARE = 0.8;
-/** What could not be sent for so long is refused. */
+/** Time after which a call that could not be sent is refused. */
 const MAX_QUEUE_TIME_MS = 5000;
 
 const NOT_SENT = { ok: false, error: { code: 'unavailable' } } as const;
 
-/** The codec has read the reply by the operation, so that it is a response to that. */
+/** Called with a result of the call's operation type, as the codec decodes each reply according to its operation. */
 type OnResult = (result: CloudResultOf<never>) => void;
 
-/** Sends calls to the cloud in order of priority, and hands their results back. */
+/** Sends calls to the cloud in order of priority, and passes their results to the callers. */
 export class CloudClient {
   private readonly openCalls = new OpenCalls<OnResult>();
   private readonly queue: CallQueue;
-  /** Only brings a step about, at the end of which queued calls go out. */
+  /** Has no work of its own. It starts a step of the controller, at whose end queued calls are sent. */
   private readonly queueTimer: Timer;
 
   constructor(
@@ -38,7 +38,7 @@
     this.queueTimer = timers.create();
   }
 
-  /** Queues a call. `onResult` follows once, in a later step or at the end of this one. */
+  /** Enqueues a call. `onResult` is called once, in a later step or at the end of this one. */
   call<Op extends CloudOperationName>(
     operation: CloudOperation & { readonly op: Op },
     priority: CallPriority,
@@ -52,7 +52,10 @@
     });
   }
 
-  /** What changes anything goes out only while this controller leads: the cloud has no token that would refuse it later. */
+  /**
+   * Sends a call. Provisioning and termination are sent only while this controller leads, because the cloud checks no
+   * fencing token and would execute the calls of a previous leader.
+   */
   private send(operation: CloudOperation, onResult: OnResult): void {
     const isChange = operation.op === 'provision' || operation.op === 'terminate';
     if (isChange && this.clock.now.monotonic >= this.leadership.validUntil) {
@@ -64,12 +67,12 @@
     this.outbox.push({ kind: 'cloudCall', callId, operation, ...expiry });
   }
 
-  /** Sends queued calls as far as the rate limit allows. */
+  /** Sends queued calls as far as the rate limit allows, and sets the timer for the remaining ones. */
   dispatch(): void {
     this.queueTimer.setOrClear(this.queue.dispatch(this.clock.now.monotonic));
   }
 
-  /** Takes the cloud's reply to a call. */
+  /** Passes the cloud's reply to the caller. A second reply to the same call is ignored. */
   onReply(callId: CallId, result: CloudResult): void {
     this.openCalls.take(callId)?.(result as CloudResultOf<never>);
   }
--- a/src/core/clients/state_store_client.ts
+++ b/src/core/clients/state_store_client.ts
@@ -1,4 +1,7 @@
-/** Calls to the state store: their rate limits, what a reply says of its health, and lower limits that come into force. */
+/**
+ * Calls the state store within its rate limits. Derives the state store's health from its replies, and detects when
+ * announced lower limits come into force.
+ */
 import type {
   CallId,
   StateStoreError,
@@ -17,57 +20,58 @@
 import { OpenCalls } from './open_calls.js';
 import { TokenBucket } from './token_bucket.js';
 
-/** How a call may wait. */
+/** Timeouts and callbacks of a call. */
 interface StateStoreCallOptions {
-  /** For a reply, once it is sent, in milliseconds. */
+  /** Maximum wait for a reply once the call is sent, in milliseconds. */
   readonly timeoutMs?: number;
-  /** For tokens, before it is sent, in milliseconds; what has to wait longer is refused. */
+  /** Maximum wait for tokens before the call is sent, in milliseconds. A call that has to wait longer is refused. */
   readonly maxQueueTimeMs?: number;
-  /** Somebody waits for the result: what surely has to wait longer than that is refused at once. */
+  /** Whether a call that certainly can't be sent within `maxQueueTimeMs` is refused at once. For callers that wait. */
   readonly failFast?: boolean;
-  /** Called at the moment at which it is sent. */
+  /** Called when the call is sent. */
   readonly onSend?: (at: MonotonicTime) => void;
 }
 
-/** A call that was sent. */
+/** A call that was sent and awaits its reply. */
 interface SentCall {
-  /** The codec has read the reply by the operation, so that it is a response to that. */
+  /** Called with a result of the call's operation type, as the codec decodes each reply according to its operation. */
   readonly onResult: (result: StateStoreResultOf<never>) => void;
   readonly isWrite: boolean;
 }
 
-/** The shares of the limits that the leader, and all followers together, use: somewhat over the whole. */
+/** Shares of the limits that the leader, and all followers together, use. Their sum exceeds the whole. */
 const LEADER_SHARE = 0.65;
 const FOLLOWERS_SHARE = 0.7;
 const DEFAULT_TIMEOUT_MS = 1500;
-const DEFAULT_QUEUE_TIME_MS = 3000;
-/** Pause after a call that the state store refused. */
+const DEFAULT_MAX_QUEUE_TIME_MS = 3000;
+/** Pause before further calls after the state store refused one, in milliseconds. */
 const REFUSED_PAUSE_MS = 100;
-/** With less of the burst left than this share, writes that can wait should. */
-const SPARE_WRITES_RATIO = 0.5;
+/** Share of the burst that must be available for writes that can be deferred. */
+const MIN_SPARE_WRITES_RATIO = 0.5;
 
 const NOT_SENT = { ok: false, error: { code: 'unavailable' } } as const;
 
-/** The changes that a call makes, each of which takes a write token. */
+/** Returns the number of write tokens that a call takes, which is one for each change. */
 const writeTokensOf = (operation: StateStoreOperation): number =>
   operation.op === 'compareAndSwap' ? operation.changes.length : 0;
 
+/** Returns whether an error shows that the state store refused the call or did not reply. */
 const isOutage = (error: StateStoreError): boolean => wasNotExecuted(error) || error.code === 'outcomeUnknown';
 
-/** Sends calls to the state store in order of priority, and hands their results back. */
+/** Sends calls to the state store in order of priority, and passes their results to the callers. */
 export class StateStoreClient {
-  private failureBegan: MonotonicTime | null = null;
+  private failureStartedAt: MonotonicTime | null = null;
   private isLeader = false;
-  /** Whether the lower rates that were announced have come into force, as far as this process has seen. */
+  /** Whether this process has observed that the announced lower rates have come into force. */
   private usesAnnouncedRates = false;
   private readonly openCalls = new OpenCalls<SentCall>();
   private readonly requestTokens: TokenBucket;
   private readonly writeTokens: TokenBucket;
   private readonly queue: CallQueue;
-  /** Only brings a step about, at the end of which queued calls go out. */
+  /** Has no work of its own. It starts a step of the controller, at whose end queued calls are sent. */
   private readonly queueTimer: Timer;
 
-  /** `controllerCount`: so many controllers share the limits. */
+  /** `controllerCount`: the number of controllers that share the limits. */
   constructor(
     private readonly limits: Settings['stateStore'],
     private readonly controllerCount: number,
@@ -84,25 +88,26 @@
     this.resizeBuckets();
   }
 
-  /** Since when the state store has only refused this controller or not replied; null: it replies. */
+  /** Time since which the state store has refused all calls of this controller or not replied. Null if it replies. */
   get failingSince(): MonotonicTime | null {
-    return this.failureBegan;
+    return this.failureStartedAt;
   }
 
-  /** Whether the state store takes more writes than what must be written now needs. */
+  /** Returns whether enough write tokens are left to also send writes that can be deferred. */
   hasSpareWriteCapacity(): boolean {
-    return this.writeTokens.fillRatio(this.clock.now.monotonic) > SPARE_WRITES_RATIO;
+    return this.writeTokens.fillRatio(this.clock.now.monotonic) > MIN_SPARE_WRITES_RATIO;
   }
 
-  /** Takes the share of the limits that belongs to the role from now on. */
+  /** Sets the controller's role, and uses the role's share of the limits from now on. */
   setIsLeader(isLeader: boolean): void {
     this.isLeader = isLeader;
     this.resizeBuckets();
   }
 
   /**
-   * The controllers share the limits without talking about it. Most of what is written comes from the leader, so it takes
-   * the larger part and the others share the rest; a refusal makes a controller pause.
+   * Sets the buckets to this controller's share of the limits. The controllers divide the limits without coordination.
+   * Most writes come from the leader, so it uses the larger share, and the followers divide the other one among them. A
+   * controller pauses when the state store refuses a call.
    */
   private resizeBuckets(): void {
     const { limits, usesAnnouncedRates } = this;
@@ -120,7 +125,7 @@
     return Math.min(LEADER_SHARE, FOLLOWERS_SHARE / (this.controllerCount - 1));
   }
 
-  /** Queues a call. `onResult` follows once, in a later step or at the end of this one. */
+  /** Enqueues a call. `onResult` is called once, in a later step or at the end of this one. */
   call<Op extends StateStoreOperationName>(
     operation: StateStoreOperation & { readonly op: Op },
     priority: CallPriority,
@@ -129,7 +134,7 @@
   ): void {
     const {
       timeoutMs = DEFAULT_TIMEOUT_MS,
-      maxQueueTimeMs = DEFAULT_QUEUE_TIME_MS,
+      maxQueueTimeMs = DEFAULT_MAX_QUEUE_TIME_MS,
       failFast = false,
       onSend,
     } = options;
@@ -147,12 +152,12 @@
     else this.queue.add(priority, queued);
   }
 
-  /** Sends queued calls as far as the rate limits allow. */
+  /** Sends queued calls as far as the rate limits allow, and sets the timer for the remaining ones. */
   dispatch(): void {
     this.queueTimer.setOrClear(this.queue.dispatch(this.clock.now.monotonic));
   }
 
-  /** Takes the state store's reply to a call. */
+  /** Processes the state store's reply to a call. A second reply to the same call is ignored. */
   onReply(callId: CallId, result: StateStoreResult): void {
     const sent = this.openCalls.take(callId);
     if (!sent) return;
@@ -163,16 +168,17 @@
 
   private trackHealth(result: StateStoreResult): void {
     if (result.ok || !isOutage(result.error)) {
-      this.failureBegan = null;
+      this.failureStartedAt = null;
       return;
     }
-    this.failureBegan ??= this.clock.now.monotonic;
+    this.failureStartedAt ??= this.clock.now.monotonic;
     if (wasNotExecuted(result.error)) this.queue.pause(this.clock.after(REFUSED_PAUSE_MS));
   }
 
   /**
-   * The service said that calls come too often. Where lower rates are announced this is the only sign that they have come
-   * into force; taken too early it costs some pace, and sizes have kept to both limits from the start.
+   * Handles a reply that the rate limit was exceeded. If lower rates are announced, this reply is the only sign that
+   * they have come into force. Switching to them too early only lowers the throughput. Size limits need no switch, as
+   * the lower of the current and the announced limit applies from the start.
    */
   private onThrottled(isWrite: boolean): void {
     const { limits } = this;
--- a/src/core/clients/state_store_reads.ts
+++ b/src/core/clients/state_store_reads.ts
@@ -1,4 +1,4 @@
-/** Reads everything under a prefix of the state store. */
+/** Reads all entries under a key prefix of the state store, page by page. */
 import type { StoredEntry } from '../messages.js';
 import type { Revision } from '../types.js';
 import type { StateStoreClient } from './state_store_client.js';
@@ -6,14 +6,14 @@
 const PAGE_SIZE = 500;
 const READ_PRIORITY = 1;
 
-/** All values under a prefix. */
+/** All entries under a prefix. */
 export interface PrefixRead {
   readonly items: readonly StoredEntry[];
-  /** Of the first page: changes made while later pages were read come again through a watch from here. */
+  /** Revision of the first page. A watch from it also returns the changes made while later pages were read. */
   readonly revision: Revision;
 }
 
-/** Reads all values under a prefix; `done` is given null where the state store gave no answer to one of the calls. */
+/** Reads all entries under a prefix. `done` is called with null if one of the calls failed. */
 export function readPrefix(
   stateStore: StateStoreClient,
   prefix: string,
--- a/src/core/clients/token_bucket.ts
+++ b/src/core/clients/token_bucket.ts
@@ -1,9 +1,12 @@
-/** A rate limit with bursts. */
+/** Limits a rate while allowing bursts. */
 import type { MonotonicTime } from '../types.js';
 
 const MS_PER_SECOND = 1000;
 
-/** Fills at a rate per second up to a burst; what is taken beyond its content is a debt. Times are on the monotonic clock. */
+/**
+ * A token bucket that refills at a rate per second up to the burst size. Taking more tokens than are available leaves a
+ * debt. Times are on the monotonic clock.
+ */
 export class TokenBucket {
   private available: number;
   private refilledAt: MonotonicTime;
@@ -17,7 +20,10 @@
     this.refilledAt = now;
   }
 
-  /** A controller's share of a limit changes with its role: what is in the bucket stays, up to the new burst. */
+  /**
+   * Changes the rate and the burst size, as a controller's share of a limit changes with its role. Available tokens are
+   * kept up to the new burst size.
+   */
   resize(ratePerSecond: number, burst: number, now: MonotonicTime): void {
     this.refill(now);
     this.ratePerSecond = ratePerSecond;
@@ -25,38 +31,41 @@
     this.available = Math.min(this.available, burst);
   }
 
-  /** The part of the burst that is there now, 0 to 1; negative while in debt. */
+  /** Returns the share of the burst size that is available now, 0 to 1. Negative while in debt. */
   fillRatio(now: MonotonicTime): number {
     this.refill(now);
     return this.available / this.burst;
   }
 
-  /** Whether so many tokens can be taken now. */
+  /** Returns whether the given number of tokens can be taken now. */
   hasTokens(tokens: number, now: MonotonicTime): boolean {
     if (tokens <= 0) return true;
     this.refill(now);
     return this.available >= this.cappedCost(tokens);
   }
 
-  /** Takes tokens, whether or not they are there. */
+  /** Takes tokens, whether or not they are available. */
   take(tokens: number, now: MonotonicTime): void {
     this.refill(now);
     this.available -= tokens;
   }
 
-  /** Returns how many tokens can be taken until then, one after the other. */
+  /** Returns how many tokens can be taken one by one until the deadline. The burst size does not limit them. */
   availableBy(deadline: MonotonicTime, now: MonotonicTime): number {
     this.refill(now);
     return this.available + (Math.max(0, deadline - now) / MS_PER_SECOND) * this.ratePerSecond;
   }
 
-  /** Returns the milliseconds until so many tokens can be taken; 0: they can be now. */
+  /** Returns the milliseconds until the given number of tokens can be taken, 0 if they can be taken now. */
   waitMs(tokens: number, now: MonotonicTime): number {
     this.refill(now);
     return Math.max(0, ((this.cappedCost(tokens) - this.available) / this.ratePerSecond) * MS_PER_SECOND);
   }
 
-  /** A charge above the burst could never be met: it waits for a full bucket and runs it into debt. */
+  /**
+   * Returns the tokens that must be available for a cost. A cost above the burst size could never be available, so it
+   * waits for a full bucket and leaves a debt.
+   */
   private cappedCost(tokens: number): number {
     return Math.min(tokens, this.burst);
   }
--- a/test/core/clients/call_queue.test.ts
+++ b/test/core/clients/call_queue.test.ts
@@ -10,46 +10,49 @@
 const PRIORITY = 2;
 const TICK_MS = 10;
 
-type Outcome = 'sent' | 'given up';
+type Outcome = 'sent' | 'not sent';
 
 interface Arrival {
   readonly afterMs: number;
   readonly writes: number;
 }
 
-/** Plays calls through a queue, and returns what became of each, and after how many milliseconds. */
-function playArrivals(arrivals: readonly Arrival[], refuseEarly: boolean): { fate: Outcome; waitedMs: number }[] {
+/** Sends calls through a queue, and returns for each call its outcome and how many milliseconds it waited. */
+function simulateArrivals(
+  arrivals: readonly Arrival[],
+  refuseEarly: boolean,
+): { outcome: Outcome; waitedMs: number }[] {
   const start = 0 as MonotonicTime;
   const queue = new CallQueue(new TokenBucket(RATE, RATE, start), new TokenBucket(RATE, RATE, start));
-  const fates: { fate: Outcome; waitedMs: number }[] = [];
+  const outcomes: { outcome: Outcome; waitedMs: number }[] = [];
   let now = 0;
   const advance = (ms: number): void => {
     for (const end = now + ms; now < end; now += TICK_MS) queue.dispatch(now as MonotonicTime);
   };
   arrivals.forEach(({ afterMs, writes }, i) => {
     advance(afterMs);
-    const cameAt = now;
-    const end = (fate: Outcome) => (): void => {
-      fates[i] = { fate, waitedMs: now - cameAt };
+    const arrivedAt = now;
+    const end = (outcome: Outcome) => (): void => {
+      outcomes[i] = { outcome, waitedMs: now - arrivedAt };
     };
     const call = {
       writeTokens: writes,
       expiresAt: (now + MAX_QUEUE_MS) as MonotonicTime,
       send: end('sent'),
-      refuse: end('given up'),
+      refuse: end('not sent'),
     };
     if (refuseEarly) queue.addOrRefuse(PRIORITY, call, now as MonotonicTime);
     else queue.add(PRIORITY, call);
     queue.dispatch(now as MonotonicTime);
   });
   advance(2 * MAX_QUEUE_MS);
-  return fates;
+  return outcomes;
 }
 
 const arrival = fc.record({ afterMs: fc.integer({ min: 0, max: 12 }).map((n) => n * TICK_MS), writes: fc.nat(3) });
 
 describe('CallQueue', () => {
-  test('sends lease renewals past an empty bucket, the rest by priority, and expires what waited too long', () => {
+  test('sends lease renewals even without tokens, sends other calls by priority, and refuses expired calls', () => {
     const bucket = new TokenBucket(10, 10, 0 as MonotonicTime);
     const queue = new CallQueue(bucket, null);
     const sent: string[] = [];
@@ -58,7 +61,7 @@
         writeTokens: 0,
         expiresAt: expires as MonotonicTime,
         send: () => sent.push(name),
-        refuse: () => sent.push(`${name} given up`),
+        refuse: () => sent.push(`${name} not sent`),
       });
     for (let i = 0; i < 10; i++) add(3, 'slow');
     queue.dispatch(0 as MonotonicTime);
@@ -71,35 +74,41 @@
     assert.deepEqual(sent, ['renew']);
     assert.ok(next !== null && next > 0);
     queue.dispatch(60 as MonotonicTime);
-    assert.ok(sent.includes('read given up'));
+    assert.ok(sent.includes('read not sent'));
     queue.dispatch(1000 as MonotonicTime);
     assert.deepEqual(sent.slice(-2), ['record', 'later']);
   });
 
-  test('refuses calls that somebody waits for at once or not at all, and only those that would have expired', () => {
+  test('refuses calls whose callers wait either at once or never, and only calls that would have expired', () => {
     const property = fc.property(fc.array(arrival, { maxLength: 120 }), (arrivals) => {
-      const early = playArrivals(arrivals, true);
-      const patient = playArrivals(arrivals, false);
-      early.forEach(({ fate, waitedMs }, i) => {
-        if (fate === 'given up') assert.equal(waitedMs, 0, `call ${i} was held back for ${waitedMs} ms`);
-        if (fate === 'given up') assert.equal(patient[i]?.fate, 'given up', `call ${i} would have been sent`);
+      const early = simulateArrivals(arrivals, true);
+      const withoutEarlyRefusal = simulateArrivals(arrivals, false);
+      early.forEach(({ outcome, waitedMs }, i) => {
+        if (outcome === 'not sent')
+          assert.equal(waitedMs, 0, `call ${i} was refused after ${waitedMs} ms instead of at once`);
+        if (outcome === 'not sent')
+          assert.equal(
+            withoutEarlyRefusal[i]?.outcome,
+            'not sent',
+            `call ${i} was refused early but would have been sent in time`,
+          );
       });
-      // Without calls that can't be sent before them, as many get through as before, or more.
-      const sent = (fates: typeof early): number => fates.filter(({ fate }) => fate === 'sent').length;
-      assert.ok(sent(early) >= sent(patient));
+      // Calls that can't be sent in time no longer queue ahead of others, so at least as many calls are sent.
+      const sent = (outcomes: typeof early): number => outcomes.filter(({ outcome }) => outcome === 'sent').length;
+      assert.ok(sent(early) >= sent(withoutEarlyRefusal));
     });
     fc.assert(property, { seed: 28, numRuns: 400 });
   });
 
-  test('refuses at once whatever exceeds what can be written in time', () => {
-    const fates = playArrivals(
+  test('refuses at once the calls that exceed the writes possible before they expire', () => {
+    const outcomes = simulateArrivals(
       Array.from({ length: 100 }, () => ({ afterMs: 0, writes: 1 })),
       true,
     );
-    const refused = fates.filter(({ fate, waitedMs }) => fate === 'given up' && waitedMs === 0).length;
-    // A second's burst, and what comes in before the second that each may wait is over.
+    const refused = outcomes.filter(({ outcome, waitedMs }) => outcome === 'not sent' && waitedMs === 0).length;
+    // The burst of one second, and the tokens that become available before the calls expire after one second.
     const inTime = 2 * RATE - 1;
     assert.equal(refused, 100 - inTime);
-    assert.equal(fates.filter(({ fate }) => fate === 'sent').length, inTime);
+    assert.equal(outcomes.filter(({ outcome }) => outcome === 'sent').length, inTime);
   });
 });
