--- a/src/core/autoscaling/machine_list.ts
+++ b/src/core/autoscaling/machine_list.ts
@@ -65,10 +65,10 @@
   private apply(listed: CloudMachine): void {
     const machine = this.cluster.machines.get(listed.id) ?? this.addUnknown(listed);
     if (!machine) return;
-    if (machine.address === '') machine.learnAddress(listed.address);
+    if (machine.address === '') machine.updateAddress(listed.address);
     const provisionedAt = (this.cluster.context.now.monotonic - listed.ageSeconds * 1000) as MonotonicTime;
     machine.lifecycle.recordProvisionedAt(provisionedAt);
-    if (listed.phase === 'running' && machine.lifecycle.isInheritedUnreported) this.onListedRunning(machine);
+    if (listed.phase === 'running' && machine.lifecycle.isInheritedBooting) this.onListedRunning(machine);
     if (listed.phase === 'failed' && !machine.lifecycle.isTerminating) this.handleStopped(machine);
   }
 
--- a/src/core/autoscaling/scale_in.ts
+++ b/src/core/autoscaling/scale_in.ts
@@ -167,7 +167,7 @@
   }
 
   private recordBootTimeout({ type, zone, lifecycle }: Machine): void {
-    this.cluster.bootTimeEstimator.recordAbandoned(
+    this.cluster.bootTimeEstimator.recordTimeout(
       type,
       zone,
       lifecycle.provisionedAt,
--- a/src/core/autoscaling/scale_out_demand.ts
+++ b/src/core/autoscaling/scale_out_demand.ts
@@ -263,7 +263,7 @@
 
 /** Returns whether the job may run in the zone and its zone allowance there is not used up. */
 const mayUseZone = (job: PlanJob, zone: ZoneName): boolean =>
-  (job.boundZone === null || job.boundZone === zone) && job.zoneAllowance?.get(zone) !== 0;
+  (job.requiredZone === null || job.requiredZone === zone) && job.zoneAllowance?.get(zone) !== 0;
 
 const countKey = (type: MachineTypeName, zone: ZoneName): string => `${type}|${zone}`;
 
--- a/src/core/health/health_checks.ts
+++ b/src/core/health/health_checks.ts
@@ -66,7 +66,7 @@
     if (unreconciled > 0 && previousTerms.recovery === null) return;
     for (const job of this.cluster.jobs.active) {
       const isIncomplete = job.isGang && job.placedCount > 0 && job.placedCount < job.spec.taskCount;
-      if (!isIncomplete || job.state !== 'accepted' || previousTerms.mayRunUnreconciled(job)) continue;
+      if (!isIncomplete || job.state !== 'accepted' || previousTerms.mayRunOnUnreconciledMachine(job)) continue;
       this.cluster.placements.breakGang(job);
     }
   }
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -33,7 +33,7 @@
   private firstStartZone: ZoneName | null;
   private possibleStartZones: Set<ZoneName> | null = null;
   private isGangBroken = false;
-  private mayRunUnreconciled = false;
+  private mayRunOnUnreconciledMachine = false;
   /** Number of machines on which each task is an unexpected task. Tasks without any are omitted. */
   private readonly unexpectedTasks = new Map<number, number>();
   private readonly placedTasks = new Set<number>();
@@ -234,9 +234,9 @@
   /** Number of tasks that need a placement and may get one now. */
   get startableCount(): number {
     const pending = this.pendingCount;
-    if (pending === 0 || (!this.mayRunUnreconciled && this.unexpectedTasks.size === 0)) return pending;
+    if (pending === 0 || (!this.mayRunOnUnreconciledMachine && this.unexpectedTasks.size === 0)) return pending;
     if (this.isGang) return 0;
-    if (this.mayRunUnreconciled) return this.locatedPendingCount;
+    if (this.mayRunOnUnreconciledMachine) return this.locatedPendingCount;
     return pending - [...this.unexpectedTasks.keys()].filter((index) => this.isPending(index)).length;
   }
 
@@ -256,7 +256,7 @@
 
   private isStartable(index: number): boolean {
     if (!this.isPending(index) || this.unexpectedTasks.has(index)) return false;
-    return !this.mayRunUnreconciled || this.locatedTasks.has(index);
+    return !this.mayRunOnUnreconciledMachine || this.locatedTasks.has(index);
   }
 
   private advanceFirstPossiblyPending(index: number): void {
@@ -284,8 +284,8 @@
    * Sets whether tasks of the job may be on unreconciled machines. While they may, only tasks that have been located
    * may be started.
    */
-  setMayRunUnreconciled(mayRun: boolean): void {
-    this.mayRunUnreconciled = mayRun;
+  setMayRunOnUnreconciledMachine(mayRun: boolean): void {
+    this.mayRunOnUnreconciledMachine = mayRun;
   }
 
   /** Number of tasks that this leader can't account for, because they are neither done nor located. */
--- a/src/core/leadership/planning_rounds.ts
+++ b/src/core/leadership/planning_rounds.ts
@@ -41,8 +41,8 @@
     private readonly callbacks: PlanningRoundCallbacks,
   ) {
     this.context = cluster.context;
-    cluster.timers.planningRound.handle(() => this.onRoundDue());
-    cluster.timers.servicePlacement.handle(() => {
+    cluster.timers.planningRound.setCallback(() => this.onRoundDue());
+    cluster.timers.servicePlacement.setCallback(() => {
       if (this.callbacks.mayPlan()) this.placeServices();
     });
   }
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -69,7 +69,7 @@
     private readonly callbacks: RecordWriterCallbacks,
   ) {
     this.context = cluster.context;
-    cluster.timers.recordFlush.handle(() => this.flush());
+    cluster.timers.recordFlush.setCallback(() => this.flush());
     const { maxChangesPerTransaction, maxValueBytes } = this.context.settings.stateStore;
     this.limits = { maxChanges: maxChangesPerTransaction, maxValueBytes };
   }
--- a/src/core/machines/boot_time_estimator.ts
+++ b/src/core/machines/boot_time_estimator.ts
@@ -120,7 +120,7 @@
   }
 
   /** Records that a machine is terminated because its boot timed out. */
-  recordAbandoned(type: MachineType, zone: ZoneName, provisionedAt: MonotonicTime, now: MonotonicTime): void {
+  recordTimeout(type: MachineType, zone: ZoneName, provisionedAt: MonotonicTime, now: MonotonicTime): void {
     this.history(type, zone, now).recordTimeout(provisionedAt, now);
   }
 
--- a/src/core/machines/lifecycle.ts
+++ b/src/core/machines/lifecycle.ts
@@ -56,7 +56,7 @@
   }
 
   /** Whether it is a registered machine of a previous leader that has not sent this leader a heartbeat yet. */
-  get isInheritedUnreported(): boolean {
+  get isInheritedBooting(): boolean {
     return this.currentPhase === 'booting' && this.registered && !this.isProvisionedByThisLeader;
   }
 
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -97,7 +97,7 @@
   }
 
   /** Updates the agent's address. An empty address is ignored. */
-  learnAddress(address: string): void {
+  updateAddress(address: string): void {
     if (address !== '') this.currentAddress = address;
   }
 
--- a/src/core/machines/reachability.ts
+++ b/src/core/machines/reachability.ts
@@ -74,7 +74,7 @@
   }
 
   /** Records that a response had an effect, which resets the count of ignored responses. */
-  recordEffect(): void {
+  recordEffectiveResponse(): void {
     this.ignoredResponses = 0;
   }
 
--- a/src/core/peers/peer_table.ts
+++ b/src/core/peers/peer_table.ts
@@ -55,7 +55,7 @@
   }
 
   /** Returns whether the forwarding of heartbeats to the peer is not paused. */
-  takesHeartbeats({ heartbeatsPausedUntil }: Peer): boolean {
+  acceptsHeartbeats({ heartbeatsPausedUntil }: Peer): boolean {
     return heartbeatsPausedUntil <= this.context.now.monotonic;
   }
 
--- a/src/core/scheduler/backfill.ts
+++ b/src/core/scheduler/backfill.ts
@@ -4,7 +4,7 @@
  */
 import { RESOURCE_TOLERANCE } from '../resource_amounts.js';
 import type { Resources, ZoneName } from '../types.js';
-import { type Candidate, precedes, recordOffer } from './candidates.js';
+import { type Candidate, isBetterOffer, recordOffer } from './candidates.js';
 import { allowedTasks, elementAt, fitsNow } from './capacity_timeline.js';
 import { GangSearch } from './gang_search.js';
 import type { Plan, PlanJob, PlanMachine, PlannedStart } from './plan_types.js';
@@ -64,7 +64,7 @@
     const placement = search.placeAt(0);
     workspace.steps += search.steps;
     if (!placement) continue;
-    workspace.startGang(job, placement, starts);
+    workspace.addGangStarts(job, placement, starts);
     break;
   }
   return starts;
@@ -78,7 +78,7 @@
     const { machineIndex, imagePullSeconds } = candidate;
     const tasks = Math.min(left, candidate.taskCount);
     const start = { jobIndex: job.index, machineIndex, tasks, freeAtSeconds: 0, startAtSeconds: imagePullSeconds };
-    workspace.start(start, job, candidate, imagePullSeconds + job.durationSeconds, starts);
+    workspace.addStart(start, job, candidate, imagePullSeconds + job.durationSeconds, starts);
     left -= tasks;
   }
   return starts;
@@ -94,7 +94,7 @@
     recordOffer(candidate, job, 0, taskCount, workspace.penalties.futureDiscount);
     offers.push(candidate);
   }
-  return offers.sort((first, second) => (precedes(first, second) ? -1 : 1));
+  return offers.sort((first, second) => (isBetterOffer(first, second) ? -1 : 1));
 }
 
 /** Returns the smallest demand for each resource, separately for jobs with GPUs and jobs without. */
--- a/src/core/scheduler/candidate_heap.ts
+++ b/src/core/scheduler/candidate_heap.ts
@@ -1,5 +1,5 @@
 /** A heap of candidates with the best offer on top. */
-import { type Candidate, precedes } from './candidates.js';
+import { type Candidate, isBetterOffer } from './candidates.js';
 
 /** Binary heap in an array. It is used because an array job accepts many offers in turn, from hundreds of machines. */
 export class CandidateHeap {
@@ -33,8 +33,9 @@
     const moving = items[from] as Candidate;
     let hole = from;
     for (let child = 2 * hole + 1; child < items.length; child = 2 * hole + 1) {
-      if (child + 1 < items.length && precedes(items[child + 1] as Candidate, items[child] as Candidate)) child += 1;
-      if (!precedes(items[child] as Candidate, moving)) break;
+      if (child + 1 < items.length && isBetterOffer(items[child + 1] as Candidate, items[child] as Candidate))
+        child += 1;
+      if (!isBetterOffer(items[child] as Candidate, moving)) break;
       items[hole] = items[child] as Candidate;
       hole = child;
     }
--- a/src/core/scheduler/candidates.ts
+++ b/src/core/scheduler/candidates.ts
@@ -50,7 +50,7 @@
 export const delayRankOf = (seconds: number): number => Math.round(DELAY_RANKS_PER_SECOND * seconds);
 
 /** Returns whether the first offer is better. Ties are broken by machine index, so that plans are deterministic. */
-export function precedes(first: Candidate, second: Candidate): boolean {
+export function isBetterOffer(first: Candidate, second: Candidate): boolean {
   if (first.delayRank !== second.delayRank) return first.delayRank < second.delayRank;
   if (first.slack !== second.slack) return first.slack < second.slack;
   return first.machineIndex < second.machineIndex;
--- a/src/core/scheduler/cluster_state.ts
+++ b/src/core/scheduler/cluster_state.ts
@@ -20,7 +20,7 @@
   readonly machineTypes: MachineTypes;
   readonly placements: Pick<PlacementTable, 'ofJob' | 'onMachine' | 'taskCountOn' | 'taskCountByZone'>;
   readonly quotas: Pick<Quotas, 'remainingTasks' | 'teamsInOrder'>;
-  readonly previousTerms: Pick<PreviousTerms, 'startableTasks'>;
+  readonly previousTerms: Pick<PreviousTerms, 'startableTaskCount'>;
   readonly runtimeEstimator: Pick<RuntimeEstimator, 'expectedSeconds'>;
   readonly bootTimeEstimator: Pick<BootTimeEstimator, 'remainingSeconds'>;
   readonly spotInterruptions: Pick<SpotInterruptionRate, 'perSecond'>;
@@ -34,7 +34,7 @@
 export interface SchedulableCluster extends ClusterState {
   /** The leader's term, which is recorded with a job's first start. */
   readonly term: number;
-  readonly previousTerms: Pick<PreviousTerms, 'startableTasks' | 'updateUnreconciled' | 'recordsStartZones'>;
+  readonly previousTerms: Pick<PreviousTerms, 'startableTaskCount' | 'updateUnreconciled' | 'recordsStartZones'>;
   readonly placements: ClusterState['placements'] & Pick<PlacementTable, 'add' | 'evict' | 'stop' | 'breakGang'>;
   readonly pendingCommands: Pick<PendingCommands, 'requestStarts'>;
   /** Returns an attempt number that is higher than all previous ones. */
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -120,7 +120,7 @@
       singleZone: spec.singleZone,
       zoneAllowance: zoneAllowance(this.cluster, job),
       feasibleZones,
-      boundZone: boundZone(job, feasibleZones),
+      requiredZone: requiredZone(job, feasibleZones),
       priorityWeight: priorityWeight(spec.priorityLevel, context.tuning.scheduler.priority_base),
       waitedSeconds,
       penaltyFactor: penaltyFactor(this.cluster, job),
@@ -145,7 +145,7 @@
 }
 
 /** Returns the zone that the job requests, or the zone with the placed tasks of a single-zone job, or null. */
-function boundZone({ spec, placedCount }: Job, feasibleZones: readonly ZoneName[]): ZoneName | null {
+function requiredZone({ spec, placedCount }: Job, feasibleZones: readonly ZoneName[]): ZoneName | null {
   const hasBegunInZone = spec.singleZone && placedCount > 0;
   return spec.zone ?? (hasBegunInZone ? (feasibleZones[0] as ZoneName) : null);
 }
--- a/src/core/scheduler/plan_types.ts
+++ b/src/core/scheduler/plan_types.ts
@@ -79,7 +79,7 @@
    */
   readonly feasibleZones: readonly ZoneName[];
   /** The only zone that the job may use: the one that it requests, or where its single-zone tasks are. Null if any. */
-  readonly boundZone: ZoneName | null;
+  readonly requiredZone: ZoneName | null;
   /** Weight of the job's wait in the fitness (u in the paper). */
   readonly priorityWeight: number;
   /** Time since the job was submitted (q in the paper). */
--- a/src/core/scheduler/plan_workspace.ts
+++ b/src/core/scheduler/plan_workspace.ts
@@ -63,7 +63,7 @@
   }
 
   /** Adds a start to `starts` and reserves its capacity for `occupiedSeconds` from the time at which it is free. */
-  start(
+  addStart(
     start: PlannedStart,
     job: PlanJob,
     candidate: Candidate,
@@ -88,13 +88,13 @@
   }
 
   /** Adds the starts of a whole gang. Machines that have the image wait for those that still pull it. */
-  startGang(job: PlanJob, placement: GangPlacement, starts: PlannedStart[]): void {
+  addGangStarts(job: PlanJob, placement: GangPlacement, starts: PlannedStart[]): void {
     const { freeAtSeconds, startSeconds, allocations } = placement;
     const occupiedSeconds = startSeconds - freeAtSeconds + job.durationSeconds;
     for (const { candidate, tasks } of allocations) {
       const { machineIndex } = candidate;
       const start = { jobIndex: job.index, machineIndex, tasks, freeAtSeconds, startAtSeconds: startSeconds };
-      this.start(start, job, candidate, occupiedSeconds, starts);
+      this.addStart(start, job, candidate, occupiedSeconds, starts);
     }
   }
 }
--- a/src/core/scheduler/planner.ts
+++ b/src/core/scheduler/planner.ts
@@ -178,7 +178,7 @@
     const { machineIndex, startSeconds, imagePullSeconds } = candidate;
     const freeAtSeconds = elementAt(candidate.machine.stepTimesSeconds, candidate.step);
     const start = { jobIndex: job.index, machineIndex, tasks, freeAtSeconds, startAtSeconds: startSeconds };
-    this.workspace.start(start, job, candidate, imagePullSeconds + job.durationSeconds, starts);
+    this.workspace.addStart(start, job, candidate, imagePullSeconds + job.durationSeconds, starts);
   }
 
   private planGang(job: PlanJob, zone: ZoneName, draft: PlanDraft): number {
@@ -190,7 +190,7 @@
       draft.unplacedTasks.set(job.index, job.tasks);
       return UNPLACED_WAIT_SECONDS;
     }
-    this.workspace.startGang(job, placement, draft.starts);
+    this.workspace.addGangStarts(job, placement, draft.starts);
     return placement.startSeconds;
   }
 }
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -76,7 +76,7 @@
 function mayStartNow(cluster: ClusterState, job: Job): boolean {
   // Services are placed before the round, by best fit outside the search (service_placement.ts).
   if (job.isService || job.pendingCount <= 0 || job.retries.isDelayed(cluster.context.now.monotonic)) return false;
-  return cluster.previousTerms.startableTasks(job) > 0;
+  return cluster.previousTerms.startableTaskCount(job) > 0;
 }
 
 /** Returns how many of the job's waiting tasks its team's limit allows now. For a gang this is all of them or none. */
--- a/src/core/scheduler/waiting_services.ts
+++ b/src/core/scheduler/waiting_services.ts
@@ -6,7 +6,7 @@
 export function waitingServices(cluster: ClusterState): Job[] {
   const now = cluster.context.now.monotonic;
   const waiting = [...cluster.jobs.services].filter(
-    (job) => !job.retries.isDelayed(now) && cluster.previousTerms.startableTasks(job) > 0,
+    (job) => !job.retries.isDelayed(now) && cluster.previousTerms.startableTaskCount(job) > 0,
   );
   return waiting.sort(
     (first, second) =>
--- a/src/core/state/cluster.ts
+++ b/src/core/state/cluster.ts
@@ -81,7 +81,7 @@
   }
 
   /** Returns whether the attempt was started in a previous term. */
-  isOfEarlierTerm(attempt: Attempt): boolean {
+  isOfPreviousTerm(attempt: Attempt): boolean {
     return this.attempts.isOfPreviousTerm(attempt);
   }
 
--- a/src/core/state/previous_terms.ts
+++ b/src/core/state/previous_terms.ts
@@ -82,7 +82,7 @@
    * trustworthy.
    */
   onJobAdded(job: Job, startZones: readonly ZoneName[] | null): void {
-    this.recovery?.onRecorded(job.id);
+    this.recovery?.onRecordFound(job.id);
     job.restoreStartZones(trustedStartZones(job.startTerm, startZones, this.init.startZonesRecordedSince));
     if (this.isFromPreviousTerm(job) && job.state !== 'done') this.jobs.add(job);
   }
@@ -188,17 +188,17 @@
   /**
    * Updates whether tasks of the job may be on unreconciled machines. Returns how many of its tasks may be placed now.
    */
-  startableTasks(job: Job): number {
-    job.setMayRunUnreconciled(this.mayRunUnreconciled(job));
+  startableTaskCount(job: Job): number {
+    job.setMayRunOnUnreconciledMachine(this.mayRunOnUnreconciledMachine(job));
     return job.startableCount;
   }
 
   /** Returns whether tasks of the job may be on an unreconciled machine. */
-  mayRunUnreconciled(job: Job): boolean {
+  mayRunOnUnreconciledMachine(job: Job): boolean {
     if (!this.isFromPreviousTerm(job)) return false;
     if (!this.recovery) return this.unreconciledMachineCount > 0;
     if (this.recovery.isFinished) return false;
-    return this.recovery.mayRunUnreconciled(toPreviousTermJob(job), this.context.now.monotonic);
+    return this.recovery.mayRunOnUnreconciledMachine(toPreviousTermJob(job), this.context.now.monotonic);
   }
 
   /** Called when the start of a task is sent. */
--- a/src/core/state/term_timers.ts
+++ b/src/core/state/term_timers.ts
@@ -1,7 +1,7 @@
 /** The timers of one term: those that several components set, and the scope in which components create their own. */
 import type { Timer, TimerFactory, TimerScope, Timers } from '../timers.js';
 
-/** Timers that stop when the term ends. The component that does a timer's work assigns it with `handle`. */
+/** Timers that stop when the term ends. The component that does a timer's work assigns it with `setCallback`. */
 export class TermTimers implements TimerFactory {
   readonly planningRound: Timer;
   readonly servicePlacement: Timer;
@@ -18,8 +18,8 @@
   }
 
   /** Creates a timer that stops when the term ends. */
-  create(work?: () => void): Timer {
-    return this.scope.create(work);
+  create(callback?: () => void): Timer {
+    return this.scope.create(callback);
   }
 
   /** Stops all timers of the term when it ends. */
--- a/src/core/timers.ts
+++ b/src/core/timers.ts
@@ -26,7 +26,7 @@
    * Sets the function that is called when the timer is due. This is for timers whose creator does not depend on the
    * component that handles them. The function may set the timer again.
    */
-  handle(callback: () => void): void {
+  setCallback(callback: () => void): void {
     this.callback = callback;
   }
 
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -39,7 +39,7 @@
     private readonly leader: CommandLeader,
   ) {
     this.context = cluster.context;
-    cluster.timers.commandPush.handle(() => this.pushDueCommands());
+    cluster.timers.commandPush.setCallback(() => this.pushDueCommands());
   }
 
   /** Pushes due commands, and sets the retry timer if there were any. */
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -191,7 +191,7 @@
   private recordContact(machine: Machine, heartbeat: Heartbeat): boolean {
     const { monotonic } = this.context.now;
     const isFirst = machine.messages.recordHeartbeat(monotonic);
-    machine.learnAddress(heartbeat.address);
+    machine.updateAddress(heartbeat.address);
     if (machine.phase === 'booting') this.onMachineUp(machine);
     if (isFirst) machine.allocations.resetIdleSince(monotonic);
     return isFirst;
--- a/src/core/workers/heartbeat_router.ts
+++ b/src/core/workers/heartbeat_router.ts
@@ -169,7 +169,7 @@
   }
 
   private mayForwardTo(peer: Peer): boolean {
-    return peer.status.isLeader && this.peers.isReachable(peer) && this.peers.takesHeartbeats(peer);
+    return peer.status.isLeader && this.peers.isReachable(peer) && this.peers.acceptsHeartbeats(peer);
   }
 
   /** Records a redirect of the worker. Returns false, and records nothing, if the worker was redirected recently. */
--- a/src/core/workers/status_reconciliation.ts
+++ b/src/core/workers/status_reconciliation.ts
@@ -176,7 +176,7 @@
     const now = cluster.context.now.monotonic;
     const { job } = placement;
     const hasJustStarted = placement.phase === 'sent';
-    if (hasJustStarted) machine.reachability.recordEffect();
+    if (hasJustStarted) machine.reachability.recordEffectiveResponse();
     const startsRunning = placement.recordPhase(task.phase, now);
     if (task.phase === 'pulling') machine.images.onPulling(job.spec, hasJustStarted, now);
     else machine.images.onPresent(job.spec, now);
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -66,7 +66,7 @@
  */
 function recordLocationOfMissedExit(cluster: Cluster, machine: Machine, job: Job, task: TaskStatus): void {
   const { index, attempt, exitReason } = task;
-  if (!cluster.isOfEarlierTerm(attempt)) job.locatedTasks.add(index);
+  if (!cluster.isOfPreviousTerm(attempt)) job.locatedTasks.add(index);
   else if ((exitReason !== 'done' || job.isService) && job.mayStartAgain(index))
     job.locatedTasks.recordRelease(index, { machine: machine.id, attempt, reason: 'exited' });
 }
--- a/src/recovery/orphan_tracker.ts
+++ b/src/recovery/orphan_tracker.ts
@@ -51,7 +51,7 @@
   }
 
   /** Stops suspecting a job whose record has been found. Its running tasks are adopted. */
-  onRecorded(job: JobId): void {
+  onRecordFound(job: JobId): void {
     this.jobs.delete(job);
   }
 
--- a/src/recovery/recovery.ts
+++ b/src/recovery/recovery.ts
@@ -87,7 +87,7 @@
   // ---- jobs
 
   /** Returns whether a task of the job that has not been found may be on an unreconciled machine. */
-  mayRunUnreconciled(job: PreviousTermJob, now: MonotonicTime): boolean {
+  mayRunOnUnreconciledMachine(job: PreviousTermJob, now: MonotonicTime): boolean {
     if (job.startTerm <= 0 || job.startTerm >= this.init.term || job.unaccountedCount <= 0) return false;
     return this.unreconciled.isFeasible(job, now);
   }
@@ -104,7 +104,7 @@
   teamExposure(jobs: Iterable<PreviousTermJob>, now: MonotonicTime): TeamExposure | null {
     const capacity = this.unreconciled.capacity(now);
     if (capacity === null || this.unreadableRecords > 0) return null;
-    return teamExposure(jobs, this.unreconciled, (job) => this.mayRunUnreconciled(job, now), capacity);
+    return teamExposure(jobs, this.unreconciled, (job) => this.mayRunOnUnreconciledMachine(job, now), capacity);
   }
 
   // ---- tasks
@@ -128,8 +128,8 @@
   }
 
   /** Records that the job's record has been found, so that the job is no orphan. */
-  onRecorded(job: JobId): void {
-    this.orphans.onRecorded(job);
+  onRecordFound(job: JobId): void {
+    this.orphans.onRecordFound(job);
   }
 
   /** Returns whether the state store has confirmed that the job has no record. */
--- a/src/recovery/team_exposure.ts
+++ b/src/recovery/team_exposure.ts
@@ -13,13 +13,13 @@
 export function teamExposure(
   jobs: Iterable<PreviousTermJob>,
   machines: UnreconciledMachines,
-  mayRunUnreconciled: (job: PreviousTermJob) => boolean,
+  mayRunOnUnreconciledMachine: (job: PreviousTermJob) => boolean,
   capacity: Capacity,
 ): TeamExposure {
   const exposure = new Map<TeamName, { cpus: number; gpus: number }>();
   if (machines.count === 0) return exposure;
   for (const job of jobs) {
-    if (!mayRunUnreconciled(job)) continue;
+    if (!mayRunOnUnreconciledMachine(job)) continue;
     const use = exposure.get(job.team) ?? { cpus: 0, gpus: 0 };
     use.cpus = Math.min(capacity.cpus, use.cpus + job.cpus * job.unaccountedCount);
     use.gpus = Math.min(capacity.gpus, use.gpus + job.gpus * job.unaccountedCount);
--- a/test/core/scheduler/plans.test.ts
+++ b/test/core/scheduler/plans.test.ts
@@ -124,7 +124,7 @@
     singleZone: draw.chance(30),
     zoneAllowance: draw.chance(15) ? new Map(feasibleZones.map((zone) => [zone, draw.int(0, zoneLimit)])) : null,
     feasibleZones,
-    boundZone: null,
+    requiredZone: null,
     priorityWeight: draw.pick([1, 4, 16, 64]),
     waitedSeconds: draw.int(0, 300),
     penaltyFactor: draw.pick([0, 0.5, 1]),
--- a/test/recovery_properties.test.ts
+++ b/test/recovery_properties.test.ts
@@ -163,7 +163,10 @@
     jobs.forEach((job, i) => {
       const machines = model.unlistedTaskMachines(i, listed);
       if (machines.length > 0)
-        assert.ok(recovery.mayRunUnreconciled(job, NOW), `${job.id} runs on unreconciled ${machines.join(' ')}`);
+        assert.ok(
+          recovery.mayRunOnUnreconciledMachine(job, NOW),
+          `${job.id} runs on unreconciled ${machines.join(' ')}`,
+        );
     });
     const unlistedTasks = jobs.reduce((sum, _, job) => sum + model.unlistedTaskMachines(job, listed).length, 0);
     const countedCpus = recovery.teamExposure(jobs, NOW)?.get(TEAM)?.cpus ?? 0;
@@ -173,7 +176,7 @@
     );
     const isAllListed = listed.size === MACHINES;
     assert.equal(recovery.isReconciled(NOW), isAllListed);
-    if (isAllListed) assert.ok(jobs.every((job) => !recovery.mayRunUnreconciled(job, NOW)));
+    if (isAllListed) assert.ok(jobs.every((job) => !recovery.mayRunOnUnreconciledMachine(job, NOW)));
   });
   checkProperty(import.meta.url, property, 3000);
 });
--- a/test/support/plan_fixtures.ts
+++ b/test/support/plan_fixtures.ts
@@ -51,7 +51,7 @@
     singleZone: false,
     zoneAllowance: null,
     feasibleZones: ['a' as ZoneName],
-    boundZone: null,
+    requiredZone: null,
     priorityWeight: 1,
     waitedSeconds: 0,
     penaltyFactor: 1,
