--- a/test/sim/availability.ts
+++ b/test/sim/availability.ts
@@ -1,21 +1,23 @@
+/** Measures the availability of services. */
 import type { JobId } from '../../src/core/types.js';
 import type { World } from './world.js';
 
+/** Interval of the samples, in milliseconds. */
 const SAMPLE_INTERVAL_MS = 500;
 
-/** Which part of a service's replica time was served, second by second. */
+/** Samples which share of each service's replicas is running. */
 export class ServiceAvailability {
-  private readonly samples = new Map<JobId, { at: number; up: number }[]>();
+  private readonly samples = new Map<JobId, { at: number; runningShare: number }[]>();
 
   constructor(private readonly world: World) {}
 
-  /** Samples from now on. */
+  /** Begins to sample. */
   start(): void {
-    const look = (): void => {
+    const tick = (): void => {
       this.sample();
-      this.world.clock.schedule(SAMPLE_INTERVAL_MS, look);
+      this.world.clock.schedule(SAMPLE_INTERVAL_MS, tick);
     };
-    this.world.clock.schedule(SAMPLE_INTERVAL_MS, look);
+    this.world.clock.schedule(SAMPLE_INTERVAL_MS, tick);
   }
 
   private sample(): void {
@@ -29,22 +31,24 @@
     for (const spec of invariants.submitted.values()) {
       if (spec.kind !== 'service' || !invariants.isAccepted(spec.id) || invariants.cancellationRequested.has(spec.id))
         continue;
-      const of = this.samples.get(spec.id) ?? [];
-      of.push({ at: clock.now, up: Math.min(1, (running.get(spec.id) ?? 0) / spec.taskCount) });
-      this.samples.set(spec.id, of);
+      const jobSamples = this.samples.get(spec.id) ?? [];
+      jobSamples.push({ at: clock.now, runningShare: Math.min(1, (running.get(spec.id) ?? 0) / spec.taskCount) });
+      this.samples.set(spec.id, jobSamples);
     }
   }
 
-  /** From so long after its first sample on. */
+  /**
+   * The average running share of a service, without the samples within `afterMs` of its first one; 0 if there are none.
+   */
   averageFrom(job: JobId, afterMs: number): number {
     const all = this.samples.get(job) ?? [];
     const from = (all[0]?.at ?? 0) + afterMs;
-    const counted = all.filter((sample) => sample.at >= from);
-    return counted.length === 0 ? 0 : counted.reduce((sum, sample) => sum + sample.up, 0) / counted.length;
+    const samples = all.filter((sample) => sample.at >= from);
+    return samples.length === 0 ? 0 : samples.reduce((sum, sample) => sum + sample.runningShare, 0) / samples.length;
   }
 
-  /** The part that is up at the last look. */
+  /** The running share of a service in its latest sample; 0 if there is none. */
   latest(job: JobId): number {
-    return this.samples.get(job)?.at(-1)?.up ?? 0;
+    return this.samples.get(job)?.at(-1)?.runningShare ?? 0;
   }
 }
--- a/test/sim/build.ts
+++ b/test/sim/build.ts
@@ -1,3 +1,4 @@
+/** The builds of the controller that a world can run. */
 import { fileURLToPath } from 'node:url';
 import { loadFeatures } from '../../src/config/features.js';
 import { loadTuning } from '../../src/config/tuning.js';
@@ -8,11 +9,11 @@
 import type { Tuning } from '../../src/core/settings.js';
 import { encodeFrame, FrameSplitter } from '../../src/io/peers/peer_codec.js';
 
-/** What a world asks of a build's controller; earlier builds keep no summary of recovery. */
+/** The methods of a build's controller that a world calls. Earlier builds have no recovery summary. */
 export type SimulatedController = Pick<Controller, 'step' | 'nextTimerAt' | 'isHealthy'> &
   Partial<Pick<Controller, 'recoverySummary'>>;
 
-/** The parts of a build that a world needs: this one's, or an earlier one's. */
+/** The parts of a build, of this version or an earlier one, that a world uses. */
 export interface Build {
   readonly name: string;
   readonly controllerClass: new (...properties: ConstructorParameters<typeof Controller>) => SimulatedController;
@@ -20,19 +21,22 @@
   readonly splitterClass: typeof FrameSplitter;
   readonly records: typeof records;
   readonly tuning: Tuning;
-  /** What it switches on; builds that know of no such file have nothing to switch. */
+  /** The features that it enables; all off for builds from before deploy/features.toml. */
   readonly features: Features;
-  /** Whether it keeps to the limits that the settings announce for later. */
+  /** Whether it already complies with limits that the settings announce for a later time. */
   readonly readsAnnouncedLimits: boolean;
-  /** Which names its code gives to messages, settings and records; on the wire and in storage nothing was renamed. */
+  /**
+   * The generation of names that its code uses for messages, settings and records. Wire and storage formats are the
+   * same.
+   */
   readonly names: 'names-1' | 'names-2' | 'present';
-  /** A message to a peer as the build's own codec takes it. */
-  readonly ownMessage: (message: PeerMessage) => PeerMessage;
+  /** Translates a message to a peer to the names that the build's own codec expects. */
+  readonly toBuildMessage: (message: PeerMessage) => PeerMessage;
 }
 
 const deployFile = (name: string): string => fileURLToPath(new URL(`../../../../deploy/${name}`, import.meta.url));
 
-/** The build of this version, with the features as they are deployed. */
+/** The build of this version, with the deployed features. */
 export const CURRENT_BUILD: Build = {
   name: 'present',
   controllerClass: Controller,
@@ -43,14 +47,14 @@
   features: loadFeatures(deployFile('features.toml')),
   readsAnnouncedLimits: true,
   names: 'present',
-  ownMessage: (message) => message,
+  toBuildMessage: (message) => message,
 };
 
-/** The present build with all features off, as an operator may run it beside others. */
+/** The build of this version with all features off, which operators may run beside other builds. */
 export const FEATURES_OFF: Build = { ...CURRENT_BUILD, name: 'features-off', features: ALL_OFF };
 
 /** The builds of this version. */
 export const CURRENT_BUILDS: readonly Build[] = [CURRENT_BUILD, FEATURES_OFF];
 
-/** Whether a build is of this version. */
+/** Returns whether a build is of this version. */
 export const isCurrent = (build: Build): boolean => CURRENT_BUILDS.includes(build);
--- a/test/sim/clock.ts
+++ b/test/sim/clock.ts
@@ -1,16 +1,19 @@
+/** The virtual clock, event queue and random generator of a world. */
 import { type RandomGenerator, unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand';
 
+/** A function to run at a time; events of the same time run by ascending `order`. */
 interface ScheduledEvent {
   readonly at: number;
-  readonly nextOrder: number;
+  readonly order: number;
   readonly run: () => void;
 }
 
-/** Virtual time and the only source of chance: a run with the same seed is the same run. */
+/** Virtual time and the only source of randomness: two runs with the same seed are identical. */
 export class Clock {
-  /** Milliseconds since the beginning. */
+  /** Milliseconds since the start of the run. */
   now = 0;
   private readonly random: RandomGenerator;
+  /** A binary heap, earliest event first. */
   private queue: ScheduledEvent[] = [];
   private nextOrder = 0;
 
@@ -18,27 +21,27 @@
     this.random = xoroshiro128plus(seed);
   }
 
-  /** A number from `lo` up to `hi`. */
+  /** A random number from `low` to `high`. */
   randomBetween(low: number, high: number): number {
     return low + (unsafeUniformIntDistribution(0, 1_000_000, this.random) / 1_000_000) * (high - low);
   }
 
-  /** One of them, each as likely as the others. */
-  pickRandom<T>(from: readonly T[]): T {
-    return from[unsafeUniformIntDistribution(0, from.length - 1, this.random)] as T;
+  /** A random item, with equal probabilities. */
+  pickRandom<T>(items: readonly T[]): T {
+    return items[unsafeUniformIntDistribution(0, items.length - 1, this.random)] as T;
   }
 
-  /** Runs a function so many milliseconds from now; those of the same time run in the order in which they were scheduled. */
+  /** Runs a function `ms` milliseconds from now. Functions due at the same time run in the order of scheduling. */
   schedule(ms: number, run: () => void): void {
-    const event: ScheduledEvent = { at: this.now + Math.max(0, ms), nextOrder: this.nextOrder++, run };
+    const event: ScheduledEvent = { at: this.now + Math.max(0, ms), order: this.nextOrder++, run };
     const heap = this.queue;
     heap.push(event);
     let i = heap.length - 1;
     while (i > 0) {
-      const up = (i - 1) >> 1;
-      if (!isBefore(event, heap[up] as ScheduledEvent)) break;
-      heap[i] = heap[up] as ScheduledEvent;
-      i = up;
+      const parent = (i - 1) >> 1;
+      if (!isBefore(event, heap[parent] as ScheduledEvent)) break;
+      heap[i] = heap[parent] as ScheduledEvent;
+      i = parent;
     }
     heap[i] = event;
   }
@@ -50,18 +53,19 @@
     if (!first || !last || heap.length === 0) return first;
     let i = 0;
     for (;;) {
-      let down = 2 * i + 1;
-      if (down >= heap.length) break;
-      if (down + 1 < heap.length && isBefore(heap[down + 1] as ScheduledEvent, heap[down] as ScheduledEvent)) down += 1;
-      if (!isBefore(heap[down] as ScheduledEvent, last)) break;
-      heap[i] = heap[down] as ScheduledEvent;
-      i = down;
+      let child = 2 * i + 1;
+      if (child >= heap.length) break;
+      if (child + 1 < heap.length && isBefore(heap[child + 1] as ScheduledEvent, heap[child] as ScheduledEvent))
+        child += 1;
+      if (!isBefore(heap[child] as ScheduledEvent, last)) break;
+      heap[i] = heap[child] as ScheduledEvent;
+      i = child;
     }
     heap[i] = last;
     return first;
   }
 
-  /** Runs all that falls due up to `end`, which is the time afterwards. */
+  /** Runs all events due up to `end`, and sets the time to `end`. */
   runUntil(end: number): void {
     while (this.queue.length > 0 && (this.queue[0] as ScheduledEvent).at <= end) {
       const event = this.pop() as ScheduledEvent;
@@ -72,5 +76,4 @@
   }
 }
 
-const isBefore = (a: ScheduledEvent, b: ScheduledEvent): boolean =>
-  a.at < b.at || (a.at === b.at && a.nextOrder < b.nextOrder);
+const isBefore = (a: ScheduledEvent, b: ScheduledEvent): boolean => a.at < b.at || (a.at === b.at && a.order < b.order);
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -1,3 +1,4 @@
+/** A simulated cloud that provisions and terminates machines. */
 import type { CloudOperation, CloudResult } from '../../src/core/messages.js';
 import type { CloudMachine, MachineId, MachineType, ZoneName } from '../../src/core/types.js';
 import type { Clock } from './clock.js';
@@ -11,47 +12,53 @@
   phase: 'booting' | 'running' | 'failed';
 }
 
-/** Machines provisioned before `until` take so many times as long to come up, and that share of them never does. */
+/**
+ * Machines provisioned before `until` take `factor` times as long to boot, and the share `neverBootsShare` never boots.
+ */
 export interface BootFault {
   readonly factor: number;
   readonly neverBootsShare: number;
   readonly until: number;
-  /** Null: in all zones. */
+  /** The zone affected; null for all zones. */
   readonly zone: string | null;
 }
 
-/** What a world is told of its machines. */
+/** Callbacks on changes of a machine's state. */
 export interface CloudEvents {
   onBooted(id: MachineId, type: MachineType, zone: ZoneName, spot: boolean): void;
-  onGone(id: MachineId): void;
-  /** A machine is about to be deleted because it was asked for. */
+  /** Called when a machine was terminated or interrupted, or has failed. */
+  onRemoved(id: MachineId): void;
+  /** Called before a machine is terminated on request. */
   onTermination(id: MachineId): void;
 }
 
-/** A cloud by its protocol: idempotent provisioning, lists that lag and go backwards, machines that never boot. */
+/**
+ * Implements the cloud's protocol with its faults. Provisioning is idempotent, lists are stale by varying times so that
+ * a later one may be older, and some machines never boot.
+ */
 export class SimulatedCloud {
-  /** What is provisioned at present. */
+  /** The machines that are provisioned at present, including failed ones. */
   readonly machines = new Map<MachineId, ProvisionedMachine>();
-  private readonly provisionedByRequest = new Map<string, MachineId[]>();
-  private listHistory: { at: number; currentList: CloudMachine[] }[] = [];
+  private readonly machinesByIdempotencyKey = new Map<string, MachineId[]>();
+  private listHistory: { at: number; machines: CloudMachine[] }[] = [];
   private lastMachineNumber = 0;
-  /** Whether every call is refused. */
+  /** Whether every call is refused as unavailable. */
   isDown = false;
-  /** So many of the next machines that are provisioned never boot. */
+  /** The number of machines, of those provisioned next, that never boot. */
   neverBootCount = 0;
   private bootFaults: BootFault[] = [];
-  /** Machines that were provisioned on request. */
+  /** The number of machines that were provisioned on request. */
   provisionedCount = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly types: readonly MachineType[],
     private readonly capacity: number,
-    private readonly listLagMs: number,
+    private readonly listStalenessMs: number,
     private readonly events: CloudEvents,
   ) {
     const tick = (): void => {
-      this.listHistory.push({ at: clock.now, currentList: this.currentList() });
+      this.listHistory.push({ at: clock.now, machines: this.currentList() });
       if (this.listHistory.length > 200) this.listHistory.shift();
       clock.schedule(500, tick);
     };
@@ -72,7 +79,7 @@
       .sort((a, b) => (a.id < b.id ? -1 : 1));
   }
 
-  /** Adds a machine that boots in so many milliseconds; null: never. */
+  /** Adds a machine that boots after `bootMs` milliseconds; null: it never boots. */
   addMachine(type: MachineType, zone: ZoneName, spot: boolean, bootMs: number | null): MachineId {
     const id = `i-${String(this.lastMachineNumber++).padStart(6, '0')}` as MachineId;
     const machine: ProvisionedMachine = { id, type, zone, spot, provisionedAt: this.clock.now, phase: 'booting' };
@@ -87,17 +94,17 @@
     return id;
   }
 
-  /** Takes a machine back, without notice. */
+  /** Removes a machine without notice, as when a spot machine is reclaimed. */
   interrupt(id: MachineId): void {
-    if (this.machines.delete(id)) this.events.onGone(id);
+    if (this.machines.delete(id)) this.events.onRemoved(id);
   }
 
-  /** Lets a machine stop; it is listed as failed until it is terminated. */
+  /** Makes a machine fail; it is listed as failed until it is terminated. */
   failMachine(id: MachineId): void {
     const machine = this.machines.get(id);
     if (!machine) return;
     machine.phase = 'failed';
-    this.events.onGone(id);
+    this.events.onRemoved(id);
   }
 
   /** Executes a call after a random latency. */
@@ -105,48 +112,48 @@
     this.clock.schedule(this.clock.randomBetween(50, 250), () => reply(this.execute(op)));
   }
 
-  /** The list as it was some time ago. */
+  /** The machines after `after` as they were at a random time ago, between 0.2 and 2 times the configured staleness. */
   private staleList(after: MachineId | null): CloudResult {
-    const lag = this.clock.randomBetween(0.2, 2) * this.listLagMs;
+    const stalenessMs = this.clock.randomBetween(0.2, 2) * this.listStalenessMs;
     let list: CloudMachine[] = [];
-    for (const entry of this.listHistory) if (entry.at <= this.clock.now - lag) list = entry.currentList;
+    for (const entry of this.listHistory) if (entry.at <= this.clock.now - stalenessMs) list = entry.machines;
     return { ok: true, value: { machines: list.filter(({ id }) => after === null || id > after), more: false } };
   }
 
   private terminate(id: MachineId): void {
     this.events.onTermination(id);
-    if (this.machines.delete(id)) this.events.onGone(id);
+    if (this.machines.delete(id)) this.events.onRemoved(id);
   }
 
-  /** Machines provisioned from now on are subject to the fault. */
+  /** Adds a fault that applies to machines provisioned from now on. */
   addBootFault(fault: BootFault): void {
     this.bootFaults.push(fault);
   }
 
-  /** How long a machine takes to come up; null: for ever. */
+  /** The boot time of a new machine, in milliseconds; null if it never boots. */
   private bootMs(type: MachineType, zone: ZoneName): number | null {
-    const usual = type.bootSeconds * 1000 * this.clock.randomBetween(0.6, 1.5);
+    const normalBootMs = type.bootSeconds * 1000 * this.clock.randomBetween(0.6, 1.5);
     const fault = this.bootFaults.find(
       (each) => this.clock.now < each.until && (each.zone === null || each.zone === zone),
     );
-    if (!fault) return usual;
-    return this.clock.randomBetween(0, 1) < fault.neverBootsShare ? null : usual * fault.factor;
+    if (!fault) return normalBootMs;
+    return this.clock.randomBetween(0, 1) < fault.neverBootsShare ? null : normalBootMs * fault.factor;
   }
 
   private provision(op: Extract<CloudOperation, { op: 'provision' }>): CloudResult {
-    const before = this.provisionedByRequest.get(op.idempotencyKey);
-    if (before) return { ok: true, value: { provisioned: before } };
+    const earlierMachines = this.machinesByIdempotencyKey.get(op.idempotencyKey);
+    if (earlierMachines) return { ok: true, value: { provisioned: earlierMachines } };
     const type = this.types.find(({ name }) => name === op.machineType);
     const free = this.capacity - this.machines.size;
     if (!type || free <= 0) return { ok: false, error: { code: 'noCapacity' } };
     const ids: MachineId[] = [];
     for (let i = 0; i < Math.min(free, op.count); i++) {
-      const never = this.neverBootCount > 0;
-      if (never) this.neverBootCount -= 1;
-      ids.push(this.addMachine(type, op.zone, op.spot, never ? null : this.bootMs(type, op.zone)));
+      const neverBoots = this.neverBootCount > 0;
+      if (neverBoots) this.neverBootCount -= 1;
+      ids.push(this.addMachine(type, op.zone, op.spot, neverBoots ? null : this.bootMs(type, op.zone)));
       this.provisionedCount += 1;
     }
-    this.provisionedByRequest.set(op.idempotencyKey, ids);
+    this.machinesByIdempotencyKey.set(op.idempotencyKey, ids);
     return { ok: true, value: { provisioned: ids } };
   }
 
--- a/test/sim/command_counts.ts
+++ b/test/sim/command_counts.ts
@@ -1,29 +1,34 @@
+/** Counts the commands that workers receive. */
 import type { CommandPush } from '../../src/core/messages.js';
 import type { Command } from '../../src/core/types.js';
 
-/** A kind of command; `inquiry` is a push without commands, which asks for the status alone. */
+/** A kind of command. `inquiry` is a push without commands, which only requests the worker's status. */
 export type CommandKind = Command['op'] | 'inquiry';
 
-/** What workers are told to do, by kind: every command that reaches one and is entitled, whether or not it has an effect. */
+/**
+ * Counts, by kind, the commands that workers receive with a valid fencing token, whether or not they have an effect.
+ */
 export class CommandCounts {
   private readonly counts = new Map<CommandKind, number>();
 
-  /** Counts anew from now on. */
+  /** Resets all counts to zero. */
   reset(): void {
     this.counts.clear();
   }
 
-  /** How many of the kind reached workers since the counts were reset. */
+  /** The number of commands of the kind since the last reset. */
   count(kind: CommandKind): number {
     return this.counts.get(kind) ?? 0;
   }
 
-  /** A worker carries out a command. */
+  /** Called when a worker executes a command. */
   onCommand({ op }: Command): void {
     this.add(op);
   }
 
-  /** A direct call without commands only asks for the list of tasks. */
+  /**
+   * Called when a worker accepts a push. A push without commands counts as an inquiry; others count by their commands.
+   */
   onPushedCommands({ commands }: CommandPush): void {
     if (commands.length === 0) this.add('inquiry');
   }
--- a/test/sim/controller_process.ts
+++ b/test/sim/controller_process.ts
@@ -1,3 +1,4 @@
+/** Runs a controller of any build in a simulated process, and performs its outputs on the simulated network. */
 import type {
   CloudResult,
   CommandPushResponse,
@@ -27,24 +28,31 @@
 
 type OutputOf<Kind extends Output['kind']> = Extract<Output, { readonly kind: Kind }>;
 
+/** Timeout of a call of the cloud, in milliseconds. */
 const CLOUD_TIMEOUT_MS = 4000;
+/** Timeout of a command push to a worker, in milliseconds. */
 const PUSH_TIMEOUT_MS = 2500;
-/** What a call without a response comes to. */
+/** The result of a call that timed out. */
 const NO_RESPONSE = { ok: false, error: { code: 'outcomeUnknown' } } as const;
 
-/** A controller process as the world runs it: killed without a word, started again with nothing. */
+/** A simulated controller process. It can be killed at any time, and a restarted process has no state from before. */
 export class ControllerProcess {
   private controller: SimulatedController | null = null;
-  /** One for each peer that speaks to it over bytes. */
+  /** The frame splitter of each peer that sends it encoded messages. */
   private splitters = new Map<ControllerName, FrameSplitter>();
-  private pendingReplies = new Map<number, (answer: never) => void>();
+  private pendingReplies = new Map<number, (response: never) => void>();
   private lastRequestId = 0;
+  /** Incremented whenever a timer is scheduled: only the latest one fires. */
   private timerGeneration = 0;
   private startCount = 0;
+  /** Incremented at each start and crash, so that callbacks of previous processes are ignored. */
   private generation = 0;
   private frozenUntil = 0;
   private deferredInputs: Input[] = [];
-  /** The next step that makes such outputs is followed by a pause before they are sent. */
+  /**
+   * Pauses the process for `ms` before it sends the next outputs for which `isDue` returns true; null if no pause is
+   * planned.
+   */
   pauseBeforeOutputs: { readonly ms: number; isDue(outputs: readonly Output[]): boolean } | null = null;
 
   constructor(
@@ -54,23 +62,23 @@
     public build: Build,
   ) {}
 
-  /** From its next start on it runs another build. */
+  /** Sets the build that the process runs from its next start on. */
   installBuild(build: Build): void {
     this.build = build;
   }
 
-  /** Whether there is a process. */
+  /** Whether the process is running. */
   get isRunning(): boolean {
     return this.controller !== null;
   }
 
-  /** What the load balancer is told. */
+  /** The result of the load balancer's health check; false while the process is frozen. */
   get isHealthy(): boolean {
     if (this.world.clock.now < this.frozenUntil) return false;
     return this.controller?.isHealthy(this.clockReading().monotonic) ?? false;
   }
 
-  /** Starts the process unless it runs. */
+  /** Starts the process unless it is running. */
   start(): void {
     if (this.controller) return;
     this.startCount += 1;
@@ -87,7 +95,7 @@
     this.step({ kind: 'start' });
   }
 
-  /** Ends the process at once, with all that it knew. */
+  /** Kills the process; its state is lost. */
   crash(): void {
     this.controller = null;
     this.splitters.clear();
@@ -102,24 +110,27 @@
     return { monotonic: elapsed as MonotonicTime, wallClock: (1_790_000_000_000 + elapsed) as WallClockTime };
   }
 
-  /** The process stands still while its clocks run on; what comes meanwhile waits in its sockets. */
+  /**
+   * Pauses the process for `ms` milliseconds. Its clocks continue, and inputs that arrive in that time are processed
+   * afterwards, as if they had waited in its sockets.
+   */
   freeze(ms: number): void {
     if (!this.controller) return;
     const { generation, world } = this;
     this.frozenUntil = world.clock.now + ms;
     world.clock.schedule(ms, () => {
       if (generation !== this.generation) return;
-      const waited = this.deferredInputs;
+      const deferred = this.deferredInputs;
       this.deferredInputs = [];
-      // Either comes first on waking: timers that are due, or what was read from the sockets.
+      // After a pause, a real process may handle either due timers or pending input first.
       const timerFirst = world.clock.randomBetween(0, 1) < 0.5;
       if (timerFirst) this.step({ kind: 'timer' });
-      for (const input of waited) this.step(input);
+      for (const input of deferred) this.step(input);
       if (!timerFirst) this.step({ kind: 'timer' });
     });
   }
 
-  /** Hands the controller an input, and carries out what it returns. */
+  /** Passes an input to the controller and performs the outputs that it returns. */
   step(input: Input): void {
     const { controller } = this;
     if (!controller) return;
@@ -132,27 +143,28 @@
     else for (const output of outputs) this.performUnlessExpired(output);
     const next = controller.nextTimerAt();
     if (next === null) return;
-    const ifAlive = ++this.timerGeneration;
+    const scheduledGeneration = ++this.timerGeneration;
     this.world.clock.schedule(Math.max(1, next - this.world.clock.now), () => {
-      if (ifAlive === this.timerGeneration && this.controller === controller) this.step({ kind: 'timer' });
+      if (scheduledGeneration === this.timerGeneration && this.controller === controller) this.step({ kind: 'timer' });
     });
   }
 
-  /** The process is paused between making outputs and sending them. */
+  /** Pauses the process after the controller returned outputs and before they are sent. */
   private performAfterPause(outputs: readonly Output[]): void {
     const ms = this.pauseBeforeOutputs?.ms ?? 0;
     this.pauseBeforeOutputs = null;
-    const carryOut = this.ifStillRunning(() => {
+    const performAll = this.ifStillRunning(() => {
       for (const output of outputs) this.performUnlessExpired(output);
     });
-    // What was about to be sent goes out first; only then does the process look at what waits for it.
-    this.world.clock.schedule(ms - 1, carryOut);
+    // The outputs are sent 1 ms before the pause ends, so that they leave before the process handles its deferred
+    // inputs.
+    this.world.clock.schedule(ms - 1, performAll);
     this.freeze(ms);
   }
 
   private performUnlessExpired(output: Output): void {
-    const { output: due, reply } = checkExpiry(output, this.clockReading().monotonic);
-    if (due) this.perform(due);
+    const { output: unexpired, reply } = checkExpiry(output, this.clockReading().monotonic);
+    if (unexpired) this.perform(unexpired);
     if (reply)
       this.world.clock.schedule(
         1,
@@ -160,11 +172,11 @@
       );
   }
 
-  /** Runs `then` only if the same process still lives. */
-  private ifStillRunning<T extends unknown[]>(then: (...answer: T) => void): (...answer: T) => void {
+  /** Wraps `then` so that it runs only if the present process is still running. */
+  private ifStillRunning<T extends unknown[]>(then: (...args: T) => void): (...args: T) => void {
     const { generation } = this;
-    return (...answer) => {
-      if (generation === this.generation && this.controller) then(...answer);
+    return (...args) => {
+      if (generation === this.generation && this.controller) then(...args);
     };
   }
 
@@ -241,7 +253,7 @@
     const { world } = this;
     const peer = world.controllers.find(({ name }) => name === recipient);
     if (world.encodesPeerMessages) {
-      const frame = this.build.encodeFrame(this.build.ownMessage(message));
+      const frame = this.build.encodeFrame(this.build.toBuildMessage(message));
       world.network.send(this.name, recipient, () => peer?.receivePeerBytes(this.name, frame));
       return;
     }
@@ -258,45 +270,47 @@
     if (level === 'error') world.errors.push(`${event} ${JSON.stringify(fields)}`);
   }
 
-  /** What recovery found in the present term; null: nothing, or the build keeps no summary. */
+  /** The summary of recovery in the current term; null if there is none, or if the build has no such summary. */
   recoverySummary(): RecoverySummary | null {
     return this.controller?.recoverySummary?.() ?? null;
   }
 
-  /** A message of a peer arrives. */
+  /** Receives a message from a peer. */
   receivePeerMessage(sender: ControllerName, message: PeerMessage): void {
     this.step({ kind: 'peerMessage', sender, message });
   }
 
-  /** As the link does it: a frame that the build can't take ends the connection. */
-  receivePeerBytes(from: ControllerName, frame: Buffer): void {
+  /**
+   * Receives encoded frames from a peer. As in production, a frame that the build can't decode closes the connection.
+   */
+  receivePeerBytes(from: ControllerName, bytes: Buffer): void {
     if (!this.controller) return;
     const splitter = this.splitters.get(from) ?? new this.build.splitterClass();
     this.splitters.set(from, splitter);
     let frames: PeerFrame[];
     try {
-      frames = splitter.push(frame);
+      frames = splitter.push(bytes);
     } catch (error) {
       this.splitters.delete(from);
-      this.world.errors.push(`${this.name} ended the link from ${from}: ${(error as Error).message}`);
+      this.world.errors.push(`${this.name} closed the peer connection from ${from}: ${(error as Error).message}`);
       return;
     }
     for (const frame of frames) if (frame.kind !== 'hello') this.receivePeerMessage(from, frame);
   }
 
-  /** A heartbeat arrives; `reply` is never called if the process ends before it responds. */
-  receiveHeartbeat(heartbeat: Heartbeat, reply: (answer: HeartbeatResponse) => void): void {
+  /** Receives a heartbeat; `reply` is never called if the process ends before it responds. */
+  receiveHeartbeat(heartbeat: Heartbeat, reply: (response: HeartbeatResponse) => void): void {
     if (!this.controller) return;
     const requestId = ++this.lastRequestId;
-    this.pendingReplies.set(requestId, reply as (answer: never) => void);
+    this.pendingReplies.set(requestId, reply as (response: never) => void);
     this.step({ kind: 'heartbeat', requestId, heartbeat });
   }
 
-  /** A user's request arrives; `reply` is never called if the process ends before it responds. */
-  receiveUserRequest(request: UserRequest, reply: (answer: UserResponse) => void): void {
+  /** Receives a user's request; `reply` is never called if the process ends before it responds. */
+  receiveUserRequest(request: UserRequest, reply: (response: UserResponse) => void): void {
     if (!this.controller) return;
     const requestId = ++this.lastRequestId;
-    this.pendingReplies.set(requestId, reply as (answer: never) => void);
+    this.pendingReplies.set(requestId, reply as (response: never) => void);
     this.step({ kind: 'userRequest', requestId, request });
   }
 }
--- a/test/sim/deployment.ts
+++ b/test/sim/deployment.ts
@@ -1,21 +1,20 @@
+/** The limits of a simulated deployment, and the settings of its controllers that follow from them. */
 import type { Settings } from '../../src/core/settings.js';
 import type { ControllerName, TeamQuota, ZoneName } from '../../src/core/types.js';
 import type { Build } from './build.js';
 
-/* What the operators of a simulated deployment allow, and the settings that follow for each controller. */
-
-/** How long the members of a gang wait for each other to start. */
+/** Maximum time that members of a gang wait for the others to start, in milliseconds. */
 const GANG_BARRIER_TIMEOUT_MS = 40_000;
-/** How long the members of a gang do without one of them. */
+/** Maximum time that members of a gang run on without one of them, in milliseconds. */
 const GANG_PEER_TIMEOUT_MS = 5000;
-/** The cloud's list of machines is as old as that, up to twice. */
+/** Typical age of the cloud's list of machines, in milliseconds; it may be twice as old. */
 export const LIST_STALENESS_MS = 3000;
 
-/** What a deployment allows and asks, as its settings say it. */
+/** The limits and timeouts of a deployment, as in its settings. */
 export interface Limits {
   readonly requestsPerSecond: number;
   readonly writesPerSecond: number;
-  /** Announced for later; 0: no other. */
+  /** Limits announced for a later time, in this field and the next three; 0 if no change is announced. */
   readonly announcedRequestsPerSecond: number;
   readonly announcedWritesPerSecond: number;
   readonly announcedMaxValueBytes: number;
@@ -29,7 +28,7 @@
   readonly cpuShare: number;
 }
 
-/** The limits of a scenario that names no others. */
+/** The default limits of scenarios. */
 export const LIMITS: Limits = {
   requestsPerSecond: 200,
   writesPerSecond: 20,
@@ -46,14 +45,14 @@
   cpuShare: 0.3,
 };
 
-/** What a deployment's settings depend on, beside its controllers. */
+/** The inputs of a deployment's settings, apart from its controllers. */
 export interface DeploymentOptions {
   readonly zones: readonly ZoneName[];
   readonly teams: readonly TeamQuota[];
   readonly limits?: Limits;
 }
 
-/** The timing of workers, which they go by themselves too. */
+/** The timing settings of workers, used by controllers and simulated workers alike. */
 export const workerSettings = (limits: Limits): Settings['workers'] => ({
   heartbeatIntervalMs: limits.heartbeatIntervalMs,
   leaseMs: limits.leaseMs,
@@ -62,7 +61,7 @@
   cancellationTimeoutMs: limits.cancellationTimeoutMs,
 });
 
-/** The state store's limits as a build reads them: early ones know nothing of sizes that are announced for later. */
+/** The state store's limits as a build reads them. Early builds ignore announced sizes of values and transactions. */
 function stateStoreSettings(limits: Limits, { readsAnnouncedLimits }: Build): Settings['stateStore'] {
   const { requestsPerSecond, writesPerSecond, maxValueBytes, maxChangesPerTransaction } = limits;
   const announcedBytes = limits.announcedMaxValueBytes || maxValueBytes;
@@ -79,7 +78,7 @@
   };
 }
 
-/** The settings of controller `name`, one of `names`, as its build reads them. */
+/** The settings of the controller `name`, one of `names`, as its build reads them. */
 export function makeSettings(
   name: ControllerName,
   names: readonly ControllerName[],
--- a/test/sim/idle_capacity.ts
+++ b/test/sim/idle_capacity.ts
@@ -1,39 +1,43 @@
+/** Checks that jobs don't wait beside free capacity. */
 import type { JobId, JobSpec } from '../../src/core/types.js';
 import type { SimulatedWorker } from './worker.js';
 import type { World } from './world.js';
 
+/** Interval of the checks, in milliseconds. */
 const CHECK_INTERVAL_MS = 3000;
-const LONGEST_WAIT_MS = 90_000;
+/** Maximum time that a job may wait although there is free capacity for it, in milliseconds. */
+const MAX_WAIT_MS = 90_000;
 
 /**
- * Once all faults are over, no job waits 90 s while feasible machines have free capacity and its team is within its quota. Only
- * jobs with nothing on any machine are judged, and only room that is there for all that would have to start together.
+ * Checks that after the end of all faults no job waits for 90 s while feasible machines have free capacity for it and
+ * its team is within its quota. It checks only jobs without a task on any machine. A gang counts as waiting only if
+ * there is capacity for all its tasks at once.
  */
 export class IdleCapacityCheck {
   private readonly idleSince = new Map<JobId, number>();
   private readonly reported = new Set<JobId>();
 
   constructor(private readonly world: World) {
-    const look = (): void => {
+    const tick = (): void => {
       this.check();
-      world.clock.schedule(CHECK_INTERVAL_MS, look);
+      world.clock.schedule(CHECK_INTERVAL_MS, tick);
     };
-    world.clock.schedule(CHECK_INTERVAL_MS, look);
+    world.clock.schedule(CHECK_INTERVAL_MS, tick);
   }
 
   private check(): void {
     const { clock, invariants } = this.world;
     for (const spec of invariants.submitted.values()) {
-      const room = clock.now > invariants.faultsUntil && this.isWaiting(spec) ? this.findFreeCapacity(spec) : null;
-      if (room === null) {
+      const worker = clock.now > invariants.faultsUntil && this.isWaiting(spec) ? this.findFreeCapacity(spec) : null;
+      if (worker === null) {
         this.idleSince.delete(spec.id);
         continue;
       }
       const since = Math.max(this.idleSince.get(spec.id) ?? clock.now, invariants.lastStartAt.get(spec.id) ?? 0);
       this.idleSince.set(spec.id, since);
-      if (clock.now - since < LONGEST_WAIT_MS || this.reported.has(spec.id)) continue;
+      if (clock.now - since < MAX_WAIT_MS || this.reported.has(spec.id)) continue;
       this.reported.add(spec.id);
-      invariants.onIdleCapacity(spec.id, room.id);
+      invariants.onIdleCapacity(spec.id, worker.id);
     }
   }
 
@@ -47,21 +51,21 @@
     return true;
   }
 
-  /** A machine of those that would take it now, or null. */
+  /** The worker of a machine with free capacity for the job; null if there isn't enough capacity. */
   private findFreeCapacity(spec: JobSpec): SimulatedWorker | null {
-    const together = spec.kind === 'gang' ? spec.taskCount : 1;
-    // A gang that spreads needs room in several zones: not judged here.
-    if (!this.isWithinQuota(spec, together) || (spec.zoneSpread && together > 1)) return null;
-    const perZone = new Map<string, { tasks: number; worker: SimulatedWorker }>();
+    const requiredTasks = spec.kind === 'gang' ? spec.taskCount : 1;
+    // A gang with a zone spread needs capacity in several zones, which this check doesn't model.
+    if (!this.isWithinQuota(spec, requiredTasks) || (spec.zoneSpread && requiredTasks > 1)) return null;
+    const freeByZone = new Map<string, { tasks: number; worker: SimulatedWorker }>();
     for (const worker of this.world.workers.values()) {
       const tasks = this.tasksThatFit(worker, spec);
       if (tasks <= 0) continue;
       const zone = spec.singleZone ? worker.zone : 'any';
-      const found = perZone.get(zone) ?? { tasks: 0, worker };
+      const found = freeByZone.get(zone) ?? { tasks: 0, worker };
       found.tasks += tasks;
-      perZone.set(zone, found);
+      freeByZone.set(zone, found);
     }
-    for (const { tasks, worker } of perZone.values()) if (tasks >= together) return worker;
+    for (const { tasks, worker } of freeByZone.values()) if (tasks >= requiredTasks) return worker;
     return null;
   }
 
@@ -78,8 +82,12 @@
       gpus -= other.gpus;
       memoryGb -= other.memoryGb;
     }
-    const of = (free: number, each: number): number => (each > 0 ? Math.floor(free / each + 1e-6) : 1000);
-    return Math.min(of(cpus, spec.cpus), of(gpus, spec.gpus), of(memoryGb, spec.memoryGb));
+    const countThatFit = (free: number, each: number): number => (each > 0 ? Math.floor(free / each + 1e-6) : 1000);
+    return Math.min(
+      countThatFit(cpus, spec.cpus),
+      countThatFit(gpus, spec.gpus),
+      countThatFit(memoryGb, spec.memoryGb),
+    );
   }
 
   private isWithinQuota(spec: JobSpec, tasks: number): boolean {
--- a/test/sim/invalid_requests.ts
+++ b/test/sim/invalid_requests.ts
@@ -1,55 +1,61 @@
+/** Invalid and unusual requests that users send. */
 import type { JobId, JobSpec } from '../../src/core/types.js';
 import { type Build, isCurrent } from './build.js';
 import { type JobOptions, makeJobSpec } from './job_options.js';
 import type { World } from './world.js';
 
 /**
- * The version in production accepts gangs that are to be in one zone and in several. A later old version passes submissions
- * on to it unchecked; the present one never does, so its answers are always judged.
+ * Returns whether a controller of the build may accept a gang that requires both a single zone and a zone spread. The
+ * version in production does. Other old versions forward submissions unchecked to a controller of that version.
+ * Controllers of the present version check them first, so the invariants always check their responses.
  */
-function mayAcceptSplitGangs(world: World, asked: Build): boolean {
-  if (isCurrent(asked)) return false;
-  return asked.name === 'production' || world.controllers.some((node) => node.build.name === 'production');
+function mayAcceptSplitGangs(world: World, build: Build): boolean {
+  if (isCurrent(build)) return false;
+  return build.name === 'production' || world.controllers.some((controller) => controller.build.name === 'production');
 }
 
-/** One of the requests that users should not make, and some make. */
+/** Sends one of eight kinds of requests that are invalid or have no effect, chosen by `turn`. */
 export function sendInvalidRequest(world: World, turn: number): void {
   const { clock, invariants } = world;
-  const all = [...invariants.submitted.values()].filter((spec) => invariants.isAccepted(spec.id));
+  const acceptedJobs = [...invariants.submitted.values()].filter((spec) => invariants.isAccepted(spec.id));
   const id = `job-9${String(clock.now | 0)}${turn}` as JobId;
-  const impossible = (shape: JobSpec['kind'], options: JobOptions, excused?: (asked: Build) => boolean): void => {
-    const spec = makeJobSpec(id, shape, options);
+  const submitInfeasible = (
+    kind: JobSpec['kind'],
+    options: JobOptions,
+    isExcused?: (respondingBuild: Build) => boolean,
+  ): void => {
+    const spec = makeJobSpec(id, kind, options);
     invariants.infeasibleJobs.add(id);
-    world.users.request({ op: 'submit', id, spec, problem: '' }, excused);
+    world.users.request({ op: 'submit', id, spec, problem: '' }, isExcused);
   };
   switch (turn % 8) {
     case 0:
-      impossible('array', { cpus: '1000' });
+      submitInfeasible('array', { cpus: '1000' });
       return;
     case 1:
-      impossible('array', { machineTypes: 'nosuch' });
+      submitInfeasible('array', { machineTypes: 'nosuch' });
       return;
     case 2:
-      impossible(
+      submitInfeasible(
         'gang',
         { tasks: '3', singleZone: 'yes', zoneSpread: 'yes', team: world.options.teams[0]?.name ?? '' },
-        (asked) => mayAcceptSplitGangs(world, asked),
+        (respondingBuild) => mayAcceptSplitGangs(world, respondingBuild),
       );
       return;
     case 3:
-      impossible('array', { team: 'nobody' });
+      submitInfeasible('array', { team: 'nobody' });
       return;
     case 4:
       invariants.infeasibleJobs.add(id);
       world.users.request({ op: 'submit', id, spec: null, problem: 'plumage is not a text' });
       return;
     case 5: {
-      const spec = all.length > 0 ? clock.pickRandom(all) : undefined;
+      const spec = acceptedJobs.length > 0 ? clock.pickRandom(acceptedJobs) : undefined;
       if (spec) world.users.request({ op: 'submit', id: spec.id, spec, problem: '' });
       return;
     }
     case 6: {
-      const done = all.filter((spec) => invariants.finalStateOf(spec.id) === 'done');
+      const done = acceptedJobs.filter((spec) => invariants.finalStateOf(spec.id) === 'done');
       if (done.length > 0) world.users.request({ op: 'cancel', id: clock.pickRandom(done).id });
       return;
     }
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -1,134 +1,150 @@
+/** The rules that must hold in every simulated run, whatever faults are injected. */
 import type { JobStatus, UserResponse } from '../../src/core/messages.js';
 import type { JobId, JobSpec, MachineId, MachineType, TeamQuota, ZoneName } from '../../src/core/types.js';
 import type { Clock } from './clock.js';
 
-interface TaskPlace {
+/** Where a task is. */
+interface TaskPlacement {
   readonly machine: MachineId;
   readonly zone: ZoneName;
 }
 
-const LONGEST_UNANSWERED_MS = 75_000;
+/**
+ * Maximum time without a response about an accepted job, in milliseconds. It counts from the last response, or from the
+ * end of all faults if that is later.
+ */
+const MAX_UNANSWERED_MS = 75_000;
 
 const isFinal = (status: JobStatus): boolean => status === 'done' || status === 'cancelled';
 
-/** Watches everything that happens, and records each violation of what must always hold. */
+/** Observes the events of a world, and records each violation of a rule that must always hold. */
 export class Invariants {
-  /** What did not hold, each with its time and its rule. */
+  /** The violations found, each with its time in seconds and the name of its rule. */
   readonly violations: string[] = [];
-  /** What users submitted. */
+  /** The jobs that users submitted. */
   readonly submitted = new Map<JobId, JobSpec>();
-  /** Tasks on machines: by job, then task number. */
-  readonly tasksOnMachines = new Map<JobId, Map<number, TaskPlace[]>>();
-  /** Numbers of the tasks that were completed, by job. */
+  /** The machines that each task is on, by job and task number. */
+  readonly tasksOnMachines = new Map<JobId, Map<number, TaskPlacement[]>>();
+  /** The numbers of the tasks that were completed, by job. */
   readonly completedTasks = new Map<JobId, Set<number>>();
   private readonly accepted = new Set<JobId>();
-  private readonly acceptanceToldAt = new Map<JobId, number>();
+  private readonly acceptanceConfirmedAt = new Map<JobId, number>();
   private readonly finalStates = new Map<JobId, 'done' | 'cancelled'>();
   /** Jobs whose users asked for their cancellation. */
   readonly cancellationRequested = new Set<JobId>();
-  private readonly cancellationToldAt = new Map<JobId, number>();
-  private readonly lastTaskLeftAt = new Map<JobId, number>();
-  /** Tasks that began to run. */
+  private readonly cancellationConfirmedAt = new Map<JobId, number>();
+  private readonly lastTaskEndAt = new Map<JobId, number>();
+  /** The number of task executions that began, over all jobs. */
   starts = 0;
-  /** Starts after the user was told that the job is cancelled: allowed only for what was on its way. */
+  /**
+   * The number of task executions that began after the job's cancellation was confirmed to the user. Only tasks whose
+   * start was already under way may begin then.
+   */
   startsAfterCancellation = 0;
-  /** Submissions that can never run or lack a field. */
+  /** Submissions that can never run or lack a field. Controllers must not accept them. */
   readonly infeasibleJobs = new Set<JobId>();
   /** Called when the last task of a job is completed. */
   onCompleted: (job: JobId) => void = () => {};
-  /** Called when a user is told for the first time that a job is accepted, done or cancelled. */
+  /** Called when a user learns for the first time that a job is accepted, done or cancelled. */
   onStatusChange: (job: JobId) => void = () => {};
-  private readonly finalStateToldAt = new Map<JobId, number>();
-  /** Jobs whose users were answered that they can never run. */
+  private readonly finalStateConfirmedAt = new Map<JobId, number>();
+  /** Jobs for which a user received status 422: they can never run. */
   readonly refusedJobs = new Set<JobId>();
-  /** When a task of the job was last started. */
+  /** When an execution of one of the job's tasks last began. */
   readonly lastStartAt = new Map<JobId, number>();
-  /** How many tasks of the job began to run. */
+  /** The number of task executions that began, by job. */
   readonly startsByJob = new Map<JobId, number>();
-  /** Machines on which some task began to run. */
+  /** Machines on which at least one task began to run. */
   readonly usedMachines = new Set<string>();
   private readonly submittedAt = new Map<JobId, number>();
   private readonly firstStartAt = new Map<JobId, number>();
-  private readonly completionToldAt = new Map<JobId, number>();
-  private readonly answeredAt = new Map<JobId, number>();
-  /** When the last known fault is over. */
+  private readonly completionConfirmedAt = new Map<JobId, number>();
+  private readonly lastResponseAt = new Map<JobId, number>();
+  /** When the last of the faults injected until now ends. */
   faultsUntil = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly teams: readonly TeamQuota[],
-    private readonly cancelMs: number,
+    private readonly cancellationTimeoutMs: number,
   ) {}
 
-  /** Jobs of which a worker has tasks though nobody submitted them. */
+  /** Jobs that no user submitted, but of which a scenario placed tasks on a worker. */
   readonly injectedJobs = new Map<JobId, JobSpec>();
 
-  /** What workers know of a job. */
+  /** The description of a job that a user submitted or a scenario injected. */
   specOf(job: JobId): JobSpec | undefined {
     return this.submitted.get(job) ?? this.injectedJobs.get(job);
   }
 
-  /** A user submits a job. */
+  /** Called when a user submits a job. */
   onSubmitted(spec: JobSpec): void {
     this.submitted.set(spec.id, spec);
     this.submittedAt.set(spec.id, this.clock.now);
   }
 
-  /** Whether the user was first told that the job is accepted after that time, or never. */
-  wasAcceptedAfter(job: JobId, time: number): boolean {
-    return (this.acceptanceToldAt.get(job) ?? Number.POSITIVE_INFINITY) > time;
+  /** Returns whether the user had not yet learned at `time` that the job is accepted. */
+  wasUnconfirmedAt(job: JobId, time: number): boolean {
+    return (this.acceptanceConfirmedAt.get(job) ?? Number.POSITIVE_INFINITY) > time;
   }
 
-  /** How long a job waited until its first task began; until now if none has. */
+  /** The time from a job's submission to its first task execution, or until now if there was none, in milliseconds. */
   waitMs(job: JobId): number {
     return (this.firstStartAt.get(job) ?? this.clock.now) - (this.submittedAt.get(job) ?? this.clock.now);
   }
 
-  /** How long a job took until its user was told that it is done; until now if it wasn't. */
+  /** The time from a job's submission until its user learned that it is done, or until now, in milliseconds. */
   turnaroundMs(job: JobId): number {
-    return (this.completionToldAt.get(job) ?? this.clock.now) - (this.submittedAt.get(job) ?? this.clock.now);
+    return (this.completionConfirmedAt.get(job) ?? this.clock.now) - (this.submittedAt.get(job) ?? this.clock.now);
   }
 
-  /** Whether any task of the job began to run. */
+  /** Returns whether any task of the job began to run. */
   hasStarted(job: JobId): boolean {
     return this.firstStartAt.has(job);
   }
 
-  /** A request about a job got no response: after all faults, 75 s of that is a job forgotten, however others fare. */
+  /**
+   * Called when a request about a job got no response or an error. An accepted job without a status in any response for
+   * 75 s after the end of all faults counts as forgotten, even if requests about other jobs succeed.
+   */
   onNoResponse(job: JobId): void {
     if (!this.accepted.has(job)) return;
-    const since = Math.max(this.answeredAt.get(job) ?? 0, this.faultsUntil);
-    if (this.clock.now - since > LONGEST_UNANSWERED_MS) this.report('forgotten', `${job}: no answer for 75 s`);
+    const since = Math.max(this.lastResponseAt.get(job) ?? 0, this.faultsUntil);
+    if (this.clock.now - since > MAX_UNANSWERED_MS)
+      this.report('forgotten', `${job}: expected a response with its status within 75 s, got none`);
   }
 
-  /** How long a job waited for its first start from its submission or a later time on; until now if there was none. */
+  /**
+   * The time from a job's submission, or from `since` if that is later, to its first task execution, or until now if
+   * there was none, in milliseconds.
+   */
   waitMsSince(job: JobId, since: number): number {
     const from = Math.max(this.submittedAt.get(job) ?? 0, since);
     return (this.firstStartAt.get(job) ?? this.clock.now) - from;
   }
 
-  /** The accepted jobs that nobody cancelled. */
+  /** The accepted jobs whose cancellation no user requested. */
   wantedJobs(): JobSpec[] {
     return [...this.submitted.values()].filter(
       (spec) => this.accepted.has(spec.id) && !this.cancellationRequested.has(spec.id),
     );
   }
 
-  /** A machine is no longer on record, though it is provisioned. */
+  /** Called when a machine has disappeared from the machine registry while the cloud still provisions it. */
   onUnregistered(machine: string): void {
-    this.report('unregistered', `${machine} is rented and no longer on record`);
+    this.report('unregistered', `${machine} is provisioned but no longer in the machine registry`);
   }
 
-  /** A job has waited beside free capacity for it, long after all faults. */
+  /** Called when a job has waited for 90 s after the end of all faults although there is free capacity for it. */
   onIdleCapacity(job: JobId, machine: MachineId): void {
-    this.report('idle_room', `${job} waits while ${machine} has room`);
+    this.report('idle_room', `${job} has waited for 90 s although ${machine} has free capacity for it`);
   }
 
-  private report(rule: string, what: string): void {
-    this.violations.push(`${(this.clock.now / 1000).toFixed(2)} ${rule}: ${what}`);
+  private report(rule: string, details: string): void {
+    this.violations.push(`${(this.clock.now / 1000).toFixed(2)} ${rule}: ${details}`);
   }
 
-  /** A task begins to run on a machine. */
+  /** Called when a task begins to run on a machine. */
   onTaskStarted(job: JobId, index: number, machine: MachineId, type: MachineType, zone: ZoneName, spot: boolean): void {
     this.starts += 1;
     this.usedMachines.add(machine);
@@ -137,7 +153,7 @@
     this.startsByJob.set(job, (this.startsByJob.get(job) ?? 0) + 1);
     const spec = this.submitted.get(job);
     if (!spec) {
-      this.report('invented', `${job}/${index} started`);
+      this.report('invented', `${job}/${index} started, but no user submitted the job`);
       return;
     }
     let tasks = this.tasksOnMachines.get(job);
@@ -146,14 +162,15 @@
       this.tasksOnMachines.set(job, tasks);
     }
     const places = tasks.get(index) ?? [];
-    if (places.length > 0) this.report('ran_twice', `${job}/${index} on ${machine} and ${places[0]?.machine}`);
+    if (places.length > 0)
+      this.report('ran_twice', `${job}/${index} started on ${machine} while it is still on ${places[0]?.machine}`);
     this.checkPlacement(spec, type, zone, spot);
     if (spec.singleZone || spec.zoneSpread) {
       const zones = [...tasks.values()].flat().map((place) => place.zone);
       this.checkZones(spec, zone, zones);
     }
     tasks.set(index, [...places, { machine, zone }]);
-    if (this.cancellationToldAt.has(job)) this.startsAfterCancellation += 1;
+    if (this.cancellationConfirmedAt.has(job)) this.startsAfterCancellation += 1;
     this.checkNotCancelled(job, index);
     this.checkQuota(spec);
   }
@@ -161,67 +178,78 @@
   private checkPlacement(spec: JobSpec, type: MachineType, zone: ZoneName, spot: boolean): void {
     const { id } = spec;
     const wrongType = spec.allowedMachineTypes !== null && !spec.allowedMachineTypes.includes(type.name);
-    if (wrongType) this.report('wrong_place', `${id} on type ${type.name}`);
-    if (spec.zone !== null && spec.zone !== zone) this.report('wrong_place', `${id} in zone ${zone}`);
-    if (spot && !spec.toleratesSpot) this.report('wrong_place', `${id} on a spot machine`);
+    if (wrongType) this.report('wrong_place', `${id} started on a machine type that it does not allow: ${type.name}`);
+    if (spec.zone !== null && spec.zone !== zone)
+      this.report('wrong_place', `${id} started outside the zone that it requires, in ${zone}`);
+    if (spot && !spec.toleratesSpot)
+      this.report('wrong_place', `${id} started on a spot machine, which it does not tolerate`);
   }
 
-  /** `others`: the zones of the job's other tasks. */
+  /** Checks the zone of a new task; `others` are the zones of the job's other tasks. */
   private checkZones(spec: JobSpec, zone: ZoneName, others: readonly ZoneName[]): void {
     const { id } = spec;
-    if (spec.singleZone && others.some((other) => other !== zone)) this.report('wrong_place', `${id} in two zones`);
-    const here = others.filter((other) => other === zone).length + 1;
-    const tooMany = spec.zoneSpread && here > Math.ceil(spec.taskCount / 2);
-    if (tooMany) this.report('wrong_place', `${id} has too many tasks in zone ${zone}`);
+    if (spec.singleZone && others.some((other) => other !== zone))
+      this.report('wrong_place', `${id} requires a single zone, but started in a second one`);
+    const tasksInZone = others.filter((other) => other === zone).length + 1;
+    const tooMany = spec.zoneSpread && tasksInZone > Math.ceil(spec.taskCount / 2);
+    if (tooMany)
+      this.report(
+        'wrong_place',
+        `${id} requires a spread over zones, but has more than half (rounded up) of its tasks in ${zone}`,
+      );
   }
 
-  /** A task is no longer on a machine. */
+  /** Called when a task is no longer on a machine. */
   onTaskEnded(job: JobId, index: number, machine: MachineId): void {
     const tasks = this.tasksOnMachines.get(job);
     const places = tasks?.get(index)?.filter((place) => place.machine !== machine) ?? [];
     if (places.length === 0) tasks?.delete(index);
     else tasks?.set(index, places);
-    if (tasks?.size === 0) this.lastTaskLeftAt.set(job, this.clock.now);
+    if (tasks?.size === 0) this.lastTaskEndAt.set(job, this.clock.now);
   }
 
-  /** How long after its user was told of the cancellation the last task of a job was gone; until now if some are there. */
+  /**
+   * The time from the confirmation of a job's cancellation to its user until the job's last task left its machine, or
+   * until now if some are still on machines, in milliseconds.
+   */
   stopMs(job: JobId): number {
-    const there = (this.tasksOnMachines.get(job)?.size ?? 0) > 0;
-    return (there ? this.clock.now : (this.lastTaskLeftAt.get(job) ?? 0)) - (this.cancellationToldAt.get(job) ?? 0);
+    const busy = (this.tasksOnMachines.get(job)?.size ?? 0) > 0;
+    return (busy ? this.clock.now : (this.lastTaskEndAt.get(job) ?? 0)) - (this.cancellationConfirmedAt.get(job) ?? 0);
   }
 
-  /** A task has its result. */
+  /** Called when a task has completed with a result. */
   onTaskCompleted(job: JobId, index: number): void {
-    let set = this.completedTasks.get(job);
-    if (!set) {
-      set = new Set();
-      this.completedTasks.set(job, set);
+    let completed = this.completedTasks.get(job);
+    if (!completed) {
+      completed = new Set();
+      this.completedTasks.set(job, completed);
     }
-    if (set.has(index)) return;
-    set.add(index);
+    if (completed.has(index)) return;
+    completed.add(index);
     if (this.isDone(job)) this.onCompleted(job);
   }
 
-  /** Whether all tasks of the job are completed. */
+  /** Returns whether all tasks of the job are completed. */
   isDone(job: JobId): boolean {
     return (
       (this.completedTasks.get(job)?.size ?? 0) >= (this.submitted.get(job)?.taskCount ?? Number.POSITIVE_INFINITY)
     );
   }
 
-  /** The final state that the job's user was told; undefined: none yet. */
+  /** The final state that the job's user was last told; undefined if none. */
   finalStateOf(job: JobId): string | undefined {
     return this.finalStates.get(job);
   }
 
-  /** Whether the job's user was told that it is accepted. */
+  /** Returns whether the job's user has learned that it is accepted. */
   isAccepted(job: JobId): boolean {
     return this.accepted.has(job);
   }
 
   private checkNotCancelled(job: JobId, index: number): void {
-    const at = this.cancellationToldAt.get(job);
-    if (at !== undefined && this.clock.now > at + this.cancelMs) this.report('ran_cancelled', `${job}/${index}`);
+    const at = this.cancellationConfirmedAt.get(job);
+    if (at !== undefined && this.clock.now > at + this.cancellationTimeoutMs)
+      this.report('ran_cancelled', `${job}/${index}`);
   }
 
   private checkQuota(spec: JobSpec): void {
@@ -236,56 +264,68 @@
       cpus += count * other.cpus;
       gpus += count * other.gpus;
     }
-    if (team.limit.cpus > 0 && cpus > team.limit.cpus + 1e-6) this.report('quota', `${team.name}: ${cpus} cpus`);
-    if (team.limit.gpus > 0 && gpus > team.limit.gpus + 1e-6) this.report('quota', `${team.name}: ${gpus} gpus`);
+    if (team.limit.cpus > 0 && cpus > team.limit.cpus + 1e-6)
+      this.report('quota', `${team.name}: ${cpus} cpus in use, more than the limit of the team`);
+    if (team.limit.gpus > 0 && gpus > team.limit.gpus + 1e-6)
+      this.report('quota', `${team.name}: ${gpus} gpus in use, more than the limit of the team`);
   }
 
-  /** A response that reached a user. One that a controller gave before the user was told of an end may still say otherwise. */
-  onResponse(job: JobId, answer: UserResponse, givenAt = this.clock.now): void {
-    if (!('jobStatus' in answer)) this.onErrorResponse(job, answer.status);
-    else if (this.infeasibleJobs.has(job)) this.report('taken', `${job} can't run or lacks a field`);
-    else this.onJobStatus(job, answer.jobStatus, givenAt);
+  /**
+   * Called when a response reaches a user. A response that a controller sent before the user learned of a final state
+   * may still show an earlier status.
+   */
+  onResponse(job: JobId, response: UserResponse, respondedAt = this.clock.now): void {
+    if (!('jobStatus' in response)) this.onErrorResponse(job, response.status);
+    else if (this.infeasibleJobs.has(job))
+      this.report('taken', `${job} can never run or lacks a field: expected a refusal, but it was accepted`);
+    else this.onJobStatus(job, response.jobStatus, respondedAt);
   }
 
   private onErrorResponse(job: JobId, status: number): void {
     if (status === 422) this.refusedJobs.add(job);
     if (!this.accepted.has(job)) return;
-    if (status === 404) this.report('forgotten', `${job} answered 404`);
-    if (status === 400 || status === 422) this.report('forgotten', `${job} refused`);
+    if (status === 404) this.report('forgotten', `${job}: expected the status of an accepted job, got 404`);
+    if (status === 400 || status === 422)
+      this.report('forgotten', `${job}: expected the status of an accepted job, got 400 or 422`);
   }
 
-  private onJobStatus(job: JobId, status: JobStatus, givenAt: number): void {
+  private onJobStatus(job: JobId, status: JobStatus, respondedAt: number): void {
     if (!this.submitted.has(job)) this.report('invented', job);
-    const isNews = !this.accepted.has(job) || (status !== this.finalStates.get(job) && isFinal(status));
+    const isStatusChange = !this.accepted.has(job) || (status !== this.finalStates.get(job) && isFinal(status));
     this.accepted.add(job);
-    if (!this.acceptanceToldAt.has(job)) this.acceptanceToldAt.set(job, this.clock.now);
-    this.answeredAt.set(job, this.clock.now);
-    const before = this.finalStates.get(job);
-    const isOlder = before !== undefined && status !== before && givenAt >= (this.finalStateToldAt.get(job) ?? 0);
-    if (isOlder) this.report('went_back', `${job}: ${before}, then ${status}`);
-    if (before === undefined && isFinal(status)) this.finalStateToldAt.set(job, this.clock.now);
-    if (status === 'done') this.onCompletionTold(job);
-    if (status === 'cancelled') this.onCancellationTold(job);
-    if (isNews) this.onStatusChange(job);
+    if (!this.acceptanceConfirmedAt.has(job)) this.acceptanceConfirmedAt.set(job, this.clock.now);
+    this.lastResponseAt.set(job, this.clock.now);
+    const previousFinalState = this.finalStates.get(job);
+    const contradictsFinalState =
+      previousFinalState !== undefined &&
+      status !== previousFinalState &&
+      respondedAt >= (this.finalStateConfirmedAt.get(job) ?? 0);
+    if (contradictsFinalState)
+      this.report('went_back', `${job}: was ${previousFinalState}, a final state, and later ${status}`);
+    if (previousFinalState === undefined && isFinal(status)) this.finalStateConfirmedAt.set(job, this.clock.now);
+    if (status === 'done') this.onCompletionConfirmed(job);
+    if (status === 'cancelled') this.onCancellationConfirmed(job);
+    if (isStatusChange) this.onStatusChange(job);
   }
 
-  private onCompletionTold(job: JobId): void {
+  private onCompletionConfirmed(job: JobId): void {
     if (!this.isDone(job)) this.report('not_done', job);
     this.finalStates.set(job, 'done');
-    if (!this.completionToldAt.has(job)) this.completionToldAt.set(job, this.clock.now);
+    if (!this.completionConfirmedAt.has(job)) this.completionConfirmedAt.set(job, this.clock.now);
   }
 
-  private onCancellationTold(job: JobId): void {
-    if (!this.cancellationRequested.has(job)) this.report('went_back', `${job} cancelled by nobody`);
+  private onCancellationConfirmed(job: JobId): void {
+    if (!this.cancellationRequested.has(job))
+      this.report('went_back', `${job} is cancelled, but no user requested that`);
     this.finalStates.set(job, 'cancelled');
-    if (!this.cancellationToldAt.has(job)) this.expectStopped(job);
+    if (!this.cancellationConfirmedAt.has(job)) this.scheduleStopCheck(job);
   }
 
-  private expectStopped(job: JobId): void {
-    this.cancellationToldAt.set(job, this.clock.now);
-    this.clock.schedule(this.cancelMs, () => {
+  private scheduleStopCheck(job: JobId): void {
+    this.cancellationConfirmedAt.set(job, this.clock.now);
+    this.clock.schedule(this.cancellationTimeoutMs, () => {
       for (const index of this.tasksOnMachines.get(job)?.keys() ?? [])
-        this.report('ran_cancelled', `${job}/${index} still there`);
+        this.report('ran_cancelled', `${job}/${index} is still on a machine after the cancellation timeout`);
     });
   }
 }
--- a/test/sim/job_options.ts
+++ b/test/sim/job_options.ts
@@ -1,3 +1,4 @@
+/** Reads the options of jobs in scenarios. */
 import type {
   ImageName,
   JobId,
@@ -8,7 +9,7 @@
   ZoneName,
 } from '../../src/core/types.js';
 
-/** The options of a job in a scenario; docs/scenarios.md says what each means. */
+/** The options of a job in a scenario, which docs/scenarios.md describes. */
 export const JOB_OPTIONS = [
   'class',
   'team',
@@ -30,10 +31,10 @@
   'checkpointDuration',
   'faulty',
 ] as const;
-/** Options of a job, as words of a scenario; each has a default. */
+/** The values of a job's options, as written in a scenario. Each option has a default. */
 export type JobOptions = { [Name in (typeof JOB_OPTIONS)[number]]?: string };
 
-/** Words of the form `key=value`, or `key` for `key=yes`. */
+/** Reads words of the form `key=value`, or `key` as short for `key=yes`. */
 export function readOptions(words: readonly string[]): Record<string, string> {
   const options: Record<string, string> = {};
   for (const word of words) {
@@ -43,23 +44,23 @@
   return options;
 }
 
-/** The options of a job; throws where one isn't known. */
+/** Reads the options of a job; throws if one is unknown. */
 export function readJobOptions(words: readonly string[]): JobOptions {
   const options = readOptions(words);
-  const names: readonly string[] = JOB_OPTIONS;
-  const unknown = Object.keys(options).find((name) => !names.includes(name));
-  if (unknown !== undefined) throw new Error(`no option ${unknown} of a job`);
+  const knownOptions: readonly string[] = JOB_OPTIONS;
+  const unknown = Object.keys(options).find((name) => !knownOptions.includes(name));
+  if (unknown !== undefined) throw new Error(`unknown option ${unknown} of a job`);
   return options;
 }
 
-/** A number among the options, or the default where it isn't given. */
+/** The value of a numeric option, or the default if it isn't given. */
 export const numberOption = (
   options: Readonly<Record<string, string | undefined>>,
   key: string,
   defaultValue: number,
 ): number => (options[key] === undefined ? defaultValue : Number(options[key]));
 
-/** A job as a user describes it: one small task of ten seconds, unless the options say otherwise. */
+/** The description of a job as a user submits it. Without options it is a single task of ten seconds on one core. */
 export function makeJobSpec(id: string, kind: JobSpec['kind'], options: JobOptions): JobSpec {
   return {
     id: id as JobId,
--- a/test/sim/machine_types.ts
+++ b/test/sim/machine_types.ts
@@ -1,8 +1,7 @@
+/** The machine types of simulated clouds. */
 import type { MachineType, MachineTypeName } from '../../src/core/types.js';
 
-/* The machine types of simulated clouds; their zones are those of the deployment. */
-
-/** Eight cores without GPUs. */
+/** Eight cores without GPUs. Zones are left to the deployment, so `zones` is empty. */
 export const C8: MachineType = {
   name: 'c8' as MachineTypeName,
   cpus: 8,
--- a/test/sim/meters.ts
+++ b/test/sim/meters.ts
@@ -1,8 +1,9 @@
+/** Measures the controllers' use of limited resources. */
 import type { Output, PeerMessage, StateStoreOperation } from '../../src/core/messages.js';
 import { encodeFrame } from '../../src/io/peers/peer_codec.js';
 import type { Clock } from './clock.js';
 
-/** The most of something in any one second. */
+/** The highest count in any one second. */
 class PeakPerSecond {
   peak = 0;
   private second = -1;
@@ -17,63 +18,66 @@
   }
 }
 
-/** What the controllers use of what is scarce, counted and never timed: the same on every machine. */
+/**
+ * Measures the use of limited resources by the controllers. All figures are counts in virtual time, so they are the
+ * same on every machine that runs the test.
+ */
 export class ResourceMeters {
   private readonly storeCalls = new PeakPerSecond();
   private readonly storeChanges = new PeakPerSecond();
   private readonly cloudCalls = new PeakPerSecond();
   private openCommands = 0;
-  /** Plan steps of the dearest round. */
+  /** The number of plan steps of the most expensive planning round. */
   largestRoundSteps = 0;
-  /** The most pushed commands without a response at any time. */
+  /** The highest number of command pushes without a response at any time. */
   peakOpenCommands = 0;
-  /** Machines that a leader took out of use because tasks failed there. */
+  /** The number of times that a leader quarantined a machine because tasks failed on it. */
   quarantinedMachines = 0;
-  /** The longest frame to a peer. */
+  /** The size of the largest frame to a peer, in bytes. */
   largestFrameBytes = 0;
-  /** Machines that were returned with tasks on them. */
+  /** The number of machines that were terminated with tasks on them. */
   terminatedWhileBusy = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Calls of the state store in the busiest second. */
+  /** The number of state store calls in the busiest second. */
   get peakStoreCalls(): number {
     return this.storeCalls.peak;
   }
 
-  /** Changes in transactions of the busiest second. */
+  /** The number of changes in transactions in the busiest second. */
   get peakStoreChanges(): number {
     return this.storeChanges.peak;
   }
 
-  /** Calls of the cloud in the busiest second. */
+  /** The number of cloud calls in the busiest second. */
   get peakCloudCalls(): number {
     return this.cloudCalls.peak;
   }
 
-  /** A call of the state store leaves. */
+  /** Called when a controller sends a call to the state store. */
   onStoreCall(op: StateStoreOperation): void {
     this.storeCalls.add(this.clock.now, 1);
     if (op.op === 'compareAndSwap') this.storeChanges.add(this.clock.now, op.changes.length);
   }
 
-  /** A call of the cloud leaves. */
+  /** Called when a controller sends a call to the cloud. */
   onCloudCall(): void {
     this.cloudCalls.add(this.clock.now, 1);
   }
 
-  /** So many more pushed commands are without a response; negative: fewer. */
+  /** Adds to the number of command pushes without a response; `n` may be negative. */
   addOpenCommands(n: number): void {
     this.openCommands += n;
     this.peakOpenCommands = Math.max(this.peakOpenCommands, this.openCommands);
   }
 
-  /** A message to a peer leaves. */
+  /** Called when a controller sends a message to a peer. */
   onPeerMessage(message: PeerMessage): void {
     this.largestFrameBytes = Math.max(this.largestFrameBytes, encodeFrame(message).length);
   }
 
-  /** What the leader says of its rounds and of machines at fault. */
+  /** Reads the cost of planning rounds and the quarantined machines from log events. */
   onLogEvent({ event, fields }: Extract<Output, { kind: 'log' }>): void {
     if (event === 'planning round') this.largestRoundSteps = Math.max(this.largestRoundSteps, Number(fields.planSteps));
     else if (event === 'machine failing tasks') this.quarantinedMachines += 1;
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -1,43 +1,47 @@
+/** The simulated network between controllers, workers, users, state store and cloud. */
 import type { Clock } from './clock.js';
 
 /** The host name of the state store. */
 export const STATE_STORE_HOST = 'state-store';
 
-/** What becomes of messages meanwhile: lost, or delivered when it is over. */
+/** Whether a partition loses messages, or holds them back and delivers them at its end. */
 type PartitionMode = 'drop' | 'delay';
 
+/** A fault that separates two hosts. */
 interface Partition {
   readonly host: string;
-  /** The other end; "*": everybody. */
+  /** The other host; "*" for all hosts. */
   readonly peer: string;
   readonly mode: PartitionMode;
-  /** Only what goes to `host` is cut: it is heard but doesn't hear. */
+  /** Whether only messages to `host` are affected. Those that it sends then still arrive. */
   readonly oneWay: boolean;
-  readonly held: (() => void)[];
+  readonly heldMessages: (() => void)[];
 }
 
-/** Whether the cut is the one of `host` from `peer`. */
-const isPartitioned = (cut: Partition, host: string, peer: string): boolean =>
-  cut.host === host && (cut.peer === peer || (cut.peer === '*' && host !== peer));
+/** Returns whether the partition separates `host`, as its first host, from `peer`. */
+const separates = (partition: Partition, host: string, peer: string): boolean =>
+  partition.host === host && (partition.peer === peer || (partition.peer === '*' && host !== peer));
 
-/** Messages between hosts, with cuts that lose them or hold them back and deliver them late. */
+/** Delivers messages between hosts, unless partitions lose them or hold them back. */
 export class Network {
   private readonly partitions = new Set<Partition>();
   private readonly addedLatencyMs = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Cuts `host` from `peer` ("*": from everybody) for a while; one way: only what is sent to `host` is lost. */
+  /**
+   * Separates `host` from `peer` ("*" for all hosts) for `ms` milliseconds. `oneWay` affects only messages to `host`.
+   */
   partition(host: string, peer: string, ms: number, mode: PartitionMode, oneWay = false): void {
-    const cut: Partition = { host, peer, mode, oneWay, held: [] };
-    this.partitions.add(cut);
+    const partition: Partition = { host, peer, mode, oneWay, heldMessages: [] };
+    this.partitions.add(partition);
     this.clock.schedule(ms, () => {
-      this.partitions.delete(cut);
-      for (const deliver of cut.held) this.clock.schedule(this.clock.randomBetween(1, 20), deliver);
+      this.partitions.delete(partition);
+      for (const deliver of partition.heldMessages) this.clock.schedule(this.clock.randomBetween(1, 20), deliver);
     });
   }
 
-  /** Messages to and from a host take up to `delayMs` longer for a while, each by itself. */
+  /** For `ms` milliseconds, delays each message to or from a host by a separate random time of up to `delayMs`. */
   addLatency(host: string, delayMs: number, ms: number): void {
     this.addedLatencyMs.set(host, delayMs);
     this.clock.schedule(ms, () => this.addedLatencyMs.delete(host));
@@ -45,17 +49,17 @@
 
   /** Delivers a message after a random latency, unless a partition is in its way. */
   send(from: string, to: string, deliver: () => void): void {
-    for (const cut of this.partitions) {
-      if (!isPartitioned(cut, to, from) && (cut.oneWay || !isPartitioned(cut, from, to))) continue;
-      if (cut.mode === 'delay') cut.held.push(deliver);
+    for (const partition of this.partitions) {
+      if (!separates(partition, to, from) && (partition.oneWay || !separates(partition, from, to))) continue;
+      if (partition.mode === 'delay') partition.heldMessages.push(deliver);
       return;
     }
-    const slowest = Math.max(this.addedLatencyMs.get(from) ?? 0, this.addedLatencyMs.get(to) ?? 0);
-    const delay = slowest > 0 ? this.clock.randomBetween(0, slowest) : 0;
+    const addedLatencyMs = Math.max(this.addedLatencyMs.get(from) ?? 0, this.addedLatencyMs.get(to) ?? 0);
+    const delay = addedLatencyMs > 0 ? this.clock.randomBetween(0, addedLatencyMs) : 0;
     this.clock.schedule(this.clock.randomBetween(0.3, 3) + delay, deliver);
   }
 
-  /** A request with an answer; `done(null)` when none came in time. Either way may be lost or late. */
+  /** Sends a request and calls `done` with its response, or with null after the timeout. Both may be lost or late. */
   request<T>(
     from: string,
     to: string,
--- a/test/sim/old_names.ts
+++ b/test/sim/old_names.ts
@@ -1,3 +1,4 @@
+/** Translation of the core's inputs, outputs and settings for builds with older names. */
 import type {
   CloudResult,
   CommandPushResult,
@@ -11,19 +12,22 @@
 import type { ClockReading, TeamQuota } from '../../src/core/types.js';
 
 /**
- * Translates between the names of the present core and those of the builds that test/old_versions.txt marks with
- * `names-2`. Bytes on the wire and stored values are the same in both: only objects in memory were renamed.
+ * These functions translate between the names of the present core and those of the builds that test/old_versions.txt
+ * marks with `names-2`. Only objects in memory were renamed. Bytes on the wire and stored values are the same in both.
  */
 
-type Names = Readonly<Record<string, string>>;
+type NameMap = Readonly<Record<string, string>>;
 
-/** The old name of each renamed field with its present one, and by old field the old words that it may hold. */
+/**
+ * The renamed fields of an object, with old names as keys and present ones as values. `words` holds the renamed string
+ * values of a field, by the old name of the field.
+ */
 interface Renaming {
-  readonly fields: Names;
-  readonly words?: Readonly<Record<string, Names>>;
+  readonly fields: NameMap;
+  readonly words?: Readonly<Record<string, NameMap>>;
 }
 
-type Plain = Readonly<Record<string, unknown>>;
+type PlainObject = Readonly<Record<string, unknown>>;
 
 const SPEC: Renaming = {
   fields: {
@@ -176,46 +180,46 @@
   fields: { steady: 'monotonic', wall: 'wallClock' },
 };
 
-const inverted = (names: Names): Names =>
+const invertNames = (names: NameMap): NameMap =>
   Object.fromEntries(Object.entries(names).map(([old, present]) => [present, old]));
 
-const swapped = ({ fields, words = {} }: Renaming): Renaming => ({
-  fields: inverted(fields),
-  words: Object.fromEntries(Object.entries(words).map(([key, names]) => [fields[key] ?? key, inverted(names)])),
+const invertRenaming = ({ fields, words = {} }: Renaming): Renaming => ({
+  fields: invertNames(fields),
+  words: Object.fromEntries(Object.entries(words).map(([key, names]) => [fields[key] ?? key, invertNames(names)])),
 });
 
-type Rename = (value: unknown, names: Renaming) => Plain;
+type Rename = (value: unknown, names: Renaming) => PlainObject;
 
-/** Renames the fields of one object, none below it; each stays in its place. */
+/** Renames the fields of an object, but not those of nested objects. The order of the fields stays the same. */
 const toPresent: Rename = (value, { fields, words }) =>
   Object.fromEntries(
-    Object.entries(value as Plain).map(([key, field]) => {
+    Object.entries(value as PlainObject).map(([key, field]) => {
       const word = typeof field === 'string' ? words?.[key]?.[field] : undefined;
       return [fields[key] ?? key, word ?? field];
     }),
   );
-const toOld: Rename = (value, names) => toPresent(value, swapped(names));
+const toOld: Rename = (value, names) => toPresent(value, invertRenaming(names));
 
-const each = (values: unknown, change: (value: unknown) => unknown): unknown => (values as unknown[]).map(change);
+const mapEach = (values: unknown, change: (value: unknown) => unknown): unknown => (values as unknown[]).map(change);
 
-/** Replaces those of an object's fields that are there and not null. */
-function changed(value: object, changes: Readonly<Record<string, (field: unknown) => unknown>>): Plain {
+/** Applies a change to each named field that the object has, unless the field is null. */
+function mapFields(value: object, changes: Readonly<Record<string, (field: unknown) => unknown>>): PlainObject {
   return Object.fromEntries(
     Object.entries(value).map(([key, field]) => [key, field === null ? field : (changes[key]?.(field) ?? field)]),
   );
 }
 
-const heartbeat = (value: unknown, rename: Rename): Plain =>
-  changed(rename(value, HEARTBEAT), { tasks: (tasks) => each(tasks, (task) => rename(task, TASK)) });
+const heartbeat = (value: unknown, rename: Rename): PlainObject =>
+  mapFields(rename(value, HEARTBEAT), { tasks: (tasks) => mapEach(tasks, (task) => rename(task, TASK)) });
 
-const withCommands = (value: unknown, names: Renaming, rename: Rename): Plain =>
-  changed(rename(value, names), { commands: (commands) => each(commands, (command) => rename(command, COMMAND)) });
+const withCommands = (value: unknown, names: Renaming, rename: Rename): PlainObject =>
+  mapFields(rename(value, names), { commands: (commands) => mapEach(commands, (command) => rename(command, COMMAND)) });
 
-const request = (value: unknown, rename: Rename): Plain =>
-  changed(rename(value, REQUEST), { spec: (spec) => rename(spec, SPEC) });
+const request = (value: unknown, rename: Rename): PlainObject =>
+  mapFields(rename(value, REQUEST), { spec: (spec) => rename(spec, SPEC) });
 
-function message<T extends Plain>(value: T, rename: Rename): T {
-  return changed(rename(value, MESSAGE), {
+function message<T extends PlainObject>(value: T, rename: Rename): T {
+  return mapFields(rename(value, MESSAGE), {
     status: (status) => rename(status, STATUS),
     request: (asked) => request(asked, rename),
     report: (report) => heartbeat(report, rename),
@@ -225,20 +229,20 @@
   }) as T;
 }
 
-/** A frame or message between controllers, with its old names. */
-export const oldMessage = <T extends Plain>(present: T): T => message(present, toOld);
-/** A message of an old build, with its present names. */
+/** Returns a frame or message between controllers with its old names. */
+export const oldMessage = <T extends PlainObject>(present: T): T => message(present, toOld);
+/** Returns a message of an old build with its present names. */
 export const presentMessage = (old: PeerMessage): PeerMessage => message(old, toPresent);
 
 function oldCloudResponse(value: unknown): unknown {
-  return changed(toOld(value, CLOUD_RESPONSE), {
-    types: (types) => each(types, (type) => toOld(type, MACHINE_TYPE)),
-    machines: (machines) => each(machines, (machine) => toOld(machine, CLOUD_MACHINE)),
+  return mapFields(toOld(value, CLOUD_RESPONSE), {
+    types: (types) => mapEach(types, (type) => toOld(type, MACHINE_TYPE)),
+    machines: (machines) => mapEach(machines, (machine) => toOld(machine, CLOUD_MACHINE)),
   });
 }
 
 const oldPushResponse = (value: unknown): unknown =>
-  changed(toOld(value, INPUT), { report: (report) => heartbeat(report, toOld) });
+  mapFields(toOld(value, INPUT), { report: (report) => heartbeat(report, toOld) });
 
 const OLD_FAILURES: Readonly<Record<string, string>> = {
   throttled: 'refused',
@@ -248,11 +252,11 @@
   invalidRequest: 'rejected',
 };
 
-/** A result with its old names; `change`: what becomes of its value. */
+/** Returns a result with its old names; `change` translates the value of a successful one. */
 function oldResult(
   result: StateStoreResult | CloudResult | CommandPushResult,
   change: (value: unknown) => unknown,
-): Plain {
+): PlainObject {
   if (result.ok) return { ok: true, value: change(result.value) };
   const { code, ...details } = result.error;
   return {
@@ -263,7 +267,7 @@
   };
 }
 
-/** An input as the core of an old build takes it; messages of peers come from its own codec and stay. */
+/** Translates an input for the core of an old build. Messages from peers stay: its own codec decoded them. */
 export function oldInput(input: Input): unknown {
   const old = toOld(input, INPUT);
   switch (input.kind) {
@@ -284,7 +288,7 @@
   }
 }
 
-/** An output of an old build's core with its present names; `changeMessage`: what becomes of messages to peers. */
+/** Returns an output of an old build's core with its present names; `changeMessage` translates messages to peers. */
 export function presentOutput(
   old: { readonly kind: string },
   changeMessage: (old: PeerMessage) => PeerMessage,
@@ -293,15 +297,15 @@
   switch (output.kind) {
     case 'userResponse':
     case 'heartbeatResponse':
-      return changed(output, { response: (answer) => withCommands(answer, RESPONSE, toPresent) }) as Output;
+      return mapFields(output, { response: (answer) => withCommands(answer, RESPONSE, toPresent) }) as Output;
     case 'cloudCall':
-      return changed(output, { operation: (call) => toPresent(call, CLOUD_CALL) }) as Output;
+      return mapFields(output, { operation: (call) => toPresent(call, CLOUD_CALL) }) as Output;
     case 'commandPush':
-      return changed(output, { operation: (push) => withCommands(push, PUSH, toPresent) }) as Output;
+      return mapFields(output, { operation: (push) => withCommands(push, PUSH, toPresent) }) as Output;
     case 'peerMessage':
       return { ...output, message: changeMessage(output.message) };
     case 'stateStoreCall':
-      return changed(output, { operation: (call) => toPresent(call, STORE_CALL) }) as Output;
+      return mapFields(output, { operation: (call) => toPresent(call, STORE_CALL) }) as Output;
     case 'log':
       return output;
   }
@@ -315,26 +319,26 @@
   gpusMax: limit.gpus,
 });
 
-/** Settings as an old build's core takes them. */
+/** Returns settings with the names and structure that an old build's core expects. */
 export const oldSettings = (settings: Settings): unknown =>
-  changed(toOld(settings, SETTINGS), {
+  mapFields(toOld(settings, SETTINGS), {
     teams: (teams) => (teams as readonly TeamQuota[]).map(oldTeam),
-    objectives: (objectives) => each(objectives, (objective) => toOld(objective, OBJECTIVE)),
+    objectives: (objectives) => mapEach(objectives, (objective) => toOld(objective, OBJECTIVE)),
     limits: (limits) => toOld(limits, LIMITS),
     workers: (workers) => toOld(workers, WORKERS),
     store: (limits) => toOld(limits, RATES),
     cloud: (limits) => toOld(limits, RATES),
   });
 
-/** A clock reading, with its old names. */
+/** Returns a clock reading with its old names. */
 export const oldClockReading = (now: ClockReading): unknown => toOld(now, CLOCK);
 
-/** A job's record in memory, with its old names. */
+/** Returns a job's record in memory with its old names. */
 export const oldJobRecord = <T extends Pick<JobRecord, 'spec'>>(record: T): T => ({
   ...record,
   spec: toOld(record.spec, SPEC) as unknown as T['spec'],
 });
 
-/** A machine's record in memory, with its old names. */
+/** Returns a machine's record in memory with its old names. */
 export const oldMachineRecord = (record: MachineRecord): MachineRecord =>
   toOld(record, MACHINE_RECORD) as unknown as MachineRecord;
--- a/test/sim/old_versions.ts
+++ b/test/sim/old_versions.ts
@@ -1,3 +1,4 @@
+/** Loads the builds of earlier versions, and makes them usable under the present names. */
 import { existsSync, readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import type { Controller } from '../../src/core/controller.js';
@@ -12,6 +13,7 @@
 const repositoryFile = (path: string): URL => new URL(`../../../../${path}`, import.meta.url);
 const readText = (path: string): string => readFileSync(repositoryFile(path), 'utf8');
 
+/** An entry of test/old_versions.txt. */
 interface OldVersion {
   readonly name: string;
   readonly commit: string;
@@ -21,11 +23,12 @@
 
 function productionCommit(): string {
   const commit = /^production = "([0-9a-f]{40})"$/m.exec(readText('deploy/service.toml'))?.[1];
-  if (!commit) throw new Error('deploy/service.toml names no production commit');
+  if (!commit)
+    throw new Error('deploy/service.toml: expected a line `production = "COMMIT"` with a full commit hash, found none');
   return commit;
 }
 
-/** The versions that test/old_versions.txt names, in its order. */
+/** Reads the versions that test/old_versions.txt lists, in its order. */
 function readOldVersions(): OldVersion[] {
   const lines = readText('test/old_versions.txt')
     .split('\n')
@@ -46,7 +49,7 @@
   const directory = `target/old_versions/${commit}`;
   if (!existsSync(fileURLToPath(repositoryFile(`${directory}/built`)))) {
     throw new Error(
-      `version ${name} (${commit}) is not built: the history may be missing (tools/old_versions.sh builds it)`,
+      `version ${name} (${commit}) is not built: run tools/old_versions.sh, which needs its commit in the git history`,
     );
   }
   const importModule = async <T>(path: string): Promise<T> =>
@@ -59,14 +62,14 @@
   const { loadTuning } = await importModule<{ loadTuning: (file: string) => Tuning }>('config/tuning');
   const tuning = loadTuning(fileURLToPath(repositoryFile(`${directory}/checkout/deploy/tuning.toml`)));
   const controllerClass = controllerClassOf(nodeClass, names);
-  const ownMessage = names === 'names-2' ? oldMessage<PeerMessage> : (message: PeerMessage): PeerMessage => message;
+  const toBuildMessage = names === 'names-2' ? oldMessage<PeerMessage> : (message: PeerMessage): PeerMessage => message;
   const properties = { name, tuning, features: ALL_OFF, readsAnnouncedLimits, names };
-  return { ...properties, controllerClass, ownMessage, encodeFrame, splitterClass, records };
+  return { ...properties, controllerClass, toBuildMessage, encodeFrame, splitterClass, records };
 }
 
 let loadedVersions: Promise<ReadonlyMap<string, Build>> | null = null;
 
-/** Every earlier version that the tests run beside this one, by its name; fails where one could not be built. */
+/** Loads every earlier version that the tests run beside this one, by name; fails if one was not built. */
 export function loadOldVersions(): Promise<ReadonlyMap<string, Build>> {
   loadedVersions ??= Promise.all(readOldVersions().map(loadVersion)).then(
     (builds) => new Map(builds.map((build) => [build.name, build])),
@@ -74,7 +77,7 @@
   return loadedVersions;
 }
 
-/** How builds with `names-1` call what those with `names-2` renamed; on the wire nothing was. */
+/** The frame kinds of `names-1`, by those of `names-2`. Bytes on the wire are the same. */
 const OLD_FRAME_KINDS: Readonly<Record<string, string>> = {
   request: 'relay',
   requestAnswer: 'relayed',
@@ -84,14 +87,14 @@
   cancellationAck: 'heeded',
 };
 
-/** A frame as an old version names its parts: the bytes are the same. */
+/** Returns a frame with the names of an old version. Its bytes on the wire are the same. */
 export function oldFrame(build: Build, present: PeerFrame): unknown {
   const frame = oldMessage(present) as unknown as OldFrame;
   if (build.names === 'names-2') return frame;
   if (frame.kind === 'status') {
     const { reportsPerS, acknowledgesCancellations, ...status } = frame.status;
-    const later = build.name === 'production' ? {} : { heedsWord: acknowledgesCancellations };
-    return { kind: 'status', status: { ...status, beatsPerS: reportsPerS, ...later } };
+    const laterFields = build.name === 'production' ? {} : { heedsWord: acknowledgesCancellations };
+    return { kind: 'status', status: { ...status, beatsPerS: reportsPerS, ...laterFields } };
   }
   const kind = OLD_FRAME_KINDS[frame.kind] ?? frame.kind;
   if (frame.kind !== 'requestAnswer' || frame.answer.jobStatus === undefined) return { ...frame, kind };
@@ -99,7 +102,7 @@
   return { ...frame, kind, answer: { ...answer, mood: jobStatus } };
 }
 
-/** What is looked at of a frame with `names-2`. */
+/** The parts of a frame with `names-2` that `oldFrame` reads. */
 type OldFrame =
   | {
       readonly kind: 'status';
@@ -108,7 +111,7 @@
   | { readonly kind: 'requestAnswer'; readonly answer: { readonly jobStatus?: JobStatus } }
   | { readonly kind: 'report' };
 
-/** The class of an old build's controllers. */
+/** The controller class of an old build, which is called Node there. */
 type OldNodeClass = new (
   settings: unknown,
   tuning: Tuning,
@@ -121,7 +124,7 @@
   healthy(now: MonotonicTime): boolean;
 };
 
-/** Makes the controllers of an old build usable under the present names. */
+/** Wraps the controller class of an old build in one with the present names. */
 function controllerClassOf(nodeClass: OldNodeClass, names: OldVersion['names']): Build['controllerClass'] {
   return class implements SimulatedController {
     private readonly node: InstanceType<OldNodeClass>;
@@ -135,10 +138,10 @@
       if (names === 'names-2') {
         return this.node.step(oldClockReading(now), old).map((output) => presentOutput(output, presentMessage));
       }
-      const earlier = old.kind === 'report' ? { ...old, kind: 'beat' } : old;
-      // Its messages to peers stay as its own codec takes them.
+      const renamed = old.kind === 'report' ? { ...old, kind: 'beat' } : old;
+      // Messages to peers keep the old names, which the build's own codec expects.
       return this.node
-        .step(oldClockReading(now), earlier)
+        .step(oldClockReading(now), renamed)
         .map((output) => withJobStatus(presentOutput(output, (message) => message)));
     }
 
@@ -152,7 +155,7 @@
   };
 }
 
-/** An output of a build with `names-1`, whose answers to users call the job's status otherwise. */
+/** Returns an output of a build with `names-1` with the present name of the job status in responses to users. */
 function withJobStatus(output: Output): Output {
   if (output.kind !== 'userResponse') return output;
   const { mood, ...response } = output.response as UserResponse & { mood?: JobStatus };
--- a/test/sim/rate_limiter.ts
+++ b/test/sim/rate_limiter.ts
@@ -1,6 +1,10 @@
+/** A token bucket for simulated rate limits. */
 import type { Clock } from './clock.js';
 
-/** A rate as the state service enforces it: bursts of one second's worth, whatever is beyond is refused. */
+/**
+ * A token bucket as the state store enforces it. It holds the tokens of one second, and refuses any request beyond
+ * them.
+ */
 export class RateLimiter {
   private tokens: number;
   private refilledAt: number;
@@ -13,7 +17,7 @@
     this.refilledAt = clock.now;
   }
 
-  /** Takes `count` tokens if they are there. */
+  /** Takes `count` tokens and returns true, or returns false if there are fewer. */
   tryTake(count: number): boolean {
     if (!Number.isFinite(this.perSecond)) return true;
     const elapsedS = (this.clock.now - this.refilledAt) / 1000;
--- a/test/sim/served_jobs.ts
+++ b/test/sim/served_jobs.ts
@@ -1,12 +1,14 @@
+/** Checks at the end of a run how well jobs were served, by class and team. */
 import type { JobSpec } from '../../src/core/types.js';
 import type { Invariants } from './invariants.js';
 
-/* How well jobs were served, beside what must never happen: judged by classes and teams once a run is over. */
+/**
+ * Maximum wait of the largest jobs of each class until their first start, in milliseconds. It counts from the
+ * submission, or from the end of all faults if that is later.
+ */
+const MAX_WAIT_OF_LARGEST_JOBS_MS = 240_000;
 
-/** Of each class, the largest jobs begin within this time, faults not counted. */
-const LONGEST_WAIT_OF_LARGEST_MS = 240_000;
-
-/** The largest tenth of the jobs of each class, one at least. */
+/** The largest tenth of the jobs of each class, at least one job, by number of tasks. */
 function largestOfClasses(specs: readonly JobSpec[]): JobSpec[] {
   const byClass = new Map<string, JobSpec[]>();
   for (const spec of specs) byClass.set(spec.jobClass, [...(byClass.get(spec.jobClass) ?? []), spec]);
@@ -16,12 +18,15 @@
   });
 }
 
-/** Of accepted jobs that nobody cancelled, the shares that were served: by class, by team, and of each class's largest. */
+/**
+ * The shares of jobs that completed, by class, by team, and for the largest jobs of each class. Only accepted jobs
+ * without a requested cancellation count, and no services.
+ */
 export function servedShares(invariants: Invariants): Map<string, number> {
-  const counts = new Map<string, { asked: number; served: number }>();
+  const counts = new Map<string, { total: number; served: number }>();
   const count = (key: string, served: boolean): void => {
-    const tally = counts.get(key) ?? { asked: 0, served: 0 };
-    tally.asked += 1;
+    const tally = counts.get(key) ?? { total: 0, served: 0 };
+    tally.total += 1;
     if (served) tally.served += 1;
     counts.set(key, tally);
   };
@@ -31,13 +36,13 @@
     count(`team ${spec.team}`, invariants.isDone(spec.id));
   }
   for (const spec of largestOfClasses(finite)) count(`largest of ${spec.jobClass}`, invariants.isDone(spec.id));
-  return new Map([...counts].map(([key, { asked, served }]) => [key, served / asked]));
+  return new Map([...counts].map(([key, { total, served }]) => [key, served / total]));
 }
 
-/** Of each class's largest jobs those that waited over four minutes to begin, faults not counted. */
+/** The largest jobs of each class that waited over four minutes for their first start, after the end of all faults. */
 export function lateLargestJobs(invariants: Invariants): string[] {
   const isLate = ({ id }: JobSpec): boolean =>
-    invariants.waitMsSince(id, invariants.faultsUntil) > LONGEST_WAIT_OF_LARGEST_MS;
+    invariants.waitMsSince(id, invariants.faultsUntil) > MAX_WAIT_OF_LARGEST_JOBS_MS;
   return largestOfClasses(invariants.wantedJobs())
     .filter(isLate)
     .map((spec) => spec.id);
--- a/test/sim/state_store.ts
+++ b/test/sim/state_store.ts
@@ -1,3 +1,4 @@
+/** A simulated state store with the faults that scenarios inject into it. */
 import type {
   StateStoreOperation,
   StateStoreResponse,
@@ -9,6 +10,7 @@
 import type { Clock } from './clock.js';
 import { RateLimiter } from './rate_limiter.js';
 
+/** A lease and the keys attached to it; times in milliseconds. */
 interface Lease {
   readonly ttlMs: number;
   endsAt: number;
@@ -20,13 +22,17 @@
 const failure = (code: 'unavailable' | 'gone' | 'invalidRequest'): StateStoreResult => ({ ok: false, error: { code } });
 const success = (value: StateStoreResponse): StateStoreResult => ({ ok: true, value });
 
+/** Returns whether an operation reads job records. */
 const readsJobs = (op: StateStoreOperation): boolean =>
   ((op.op === 'watch' || op.op === 'list') && op.prefix === 'j/') || (op.op === 'get' && op.key.startsWith('j/'));
 
-/** Leases are looked at so long after their end. */
+/** Delay between the end of a lease and the check that deletes its keys, in milliseconds. */
 const EXPIRY_CHECK_DELAY_MS = 50;
 
-/** A state store by its protocol: versions, leases, watches, outages, and refusals of one controller. */
+/**
+ * Implements the state store's protocol: revisions, compare-and-swap transactions, leases and watches. It also
+ * simulates outages, slow calls, delayed writes, and refusals of single controllers' calls.
+ */
 export class SimulatedStateStore {
   private currentRevision = 100n;
   private leases = new Map<bigint, Lease>();
@@ -38,25 +44,27 @@
   private delayedWriteShare = 0;
   private callRate: RateLimiter;
   private writeRate: RateLimiter;
-  /** Calls refused for coming too often. */
+  /** The number of calls refused because a rate limit was exceeded. */
   throttled = 0;
   private latencyFactor = 1;
-  /** Transactions that were carried out late. */
+  /** The number of transactions that were applied with a delay. */
   delayedWritesApplied = 0;
-  /** Called when a transaction is refused for its size. */
+  /** Called with the sender when a transaction is refused as invalid because of its size. */
   onOversizedTransaction: (from: string) => void = () => {};
-  /** Controllers that are answered 503. */
+  /**
+   * Controllers whose calls are all refused as unavailable. Watches that they opened before get no response meanwhile.
+   */
   readonly refusedHosts = new Set<string>();
-  /** Controllers whose reads of jobs are refused. */
+  /** Controllers whose reads and watches of job records are refused as unavailable. */
   readonly jobReadsRefusedFor = new Set<string>();
-  /** Changes that transactions made. */
+  /** The number of keys that transactions wrote or deleted. */
   changesApplied = 0;
-  /** The longest value that was written, as text. */
+  /** The length of the longest value in the transactions within the limits, in characters of its JSON form. */
   largestValueLength = 0;
-  /** Called after a transaction that changed these keys. */
+  /** Called after a transaction with the keys that it changed. */
   onChanged: (keys: readonly string[]) => void = () => {};
-  /** Called before an operation is carried out and once more before its answer leaves. */
-  onOperation: (from: string, op: StateStoreOperation, carriedOut: boolean) => void = () => {};
+  /** Called before an operation is executed, and again with `executed` set before its response is sent. */
+  onOperation: (from: string, op: StateStoreOperation, executed: boolean) => void = () => {};
 
   constructor(
     private readonly clock: Clock,
@@ -66,7 +74,9 @@
     this.writeRate = this.callRate;
   }
 
-  /** Refuses every call for a while; leases do not expire meanwhile. */
+  /**
+   * Refuses every call for `ms` milliseconds. Leases don't expire in that time, and have their whole duration after it.
+   */
   outage(ms: number): void {
     this.isDown = true;
     this.clock.schedule(ms, () => {
@@ -76,17 +86,20 @@
     });
   }
 
-  /** What is stored under a key; null: nothing. */
+  /** The stored entry of a key; null if there is none. */
   item(key: string): StoredEntry | null {
     return this.items.get(key)?.item ?? null;
   }
 
-  /** The keys that begin so, in order. */
+  /** The stored keys that begin with `prefix`, in order. */
   keys(prefix: string): string[] {
     return [...this.items.keys()].filter((key) => key.startsWith(prefix)).sort();
   }
 
-  /** For a while this share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones. */
+  /**
+   * For `ms` milliseconds, this share of transactions gets no response and is applied 2 to 12 s later, after newer
+   * ones.
+   */
   delayWrites(share: number, ms: number): void {
     this.delayedWriteShare = share;
     this.clock.schedule(ms, () => {
@@ -94,7 +107,7 @@
     });
   }
 
-  /** Every call takes so many times as long, for a while. */
+  /** Multiplies the latency of every call by `factor` for `ms` milliseconds. */
   slowDown(factor: number, ms: number): void {
     this.latencyFactor = factor;
     this.clock.schedule(ms, () => {
@@ -102,7 +115,7 @@
     });
   }
 
-  /** Lowers what it takes, as the real one does without notice. */
+  /** Lowers the limits from now on. The real state store also does that without notice. */
   lowerLimits(limits: {
     maxChangesPerTransaction: number;
     maxValueBytes: number;
@@ -130,7 +143,7 @@
     this.execute('late', op, () => {});
   }
 
-  /** Executes a call after a random latency, unless a fault keeps it from that. */
+  /** Executes a call after a random latency; faults may refuse or delay it, or suppress its response. */
   serve(from: string, op: StateStoreOperation, reply: Reply): void {
     const latency = this.clock.randomBetween(1, 6) * this.latencyFactor;
     this.clock.schedule(latency, () => {
@@ -235,17 +248,20 @@
     const tooMany =
       op.changes.length > this.limits.maxChangesPerTransaction ||
       op.conditions.length > 4 * this.limits.maxChangesPerTransaction;
-    const bytes = op.changes.map((change) => ('put' in change ? JSON.stringify(change.value).length : 0));
-    const longest = Math.max(0, ...bytes);
-    if (tooMany || longest > this.limits.maxValueBytes) {
+    const valueLengths = op.changes.map((change) => ('put' in change ? JSON.stringify(change.value).length : 0));
+    const longestValue = Math.max(0, ...valueLengths);
+    if (tooMany || longestValue > this.limits.maxValueBytes) {
       this.onOversizedTransaction(from);
       return failure('invalidRequest');
     }
     const leases = op.changes.map((change) => ('put' in change ? change.lease : undefined));
     if (leases.some((lease) => lease !== undefined && !this.leases.has(lease))) return failure('invalidRequest');
-    this.largestValueLength = Math.max(this.largestValueLength, longest);
-    const failed = op.conditions.filter(({ key, version }) => (this.items.get(key)?.item.version ?? 0n) !== version);
-    if (failed.length > 0) return { ok: false, error: { code: 'conflict', keys: failed.map(({ key }) => key) } };
+    this.largestValueLength = Math.max(this.largestValueLength, longestValue);
+    const failedConditions = op.conditions.filter(
+      ({ key, version }) => (this.items.get(key)?.item.version ?? 0n) !== version,
+    );
+    if (failedConditions.length > 0)
+      return { ok: false, error: { code: 'conflict', keys: failedConditions.map(({ key }) => key) } };
     if (op.changes.length > 0) this.applyChanges(op);
     return success({ revision: revision(this.currentRevision) });
   }
@@ -261,7 +277,7 @@
     this.onChanged(op.changes.map((change) => ('drop' in change ? change.drop : change.put)));
   }
 
-  /** Changes a value as nobody in this world would. */
+  /** Writes a value outside any transaction, for scenarios that corrupt, restore or inject records. */
   overwrite(key: string, value: unknown): void {
     this.currentRevision += 1n;
     this.put(key, value, null);
@@ -278,25 +294,25 @@
   }
 
   private watch(from: string, prefix: string, after: Revision, waitMs: number, reply: Reply): void {
-    const news = (): WatchEvent[] => {
+    const newEvents = (): WatchEvent[] => {
       let from = this.events.length;
       while (from > 0 && (this.events[from - 1] as WatchEvent).version > after) from -= 1;
       return this.events.slice(from).filter((event) => ('drop' in event ? event.drop : event.put).startsWith(prefix));
     };
-    let open = true;
-    const answer = (): void => {
-      open = false;
-      this.watchers.delete(look);
-      reply(success({ events: news(), revision: revision(this.currentRevision) }));
+    let isOpen = true;
+    const respond = (): void => {
+      isOpen = false;
+      this.watchers.delete(respondIfChanged);
+      reply(success({ events: newEvents(), revision: revision(this.currentRevision) }));
     };
-    const look = (): void => {
-      if (open && !this.isDown && !this.refusedHosts.has(from) && news().length > 0) answer();
+    const respondIfChanged = (): void => {
+      if (isOpen && !this.isDown && !this.refusedHosts.has(from) && newEvents().length > 0) respond();
     };
-    this.watchers.add(look);
+    this.watchers.add(respondIfChanged);
     this.clock.schedule(waitMs, () => {
-      // An open watch stays open during an outage.
-      if (open && !this.isDown && !this.refusedHosts.has(from)) answer();
+      // A watch whose wait ends during an outage stays open, and gets its response only at a change after the outage.
+      if (isOpen && !this.isDown && !this.refusedHosts.has(from)) respond();
     });
-    look();
+    respondIfChanged();
   }
 }
--- a/test/sim/task_execution.ts
+++ b/test/sim/task_execution.ts
@@ -1,9 +1,10 @@
+/** Simulates the execution of a task on a worker. */
 import type { JobSpec } from '../../src/core/types.js';
 import type { SimulatedTask } from './task_executor.js';
 import type { SimulatedWorker } from './worker.js';
 import type { World } from './world.js';
 
-/** Carries a task on by one tick: its fetch, its gang, its work and its checkpoints, as the protocol says. */
+/** Advances a task by one tick of `tickMs`: its image pull, the barrier of its gang, its work and its checkpoints. */
 export function advanceTask(world: World, worker: SimulatedWorker, task: SimulatedTask, tickMs: number): void {
   const spec = world.invariants.specOf(task.job);
   if (!spec || task.phase === 'exited') return;
@@ -16,7 +17,10 @@
   advanceWork(world, worker, task, spec, tickMs);
 }
 
-/** Returns whether the task goes on: its image is there, and it neither failed nor had its result already. */
+/**
+ * Returns whether the task may run: its image has been pulled, and it neither fails nor has completed in an earlier
+ * attempt.
+ */
 function finishImagePull(world: World, worker: SimulatedWorker, task: SimulatedTask, spec: JobSpec): boolean {
   const { clock, invariants } = world;
   if (clock.now < task.imagePulledAt) return false;
@@ -38,18 +42,21 @@
   worker.executor.exit(task, 'stopped', true);
 }
 
-/** Returns whether the whole gang is there and runs; a task that waits or misses the others for too long ends. */
+/**
+ * Returns whether all members of the gang run. The task exits if it waits for others or misses one of them for too
+ * long.
+ */
 function advanceGang(world: World, worker: SimulatedWorker, task: SimulatedTask, spec: JobSpec): boolean {
   const { clock, workerTiming } = world;
-  const present = world.gangs.members(task.job, task.attempt).filter((member) => member.task.phase !== 'exited');
+  const activeMembers = world.gangs.members(task.job, task.attempt).filter((member) => member.task.phase !== 'exited');
   if (task.phase === 'gathering') {
-    const ready = present.filter(({ task: other }) => other.phase === 'gathering' || other.phase === 'running');
+    const ready = activeMembers.filter(({ task: other }) => other.phase === 'gathering' || other.phase === 'running');
     if (ready.length === spec.taskCount) for (const member of ready) member.task.phase = 'running';
     else if (clock.now - (task.gatheringSince ?? clock.now) > workerTiming.gangBarrierTimeoutMs)
       worker.executor.exit(task, 'gang_incomplete');
     return false;
   }
-  if (present.length < spec.taskCount || present.some((member) => member.worker.isHung)) {
+  if (activeMembers.length < spec.taskCount || activeMembers.some((member) => member.worker.isHung)) {
     task.gatheringSince ??= clock.now;
     task.membersMissingSince ??= clock.now;
     if (clock.now - task.membersMissingSince > workerTiming.gangPeerTimeoutMs)
--- a/test/sim/task_executor.ts
+++ b/test/sim/task_executor.ts
@@ -1,9 +1,10 @@
+/** The part of a simulated worker that runs its tasks. */
 import type { Attempt, Command, ExitReason, JobId, JobSpec, TaskPhase } from '../../src/core/types.js';
 import { advanceTask } from './task_execution.js';
 import type { SimulatedWorker } from './worker.js';
 import type { World } from './world.js';
 
-/** A task on a worker; times in milliseconds of the world's clock. */
+/** A task on a worker. Times are in milliseconds of the world's clock. */
 export interface SimulatedTask {
   readonly job: JobId;
   readonly index: number;
@@ -11,20 +12,21 @@
   phase: TaskPhase;
   reason: ExitReason | null;
   saved: boolean;
-  /** When its image is there. */
+  /** When its image pull ends. */
   imagePulledAt: number;
+  /** The work done, in milliseconds on a normal machine. */
   progressMs: number;
-  /** When the checkpoint that it writes is complete; null: it writes none. */
+  /** When the checkpoint that it is writing is complete; null if it isn't writing one. */
   checkpointWrittenAt: number | null;
-  /** Since when members of its gang are missing; null: none is. */
+  /** Since when members of its gang have been missing; null if none is. */
   membersMissingSince: number | null;
-  /** Since when it waits for its gang, or runs. */
+  /** When it began to wait for its gang, or to run; null before that. */
   gatheringSince: number | null;
 }
 
-/** The tasks of one worker: carries out commands, and moves tasks on tick by tick. */
+/** Holds the tasks of one worker. It executes commands and advances the tasks tick by tick. */
 export class TaskExecutor {
-  /** By job and task number, in the order of their starts. */
+  /** The tasks by job and task number, in the order of their starts. */
   readonly tasks = new Map<string, SimulatedTask>();
 
   constructor(
@@ -36,44 +38,50 @@
     return this.world.clock.now;
   }
 
-  /** Carries all tasks on by so many milliseconds. */
+  /** Advances all tasks by `ms` milliseconds. */
   advance(ms: number): void {
     for (const task of this.tasks.values()) advanceTask(this.world, this.worker, task, ms);
   }
 
-  /** Ends all tasks without a trace, as when the machine is gone or its lease expired. */
+  /** Ends all tasks without reporting their exits, as when the machine was removed or the lease expired. */
   dropAll(): void {
     for (const task of this.tasks.values()) {
-      if (task.phase !== 'exited') this.onLeft(task);
+      if (task.phase !== 'exited') this.notifyEnded(task);
       this.world.gangs.remove(this.worker, task);
     }
     this.tasks.clear();
   }
 
-  private onLeft(task: SimulatedTask): void {
+  private notifyEnded(task: SimulatedTask): void {
     if (task.phase !== 'pulling') this.world.invariants.onTaskEnded(task.job, task.index, this.worker.id);
   }
 
-  /** The task ends and stays in the worker's heartbeats until the end is acknowledged. */
+  /** Ends a task. It stays in the worker's heartbeats until its exit is acknowledged. */
   exit(task: SimulatedTask, reason: ExitReason, saved = false): void {
-    this.onLeft(task);
+    this.notifyEnded(task);
     task.phase = 'exited';
     task.reason = reason;
     task.saved = saved;
     this.worker.hasUnreportedChange = true;
-    // A replica that ends has no result.
+    // A replica of a service has no result when it exits.
     const service = this.world.invariants.specOf(task.job)?.kind === 'service';
     if (reason === 'done' && !service) this.world.invariants.onTaskCompleted(task.job, task.index);
   }
 
-  /** A task runs here that no controller started, as far as this world knows. */
+  /** Adds a running task that no controller of this world started. */
   inject(job: JobId, index: number, attempt: Attempt): void {
-    const from = { phase: 'running', reason: null, saved: false, imagePulledAt: this.now, progressMs: 0 } as const;
+    const commonFields = {
+      phase: 'running',
+      reason: null,
+      saved: false,
+      imagePulledAt: this.now,
+      progressMs: 0,
+    } as const;
     const task: SimulatedTask = {
       job,
       index,
       attempt,
-      ...from,
+      ...commonFields,
       checkpointWrittenAt: null,
       membersMissingSince: null,
       gatheringSince: this.now,
@@ -83,7 +91,7 @@
     this.worker.hasUnreportedChange = true;
   }
 
-  /** Carries out a command of whoever holds the highest fencing token. */
+  /** Executes a command; the worker has checked its fencing token. */
   execute(command: Command): void {
     this.world.commandCounts.onCommand(command);
     const key = `${command.job}/${command.index}`;
@@ -148,7 +156,7 @@
       (this.worker.images.has(spec.image) ? 0 : (spec.imageGb / this.worker.type.imagePullGbPerSecond) * 1000);
   }
 
-  /** Whether the machine has the cores and GPUs for one more task. */
+  /** Returns whether the machine has enough free cores and GPUs for one more task of the job. */
   private fits(spec: JobSpec): boolean {
     let { cpus, gpus } = spec;
     for (const task of this.tasks.values()) {
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -1,3 +1,4 @@
+/** The simulated users, and the load balancer that chooses controllers for their requests. */
 import type { UserRequest, UserResponse } from '../../src/core/messages.js';
 import type { JobId, JobSpec } from '../../src/core/types.js';
 import type { Build } from './build.js';
@@ -6,18 +7,20 @@
 import type { Invariants } from './invariants.js';
 import type { World } from './world.js';
 
+/** Timeout of a user's request, in milliseconds. */
 const USER_TIMEOUT_MS = 5000;
-/** Requests of a burst to each controller, and the time within which they are sent. */
+/** Number of requests that a poll burst sends to each controller. */
 const POLLS_PER_BURST = 4;
+/** Time within which the requests of a poll burst are sent, in milliseconds. */
 const POLL_BURST_MS = 60;
-/** Within this time a leader hears that a job's last task has ended. */
-const COMPLETION_NOTICED_MS = 2500;
+/** Maximum time until a leader learns that a job's last task has ended, in milliseconds. */
+const MAX_COMPLETION_DELAY_MS = 2500;
 
-/** The users of a world: they submit, poll and cancel, and what they are told goes to the invariants. */
+/** The users of a world. They submit, poll and cancel jobs, and pass the responses to the invariants. */
 export class SimulatedUsers {
-  /** Until then users poll in bursts whenever something happens to a job. */
+  /** The time until which users poll a job in bursts at every change of its status. */
   pollBurstsUntil = 0;
-  /** Of the jobs that end before then this share is cancelled just then. */
+  /** The share of the jobs completed before `until` that a user cancels at about the time of their completion. */
   cancelAtEnd = { share: 0, until: 0 };
   private readonly clock: Clock;
   private readonly invariants: Invariants;
@@ -32,53 +35,55 @@
   private onCompleted(job: JobId): void {
     const { clock } = this;
     if (clock.now < this.pollBurstsUntil) {
-      clock.schedule(clock.randomBetween(0, COMPLETION_NOTICED_MS), () => this.sendPollBurst(job));
+      clock.schedule(clock.randomBetween(0, MAX_COMPLETION_DELAY_MS), () => this.sendPollBurst(job));
     }
     if (clock.now >= this.cancelAtEnd.until || clock.randomBetween(0, 1) >= this.cancelAtEnd.share) return;
-    // The leader hears of the end, writes it, and others read it: each of these moments is met.
-    const after = clock.randomBetween(0, 1) < 0.5 ? 0 : clock.randomBetween(0, 2500);
-    clock.schedule(after, () => this.cancel(job));
+    // Random delays let cancellations meet each stage: the leader learns of the completion, stores it, and followers
+    // read it.
+    const delayMs = clock.randomBetween(0, 1) < 0.5 ? 0 : clock.randomBetween(0, 2500);
+    clock.schedule(delayMs, () => this.cancel(job));
   }
 
   private sendUserRequest(
     request: UserRequest,
-    done: (response: UserResponse | null, asked?: Build, givenAt?: number) => void,
+    done: (response: UserResponse | null, respondingBuild?: Build, respondedAt?: number) => void,
   ): void {
-    // As the load balancer sees it: healthy controllers, else any that is up.
-    const up = this.world.controllers.filter((controller) => controller.isRunning);
-    const healthy = up.filter((controller) => controller.isHealthy);
+    // The load balancer chooses a healthy controller, or any running one if none is healthy.
+    const runningControllers = this.world.controllers.filter((controller) => controller.isRunning);
+    const healthy = runningControllers.filter((controller) => controller.isHealthy);
     const controller =
       healthy.length > 0
         ? this.clock.pickRandom(healthy)
-        : up.length > 0
-          ? this.clock.pickRandom(up)
+        : runningControllers.length > 0
+          ? this.clock.pickRandom(runningControllers)
           : this.world.controllers[0];
     if (!controller) {
       done(null);
       return;
     }
     const { build } = controller;
-    this.sendUserRequestTo(controller, request, (response, givenAt) => done(response, build, givenAt));
+    this.sendUserRequestTo(controller, request, (response, respondedAt) => done(response, build, respondedAt));
   }
 
   private sendUserRequestTo(
     controller: ControllerProcess,
     request: UserRequest,
-    done: (response: UserResponse | null, givenAt: number) => void,
+    done: (response: UserResponse | null, respondedAt: number) => void,
   ): void {
-    let givenAt = this.clock.now;
+    let respondedAt = this.clock.now;
     const serve = (reply: (response: UserResponse) => void): void =>
       controller.receiveUserRequest(request, (response) => {
-        givenAt = this.clock.now;
+        respondedAt = this.clock.now;
         reply(response);
       });
-    // A user's cancellation overtakes a poll that is under way, and polls of a burst each other: what counts is when it was given.
+    // The response to a cancellation may arrive before that to an earlier poll, and those to a poll burst in any order.
+    // The invariants therefore compare the times at which the controller responded.
     this.world.network.request<UserResponse>('users', controller.name, USER_TIMEOUT_MS, serve, (response) =>
-      done(response, givenAt),
+      done(response, respondedAt),
     );
   }
 
-  /** Users poll all controllers, again and again within milliseconds, and repeat the submission. */
+  /** Sends a burst of requests to every controller: the submission once more, and polls. */
   private sendPollBurst(id: JobId): void {
     const spec = this.invariants.submitted.get(id);
     if (this.clock.now >= this.pollBurstsUntil || !spec) return;
@@ -86,15 +91,15 @@
       for (let poll = 0; poll < POLLS_PER_BURST; poll++) {
         const request: UserRequest = poll === 0 ? { op: 'submit', id, spec, problem: '' } : { op: 'query', id };
         this.clock.schedule(this.clock.randomBetween(0, POLL_BURST_MS), () =>
-          this.sendUserRequestTo(controller, request, (response, givenAt) => {
-            if (response) this.invariants.onResponse(id, response, givenAt);
+          this.sendUserRequestTo(controller, request, (response, respondedAt) => {
+            if (response) this.invariants.onResponse(id, response, respondedAt);
           }),
         );
       }
     }
   }
 
-  /** A user submits a job, again for a minute until it is accepted or refused, and polls it from then on. */
+  /** Submits a job, retrying for a minute until it is accepted or refused, and polls it once it is accepted. */
   submit(spec: JobSpec, runMs: number): void {
     this.invariants.onSubmitted(spec);
     this.world.progress.setSubmittedRunMs(spec.id, runMs);
@@ -102,8 +107,8 @@
   }
 
   private retrySubmission(spec: JobSpec, until: number): void {
-    this.sendUserRequest({ op: 'submit', id: spec.id, spec, problem: '' }, (response, _, givenAt) => {
-      if (response) this.invariants.onResponse(spec.id, response, givenAt);
+    this.sendUserRequest({ op: 'submit', id: spec.id, spec, problem: '' }, (response, _, respondedAt) => {
+      if (response) this.invariants.onResponse(spec.id, response, respondedAt);
       if (response && 'jobStatus' in response) return this.poll(spec.id);
       if ((response === null || response.status === 503) && this.clock.now < until) {
         this.clock.schedule(1000, () => this.retrySubmission(spec, until));
@@ -111,7 +116,7 @@
     });
   }
 
-  /** A user polls the job from now on, whoever submitted it. */
+  /** Treats the job as submitted and polls it from now on, without sending a submission. */
   follow(spec: JobSpec, runMs: number): void {
     this.invariants.onSubmitted(spec);
     this.world.progress.setSubmittedRunMs(spec.id, runMs);
@@ -120,15 +125,17 @@
 
   private poll(id: JobId): void {
     this.clock.schedule(this.clock.randomBetween(4000, 6000), () => {
-      this.sendUserRequest({ op: 'query', id }, (response, _, givenAt) => {
-        if (response) this.invariants.onResponse(id, response, givenAt);
+      this.sendUserRequest({ op: 'query', id }, (response, _, respondedAt) => {
+        if (response) this.invariants.onResponse(id, response, respondedAt);
         if (!response || !('jobStatus' in response)) this.invariants.onNoResponse(id);
-        // Users may ask again at any later time: every final state is asked for twice more.
+        // Users may poll a job long after its end, so after a poll that found a final state it is queried again 10 s
+        // later.
         if (this.invariants.finalStateOf(id))
           this.clock.schedule(10_000, () =>
             this.sendUserRequest(
               { op: 'query', id },
-              (later, __, laterGivenAt) => later && this.invariants.onResponse(id, later, laterGivenAt),
+              (laterResponse, __, laterRespondedAt) =>
+                laterResponse && this.invariants.onResponse(id, laterResponse, laterRespondedAt),
             ),
           );
         else this.poll(id);
@@ -136,26 +143,29 @@
     });
   }
 
-  /** A user asks for the cancellation of a job, again for a minute until that is answered. */
+  /** Requests the cancellation of a job, retrying for a minute until there is a response other than 503. */
   cancel(id: JobId): void {
     this.invariants.cancellationRequested.add(id);
-    const again = (until: number): void => {
-      this.sendUserRequest({ op: 'cancel', id }, (response, _, givenAt) => {
-        // A user who cancels what has yet to be accepted may be answered 404 just before the submission gets through.
-        const isEarlier404 =
-          response?.status === 404 && this.invariants.wasAcceptedAfter(id, givenAt ?? this.clock.now);
-        if (response && !isEarlier404) this.invariants.onResponse(id, response, givenAt);
+    const sendCancellation = (until: number): void => {
+      this.sendUserRequest({ op: 'cancel', id }, (response, _, respondedAt) => {
+        // The cancellation of a job that isn't accepted yet may get status 404 just before its submission succeeds.
+        const precedesAcceptance =
+          response?.status === 404 && this.invariants.wasUnconfirmedAt(id, respondedAt ?? this.clock.now);
+        if (response && !precedesAcceptance) this.invariants.onResponse(id, response, respondedAt);
         if ((response === null || response.status === 503) && this.clock.now < until)
-          this.clock.schedule(1000, () => again(until));
+          this.clock.schedule(1000, () => sendCancellation(until));
       });
     };
-    again(this.clock.now + 60_000);
+    sendCancellation(this.clock.now + 60_000);
   }
 
-  /** Any controller may be asked; what it answers is checked by the invariants, unless `excused` says that its build knows no better. */
-  request(request: UserRequest, excused: (asked: Build) => boolean = () => false): void {
-    this.sendUserRequest(request, (response, asked) => {
-      if (response && asked && !excused(asked)) this.invariants.onResponse(request.id, response);
+  /**
+   * Sends a request to any controller. The invariants check the response unless `isExcused` returns true for the
+   * controller's build, which then has a known fault.
+   */
+  request(request: UserRequest, isExcused: (respondingBuild: Build) => boolean = () => false): void {
+    this.sendUserRequest(request, (response, respondingBuild) => {
+      if (response && respondingBuild && !isExcused(respondingBuild)) this.invariants.onResponse(request.id, response);
     });
   }
 }
--- a/test/sim/wire_trace.ts
+++ b/test/sim/wire_trace.ts
@@ -1,3 +1,4 @@
+/** Traces the messages that the controllers send, to compare the behaviour of two builds. */
 import { createHash, type Hash } from 'node:crypto';
 import { appendFileSync } from 'node:fs';
 import type { Output } from '../../src/core/messages.js';
@@ -11,19 +12,19 @@
 
 const NO_BODY = Buffer.alloc(0);
 
-/** A message as it leaves a node: to whom, the line that goes before the body, and the body. */
-interface Sent {
+/** A message that a controller sends: its recipient, a line that identifies the message, and its body. */
+interface SentMessage {
   readonly to: string;
   readonly line: string;
   readonly body: Uint8Array;
 }
 
-function sentCall(to: string, { method, path, body }: HttpRequest): Sent {
+function toSentCall(to: string, { method, path, body }: HttpRequest): SentMessage {
   return { to, line: `${method} ${path}`, body: body === undefined ? NO_BODY : encodeCbor(body) };
 }
 
-/** Null for what doesn't leave the process. */
-function sentOutput(build: Build, output: Output): Sent | null {
+/** Encodes an output as a build sends it; null for log events, which aren't sent to another process. */
+function toSentMessage(build: Build, output: Output): SentMessage | null {
   switch (output.kind) {
     case 'userResponse': {
       const retryAfterS = 'retryAfterSeconds' in output.response ? (output.response.retryAfterSeconds ?? 0) : 0;
@@ -37,26 +38,26 @@
         body: encodeCbor(encodeHeartbeatResponse(output.response)),
       };
     case 'stateStoreCall':
-      return sentCall('state', encodeStateStoreRequest(output.operation));
+      return toSentCall('state', encodeStateStoreRequest(output.operation));
     case 'cloudCall':
-      return sentCall('cloud', encodeCloudRequest(output.operation));
+      return toSentCall('cloud', encodeCloudRequest(output.operation));
     case 'commandPush':
-      return sentCall(output.operation.address, {
+      return toSentCall(output.operation.address, {
         method: 'POST',
         path: COMMANDS_PATH,
         body: encodePushedCommands(output.operation),
       });
     case 'peerMessage':
-      return { to: output.recipient, line: 'frame', body: build.encodeFrame(build.ownMessage(output.message)) };
+      return { to: output.recipient, line: 'frame', body: build.encodeFrame(build.toBuildMessage(output.message)) };
     case 'log':
       return null;
   }
 }
 
 /**
- * A digest of all that the nodes of a world send out, as bytes on the wire with sender, receiver and simulated time: two
- * builds with the same digest behave alike, whatever their code calls things. On with `SIM_TRACE=FILE`, to which each world
- * adds a line: name, digest, number of messages.
+ * A digest of all messages that the controllers of a world send, as bytes on the wire with sender, recipient and
+ * virtual time. Two builds with the same digest behave alike, whatever names their code uses. `SIM_TRACE=FILE` turns
+ * tracing on. Each world appends a line to FILE with its name, the digest and the number of messages.
  */
 export class WireTrace {
   private readonly hash: Hash = createHash('sha256');
@@ -64,22 +65,22 @@
 
   private constructor(private readonly file: string) {}
 
-  /** Null where `SIM_TRACE` names no file. */
+  /** Creates a trace to the file that `SIM_TRACE` names; null if it is not set. */
   static fromEnvironment(): WireTrace | null {
     const file = process.env.SIM_TRACE;
     return file ? new WireTrace(file) : null;
   }
 
-  /** Adds what a controller sends out. */
+  /** Adds an output that a controller sends. */
   add(atMs: number, from: string, build: Build, output: Output): void {
-    const sent = sentOutput(build, output);
+    const sent = toSentMessage(build, output);
     if (sent === null) return;
     this.count += 1;
     this.hash.update(`${atMs} ${from} ${sent.to} ${sent.line} ${sent.body.length}\n`);
     this.hash.update(sent.body);
   }
 
-  /** Writes the line of this world; nothing may be added afterwards. */
+  /** Appends the line of this world to the file. Nothing may be added afterwards. */
   end(name: string): void {
     appendFileSync(this.file, `${name} ${this.hash.digest('hex')} ${this.count}\n`);
   }
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -1,3 +1,4 @@
+/** A simulated worker: the agent process on a machine. */
 import type { CommandPush, CommandPushResponse, HeartbeatResponse } from '../../src/core/messages.js';
 import type {
   AgentEpoch,
@@ -13,43 +14,50 @@
 import { type SimulatedTask, TaskExecutor } from './task_executor.js';
 import type { World } from './world.js';
 
+/** Interval at which a worker advances its tasks and checks its lease, in milliseconds. */
 const TICK_MS = 100;
+/** Timeout of a heartbeat, in milliseconds. */
 const RESPONSE_TIMEOUT_MS = 4000;
-/** A change is told this long after the last heartbeat at the earliest. */
-const SHORTEST_HEARTBEAT_INTERVAL_MS = 500;
+/** Minimum time between two heartbeats when a change makes the next one due early, in milliseconds. */
+const MIN_HEARTBEAT_INTERVAL_MS = 500;
 
-/** A worker by the protocol: heartbeats, leases, fencing tokens and pushed commands; its tasks are the executor's. */
+/**
+ * Implements the worker's protocol: heartbeats, agent leases, fencing tokens and pushed commands. Its executor runs the
+ * tasks.
+ */
 export class SimulatedWorker {
-  /** Counts its leases. */
+  /** Incremented each time that the lease expires and a new one begins. */
   agentEpoch = 1n;
   private sequence = 0n;
-  /** It obeys nobody with a lower one. */
+  /** The highest fencing token received. Commands with a lower one are ignored. */
   highestFencingToken = 0n;
-  /** Runs its tasks. */
   readonly executor: TaskExecutor;
   private leaseRenewedAt: number;
   private controllerIndex: number;
   private nextHeartbeatAt: number;
   private isHeartbeatPending = false;
-  /** Something has changed that the next heartbeat should tell soon. */
+  /** Whether a change since the last heartbeat makes the next one due early. */
   hasUnreportedChange = true;
   private lastHeartbeatAt = Number.NEGATIVE_INFINITY;
   private fencingTokenChangedAt = Number.NEGATIVE_INFINITY;
-  /** When the cloud takes the machine; null: no notice was given. */
+  /** The time at which the cloud will interrupt the machine; null if there was no interruption notice. */
   interruptionAt: number | null = null;
-  /** Until then it neither executes nor answers anything. */
+  /** The time until which the worker hangs: it neither executes nor responds. */
   hungUntil = 0;
-  /** Until then it reaches no controller, while pushed commands reach it. */
+  /** The time until which its heartbeats are lost. Pushed commands still reach it. */
   heartbeatsLostUntil = 0;
-  /** Heartbeats sent before then are delayed, and reach whoever leads afterwards; nobody waits for those responses. */
+  /**
+   * The time until which its heartbeats are held back. They are delivered to the controller that leads then, and their
+   * responses are ignored.
+   */
   heartbeatsDelayedUntil = 0;
-  /** Whether every task that starts here fails. */
+  /** Whether every task that starts on this worker fails. */
   failsTasks = false;
-  /** Progress of tasks in a millisecond; 1 is usual. */
+  /** The speed of its tasks relative to a normal machine. */
   speed = 1;
-  /** Whether there is still a machine. */
+  /** Whether the machine still exists. */
   isAlive = true;
-  /** Images that were pulled. */
+  /** The images that have been pulled. They are never evicted. */
   readonly images = new Set<string>();
 
   constructor(
@@ -71,7 +79,7 @@
     world.clock.schedule(world.clock.randomBetween(1, TICK_MS), tick);
   }
 
-  /** Its tasks, by job and task number. */
+  /** The tasks of its executor, by job and task number. */
   get tasks(): ReadonlyMap<string, SimulatedTask> {
     return this.executor.tasks;
   }
@@ -80,12 +88,12 @@
     return this.world.clock.now;
   }
 
-  /** Whether it neither executes nor answers anything. */
+  /** Whether the worker hangs: it neither executes nor responds. */
   get isHung(): boolean {
     return this.now < this.hungUntil;
   }
 
-  /** The machine is gone with everything on it. */
+  /** Ends the worker and all its tasks when its machine is removed or has failed. */
   terminate(): void {
     this.isAlive = false;
     this.executor.dropAll();
@@ -93,7 +101,7 @@
 
   private tick(): void {
     const { leaseMs } = this.world.workerTiming;
-    // A hanging machine executes nothing; once its lease is over, what it held can't go on.
+    // A worker that hangs executes nothing, but its tasks still end when its lease expires.
     if (this.now - this.leaseRenewedAt > leaseMs) {
       if (this.tasks.size > 0) this.world.expiredLeases += 1;
       this.executor.dropAll();
@@ -104,8 +112,9 @@
     }
     if (this.isHung) return;
     this.executor.advance(TICK_MS);
-    const early = this.hasUnreportedChange && this.now - this.lastHeartbeatAt >= SHORTEST_HEARTBEAT_INTERVAL_MS;
-    if (!this.isHeartbeatPending && (this.now >= this.nextHeartbeatAt || early)) this.sendHeartbeat();
+    const isEarlyHeartbeatDue =
+      this.hasUnreportedChange && this.now - this.lastHeartbeatAt >= MIN_HEARTBEAT_INTERVAL_MS;
+    if (!this.isHeartbeatPending && (this.now >= this.nextHeartbeatAt || isEarlyHeartbeatDue)) this.sendHeartbeat();
   }
 
   private makeHeartbeat(): Heartbeat {
@@ -142,15 +151,15 @@
     if (this.now < this.heartbeatsLostUntil) {
       this.isHeartbeatPending = false;
       this.tryNextController();
-    } else if (this.now < this.heartbeatsDelayedUntil) this.deliverLate(heartbeat, controller);
+    } else if (this.now < this.heartbeatsDelayedUntil) this.deliverDelayed(heartbeat, controller);
     else {
-      if (this.now < world.duplicateHeartbeatsUntil) this.deliverOnceMore(heartbeat);
+      if (this.now < world.duplicateHeartbeatsUntil) this.deliverDuplicate(heartbeat);
       this.request(heartbeat, controller);
     }
   }
 
-  /** The heartbeat reaches whoever leads once the delay is over; nobody waits for that response. */
-  private deliverLate(heartbeat: Heartbeat, controller: ControllerProcess): void {
+  /** Delivers a heartbeat to the leader at the end of the delay; its response is ignored. */
+  private deliverDelayed(heartbeat: Heartbeat, controller: ControllerProcess): void {
     const { world } = this;
     world.clock.schedule(this.heartbeatsDelayedUntil - this.now + world.clock.randomBetween(1, 500), () => {
       (world.leader() ?? controller).receiveHeartbeat(heartbeat, () => {});
@@ -161,8 +170,8 @@
     });
   }
 
-  /** The network delivers it once more, long after, to whatever controller; nobody waits for that response. */
-  private deliverOnceMore(heartbeat: Heartbeat): void {
+  /** Delivers a heartbeat a second time, 1 to 60 s later, to a random controller; that response is ignored. */
+  private deliverDuplicate(heartbeat: Heartbeat): void {
     const { clock, controllers } = this.world;
     const other = clock.pickRandom(controllers);
     clock.schedule(clock.randomBetween(1000, 60_000), () => other.receiveHeartbeat(heartbeat, () => {}));
@@ -214,6 +223,10 @@
     for (const command of response.commands) this.executor.execute(command);
   }
 
+  /**
+   * Adopts a higher fencing token. The change makes the next heartbeat due early, at most once in half of a lease
+   * duration.
+   */
   private raiseFencingToken(token: bigint): void {
     if (token <= this.highestFencingToken) return;
     this.highestFencingToken = token;
@@ -222,7 +235,7 @@
     this.hasUnreportedChange = true;
   }
 
-  /** Commands that are pushed to it; a hanging machine takes them when it goes on. */
+  /** Receives pushed commands. A worker that hangs handles them after it resumes. */
   receivePushedCommands(push: CommandPush, reply: (value: CommandPushResponse) => void): void {
     if (!this.isAlive) return;
     if (this.isHung) {
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -1,3 +1,4 @@
+/** The simulated deployment that scenarios and random days run in. */
 import type { Settings, Tuning } from '../../src/core/settings.js';
 import type { ControllerName, JobId, MachineId, MachineType, ZoneName } from '../../src/core/types.js';
 import { ServiceAvailability } from './availability.js';
@@ -26,17 +27,21 @@
 import { WireTrace } from './wire_trace.js';
 import { SimulatedWorker } from './worker.js';
 
-/** What a world is made of, and the seed of all chance in it. */
+/** The composition of a world, and the seed of its random choices. */
 export interface WorldOptions extends DeploymentOptions {
   readonly seed: number;
-  /** In the order of their names. */
+  /** The number of controllers; they are named perch-0, perch-1 and so on, in the order of `World.controllers`. */
   readonly controllers: number;
   readonly types: readonly MachineType[];
+  /** The maximum number of machines that the cloud provides at one time. */
   readonly capacity: number;
   readonly tuning: Tuning;
-  /** The builds that the controllers run at first, in turn, where it isn't the current one. Peers then speak over bytes. */
+  /**
+   * The builds that the controllers run initially, assigned to them in turn. If undefined, all run the current build.
+   * If defined, messages between peers are encoded to bytes and decoded again.
+   */
   readonly builds?: readonly Build[];
-  /** Earlier builds that controllers may be put back to. */
+  /** Earlier builds that controllers may be downgraded to, by name. */
   readonly oldVersions?: ReadonlyMap<string, Build>;
 }
 
@@ -48,13 +53,16 @@
   readonly cloud: SimulatedCloud;
   readonly invariants: Invariants;
   readonly controllers: readonly ControllerProcess[];
-  /** By machine; those that are gone are not in it. */
+  /** The live workers, by machine. */
   readonly workers = new Map<MachineId, SimulatedWorker>();
-  /** Jobs that fail wherever they run. */
+  /** Jobs whose tasks fail on every machine. */
   readonly faultyJobs = new Set<JobId>();
-  /** Log events of level `error`, and what else must not happen. */
+  /** Log events of level `error`, and other errors that fail the run. */
   readonly errors: string[] = [];
-  /** Why tasks of earlier terms were held to be gone when they were last started again, by their names. */
+  /**
+   * The evidence that the earlier attempt of a task from a previous term had ended, as logged when the task was last
+   * started again. By task.
+   */
   readonly restartEvidence = new Map<string, string>();
   readonly limits: Limits;
   readonly workerTiming: Settings['workers'];
@@ -65,17 +73,20 @@
   readonly registryCheck = new RegistryCheck(this);
   readonly availability = new ServiceAvailability(this);
   readonly commandCounts = new CommandCounts();
-  /** Until then every heartbeat is delivered once more, late. */
+  /** The time until which each heartbeat is also delivered a second time, with a delay. */
   duplicateHeartbeatsUntil = 0;
-  /** Transactions of the current build that were refused for their size: earlier builds don't know of announced limits. */
+  /**
+   * The number of transactions that the state store refused for their size. Only those of controllers of this version
+   * count, because some earlier builds ignore announced limits.
+   */
   oversizedTransactions = 0;
-  /** Leases that expired on workers with tasks. */
+  /** The number of agent leases that expired on workers with tasks. */
   expiredLeases = 0;
-  /** Peers' messages go through the codecs of both ends. */
+  /** Whether messages between peers are encoded by the sender's codec and decoded by the receiver's. */
   readonly encodesPeerMessages: boolean;
-  /** Whether log events are printed. */
+  /** Whether log events are printed to standard error. */
   verbose = process.env.SIM_LOG === '1';
-  /** Null: nothing is traced. */
+  /** Null if tracing is off. */
   readonly trace = WireTrace.fromEnvironment();
 
   constructor(readonly options: WorldOptions) {
@@ -115,25 +126,25 @@
       onTermination: (id) => {
         if ((this.workers.get(id)?.tasks.size ?? 0) > 0) this.meters.terminatedWhileBusy += 1;
       },
-      onGone: (id) => {
+      onRemoved: (id) => {
         this.workers.get(id)?.terminate();
         this.workers.delete(id);
       },
     });
   }
 
-  /** Starts each controller within a fraction of a second. */
+  /** Starts each controller at a random time within 300 ms. */
   startControllers(): void {
     for (const controller of this.controllers)
       this.clock.schedule(this.clock.randomBetween(0, 300), () => controller.start());
   }
 
-  /** A machine has booted. */
+  /** Adds the worker of a machine that has booted. */
   addWorker(id: MachineId, type: MachineType, zone: ZoneName, spot: boolean): void {
     this.workers.set(id, new SimulatedWorker(this, id, type, zone, spot));
   }
 
-  /** The leader as the store knows it. */
+  /** The controller that the leader key in the state store names; undefined if there is none. */
   leader(): ControllerProcess | undefined {
     const value = this.stateStore.item('leader')?.value as { node?: string } | undefined;
     return this.controllers.find((controller) => controller.name === value?.node);
