--- a/test/sim/controller_process.ts
+++ b/test/sim/controller_process.ts
@@ -217,7 +217,7 @@
     const done = this.ifStillRunning((result: StateStoreResult | null) =>
       this.step({ kind: 'stateStoreReply', callId, result: result ?? NO_RESPONSE }),
     );
-    world.meters.onStoreCall(operation);
+    world.meters.onStateStoreCall(operation);
     const serve = (reply: (result: StateStoreResult) => void): void =>
       world.stateStore.serve(this.name, operation, reply);
     world.network.request(this.name, STATE_STORE_HOST, timeoutMs, serve, done);
--- a/test/sim/meters.ts
+++ b/test/sim/meters.ts
@@ -23,8 +23,8 @@
  * same on every machine that runs the test.
  */
 export class ResourceMeters {
-  private readonly storeCalls = new PeakPerSecond();
-  private readonly storeChanges = new PeakPerSecond();
+  private readonly stateStoreCalls = new PeakPerSecond();
+  private readonly stateStoreChanges = new PeakPerSecond();
   private readonly cloudCalls = new PeakPerSecond();
   private openCommands = 0;
   /** The number of plan steps of the most expensive planning round. */
@@ -42,12 +42,12 @@
 
   /** The number of state store calls in the busiest second. */
   get peakStoreCalls(): number {
-    return this.storeCalls.peak;
+    return this.stateStoreCalls.peak;
   }
 
   /** The number of changes in transactions in the busiest second. */
   get peakStoreChanges(): number {
-    return this.storeChanges.peak;
+    return this.stateStoreChanges.peak;
   }
 
   /** The number of cloud calls in the busiest second. */
@@ -56,9 +56,9 @@
   }
 
   /** Called when a controller sends a call to the state store. */
-  onStoreCall(op: StateStoreOperation): void {
-    this.storeCalls.add(this.clock.now, 1);
-    if (op.op === 'compareAndSwap') this.storeChanges.add(this.clock.now, op.changes.length);
+  onStateStoreCall(op: StateStoreOperation): void {
+    this.stateStoreCalls.add(this.clock.now, 1);
+    if (op.op === 'compareAndSwap') this.stateStoreChanges.add(this.clock.now, op.changes.length);
   }
 
   /** Called when a controller sends a call to the cloud. */
--- a/test/sim/old_names.ts
+++ b/test/sim/old_names.ts
@@ -1,4 +1,8 @@
-/** Translation of the core's inputs, outputs and settings for builds with older names. */
+/**
+ * Translates inputs, outputs, settings and records between the names of the present core and those of the builds that
+ * test/old_versions.txt marks with `names-2`. Only objects in memory were renamed. Bytes on the wire and stored values
+ * are the same in both.
+ */
 import type {
   CloudResult,
   CommandPushResult,
@@ -11,11 +15,7 @@
 import type { Settings } from '../../src/core/settings.js';
 import type { ClockReading, TeamQuota } from '../../src/core/types.js';
 
-/**
- * These functions translate between the names of the present core and those of the builds that test/old_versions.txt
- * marks with `names-2`. Only objects in memory were renamed. Bytes on the wire and stored values are the same in both.
- */
-
+/** New names by the names that they replace. */
 type NameMap = Readonly<Record<string, string>>;
 
 /**
@@ -175,8 +175,8 @@
   fields: { addr: 'address', fetchSpeed: 'imagePullSpeed' },
 };
 const REQUEST: Renaming = { fields: {}, words: { op: { poll: 'query' } } };
-const STORE_CALL: Renaming = { fields: {}, words: { op: { txn: 'compareAndSwap' } } };
-const CLOCK: Renaming = {
+const STATE_STORE_CALL: Renaming = { fields: {}, words: { op: { txn: 'compareAndSwap' } } };
+const CLOCK_READING: Renaming = {
   fields: { steady: 'monotonic', wall: 'wallClock' },
 };
 
@@ -305,7 +305,7 @@
     case 'peerMessage':
       return { ...output, message: changeMessage(output.message) };
     case 'stateStoreCall':
-      return mapFields(output, { operation: (call) => toPresent(call, STORE_CALL) }) as Output;
+      return mapFields(output, { operation: (call) => toPresent(call, STATE_STORE_CALL) }) as Output;
     case 'log':
       return output;
   }
@@ -331,7 +331,7 @@
   });
 
 /** Returns a clock reading with its old names. */
-export const oldClockReading = (now: ClockReading): unknown => toOld(now, CLOCK);
+export const oldClockReading = (now: ClockReading): unknown => toOld(now, CLOCK_READING);
 
 /** Returns a job's record in memory with its old names. */
 export const oldJobRecord = <T extends Pick<JobRecord, 'spec'>>(record: T): T => ({
--- a/test/sim/state_store.ts
+++ b/test/sim/state_store.ts
@@ -310,7 +310,7 @@
     };
     this.watchers.add(respondIfChanged);
     this.clock.schedule(waitMs, () => {
-      // A watch whose wait ends during an outage stays open, and gets its response only at a change after the outage.
+      // A watch whose wait ends during an outage stays open until it has a change to return.
       if (isOpen && !this.isDown && !this.refusedHosts.has(from)) respond();
     });
     respondIfChanged();
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -83,7 +83,7 @@
     );
   }
 
-  /** Sends a burst of requests to every controller: the submission once more, and polls. */
+  /** Sends several requests to every controller within milliseconds: the submission once more, and polls. */
   private sendPollBurst(id: JobId): void {
     const spec = this.invariants.submitted.get(id);
     if (this.clock.now >= this.pollBurstsUntil || !spec) return;
