--- a/test/scenario_grammar.test.ts
+++ b/test/scenario_grammar.test.ts
@@ -1,3 +1,4 @@
+/** Compares the words that scenarios accept with those that docs/scenarios.md documents. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { describe, test } from 'node:test';
@@ -9,14 +10,14 @@
 
 const page = readFileSync(new URL('../../../docs/scenarios.md', import.meta.url), 'utf8');
 
-/** The words in the first column of the tables under a heading of second level. */
+/** Returns the words in backticks in the first column of the tables under a second-level heading, sorted. */
 function wordsUnder(heading: string): string[] {
   const section = page.split(/^## /m).find((text) => text.startsWith(`${heading}\n`)) ?? '';
   const cells = [...section.matchAll(/^\| (`[^|]*`) \|/gm)].map(([, cell]) => cell ?? '');
   return cells.flatMap((cell) => [...cell.matchAll(/`([^`]+)`/g)].map(([, word]) => word ?? '')).sort();
 }
 
-describe('docs/scenarios.md names every word of a scenario, and no other', () => {
+describe('docs/scenarios.md documents every word that scenarios accept, and no other', () => {
   const words: readonly (readonly [heading: string, known: readonly string[]])[] = [
     ['Statements', STATEMENTS],
     ['Limits', Object.keys(LIMITS)],
--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -1,3 +1,4 @@
+/** Runs every scenario in test/scenarios, or those whose file name contains SCENARIO. */
 import assert from 'node:assert/strict';
 import { mkdtempSync, readdirSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -22,7 +23,7 @@
   });
 }
 
-test('bad input in a scenario file ends the runner with file and line', () => {
+test('invalid input in a scenario file throws an error with file and line', () => {
   const file = join(mkdtempSync(join(tmpdir(), 'scenario-')), 'bad.txt');
   const fails = (text: string, said: RegExp): void => {
     writeFileSync(file, text);
--- a/test/sim/scenario/checks/check.ts
+++ b/test/sim/scenario/checks/check.ts
@@ -1,6 +1,7 @@
+/** The type of the checks that a scenario can expect. */
 import type { World } from '../../world.js';
 
-/** Judges a world at the end of its scenario; null: it is as expected, else what is wrong. */
+/** Checks a world at the end of its scenario. Returns null if the check holds, else a description of the problem. */
 type ScenarioCheck = (world: World, words: string[]) => string | null;
-/** Checks by their names in a scenario; `words` are those after the name. */
+/** Checks by their names in a scenario. `words` are the words after the name. */
 export type CheckTable = Readonly<Record<string, ScenarioCheck>>;
--- a/test/sim/scenario/checks/recovery.ts
+++ b/test/sim/scenario/checks/recovery.ts
@@ -1,9 +1,10 @@
+/** Checks on the recovery after a failover: what the last leader found and which commands it sent. */
 import { decodeJob, jobKey } from '../../../../src/core/records.js';
 import type { JobId, MachineId } from '../../../../src/core/types.js';
 import type { CommandKind } from '../../command_counts.js';
 import type { CheckTable } from './check.js';
 
-/** Kinds of commands, by the words of a scenario. */
+/** Command kinds by their names in a scenario. */
 const COMMAND_KINDS: Readonly<Record<string, CommandKind>> = {
   start: 'start',
   stop: 'stop',
@@ -11,36 +12,38 @@
   'status-request': 'inquiry',
 };
 
-/** What a new leader found and did. */
+/** Checks on recovery. */
 export const recoveryChecks: CheckTable = {
-  /** commands KIND at-most|at-least N: since they were last counted anew */
+  /** commands KIND at-most|at-least N: the number of commands that reached workers since the last `count-commands` */
   commands(world, [kind, bound, wanted]) {
     const commandKind = COMMAND_KINDS[kind ?? ''];
-    if (!commandKind) return `no kind of command ${kind}`;
+    if (!commandKind) return `unknown command kind ${kind}`;
     const count = world.commandCounts.count(commandKind);
     const holds = bound === 'at-most' ? count <= Number(wanted) : count >= Number(wanted);
-    return holds ? null : `${count} commands to ${kind}, not ${bound} ${wanted}`;
+    return holds ? null : `${count} commands of kind ${kind}, expected ${bound} ${wanted}`;
   },
-  /** found CLASS N: so many tasks were found to be that at the last failover */
+  /** found CLASS N: the number of tasks that the current leader classified as CLASS in its recovery */
   found(world, [taskClass, wanted]) {
     const tasks: Record<string, number> = { ...world.leader()?.recoverySummary()?.tasks };
     const count = tasks[taskClass ?? ''];
-    return count === Number(wanted) ? null : `${count} ${taskClass}, not ${wanted}`;
+    return count === Number(wanted) ? null : `${count} tasks classified as ${taskClass}, expected ${wanted}`;
   },
-  /** certain-by CERTAINTY N: so many machines became certain in that way */
+  /**
+   * certain-by CERTAINTY N: the number of machines that were reconciled in this way (`listed`, `leaseEnded` or `gone`)
+   */
   'certain-by'(world, [how, wanted]) {
     const certainty: Record<string, number> = { ...world.leader()?.recoverySummary()?.reconciledBy };
     const count = certainty[how ?? ''];
-    return count === Number(wanted) ? null : `${count} machines certain by ${how}, not ${wanted}`;
+    return count === Number(wanted) ? null : `${count} machines reconciled by ${how}, expected ${wanted}`;
   },
-  /** recovered-within S: everything was certain so long after leadership was taken */
+  /** recovered-within S: all machines were reconciled within S seconds after the leader's election */
   'recovered-within'(world, [seconds]) {
     const summary = world.leader()?.recoverySummary();
     if (!summary || summary.finishedAt === null) return 'recovery has not ended';
     const tookS = (summary.finishedAt - summary.startedAt) / 1000;
-    return tookS <= Number(seconds) ? null : `recovery took ${tookS} s`;
+    return tookS <= Number(seconds) ? null : `recovery took too long: ${tookS} s`;
   },
-  /** orphans JOB ...: exactly these are listed for operators */
+  /** orphans JOB ...: exactly these jobs are listed as orphans for operators. Without JOB, none is listed */
   orphans(world, ids) {
     const listed = new Set(
       world
@@ -49,38 +52,41 @@
         ?.orphans.map(({ job }) => job as string),
     );
     const same = listed.size === ids.length && ids.every((id) => listed.has(id));
-    return same ? null : `orphans listed: ${[...listed].join(' ')}`;
+    return same ? null : `other orphans listed than expected: ${[...listed].join(' ')}`;
   },
-  /** runs-only-on MACHINE TASK: the task is there, and on no other machine */
+  /** runs-only-on MACHINE TASK: the task has not exited on this machine, and is on no other machine */
   'runs-only-on'(world, [machine, task]) {
     const places = [...world.workers.values()].filter(
       ({ tasks }) => (tasks.get(task ?? '')?.phase ?? 'exited') !== 'exited',
     );
     const ids = places.map(({ id }) => id as string).join(' ');
-    return ids === machine ? null : `${task} is on ${ids}, not on ${machine} alone`;
+    return ids === machine ? null : `${task} is on [${ids}], expected only on ${machine}`;
   },
-  /** not-kept MACHINE JOB: the worker doesn't know it any more, ended or not */
+  /** not-kept MACHINE JOB: the worker holds no task of the job any more, running or exited */
   'not-kept'(world, [machine, id]) {
     const tasks = [...(world.workers.get(machine as MachineId)?.tasks.values() ?? [])];
-    return tasks.some(({ job }) => job === id) ? `${machine} still shows ${id}` : null;
+    return tasks.some(({ job }) => job === id) ? `${machine} still holds tasks of ${id}` : null;
   },
-  /** logged-error TEXT: one that is meant to be there; any other fails the scenario */
+  /**
+   * logged-error TEXT: an expected error that contains TEXT was logged. Errors that don't contain it still fail the
+   * scenario
+   */
   'logged-error'(world, words) {
     const text = words.join(' ');
     const others = world.errors.filter((error) => !error.includes(text));
-    if (others.length === world.errors.length) return `no error says ${text}`;
+    if (others.length === world.errors.length) return `no logged error contains: ${text}`;
     world.errors.splice(0, world.errors.length, ...others);
     return null;
   },
-  /** started-again TASK EVIDENCE: a leader started it again after an earlier one, and said so with this evidence */
+  /** started-again TASK EVIDENCE: a leader started a task of a previous term again and logged this evidence */
   'started-again'(world, [task, evidence]) {
     const logged = world.restartEvidence.get(task ?? '');
-    return logged === evidence ? null : `${task} was started again on the evidence ${logged}, not ${evidence}`;
+    return logged === evidence ? null : `${task} was started again with evidence ${logged}, expected ${evidence}`;
   },
-  /** recorded-zones JOB ZONE ...: the zones that its record names */
+  /** recorded-zones JOB ZONE ...: the stored job record names exactly these zones */
   'recorded-zones'(world, [id, ...zones]) {
     const record = decodeJob(world.stateStore.item(jobKey(id as JobId))?.value);
     const named = [...(record?.startZones ?? [])].sort().join(' ');
-    return named === zones.sort().join(' ') ? null : `the record of ${id} names ${named}`;
+    return named === zones.sort().join(' ') ? null : `the record of ${id} names other zones than expected: ${named}`;
   },
 };
--- a/test/sim/scenario/events/controllers.ts
+++ b/test/sim/scenario/events/controllers.ts
@@ -1,21 +1,23 @@
+/** Events on controller processes: crashes, pauses, upgrades and downgrades. */
 import type { Output, StateStoreOperation } from '../../../../src/core/messages.js';
 import { type Build, CURRENT_BUILD, CURRENT_BUILDS } from '../../build.js';
 import type { World } from '../../world.js';
 import { controllersNamed, type EventTable, noteFault } from './targets.js';
 
-/** Where a scenario names no old versions. */
+/** For scenarios that use no old versions. */
 export const NO_OLD_VERSIONS: ReadonlyMap<string, Build> = new Map();
 
-/** The build of that name, of this version or an old one. */
+/** Returns the build with the given name, of the current version or an old one. */
 export function buildNamed(oldVersions: ReadonlyMap<string, Build>, name: string): Build {
   const build = CURRENT_BUILDS.find((current) => current.name === name) ?? oldVersions.get(name);
-  if (!build) throw new Error(`no version ${name}`);
+  if (!build) throw new Error(`unknown version ${name}`);
   return build;
 }
 
-/** Whether a controller ends at a call, before (`isDone` false) or after it was executed. */
+/** Tests whether a controller crashes at a state store call, before (`isDone` is false) or after its execution. */
 type CrashPoint = (operation: StateStoreOperation, isDone: boolean) => boolean;
 
+/** Crash points by their names in a scenario. */
 const CRASH_POINTS: Readonly<Record<string, CrashPoint>> = {
   'before-grant': (operation, isDone) => operation.op === 'grant' && !isDone,
   'after-grant': (operation, isDone) => operation.op === 'grant' && isDone,
@@ -29,7 +31,7 @@
 const acquiresLeadership = (operation: StateStoreOperation): boolean =>
   operation.op === 'compareAndSwap' && operation.changes.some((change) => 'put' in change && change.put === 'leader');
 
-/** Outputs that only a leader may make. */
+/** Outputs that only a leader may make, by their names in `pause-before-sending`. */
 const PAUSABLE_OUTPUTS: Readonly<Record<string, (output: Output) => boolean>> = {
   terminate: (output) => output.kind === 'cloudCall' && output.operation.op === 'terminate',
   provision: (output) => output.kind === 'cloudCall' && output.operation.op === 'provision',
@@ -37,7 +39,7 @@
   responses: (output) => output.kind === 'heartbeatResponse' && output.response.status === 200,
 };
 
-/** Ends controllers without a word, and starts them again so many seconds later. */
+/** Crashes controllers, without a message to peers, and starts them again after `restartSeconds`. */
 export function crashControllers(world: World, which: string | undefined, restartSeconds: string): void {
   for (const controller of controllersNamed(world, which)) {
     controller.crash();
@@ -45,7 +47,7 @@
   }
 }
 
-/** Ends controllers and starts them again with the current build, `everySeconds` apart. */
+/** Crashes controllers and starts them again with the current build, one after another, `everySeconds` apart. */
 export function upgradeControllers(
   world: World,
   which: string | undefined,
@@ -62,55 +64,70 @@
   });
 }
 
-/** The next `times` controllers that get to a crash point end there. */
+/** Crashes the next `times` controllers that reach a crash point. */
 function crashAt(world: World, isCrashPoint: CrashPoint, times: number, restartSeconds: string): void {
-  let left = times;
+  let remaining = times;
   const before = world.stateStore.onOperation;
   world.stateStore.onOperation = (from, operation, isDone) => {
     before(from, operation, isDone);
-    if (left <= 0 || !isCrashPoint(operation, isDone)) return;
-    left -= 1;
+    if (remaining <= 0 || !isCrashPoint(operation, isDone)) return;
+    remaining -= 1;
     crashControllers(world, from, restartSeconds);
   };
 }
 
-/** What happens to controller processes. */
+/** Events on controller processes. */
 export const controllerEvents: EventTable = {
-  /** crash CONTROLLER [RESTART]: it ends without a word and is back after RESTART seconds (3) */
+  /** crash CONTROLLER [RESTART]: the process ends without a message and restarts after RESTART (default 3) seconds */
   crash(world, [which, restartSeconds]) {
     crashControllers(world, which, restartSeconds ?? '3');
   },
-  /** crash-at POINT [TIMES] [RESTART]: whoever next gets to this point ends there; back after RESTART seconds (0.1) */
+  /**
+   * crash-at POINT [TIMES] [RESTART]: the next TIMES (default 1) controllers that reach this point crash there, and
+   * restart after RESTART (default 0.1) seconds
+   */
   'crash-at'(world, [point, times, restartSeconds]) {
     const isCrashPoint = CRASH_POINTS[point ?? ''];
-    if (!isCrashPoint) throw new Error(`no crash point ${point}`);
+    if (!isCrashPoint) throw new Error(`unknown crash point ${point}`);
     crashAt(world, isCrashPoint, Number(times ?? 1), restartSeconds ?? '0.1');
   },
-  /** flap N EVERY [RESTART]: whoever leads crashes, N times, every EVERY seconds; back after RESTART seconds (1) */
+  /**
+   * flap N EVERY [RESTART]: the current leader crashes N times, every EVERY seconds, and restarts after RESTART
+   * (default 1) seconds
+   */
   flap(world, [times, every, restartSeconds]) {
     noteFault(world, String(Number(times) * Number(every)));
     for (let i = 0; i < Number(times); i++) {
       world.clock.schedule(i * Number(every) * 1000, () => crashControllers(world, 'leader', restartSeconds ?? '1'));
     }
   },
-  /** pause CONTROLLER S: it stands still while its clocks run on */
+  /** pause CONTROLLER S: the process is paused while its clocks run on */
   pause(world, [which, seconds]) {
     for (const controller of controllersNamed(world, which)) controller.freeze(noteFault(world, seconds));
   },
-  /** pause-before-sending CONTROLLER S terminate|provision|commands|responses: between making the next of these and sending */
+  /**
+   * pause-before-sending CONTROLLER S terminate|provision|commands|responses: the controller is paused between making
+   * the next output of this kind and sending it
+   */
   'pause-before-sending'(world, [which, seconds, what]) {
     const isPausable = PAUSABLE_OUTPUTS[what ?? ''];
-    if (!isPausable) throw new Error(`nothing sent is called ${what}`);
+    if (!isPausable) throw new Error(`unknown kind of output to pause before: ${what}`);
     for (const controller of controllersNamed(world, which)) {
       const isDue = (outputs: readonly Output[]): boolean => outputs.some(isPausable);
       controller.pauseBeforeOutputs = { ms: noteFault(world, seconds), isDue };
     }
   },
-  /** upgrade CONTROLLER [RESTART] [EVERY]: it ends and comes back with the current build, one after the other with EVERY */
+  /**
+   * upgrade CONTROLLER [RESTART] [EVERY]: each controller crashes and restarts with the current build after RESTART
+   * (default 3) seconds. With EVERY, they do so one after another, EVERY seconds apart
+   */
   upgrade(world, [which, restartSeconds, every]) {
     upgradeControllers(world, which, restartSeconds ?? '3', Number(every ?? 0));
   },
-  /** downgrade CONTROLLER VERSION [RESTART]: it ends and comes back with an old version, as one found old after a roll */
+  /**
+   * downgrade CONTROLLER VERSION [RESTART]: the controller crashes and restarts with an old version, as one that a
+   * rolling upgrade left behind
+   */
   downgrade(world, [which, version, restartSeconds]) {
     for (const controller of controllersNamed(world, which)) {
       controller.installBuild(buildNamed(world.options.oldVersions ?? NO_OLD_VERSIONS, version ?? ''));
--- a/test/sim/scenario/events/machines.ts
+++ b/test/sim/scenario/events/machines.ts
@@ -1,53 +1,57 @@
+/** Events on machines and on the cloud that provisions them. */
 import type { World } from '../../world.js';
 import { type EventTable, noteFault, workersNamed } from './targets.js';
 
-/** Lets workers hang: they neither execute nor answer anything meanwhile. */
+/** Lets workers hang: they neither execute nor respond to anything meanwhile. */
 export function hangWorkers(world: World, which: string | undefined, seconds: string | undefined): void {
   for (const worker of workersNamed(world, which)) worker.hungUntil = world.clock.now + noteFault(world, seconds);
 }
 
-/** What happens to machines and to the cloud that provisions them. */
+/** Events on machines and the cloud. */
 export const machineEvents: EventTable = {
-  /** hang MACHINE S: it neither executes nor answers anything meanwhile */
+  /** hang MACHINE S: for S seconds, the worker neither executes nor responds to anything */
   hang(world, [which, seconds]) {
     hangWorkers(world, which, seconds);
   },
-  /** fail-tasks MACHINE: every task that starts there fails from now on */
+  /** fail-tasks MACHINE: from now on, every task that starts on the machine fails */
   'fail-tasks'(world, [which]) {
     for (const worker of workersNamed(world, which)) worker.failsTasks = true;
   },
-  /** slow-machine MACHINE [FACTOR]: its tasks take FACTOR (4) times as long from now on */
+  /** slow-machine MACHINE [FACTOR]: from now on, its tasks take FACTOR (default 4) times as long */
   'slow-machine'(world, [which, factor]) {
     for (const worker of workersNamed(world, which)) worker.speed = 1 / Number(factor ?? 4);
   },
-  /** interruption-notice MACHINE S: the cloud announces that it takes the machine after S seconds, and does */
+  /** interruption-notice MACHINE S: the cloud announces that it will interrupt the machine in S seconds, and does so */
   'interruption-notice'(world, [which, seconds]) {
     for (const worker of workersNamed(world, which)) {
       worker.interruptionAt = world.clock.now + Number(seconds) * 1000;
       world.clock.schedule(Number(seconds) * 1000, () => world.cloud.interrupt(worker.id));
     }
   },
-  /** interrupt MACHINE: the cloud takes it without notice */
+  /** interrupt MACHINE: the cloud removes the machine without notice */
   interrupt(world, [which]) {
     for (const worker of workersNamed(world, which)) world.cloud.interrupt(worker.id);
   },
-  /** fail-machine MACHINE: it stops, and the cloud lists it as failed */
+  /** fail-machine MACHINE: the machine stops, and the cloud lists it as failed */
   'fail-machine'(world, [which]) {
     for (const worker of workersNamed(world, which)) world.cloud.failMachine(worker.id);
   },
-  /** cloud-outage S: the cloud refuses every call */
+  /** cloud-outage S: for S seconds, the cloud refuses every call */
   'cloud-outage'(world, [seconds]) {
     world.cloud.isDown = true;
     world.clock.schedule(noteFault(world, seconds), () => {
       world.cloud.isDown = false;
     });
   },
-  /** boot-fault FACTOR SHARE S [ZONE]: machines provisioned meanwhile boot FACTOR times as long, or, that share, never */
+  /**
+   * boot-fault FACTOR SHARE S [ZONE]: of the machines provisioned within S seconds in ZONE (default all zones), this
+   * share never boots, and the others take FACTOR times as long to boot
+   */
   'boot-fault'(world, [factor, share, seconds, zone]) {
     const until = world.clock.now + noteFault(world, seconds);
     world.cloud.addBootFault({ factor: Number(factor), neverBootsShare: Number(share), until, zone: zone ?? null });
   },
-  /** never-boot N: the next N machines that are provisioned never boot */
+  /** never-boot N: the next N provisioned machines never boot */
   'never-boot'(world, [count]) {
     world.cloud.neverBootCount = Number(count);
   },
--- a/test/sim/scenario/events/network.ts
+++ b/test/sim/scenario/events/network.ts
@@ -1,3 +1,4 @@
+/** Events on the network: partitions, one-way loss, latency, and lost, delayed or duplicate heartbeats. */
 import { STATE_STORE_HOST } from '../../network.js';
 import type { World } from '../../world.js';
 import { controllersNamed, type EventTable, hostsNamed, noteFault, workersNamed } from './targets.js';
@@ -6,7 +7,7 @@
 
 const modeNamed = (word: string | undefined): Mode => (word === 'delay' ? 'delay' : 'drop');
 
-/** The hosts that a partition separates from, by the word of the scenario. */
+/** Returns the hosts on the other side of a partition, by their name in a scenario. `*` stands for all hosts. */
 function partitionPeers(world: World, from: string | undefined): string[] {
   if (from === 'workers') return [...world.workers.keys()];
   if (from === 'control-plane') return [STATE_STORE_HOST, ...controllerNames(world)];
@@ -15,11 +16,13 @@
 
 const controllerNames = (world: World): string[] => world.controllers.map(({ name }) => name as string);
 
-/** What happens to messages on their way. */
+/** Events on the network. */
 export const networkEvents: EventTable = {
   /**
-   * partition CONTROLLER|MACHINE state-store|cloud|workers|users|control-plane|*|HOST S drop|delay|refuse: `control-plane` are
-   * the state store and the other controllers; `refuse`: the state store answers 503, the rest is dropped
+   * partition CONTROLLER|MACHINE state-store|cloud|workers|users|control-plane|*|HOST S drop|delay|refuse: for S
+   * seconds, messages between the two sides are dropped or delayed until the end. `control-plane` stands for the state
+   * store and the other controllers. With `refuse`, the state store responds 503, and messages to and from other hosts
+   * are dropped.
    */
   partition(world, [which, from, seconds, mode]) {
     const isRefused = mode === 'refuse';
@@ -33,7 +36,10 @@
       for (const other of others) if (other !== host) world.network.partition(host, other, ms, modeNamed(mode));
     }
   },
-  /** zone-partition ZONE CONTROLLER S drop|delay: machines of a zone and a controller are cut off from all others */
+  /**
+   * zone-partition ZONE CONTROLLER S drop|delay: the machines of a zone and a controller are partitioned from all other
+   * hosts
+   */
   'zone-partition'(world, [zone, which, seconds, mode]) {
     const ms = noteFault(world, seconds);
     const names = controllersNamed(world, which).map(({ name }) => name as string);
@@ -50,42 +56,55 @@
       for (const outer of outside) world.network.partition(inner, outer, ms, modeNamed(mode));
     }
   },
-  /** machine-inbound-loss MACHINE S: its heartbeats arrive, responses and commands don't reach it */
+  /** machine-inbound-loss MACHINE S: its heartbeats arrive, but heartbeat responses and commands don't reach it */
   'machine-inbound-loss'(world, [which, seconds]) {
     for (const worker of workersNamed(world, which)) {
       world.network.partition(worker.id, '*', noteFault(world, seconds), 'drop', true);
     }
   },
-  /** controller-outbound-loss CONTROLLER S: nothing that it says reaches any machine, by whatever way it goes */
+  /**
+   * controller-outbound-loss CONTROLLER S: no message from the controller, be it a response or a pushed command,
+   * reaches any machine
+   */
   'controller-outbound-loss'(world, [which, seconds]) {
     const ms = noteFault(world, seconds);
     for (const controller of controllersNamed(world, which)) {
       for (const id of world.workers.keys()) world.network.partition(id, controller.name, ms, 'drop', true);
     }
   },
-  /** controller-inbound-loss CONTROLLER S: what it says reaches the machines, and nothing that they say reaches it */
+  /** controller-inbound-loss CONTROLLER S: its messages reach the machines, but no message from them reaches it */
   'controller-inbound-loss'(world, [which, seconds]) {
     const ms = noteFault(world, seconds);
     for (const controller of controllersNamed(world, which)) {
       for (const id of world.workers.keys()) world.network.partition(controller.name, id, ms, 'drop', true);
     }
   },
-  /** add-latency CONTROLLER|MACHINE MS S: each message to and from it takes up to MS longer */
+  /**
+   * add-latency CONTROLLER|MACHINE MS S: for S seconds, each message to and from the host takes up to MS milliseconds
+   * longer
+   */
   'add-latency'(world, [which, delayMs, seconds]) {
     const ms = noteFault(world, seconds);
     for (const host of hostsNamed(world, which)) world.network.addLatency(host, Number(delayMs), ms);
   },
-  /** duplicate-heartbeats S: heartbeats sent in this time come once more, 1 to 60 s late, to any controller */
+  /**
+   * duplicate-heartbeats S: heartbeats sent within S seconds arrive a second time, 1 to 60 s late, at any controller
+   */
   'duplicate-heartbeats'(world, [seconds]) {
     world.duplicateHeartbeatsUntil = world.clock.now + noteFault(world, seconds);
     world.invariants.faultsUntil += 60_000;
   },
-  /** lose-heartbeats MACHINE S: it reaches no controller, while pushed commands reach it */
+  /**
+   * lose-heartbeats MACHINE S: no heartbeat of the worker reaches a controller, while pushed commands reach the worker
+   */
   'lose-heartbeats'(world, [which, seconds]) {
     const ms = noteFault(world, seconds);
     for (const worker of workersNamed(world, which)) worker.heartbeatsLostUntil = world.clock.now + ms;
   },
-  /** delay-heartbeats MACHINE S: the heartbeats of this time reach whoever leads afterwards */
+  /**
+   * delay-heartbeats MACHINE S: heartbeats sent within S seconds are delayed until then, and reach the controller that
+   * leads then
+   */
   'delay-heartbeats'(world, [which, seconds]) {
     const ms = noteFault(world, seconds);
     for (const worker of workersNamed(world, which)) worker.heartbeatsDelayedUntil = world.clock.now + ms;
--- a/test/sim/scenario/events/targets.ts
+++ b/test/sim/scenario/events/targets.ts
@@ -1,15 +1,17 @@
+/** Resolves the arguments of events: controllers, workers, hosts and the duration of a fault. */
 import type { ControllerProcess } from '../../controller_process.js';
 import type { SimulatedWorker } from '../../worker.js';
 import type { World } from '../../world.js';
 
-/* What the words of an event refer to: controllers, workers, and how long a fault lasts. */
-
-/** Carries out an event now; `words` are those after its name. */
+/** Executes an event now. `words` are the words after its name. */
 type ScenarioEvent = (world: World, words: string[]) => void;
 /** Events by their names in a scenario. */
 export type EventTable = Readonly<Record<string, ScenarioEvent>>;
 
-/** `all`, `leader` (the first one where there is none), `followers`, or the controller of that name. */
+/**
+ * Returns the controllers that a word names: `all`, `leader` (the first controller if there is no leader), `followers`,
+ * or the name of a controller.
+ */
 export function controllersNamed(world: World, which: string | undefined): ControllerProcess[] {
   if (which === 'all') return world.controllers.slice();
   if (which === 'leader') return [world.leader() ?? world.controllers[0]].filter((found) => found !== undefined);
@@ -17,7 +19,10 @@
   return world.controllers.filter((controller) => controller.name === which);
 }
 
-/** `all`, `zone:ZONE`, `busy` (one with tasks), `some:N` (spread over all), or the worker of that machine. */
+/**
+ * Returns the workers that a word names: `all`, `zone:ZONE`, `busy` (one worker with tasks), `some:N` (N workers,
+ * evenly spread over all), or the id of a machine.
+ */
 export function workersNamed(world: World, which: string | undefined): SimulatedWorker[] {
   const all = [...world.workers.values()];
   if (which === 'all') return all;
@@ -33,7 +38,7 @@
   return all.filter((_, i) => i % step === from % step).slice(0, count);
 }
 
-/** The controllers and machines that a word names, as hosts of the network. */
+/** Returns the network host names of the controllers and machines that a word names. */
 export function hostsNamed(world: World, which: string | undefined): string[] {
   return [
     ...controllersNamed(world, which).map((controller) => controller.name as string),
@@ -41,7 +46,10 @@
   ];
 }
 
-/** Notes until when a fault lasts, so that the invariants know when all is quiet; returns its milliseconds. */
+/**
+ * Records the end of a fault, so that the invariants know when all faults are over. Returns its duration in
+ * milliseconds.
+ */
 export function noteFault(world: World, seconds: string | undefined): number {
   const ms = Number(seconds) * 1000;
   world.invariants.faultsUntil = Math.max(world.invariants.faultsUntil, world.clock.now + ms);
--- a/test/sim/scenario/parser.ts
+++ b/test/sim/scenario/parser.ts
@@ -1,20 +1,22 @@
+/** Parses scenario files. */
 import { readFileSync } from 'node:fs';
 
-/** A scenario as it stands in its file; docs/scenarios.md has the grammar. */
+/** A parsed scenario file. docs/scenarios.md describes the grammar. */
 export interface Scenario {
   readonly file: string;
   readonly title: string;
   readonly lines: readonly ScenarioLine[];
 }
 
-/** A statement: its words, the first of which names it. */
+/** One statement. */
 export interface ScenarioLine {
-  /** Its number in the file. */
+  /** The line number in the file, from 1. */
   readonly number: number;
+  /** The first word is the name of the statement. */
   readonly words: readonly string[];
 }
 
-/** The first words of a scenario's lines. */
+/** The names of all statements, which are the first words of the lines. */
 export const STATEMENTS: readonly string[] = [
   'seed',
   'controllers',
@@ -30,12 +32,12 @@
   'versions',
 ];
 
-/** Reads a file; throws, naming file and line, where a line begins with no statement. */
+/** Reads and parses a scenario file. Throws with file and line if a line begins with an unknown statement. */
 export function parseScenario(file: string): Scenario {
   return parseScenarioText(file, readFileSync(file, 'utf8'));
 }
 
-/** As `parseScenario`; `file` names the text in errors. */
+/** Parses the text of a scenario. `file` is the file name for error messages. */
 export function parseScenarioText(file: string, text: string): Scenario {
   const lines: ScenarioLine[] = [];
   let title = file;
@@ -49,16 +51,16 @@
   return { file, title, lines };
 }
 
-/** The lines of a statement, in the order of the file. */
+/** Returns the lines with the given statement, in the order of the file. */
 export const statements = (scenario: Scenario, statement: string): readonly ScenarioLine[] =>
   scenario.lines.filter(({ words }) => words[0] === statement);
 
-/** The number of a statement that stands there once at most. */
+/** Returns the numeric argument of a statement that occurs at most once, or the default if it is absent. */
 export function numberStatement(scenario: Scenario, statement: string, defaultValue: number): number {
   return Number(statements(scenario, statement)[0]?.words[1] ?? defaultValue);
 }
 
-/** Returns `found`; throws, naming file and line, where a word of the scenario isn't known. */
+/** Returns `found`. Throws with file and line if it is undefined, because `word` is not a known `what`. */
 export function requireKnown<T>(
   scenario: Scenario,
   line: ScenarioLine,
--- a/test/sim/scenario/runner.ts
+++ b/test/sim/scenario/runner.ts
@@ -1,3 +1,4 @@
+/** Runs scenarios: builds their simulated world, schedules their events and evaluates their checks at the end. */
 import { basename } from 'node:path';
 import type { TeamName, TeamQuota, ZoneName } from '../../../src/core/types.js';
 import { type Build, CURRENT_BUILD } from '../build.js';
@@ -10,15 +11,14 @@
 import { events } from './events/index.js';
 import { numberStatement, requireKnown, type Scenario, statements } from './parser.js';
 
-/* Plays scenarios: makes their world, schedules their events and judges the end. */
-
-/** What `machines` can name. */
+/** The machine types that the statement `machines` accepts. */
 const MACHINE_TYPES = [C8, G4];
 
-/** The builds that its controllers run at first; none: all run the current one. */
+/** Returns the names of the builds that the controllers run at first. Empty if all run the current build. */
 const versionNames = (scenario: Scenario): readonly string[] =>
   statements(scenario, 'versions')[0]?.words.slice(1) ?? [];
-/** Whether a scenario needs the old versions to be built. */
+
+/** Returns whether the scenario names builds, so that the old versions have to be loaded. */
 export const usesOldVersions = (scenario: Scenario): boolean => versionNames(scenario).length > 0;
 
 function readLimits(scenario: Scenario): Limits {
@@ -32,10 +32,11 @@
   return limits;
 }
 
-/** What became of a scenario: the world at its end, and what was not as it must be. */
+/** The outcome of a scenario. */
 export interface ScenarioResult {
+  /** The world at the end of the scenario. */
   readonly world: World;
-  /** Violations of invariants, and checks that failed. */
+  /** Violated invariants and failed checks. */
   readonly failures: string[];
 }
 
@@ -103,7 +104,7 @@
   });
 }
 
-/** Plays a scenario to its end; `oldVersions`: for scenarios that begin with some of them. */
+/** Runs a scenario to its end. `oldVersions` holds the builds of old versions, by name, for scenarios that use them. */
 export function runScenario(
   scenario: Scenario,
   oldVersions: ReadonlyMap<string, Build> = NO_OLD_VERSIONS,
