--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -167,7 +167,7 @@
     if (world.invariants.cancellationRequested.has(spec.id) || !world.invariants.isAccepted(spec.id)) return;
     availabilityAtEnd.set(world, [
       ...(availabilityAtEnd.get(world) ?? []),
-      `${spec.id} ${world.availability.latest(spec.id)}`,
+      `${spec.id} ${world.availability.latestRunningShare(spec.id)}`,
     ]);
     world.users.cancel(spec.id);
   });
--- a/test/sim/availability.ts
+++ b/test/sim/availability.ts
@@ -40,7 +40,7 @@
   /**
    * The average running share of a service, without the samples within `afterMs` of its first one; 0 if there are none.
    */
-  averageFrom(job: JobId, afterMs: number): number {
+  averageRunningShare(job: JobId, afterMs: number): number {
     const all = this.samples.get(job) ?? [];
     const from = (all[0]?.at ?? 0) + afterMs;
     const samples = all.filter((sample) => sample.at >= from);
@@ -48,7 +48,7 @@
   }
 
   /** The running share of a service in its latest sample; 0 if there is none. */
-  latest(job: JobId): number {
+  latestRunningShare(job: JobId): number {
     return this.samples.get(job)?.at(-1)?.runningShare ?? 0;
   }
 }
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -212,7 +212,7 @@
    * The time from the confirmation of a job's cancellation to its user until the job's last task left its machine, or
    * until now if some are still on machines, in milliseconds.
    */
-  stopMs(job: JobId): number {
+  cancellationToStopMs(job: JobId): number {
     const busy = (this.tasksOnMachines.get(job)?.size ?? 0) > 0;
     return (busy ? this.clock.now : (this.lastTaskEndAt.get(job) ?? 0)) - (this.cancellationConfirmedAt.get(job) ?? 0);
   }
--- a/test/sim/meters.ts
+++ b/test/sim/meters.ts
@@ -41,12 +41,12 @@
   constructor(private readonly clock: Clock) {}
 
   /** The number of state store calls in the busiest second. */
-  get peakStoreCalls(): number {
+  get peakStateStoreCalls(): number {
     return this.stateStoreCalls.peak;
   }
 
   /** The number of changes in transactions in the busiest second. */
-  get peakStoreChanges(): number {
+  get peakStateStoreChanges(): number {
     return this.stateStoreChanges.peak;
   }
 
--- a/test/sim/scenario/checks/controllers.ts
+++ b/test/sim/scenario/checks/controllers.ts
@@ -8,8 +8,8 @@
  */
 const METERS: Readonly<Record<string, (world: World) => number>> = {
   'steps-per-round': (world) => world.meters.largestRoundSteps,
-  'store-requests': (world) => world.meters.peakStoreCalls,
-  'store-writes': (world) => world.meters.peakStoreChanges,
+  'store-requests': (world) => world.meters.peakStateStoreCalls,
+  'store-writes': (world) => world.meters.peakStateStoreChanges,
   'cloud-requests': (world) => world.meters.peakCloudCalls,
   'open-pushes': (world) => world.meters.peakOpenCommands,
   'value-bytes': (world) => world.stateStore.largestValueLength,
@@ -35,9 +35,9 @@
   },
   /** throttled at-most N: the number of calls that the state store refused because they exceeded its rate limits */
   throttled(world, [, wanted]) {
-    return world.stateStore.throttled <= Number(wanted)
+    return world.stateStore.throttledCalls <= Number(wanted)
       ? null
-      : `${world.stateStore.throttled} state store calls throttled, expected at most ${wanted}`;
+      : `${world.stateStore.throttledCalls} state store calls throttled, expected at most ${wanted}`;
   },
   /** delayed-writes at-least N: the number of transactions that were applied late */
   'delayed-writes'(world, [, wanted]) {
--- a/test/sim/scenario/checks/jobs.ts
+++ b/test/sim/scenario/checks/jobs.ts
@@ -56,7 +56,7 @@
   },
   /** stopped-within S JOB ...: no task is on any machine S seconds after its user received the state `cancelled` */
   'stopped-within'(world, [seconds, ...ids]) {
-    const late = ids.filter((id) => world.invariants.stopMs(id as JobId) > Number(seconds) * 1000);
+    const late = ids.filter((id) => world.invariants.cancellationToStopMs(id as JobId) > Number(seconds) * 1000);
     return late.length === 0 ? null : `not stopped in time after the reported cancellation: ${late.join(' ')}`;
   },
   /** starts at-most N: the number of task starts of all jobs together */
--- a/test/sim/scenario/events/jobs.ts
+++ b/test/sim/scenario/events/jobs.ts
@@ -49,7 +49,7 @@
   },
   /** cancel-on-completion SHARE S: for S seconds, this share of the completing jobs is cancelled at their completion */
   'cancel-on-completion'(world, [share, seconds]) {
-    world.users.cancelAtEnd = { share: Number(share), until: world.clock.now + noteFault(world, seconds) };
+    world.users.cancelOnCompletion = { share: Number(share), until: world.clock.now + noteFault(world, seconds) };
   },
   /**
    * poll-bursts S: for S seconds, users poll all controllers within milliseconds after a job is accepted, ended or
--- a/test/sim/scenario/events/recovery.ts
+++ b/test/sim/scenario/events/recovery.ts
@@ -50,7 +50,7 @@
   'record-job'(world, [id]) {
     const spec = world.invariants.injectedJobs.get(id as JobId);
     if (!spec) throw new Error(`record-job ${id}: no task of this job was injected`);
-    world.users.follow(spec, world.progress.runMs(spec.id));
+    world.users.pollRecordedJob(spec, world.progress.runMs(spec.id));
     const record = { spec, submittedAt: world.clock.now as WallClockTime, state: 'accepted', startTerm: 1 } as const;
     const value = encodeJob({ ...record, startZone: null, startZones: null, done: new RangeSet() }, MAX_VALUE_BYTES);
     world.stateStore.overwrite(jobKey(spec.id), value);
--- a/test/sim/state_store.ts
+++ b/test/sim/state_store.ts
@@ -45,7 +45,7 @@
   private callRate: RateLimiter;
   private writeRate: RateLimiter;
   /** The number of calls refused because a rate limit was exceeded. */
-  throttled = 0;
+  throttledCalls = 0;
   private latencyFactor = 1;
   /** The number of transactions that were applied with a delay. */
   delayedWritesApplied = 0;
@@ -130,7 +130,7 @@
   private takeFromRateLimits(op: StateStoreOperation): boolean {
     const within =
       this.callRate.tryTake(1) && (op.op !== 'compareAndSwap' || this.writeRate.tryTake(op.changes.length));
-    if (!within) this.throttled += 1;
+    if (!within) this.throttledCalls += 1;
     return within;
   }
 
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -21,7 +21,7 @@
   /** The time until which users poll a job in bursts at every change of its status. */
   pollBurstsUntil = 0;
   /** The share of the jobs completed before `until` that a user cancels at about the time of their completion. */
-  cancelAtEnd = { share: 0, until: 0 };
+  cancelOnCompletion = { share: 0, until: 0 };
   private readonly clock: Clock;
   private readonly invariants: Invariants;
 
@@ -37,7 +37,8 @@
     if (clock.now < this.pollBurstsUntil) {
       clock.schedule(clock.randomBetween(0, MAX_COMPLETION_DELAY_MS), () => this.sendPollBurst(job));
     }
-    if (clock.now >= this.cancelAtEnd.until || clock.randomBetween(0, 1) >= this.cancelAtEnd.share) return;
+    if (clock.now >= this.cancelOnCompletion.until || clock.randomBetween(0, 1) >= this.cancelOnCompletion.share)
+      return;
     // Random delays let cancellations meet each stage: the leader learns of the completion, stores it, and followers
     // read it.
     const delayMs = clock.randomBetween(0, 1) < 0.5 ? 0 : clock.randomBetween(0, 2500);
@@ -117,7 +118,7 @@
   }
 
   /** Treats the job as submitted and polls it from now on, without sending a submission. */
-  follow(spec: JobSpec, runMs: number): void {
+  pollRecordedJob(spec: JobSpec, runMs: number): void {
     this.invariants.onSubmitted(spec);
     this.world.progress.setSubmittedRunMs(spec.id, runMs);
     this.poll(spec.id);
