--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -1,4 +1,4 @@
-/** The command line: options, commands, and what the program says and returns where a setting is refused. */
+/** The command line: its options and commands, and the message and exit code for invalid settings. */
 import { Command } from 'commander';
 import { loadFeatures } from '../config/features.js';
 import { loadPlatform, type PlatformSettings } from '../config/platform.js';
@@ -10,17 +10,17 @@
 
 const DEFAULT_TUNING_FILE = 'deploy/tuning.toml';
 const DEFAULT_FEATURES_FILE = 'deploy/features.toml';
-/** The exit code for a refused setting or option. */
+/** Exit code for an invalid setting or option. */
 const SETTINGS_EXIT_CODE = 2;
 
-/** The paths that the options give. */
+/** Paths of the settings files, as given by the options. */
 interface FileOptions {
   readonly config?: string;
   readonly tuning: string;
   readonly features: string;
 }
 
-/** All that a controller is told at its start. */
+/** The complete configuration of a controller. */
 export interface Configuration {
   readonly platform: PlatformSettings;
   readonly tuning: Tuning;
@@ -33,7 +33,7 @@
   return { platform, tuning: loadTuning(files.tuning), features: loadFeatures(files.features) };
 }
 
-/** Runs `action`; a settings problem ends the program with one line and exit code 2. */
+/** Runs `action`. A `SettingsError` ends the program with a message of one line and exit code 2. */
 function reportSettingsErrors(action: () => void): void {
   try {
     action();
@@ -51,8 +51,8 @@
     .option('--features <file>', 'what the deployment switches on (TOML)', DEFAULT_FEATURES_FILE);
 
 /**
- * Returns the command line, which has yet to parse its arguments. `serve` is what runs without a command; a console would
- * become one more command here.
+ * Returns the command line before its arguments are parsed. `serve` runs if no command is given. A console could
+ * be added as a further command.
  */
 export function createProgram(serve: (configuration: Configuration) => void): Command {
   const program = withFileOptions(new Command('magpielift'))
--- a/src/config/features.ts
+++ b/src/config/features.ts
@@ -1,24 +1,27 @@
-/** Reads `deploy/features.toml`: what a deployment switches on beyond scheduling itself. */
+/** Reads the optional features of a deployment from `deploy/features.toml`. */
 import * as v from 'valibot';
 import { type Features, RECOVERY_OFF } from '../core/features.js';
 import { parseSettings, readTomlFile } from './settings_file.js';
 import { numberBetween } from './value_schemas.js';
 
-/** Reconciliation after a change of leader; what is left out is as when the feature is off. */
+/** Reconciliation after a change of leader. A key that is left out has the value of the disabled feature. */
 const recoverySchema = v.strictObject({
   enabled: v.boolean(),
-  /** Whether jobs' records name the zones in which they may have been started. */
+  /** Whether job records name the zones in which the job may have been started. */
   record_zones: v.optional(v.boolean(), RECOVERY_OFF.record_zones),
-  /** Task lists that are examined in one window of 50 ms: more delay the other work of a leader that has just started. */
+  /**
+   * Maximum number of task lists that are reconciled per window of 50 ms. Higher values delay the other work of a
+   * leader that has just been elected.
+   */
   lists_per_window: v.optional(v.pipe(numberBetween(1, 10_000), v.integer()), RECOVERY_OFF.lists_per_window),
-  /** Milliseconds after the stored state was read until machines that sent no heartbeat are asked; 0: at once. */
+  /** Delay in milliseconds after the stored state was read until machines without a heartbeat are asked; 0 for none. */
   ask_after_ms: v.optional(numberBetween(0, 60_000), RECOVERY_OFF.ask_after_ms),
 });
 
-/** Strict, so that a misspelt feature isn't off without a word. */
+/** The schema is strict, so that a misspelt feature is reported as an error and not silently left off. */
 const featuresSchema = v.strictObject({ recovery: v.optional(recoverySchema, RECOVERY_OFF) });
 
-/** Returns what the deployment switches on; throws `SettingsError` if the file is missing or a value is refused. */
+/** Returns the enabled features. Throws `SettingsError` if the file cannot be read or a value is invalid. */
 export function loadFeatures(file: string): Features {
   return parseSettings(file, readTomlFile(file), featuresSchema);
 }
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -1,4 +1,4 @@
-/** Reads the platform's file and translates it into the core's settings and the addresses that the sockets need. */
+/** Reads the platform's settings file and converts it to the core's settings and the network addresses. */
 import type { Settings } from '../core/settings.js';
 import type { ControllerName, TeamName, ZoneName } from '../core/types.js';
 import { platformSchema, type RawDeployment } from './platform_schema.js';
@@ -7,17 +7,17 @@
 const MS_PER_SECOND = 1000;
 const BYTES_PER_KB = 1024;
 
-/** Another controller, and where it listens for peers. */
+/** Another controller and the address on which it accepts connections from peers. */
 export interface PeerAddress {
   readonly name: ControllerName;
   /** As `host:port`. */
   readonly address: string;
 }
 
-/** What the core needs of the platform's file, and what only the sockets need; addresses are `host:port`. */
+/** The core's settings and the network addresses from the platform's file. Addresses have the form `host:port`. */
 export interface PlatformSettings {
   readonly settings: Settings;
-  /** For users and workers. */
+  /** Address on which this controller serves users and workers. */
   readonly listenAddress: string;
   readonly peerListenAddress: string;
   readonly peers: readonly PeerAddress[];
@@ -25,7 +25,10 @@
   readonly stateStoreAddress: string;
 }
 
-/** Sizes keep to both limits from the start: one that doesn't would be refused from one moment to the next. */
+/**
+ * Returns the limits of the state store. Sizes are limited to the smaller of the present and the announced limit from
+ * the start, because a larger value would be refused as soon as the announced limit comes into force.
+ */
 function stateStoreSettings(state: RawDeployment['state']): Settings['stateStore'] {
   const { next } = state;
   return {
@@ -56,7 +59,7 @@
   }));
 }
 
-/** Only the objectives that bear on the order of jobs. */
+/** Returns the objectives that affect the order of jobs. */
 function orderingObjectives(objectives: RawDeployment['objectives']): Settings['objectives'] {
   return objectives.flatMap(({ kind, class: jobClass, within_s: withinSeconds, times: deadlineFactor }) => {
     if (kind !== 'wait' && kind !== 'finished' && kind !== 'deadline') return [];
@@ -64,7 +67,7 @@
   });
 }
 
-/** What the file says of the deployment as a whole. */
+/** Returns the settings that all controllers of the deployment share. */
 function deploymentSettings(
   deployment: RawDeployment,
 ): Omit<Settings, 'controller' | 'zone' | 'peers' | 'controllerCount'> {
@@ -81,7 +84,7 @@
   };
 }
 
-/** Returns what the platform's file says; throws `SettingsError` if the file is missing or a value is refused. */
+/** Returns the platform's settings. Throws `SettingsError` if the file cannot be read or a value is invalid. */
 export function loadPlatform(file: string): PlatformSettings {
   const { deployment, siblings, endpoints, ...own } = parseSettings(file, readTomlFile(file), platformSchema);
   const settings: Settings = {
--- a/src/config/platform_schema.ts
+++ b/src/config/platform_schema.ts
@@ -1,8 +1,8 @@
-/** The schema of the platform's file, by the names that the platform gives. Keys that it doesn't name are ignored. */
+/** The schema of the platform's settings file, with the platform's own key names. Unknown keys are ignored. */
 import * as v from 'valibot';
 import { hostAndPort, nonEmptyText, nonNegativeNumber, positiveInteger, positiveNumber } from './value_schemas.js';
 
-/** A team's guaranteed cores and GPUs, and its limits; 0: none. */
+/** A team's guaranteed cores and GPUs (`cpus`, `gpus`) and its limits (`cpus_max`, `gpus_max`). 0 means none. */
 const teamSchema = v.object({
   name: nonEmptyText,
   cpus: v.optional(nonNegativeNumber, 0),
@@ -11,39 +11,39 @@
   gpus_max: v.optional(nonNegativeNumber, 0),
 });
 
-/** A service-level objective. Any kind is accepted: those that don't bear on the order of jobs are dropped later. */
+/** A service-level objective. Any kind is accepted. Kinds that do not affect the order of jobs are dropped later. */
 const objectiveSchema = v.object({
   kind: nonEmptyText,
   class: v.optional(v.string(), ''),
-  /** Seconds from submission. */
+  /** Maximum seconds since submission. */
   within_s: v.optional(nonNegativeNumber, 0),
-  /** Times the job's own deadline. */
+  /** Factor by which the job's own deadline is multiplied. */
   times: v.optional(positiveNumber, 1),
 });
 
-/** What workers keep to, in seconds. */
+/** Intervals and time-outs of workers, in seconds. */
 const workersSchema = v.object({
-  /** Between two heartbeats. */
+  /** Interval between heartbeats. */
   report_s: positiveNumber,
-  /** From the last heartbeat that was answered until a worker ends its tasks. */
+  /** Time from the last heartbeat that was answered until the worker stops its tasks. */
   lease_s: positiveNumber,
-  /** That a task waits at the barrier of its gang. */
+  /** Maximum time that a task waits at the barrier of its gang. */
   gang_wait_s: positiveNumber,
-  /** Until the tasks of a gang notice that one is gone. */
+  /** Maximum time until the tasks of a gang detect that a member is missing. */
   gang_peer_s: positiveNumber,
-  /** From the answer to a cancellation until all of the job's tasks must be gone. */
+  /** Maximum time from the response to a cancellation until no task of the job runs. */
   cancel_s: positiveNumber,
 });
 
 /** Limits of the state store. */
 const stateSchema = v.object({
-  /** Requests and changes a second. */
+  /** Maximum requests per second, and maximum changes per second. */
   rps: positiveNumber,
   write_rps: positiveNumber,
-  /** KiB of a value, and changes in a transaction. */
+  /** Maximum size of a value in KiB, and maximum number of changes in a transaction. */
   value_kb: positiveNumber,
   txn_ops: positiveInteger,
-  /** The limits that come into force at a moment that nobody announces; one that is left out stays as it is. */
+  /** Limits that will come into force at an unannounced time. A limit that is left out does not change. */
   next: v.optional(
     v.object({
       rps: v.optional(positiveNumber),
@@ -58,18 +58,18 @@
 const siblingSchema = v.object({ host_name: nonEmptyText, area: nonEmptyText, address: hostAndPort });
 
 const deploymentSchema = v.object({
-  /** Controllers at the start. */
+  /** Number of controllers when the deployment starts. */
   initial_size: v.optional(positiveInteger, 1),
   zones: v.pipe(v.array(nonEmptyText), v.minLength(1)),
-  /** Bound, in milliseconds, on how far the controllers' times of day differ. */
+  /** Maximum difference between the controllers' wall clocks, in milliseconds. */
   skew_ms: v.optional(nonNegativeNumber, 0),
   teams: v.array(teamSchema),
   objectives: v.optional(v.array(objectiveSchema), []),
   workers: workersSchema,
   state: stateSchema,
-  /** Requests a second, and the usual age in seconds of the machine list. */
+  /** Maximum requests per second to the cloud, and the usual staleness of its machine list in seconds. */
   cloud: v.object({ rps: positiveNumber, list_lag_s: nonNegativeNumber }),
-  /** What a controller may use: parts of a core, MB of memory, open connections. */
+  /** Resources that a controller may use: share of a core, memory in MB, and open connections. */
   machine_limits: v.object({
     cpu_share: positiveNumber,
     memory_mb: positiveNumber,
@@ -77,12 +77,12 @@
   }),
 });
 
-/** The whole file. */
+/** The schema of the whole file. */
 export const platformSchema = v.object({
   /** This controller's name and zone. */
   host_name: nonEmptyText,
   area: nonEmptyText,
-  /** Where users and workers, and where the other controllers, reach this one. */
+  /** Addresses on which this controller accepts users and workers (`listen`), and other controllers (`peer_bind`). */
   listen: hostAndPort,
   peer_bind: hostAndPort,
   siblings: v.optional(v.array(siblingSchema), []),
@@ -90,5 +90,5 @@
   deployment: deploymentSchema,
 });
 
-/** The part of the file that is the same for all controllers, as read. */
+/** The section of the file that is the same for all controllers, before conversion. */
 export type RawDeployment = v.InferOutput<typeof deploymentSchema>;
--- a/src/config/settings_error.ts
+++ b/src/config/settings_error.ts
@@ -1,20 +1,20 @@
-/** The error of a refused setting. */
+/** The error for invalid settings. */
 import { ApplicationError } from '../errors.js';
 
-/** Why settings are refused. */
+/** Reasons for which settings are rejected. */
 export type SettingsErrorCode = 'missingOption' | 'unreadableFile' | 'invalidToml' | 'renamedKey' | 'invalidValue';
 
-/** Where a refused setting stands, and what is wrong with it. */
+/** Location of an invalid setting and the reason why it is invalid. */
 export interface SettingsProblem {
-  /** The file as it was named on the command line; left out: the command line itself is at fault. */
+  /** The file as named on the command line. Left out if the command line itself is invalid. */
   readonly file?: string;
-  /** The dotted path of the field; left out: the whole file is at fault. */
+  /** The dotted path of the field. Left out if the whole file is invalid. */
   readonly field?: string;
   readonly problem: string;
   readonly cause?: unknown;
 }
 
-/** A refused setting. The message is one line, `file: field: problem`, that operators see as it is. */
+/** An invalid setting. The message is one line, `file: field: problem`, and is shown to operators unchanged. */
 export class SettingsError extends ApplicationError<SettingsErrorCode> {
   readonly file: string | null;
   readonly field: string | null;
--- a/src/config/settings_file.ts
+++ b/src/config/settings_file.ts
@@ -1,13 +1,13 @@
-/** Reads one settings file: TOML on disk, checked against a schema. */
+/** Reads a TOML settings file and checks it against a schema. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
 import { SettingsError } from './settings_error.js';
 
-/** What a TOML file holds, by its top-level keys; the values have yet to be checked. */
+/** The content of a TOML file by top-level key. The values have not been checked. */
 export type TomlDocument = Readonly<Record<string, unknown>>;
 
-/** Returns what a TOML file holds; throws `SettingsError` if it can't be read or isn't TOML. */
+/** Returns the content of a TOML file. Throws `SettingsError` if the file cannot be read or is not valid TOML. */
 export function readTomlFile(file: string): TomlDocument {
   return parseToml(file, readText(file));
 }
@@ -31,8 +31,8 @@
 }
 
 /**
- * Returns the document as the schema reads it, with defaults filled in. Throws `SettingsError` on the first value that the
- * schema refuses. A key that the schema doesn't name is refused by a strict schema and ignored by any other.
+ * Returns the document as parsed by the schema, with defaults filled in. Throws `SettingsError` for the first value
+ * that the schema rejects. Unknown keys are rejected by a strict schema and ignored by any other schema.
  */
 export function parseSettings<Schema extends v.GenericSchema>(
   file: string,
--- a/src/config/tuning.ts
+++ b/src/config/tuning.ts
@@ -1,4 +1,4 @@
-/** Reads `deploy/tuning.toml`: what operators may tune. The file itself says at length why each default is what it is. */
+/** Reads the operators' tuning parameters from `deploy/tuning.toml`. That file gives the reason for each value. */
 import * as v from 'valibot';
 import type { Tuning } from '../core/settings.js';
 import { SettingsError } from './settings_error.js';
@@ -12,77 +12,92 @@
   positiveNumber,
 } from './value_schemas.js';
 
-/** How a leader is elected and kept. */
+/** Parameters of leader election and of the leader's lease. */
 const leadershipSchema = v.object({
-  /** The leader's lease as a share of the workers' lease; the bounds leave room for renewals and for failover. */
+  /** The leader's lease as a share of the workers' lease. The bounds leave time for renewals and for failover. */
   lease_share: numberBetween(0.05, 0.8),
-  /** Milliseconds taken off the leader's validity on top of clock drift: time for what is on its way out. */
+  /**
+   * Milliseconds by which the leader shortens the validity of its lease, in addition to the allowance for clock drift.
+   * Leaves time for messages that are being sent.
+   */
   margin_ms: numberBetween(100, 5000),
-  /** Milliseconds that no worker reaches the leader, while one reaches a peer, until the leader resigns. */
+  /** Milliseconds without heartbeats after which a leader steps down, if workers reach another controller. */
   resign_after_ms: numberBetween(1000, 60_000),
-  /** Milliseconds that a leader which resigned doesn't stand for election, so that leadership can't flap. */
+  /** Milliseconds for which a leader that stepped down does not stand for election, to prevent flapping. */
   backoff_ms: nonNegativeNumber,
-  /** Part of a core from which a leader takes heartbeats itself: forwarded ones cost nearly twice as much. */
+  /**
+   * Minimum share of a core with which a leader receives heartbeats directly from the workers. Forwarded heartbeats
+   * cost nearly twice as much.
+   */
   reports_cpu_share: numberBetween(0.01, 1000),
 });
 
-/** The planning rounds and the search in them. */
+/** Parameters of the planning rounds and of the search for a plan. */
 const schedulerSchema = v.object({
-  /** Milliseconds between rounds when nothing happens. */
+  /** Milliseconds between rounds while no events occur. */
   period_ms: numberBetween(100, 60_000),
-  /** Least milliseconds between rounds when something does. */
+  /** Minimum milliseconds between rounds when events occur. */
   spacing_ms: numberBetween(20, 60_000),
-  /** The genetic search: plans in a generation, generations, and chance of a mutation. */
+  /** Parameters of the genetic search: plans per generation, number of generations, and probability of a mutation. */
   individuals: positiveInteger,
   generations: nonNegativeInteger,
   mutation: fraction,
-  /** The most plan steps of a round: bounds its processor time without a clock. */
+  /** Maximum number of plan steps of a round. Bounds its processor time without reading a clock. */
   plan_steps: positiveInteger,
-  /** Jobs at the head of the ranking that are planned in full; the others are backfilled. */
+  /** Number of jobs at the head of the ranking that are planned in full. The remaining jobs are backfilled. */
   jobs_planned: positiveInteger,
-  /** Weights, without unit, of mean wait, longest wait and idle share in the fitness of a plan. */
+  /** Weights of mean wait, longest wait and idle share in the fitness of a plan, without unit. */
   weight_average: nonNegativeNumber,
   weight_maximum: nonNegativeNumber,
   weight_idle: nonNegativeNumber,
-  /** Penalties: seconds that a job would rather wait than take a machine that other work has more need of. */
+  /** Penalties: seconds that a job would rather wait than use a machine that other work needs more. */
   gpu_penalty_s: nonNegativeNumber,
   on_demand_penalty_s: nonNegativeNumber,
   reserved_type_penalty_s: nonNegativeNumber,
   cached_image_penalty_s: nonNegativeNumber,
-  /** By what share of the time until then capacity expected later counts as further away: estimates are often wrong. */
+  /**
+   * Share of the remaining time that is added to it for capacity that is expected to become free later, because
+   * estimates are often wrong.
+   */
   future_discount: numberBetween(0, 10),
   gang_future_discount: numberBetween(0, 10),
-  /** Running work is expected to go on for at least this share of the time it has run. */
+  /** Minimum remaining time of running work, as a share of the time that it has already run. */
   overdue_share: numberBetween(0, 10),
-  /** Seconds of waiting after which a job that has not begun goes before all others. */
+  /** Seconds of waiting after which a job that has not started goes ahead of all others. */
   overdue_after_s: positiveNumber,
-  /** How many times a step of user priority counts the one below it. */
+  /** Factor by which each level of user priority outweighs the level below it. */
   priority_base: numberBetween(1, 100),
-  /** Milliseconds added to the spacing of rounds for each machine, and for each plan step of the last round. */
+  /** Milliseconds added to the minimum spacing for each machine, and for each plan step of the previous round. */
   spacing_per_machine_ms: nonNegativeNumber,
   spacing_per_step_ms: numberBetween(0, 10),
-  /** How much sooner a job is ranked whose objective comes near, growing over the last seconds of its slack. */
+  /**
+   * Maximum boost in the ranking of a job whose objective comes near, and the seconds of remaining slack over which the
+   * boost grows to this maximum.
+   */
   urgency: nonNegativeNumber,
   urgency_horizon_s: positiveNumber,
 });
 
-/** When machines are provisioned, and when they are given up. */
+/** Parameters of provisioning and terminating machines. */
 const machinesSchema = v.object({
-  /** Seconds that a machine may stand idle: provisioning again costs a boot and a minute's charge. */
+  /** Maximum idle seconds of a machine. Provisioning again costs a boot, an image pull and the charge for a minute. */
   idle_return_s: nonNegativeNumber,
-  /** Seconds of waiting work that a machine is expected to take off the queue; fewer provision more machines. */
+  /** Seconds of waiting work that a provisioned machine is expected to complete. Smaller values provision more. */
   rent_horizon_s: positiveNumber,
-  /** Part of a machine's worth of demand that is rounded up; 0: only whole machines, 1: always one more. */
+  /**
+   * Fraction added to the number of machines needed before rounding down. 0 provisions only whole machines' worth of
+   * demand, 1 always provisions one machine more.
+   */
   rent_round_up: numberBetween(0, 1),
-  /** Seconds by which a new machine must start work sooner than the plan does. */
+  /** Seconds by which a new machine must start work sooner than planned for the work to count as delayed. */
   rent_margin_s: nonNegativeNumber,
-  /** Seconds until a capacity pool that was exhausted is tried again; grows with each refusal. */
+  /** Seconds before a capacity pool that had no capacity is tried again. Grows with each further refusal. */
   refused_backoff_s: positiveNumber,
-  /** Times its usual boot time after which a machine is given up. */
+  /** Multiple of its usual boot time after which a machine that is still booting is terminated. */
   boot_give_up: numberBetween(1.5, 100),
-  /** Jobs that fail in a row on a machine, or tasks of a job that does well elsewhere, until it is quarantined. */
+  /** Failed jobs in a row on a machine, or failed tasks of a job that succeeds elsewhere, before it is drained. */
   error_limit: positiveInteger,
-  /** Whether capacity is kept for all teams' guaranteed quotas while there is work. */
+  /** Whether capacity for the guaranteed quotas of all teams is kept provisioned while there is work. */
   keep_guarantees: v.boolean(),
 });
 
@@ -92,7 +107,7 @@
   machines: machinesSchema,
 });
 
-/** Keys that were renamed: a file with an old one is refused, so that its value isn't ignored without a word. */
+/** Renamed keys, old to new. A file with an old key is rejected, as its value would otherwise be ignored. */
 const RENAMED_KEYS: Readonly<Record<string, string>> = {
   gpu_reluctance_s: 'gpu_penalty_s',
   ordinary_reluctance_s: 'on_demand_penalty_s',
@@ -104,7 +119,7 @@
 const hasKey = (section: unknown, key: string): boolean =>
   typeof section === 'object' && section !== null && Object.hasOwn(section, key);
 
-/** Throws where a section holds a key under its old name. */
+/** Throws `SettingsError` if a section contains a key under its old name. */
 function rejectRenamedKeys(file: string, document: TomlDocument): void {
   for (const [section, values] of Object.entries(document)) {
     for (const [oldKey, newKey] of Object.entries(RENAMED_KEYS)) {
@@ -114,7 +129,10 @@
   }
 }
 
-/** Returns the operators' tuning; throws `SettingsError` if the file is missing, a value is refused or a key was renamed. */
+/**
+ * Returns the operators' tuning parameters. Throws `SettingsError` if the file cannot be read, a value is invalid or
+ * a key has its old name.
+ */
 export function loadTuning(file: string): Tuning {
   const document = readTomlFile(file);
   rejectRenamedKeys(file, document);
--- a/tools/old_versions.sh
+++ b/tools/old_versions.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds each version that test/old_versions.txt names from the history into target/old_versions/COMMIT, for the tests that
-# run it side by side with this one. A build that is there already is kept.
+# Builds each version listed in test/old_versions.txt from the git history into target/old_versions/COMMIT, for the
+# tests that run it together with the current version. An existing build is reused.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 production=$(sed -n 's/^production = "\(.*\)"$/\1/p' deploy/service.toml)
