--- a/test/cli/command_line.test.ts
+++ b/test/cli/command_line.test.ts
@@ -55,7 +55,7 @@
     assert.equal(runCli('--nonsense').status, 2);
   });
 
-  test('refuses a wrong tuning value by its name', () => {
+  test('rejects an invalid tuning value and names its key', () => {
     const dir = mkdtempSync(join(tmpdir(), 'magpielift-'));
     const file = join(dir, 'tuning.toml');
     const text = readFileSync(join(repositoryRoot, 'deploy/tuning.toml'), 'utf8');
@@ -65,7 +65,7 @@
     assert.match(run.err, /scheduler\.mutation/);
   });
 
-  test('checks the features that are switched on, with file and field; what is left out is off', () => {
+  test('rejects invalid features with file and field; features that are left out are off', () => {
     const file = join(mkdtempSync(join(tmpdir(), 'magpielift-')), 'features.toml');
     const check = (text: string): ReturnType<typeof runCli> => {
       writeFileSync(file, text);
@@ -80,16 +80,16 @@
       '[recovery]\nlists_per_window = 3\n': /features\.toml: recovery\.enabled: /,
       '[recoverry]\nenabled = true\n': /features\.toml: recoverry: /,
     };
-    for (const [text, said] of Object.entries(wrong)) {
+    for (const [text, message] of Object.entries(wrong)) {
       const refused = check(text);
       assert.equal(refused.status, 2, text);
-      assert.match(refused.err, said);
+      assert.match(refused.err, message);
       assert.equal(refused.err.trim().split('\n').length, 1);
     }
     assert.equal(runCli('check', '--config', writeExampleSettings(), '--features', '/nonexistent').status, 2);
   });
 
-  test('refuses a tuning key under its old name with the new one', () => {
+  test('rejects the old name of a tuning key and gives the new name', () => {
     const file = join(mkdtempSync(join(tmpdir(), 'magpielift-')), 'tuning.toml');
     const text = readFileSync(join(repositoryRoot, 'deploy/tuning.toml'), 'utf8');
     const renamed = { gpu_penalty_s: 'gpu_reluctance_s', future_discount: 'future_doubt' };
--- a/test/config/settings_error.test.ts
+++ b/test/config/settings_error.test.ts
@@ -8,8 +8,8 @@
 import { loadTuning } from '../../src/config/tuning.js';
 import { ApplicationError } from '../../src/errors.js';
 
-/** A file in a folder of its own, which goes with the test. */
-function fileWith(t: TestContext, text: string): string {
+/** Writes a file to a temporary directory that is deleted after the test, and returns its path. */
+function writeSettingsFile(t: TestContext, text: string): string {
   const folder = mkdtempSync(join(tmpdir(), 'magpielift-'));
   t.after(() => rmSync(folder, { recursive: true }));
   const file = join(folder, 'settings.toml');
@@ -17,8 +17,8 @@
   return file;
 }
 
-/** The error with which a file is refused. */
-function refusalOf(load: (file: string) => unknown, file: string): SettingsError {
+/** Returns the error with which loading the file fails. */
+function loadError(load: (file: string) => unknown, file: string): SettingsError {
   try {
     load(file);
   } catch (error) {
@@ -26,10 +26,10 @@
     assert.ok(error instanceof ApplicationError);
     return error;
   }
-  throw new assert.AssertionError({ message: 'the file was accepted' });
+  throw new assert.AssertionError({ message: 'expected the file to be rejected, but it was accepted' });
 }
 
-describe('a refused setting tells its code, file, field and cause', () => {
+describe('the error for an invalid setting has its code, file, field and cause', () => {
   const cases: readonly (readonly [SettingsErrorCode, string, string | null, RegExp])[] = [
     ['invalidToml', 'no toml', null, /^FILE: not TOML: [^\n]+$/],
     ['invalidValue', '[recovery]\nenabled = 3\n', 'recovery.enabled', /^FILE: recovery\.enabled: [^\n]+$/],
@@ -37,8 +37,8 @@
   ];
   for (const [code, text, field, message] of cases) {
     test(`${code}: ${JSON.stringify(text)}`, (t) => {
-      const file = fileWith(t, text);
-      const error = refusalOf(loadFeatures, file);
+      const file = writeSettingsFile(t, text);
+      const error = loadError(loadFeatures, file);
       assert.deepEqual([error.code, error.file, error.field], [code, file, field]);
       assert.match(error.message.replace(file, 'FILE'), message);
       assert.equal(error.cause instanceof Error, code === 'invalidToml');
@@ -46,15 +46,15 @@
   }
 
   test('unreadableFile: the cause is the error of the file system', () => {
-    const error = refusalOf(loadFeatures, '/nonexistent/features.toml');
+    const error = loadError(loadFeatures, '/nonexistent/features.toml');
     assert.deepEqual([error.code, error.field], ['unreadableFile', null]);
     assert.equal(error.message, '/nonexistent/features.toml: cannot be read (ENOENT)');
     assert.equal((error.cause as NodeJS.ErrnoException).code, 'ENOENT');
   });
 
-  test('renamedKey: the new name is told', (t) => {
-    const file = fileWith(t, '[scheduler]\nfuture_doubt = 1\n');
-    const error = refusalOf(loadTuning, file);
+  test('renamedKey: the message has the new name', (t) => {
+    const file = writeSettingsFile(t, '[scheduler]\nfuture_doubt = 1\n');
+    const error = loadError(loadTuning, file);
     assert.deepEqual([error.code, error.file, error.field], ['renamedKey', file, 'scheduler.future_doubt']);
     assert.equal(error.message, `${file}: scheduler.future_doubt: is now named future_discount`);
   });
--- a/test/golden/http_cases.ts
+++ b/test/golden/http_cases.ts
@@ -1,3 +1,4 @@
+/** Golden tests of the HTTP interface for users, load balancers and workers. */
 import assert from 'node:assert/strict';
 import { type IncomingMessage, request, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -7,41 +8,44 @@
 import { createHttpServer } from '../../src/io/http/http_server.js';
 import { encodeFrame } from '../../src/io/peers/peer_codec.js';
 import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
-import { wireJob as submission, wireHeartbeat as workerReport } from '../support/sample_messages.js';
-import { cborEntry, type Golden, GoldenFile, hex } from './golden_file.js';
+import { wireHeartbeat, wireJob } from '../support/sample_messages.js';
+import { cborWithText, GoldenFile, type GoldenValue, hex } from './golden_file.js';
 import { gangSpec } from './samples.js';
 
 const MAX = (1n << 64n) - 1n;
 const MAX_CONNECTIONS = 100;
 const HEADERS = ['content-type', 'retry-after', 'allow'];
 
-/** What the server is asked here: answered as set, and noted in the form in which it is passed on between nodes. */
-class Asked {
-  userAnswer: UserResponse = { status: 404, problem: 'no such job' };
-  workerAnswer: HeartbeatResponse = { status: 503 };
+/**
+ * Handlers of the HTTP server that give preset responses. Each call is recorded as the frame in which a controller
+ * would forward it to another controller.
+ */
+class StubHandlers {
+  userResponse: UserResponse = { status: 404, problem: 'no such job' };
+  heartbeatResponse: HeartbeatResponse = { status: 503 };
   healthy = true;
-  passedOn: string | null = null;
+  forwardedFrame: string | null = null;
 
-  user(asked: UserRequest): Promise<UserResponse> {
-    this.passedOn = hex(encodeFrame({ kind: 'request', id: 0, request: asked }));
-    return Promise.resolve(this.userAnswer);
+  handleUserRequest(userRequest: UserRequest): Promise<UserResponse> {
+    this.forwardedFrame = hex(encodeFrame({ kind: 'request', id: 0, request: userRequest }));
+    return Promise.resolve(this.userResponse);
   }
 
-  report(heartbeat: Heartbeat): Promise<HeartbeatResponse> {
-    this.passedOn = hex(encodeFrame({ kind: 'heartbeat', id: 0, heartbeat }));
-    return Promise.resolve(this.workerAnswer);
+  handleHeartbeat(heartbeat: Heartbeat): Promise<HeartbeatResponse> {
+    this.forwardedFrame = hex(encodeFrame({ kind: 'heartbeat', id: 0, heartbeat }));
+    return Promise.resolve(this.heartbeatResponse);
   }
 }
 
-class Caller {
+class HttpClient {
   constructor(
     private readonly port: number,
-    private readonly asked: Asked,
+    private readonly handlers: StubHandlers,
   ) {}
 
-  /** A request, its answer, and what of it the node was given. */
-  async call(method: string, path: string, body: Uint8Array | null): Promise<Golden> {
-    this.asked.passedOn = null;
+  /** Sends a request. Returns the response and the frame that the handlers recorded (`given`). */
+  async call(method: string, path: string, body: Uint8Array | null): Promise<GoldenValue> {
+    this.handlers.forwardedFrame = null;
     const response = await this.send(method, path, body);
     const parts: Buffer[] = [];
     for await (const part of response) parts.push(part as Buffer);
@@ -52,8 +56,8 @@
         String(response.headers[name]),
       ]),
     );
-    const answer = bytes.length === 0 ? '' : cborEntry(bytes);
-    return { status: response.statusCode ?? 0, headers, answer, given: this.asked.passedOn };
+    const answer = bytes.length === 0 ? '' : cborWithText(bytes);
+    return { status: response.statusCode ?? 0, headers, answer, given: this.handlers.forwardedFrame };
   }
 
   private send(method: string, path: string, body: Uint8Array | null): Promise<IncomingMessage> {
@@ -65,20 +69,20 @@
   }
 }
 
-async function withServer(run: (caller: Caller, asked: Asked) => Promise<void>): Promise<void> {
-  const asked = new Asked();
+async function withServer(run: (client: HttpClient, handlers: StubHandlers) => Promise<void>): Promise<void> {
+  const handlers = new StubHandlers();
   const server: Server = createHttpServer(
     {
-      handleUserRequest: (what) => asked.user(what),
-      handleHeartbeat: (what) => asked.report(what),
-      isHealthy: () => asked.healthy,
+      handleUserRequest: (userRequest) => handlers.handleUserRequest(userRequest),
+      handleHeartbeat: (heartbeat) => handlers.handleHeartbeat(heartbeat),
+      isHealthy: () => handlers.healthy,
       onMalformedMessage: () => {},
     },
     MAX_CONNECTIONS,
   );
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   try {
-    await run(new Caller((server.address() as AddressInfo).port, asked), asked);
+    await run(new HttpClient((server.address() as AddressInfo).port, handlers), handlers);
   } finally {
     server.closeAllConnections();
     server.close();
@@ -87,8 +91,8 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Each field missing, null, of another type, and out of bounds. */
-function spoiled(fields: Fields): Fields[] {
+/** Returns variants in which one field is missing, null, of another type or out of bounds. */
+function malformedVariants(fields: Fields): Fields[] {
   return Object.keys(fields).flatMap((key) => {
     const { [key]: _, ...without } = fields;
     const wrong = [
@@ -109,7 +113,7 @@
   });
 }
 
-const NOT_MAPS: readonly Uint8Array[] = [
+const NON_MAP_BODIES: readonly Uint8Array[] = [
   Buffer.from(''),
   Buffer.from('ff', 'hex'),
   Buffer.from('not cbor'),
@@ -118,44 +122,44 @@
   encodeCbor('text'),
   encodeCbor({}),
 ];
-const TOO_LONG = encodeCbor({ long: 'x'.repeat(65 * 1024) });
+const OVERSIZED_BODY = encodeCbor({ long: 'x'.repeat(65 * 1024) });
 
 const submissions: readonly Fields[] = [
-  submission,
-  { ...submission, colour: 'green' },
-  { ...submission, breeds: null, due_s: null, grove: 'a' },
-  { ...submission, chicks: 100_000, cpus: 0, gpus: 0, mem_gb: 7n },
-  ...['batch', 'ensemble', 'daemon', 'array', 'gang', 'service', 'toString'].map((shape) => ({ ...submission, shape })),
-  ...['low', 'normal', 'urgent', 'critical', 'high'].map((rank) => ({ ...submission, rank })),
+  wireJob,
+  { ...wireJob, colour: 'green' },
+  { ...wireJob, breeds: null, due_s: null, grove: 'a' },
+  { ...wireJob, chicks: 100_000, cpus: 0, gpus: 0, mem_gb: 7n },
+  ...['batch', 'ensemble', 'daemon', 'array', 'gang', 'service', 'toString'].map((shape) => ({ ...wireJob, shape })),
+  ...['low', 'normal', 'urgent', 'critical', 'high'].map((rank) => ({ ...wireJob, rank })),
   ...['job-1', 'job-', 'job-x', 'JOB-1', '../job-1', `job-${'7'.repeat(32)}`, `job-${'7'.repeat(33)}`].map((ref) => ({
-    ...submission,
+    ...wireJob,
     ref,
   })),
-  ...[0, 1, 100_001].map((chicks) => ({ ...submission, chicks })),
-  { ...submission, same_place: false, apart: true, loaners: false },
+  ...[0, 1, 100_001].map((chicks) => ({ ...wireJob, chicks })),
+  { ...wireJob, same_place: false, apart: true, loaners: false },
 ];
 
 const chick = { chick: 'job-000412/3', hop: 2, mood: 'running' };
 const moods = ['pulling', 'gathering', 'running', 'flushing', 'fetching', 'waiting', 'saving', 'toString'];
 const causes = ['done', 'stopped', 'mates_gone', 'alone', 'error', 'full', 'in_use', 'no_such', 'busy', 'no_room'];
-const reports: readonly Fields[] = [
-  workerReport,
-  { ...workerReport, mystery: [1, 2], loaners: false, warning_s: 7.5, roost: MAX, chirp: MAX, crest: MAX },
-  ...moods.map((mood) => ({ ...workerReport, chicks: [{ ...chick, mood, kept: true, more: 1 }] })),
-  ...causes.map((cause) => ({ ...workerReport, chicks: [{ ...chick, mood: 'exited', cause }] })),
-  { ...workerReport, chicks: [{ ...chick, mood: 'exited' }] },
-  { ...workerReport, chicks: [chick, chick] },
-  { ...workerReport, chicks: [chick, { ...chick, hop: 3 }] },
+const heartbeats: readonly Fields[] = [
+  wireHeartbeat,
+  { ...wireHeartbeat, mystery: [1, 2], loaners: false, warning_s: 7.5, roost: MAX, chirp: MAX, crest: MAX },
+  ...moods.map((mood) => ({ ...wireHeartbeat, chicks: [{ ...chick, mood, kept: true, more: 1 }] })),
+  ...causes.map((cause) => ({ ...wireHeartbeat, chicks: [{ ...chick, mood: 'exited', cause }] })),
+  { ...wireHeartbeat, chicks: [{ ...chick, mood: 'exited' }] },
+  { ...wireHeartbeat, chicks: [chick, chick] },
+  { ...wireHeartbeat, chicks: [chick, { ...chick, hop: 3 }] },
   ...['job-1', 'job-1/', 'job-1/x', 'job-1/1234567', 'job-x/1', '/1', 'job-1/2/3'].map((name) => ({
-    ...workerReport,
+    ...wireHeartbeat,
     chicks: [{ ...chick, chick: name }],
   })),
-  ...spoiled(chick).map((wrong) => ({ ...workerReport, chicks: [wrong] })),
+  ...malformedVariants(chick).map((wrong) => ({ ...wireHeartbeat, chicks: [wrong] })),
 ];
 
 const { id: job } = gangSpec;
 const statuses: JobStatus[] = ['queued', 'running', 'done', 'cancelled'];
-const userAnswers: readonly UserResponse[] = [
+const userResponses: readonly UserResponse[] = [
   ...statuses.map((jobStatus): UserResponse => ({ status: 200, id: job, jobStatus, done: 3, running: 2 })),
   { status: 201, id: job, jobStatus: 'queued', done: 0, running: 0 },
   { status: 400, problem: 'plumage is not a text' },
@@ -169,7 +173,7 @@
   { op: 'stop', job, index: 4, attempt: MAX as Attempt, gracePeriodSeconds: 2.5 },
   { op: 'acknowledge', job, index: 99_999, attempt: 7n as Attempt },
 ];
-const workerAnswers: readonly HeartbeatResponse[] = [
+const heartbeatResponses: readonly HeartbeatResponse[] = [
   { status: 200, fencingToken: 41n as FencingToken, commands: [] },
   { status: 200, fencingToken: MAX as FencingToken, commands },
   { status: 421, redirectTo: 'perch-2' as ControllerName },
@@ -198,58 +202,58 @@
   ['GET', '/UP'],
 ];
 
-/** Every request and answer of users and load balancers. */
+/** Tests for all requests from users and load balancers, and for the responses. */
 export function userTests(): void {
   const golden = new GoldenFile('users');
 
-  test('golden: submissions are read or refused as they were', () =>
-    withServer(async (caller) => {
-      const all = [...submissions, ...spoiled(submission)].map((fields) => encodeCbor(fields));
-      for (const [i, body] of [...all, ...NOT_MAPS, TOO_LONG].entries()) {
+  test('golden: submissions are accepted or rejected as before', () =>
+    withServer(async (client) => {
+      const all = [...submissions, ...malformedVariants(wireJob)].map((fields) => encodeCbor(fields));
+      for (const [i, body] of [...all, ...NON_MAP_BODIES, OVERSIZED_BODY].entries()) {
         const shown = body.length > 10_000 ? `of ${body.length} bytes` : hex(body);
-        golden.check(`submission ${i}`, { body: shown, ...((await caller.call('POST', '/v2/runs', body)) as object) });
+        golden.check(`submission ${i}`, { body: shown, ...((await client.call('POST', '/v2/runs', body)) as object) });
       }
     }));
 
-  test('golden: answers to users are what they were', () =>
-    withServer(async (caller, asked) => {
-      for (const [i, answer] of userAnswers.entries()) {
-        asked.userAnswer = answer;
-        golden.check(`answer ${i}`, await caller.call('POST', '/v2/runs', encodeCbor(submission)));
+  test('golden: responses to users are unchanged', () =>
+    withServer(async (client, handlers) => {
+      for (const [i, answer] of userResponses.entries()) {
+        handlers.userResponse = answer;
+        golden.check(`answer ${i}`, await client.call('POST', '/v2/runs', encodeCbor(wireJob)));
       }
     }));
 
-  test('golden: paths and methods are answered as they were', () =>
-    withServer(async (caller, asked) => {
-      for (const [method, path] of PATHS) golden.check(`${method} ${path}`, await caller.call(method, path, null));
-      asked.healthy = false;
-      golden.check('GET /up, not healthy', await caller.call('GET', '/up', null));
+  test('golden: paths and methods get the same responses as before', () =>
+    withServer(async (client, handlers) => {
+      for (const [method, path] of PATHS) golden.check(`${method} ${path}`, await client.call(method, path, null));
+      handlers.healthy = false;
+      golden.check('GET /up, not healthy', await client.call('GET', '/up', null));
     }));
 
   golden.checkComplete();
 }
 
-/** Every report of workers, and every answer to one. */
+/** Tests for all heartbeats of workers, and for the responses. */
 export function reportTests(): void {
   const golden = new GoldenFile('worker_reports');
 
-  test('golden: reports are read or refused as they were', () =>
-    withServer(async (caller) => {
-      const all = [...reports, ...spoiled(workerReport)].map((fields) => encodeCbor(fields));
-      for (const [i, body] of [...all, ...NOT_MAPS].entries()) {
+  test('golden: heartbeats are accepted or rejected as before', () =>
+    withServer(async (client) => {
+      const all = [...heartbeats, ...malformedVariants(wireHeartbeat)].map((fields) => encodeCbor(fields));
+      for (const [i, body] of [...all, ...NON_MAP_BODIES].entries()) {
         golden.check(`report ${i}`, {
           body: hex(body),
-          ...((await caller.call('POST', '/agent/beat', body)) as object),
+          ...((await client.call('POST', '/agent/beat', body)) as object),
         });
       }
       assert.equal(decodeCbor(all[0] as Buffer) !== null, true);
     }));
 
-  test('golden: answers to reports are what they were', () =>
-    withServer(async (caller, asked) => {
-      for (const [i, answer] of workerAnswers.entries()) {
-        asked.workerAnswer = answer;
-        golden.check(`answer ${i}`, await caller.call('POST', '/agent/beat', encodeCbor(workerReport)));
+  test('golden: heartbeat responses are unchanged', () =>
+    withServer(async (client, handlers) => {
+      for (const [i, answer] of heartbeatResponses.entries()) {
+        handlers.heartbeatResponse = answer;
+        golden.check(`answer ${i}`, await client.call('POST', '/agent/beat', encodeCbor(wireHeartbeat)));
       }
     }));
 
--- a/test/golden/leader_records.ts
+++ b/test/golden/leader_records.ts
@@ -1,3 +1,4 @@
+/** Records the state store calls of an election for the golden files. */
 import { Controller } from '../../src/core/controller.js';
 import type { Input, StateStoreOperation, StateStoreResult } from '../../src/core/messages.js';
 import { LEADER_KEY, TERM_KEY } from '../../src/core/records.js';
@@ -13,18 +14,18 @@
 import { encodeCbor } from '../../src/io/wire/cbor.js';
 import { CURRENT_BUILD } from '../sim/build.js';
 import { makeSettings } from '../sim/deployment.js';
-import { cborEntry, type Golden } from './golden_file.js';
+import { cborWithText, type GoldenValue } from './golden_file.js';
 
-interface WrittenCall {
+interface EncodedCall {
   readonly path: string;
-  readonly body: Golden;
+  readonly body: GoldenValue;
 }
 
 const ELECTION_MS = 2000;
 const STEP_MS = 20;
 
-/** The state service as a candidate finds it: nobody leads. */
-function answer(op: StateStoreOperation, term: unknown): StateStoreResult {
+/** Returns the response of a state store without a leader record to a call of a candidate. */
+function respond(op: StateStoreOperation, term: unknown): StateStoreResult {
   const at = revision(700);
   switch (op.op) {
     case 'get':
@@ -48,46 +49,48 @@
   (op.op === 'get' && [LEADER_KEY, TERM_KEY].includes(op.key)) ||
   (op.op === 'compareAndSwap' && op.changes.some((change) => 'put' in change && change.put === LEADER_KEY));
 
-/** The calls with which a node takes the lead, as they go out, with such a term on record. */
-export function leaderRecordsOf(term: unknown, keepsZones: boolean): readonly WrittenCall[] {
-  const node = makeNode(keepsZones);
-  const calls: WrittenCall[] = [];
+/** Returns the encoded calls with which a controller becomes the leader if the stored term record is `term`. */
+export function electionCalls(term: unknown, recordsZones: boolean): readonly EncodedCall[] {
+  const controller = makeController(recordsZones);
+  const calls: EncodedCall[] = [];
   let inputs: Input[] = [{ kind: 'start' }];
   for (let ms = 0; ms < ELECTION_MS; ms += STEP_MS) {
-    const outputs = [...inputs, { kind: 'timer' } as const].flatMap((input) => node.step(at(ms), input));
+    const outputs = [...inputs, { kind: 'timer' } as const].flatMap((input) => controller.step(clockAt(ms), input));
     const sent = outputs.filter((output) => output.kind === 'stateStoreCall');
-    for (const { operation } of sent) if (isElection(operation)) calls.push(written(operation));
+    for (const { operation } of sent) if (isElection(operation)) calls.push(encodeCall(operation));
     inputs = sent.map(({ callId, operation }) => ({
       kind: 'stateStoreReply',
       callId,
-      result: answer(operation, term),
+      result: respond(operation, term),
     }));
   }
   return calls;
 }
 
-const at = (ms: number): ClockReading => ({
+const clockAt = (ms: number): ClockReading => ({
   monotonic: ms as MonotonicTime,
   wallClock: (1_790_000_000_000 + ms) as WallClockTime,
 });
 
-function makeNode(keepsZones: boolean): Controller {
+function makeController(recordsZones: boolean): Controller {
   const settings = makeSettings(
     'perch-1' as ControllerName,
     ['perch-1', 'perch-2'] as ControllerName[],
-    PRESENT_OPTIONS,
+    SETTINGS_OPTIONS,
     CURRENT_BUILD,
   );
-  const features = { recovery: { ...CURRENT_BUILD.features.recovery, enabled: keepsZones, record_zones: keepsZones } };
-  return new Controller(settings, CURRENT_BUILD.tuning, '0f3a', 1, at(0), features);
+  const features = {
+    recovery: { ...CURRENT_BUILD.features.recovery, enabled: recordsZones, record_zones: recordsZones },
+  };
+  return new Controller(settings, CURRENT_BUILD.tuning, '0f3a', 1, clockAt(0), features);
 }
 
-function written(op: StateStoreOperation): WrittenCall {
+function encodeCall(op: StateStoreOperation): EncodedCall {
   const { method, path, body } = encodeStateStoreRequest(op);
-  return { path: `${method} ${path}`, body: body ? cborEntry(encodeCbor(body)) : null };
+  return { path: `${method} ${path}`, body: body ? cborWithText(encodeCbor(body)) : null };
 }
 
-const PRESENT_OPTIONS = {
+const SETTINGS_OPTIONS = {
   seed: 1,
   controllers: 2,
   zones: ['a' as never],
--- a/test/golden/peer_cases.ts
+++ b/test/golden/peer_cases.ts
@@ -1,11 +1,12 @@
+/** Golden tests of the frames between controllers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { HeartbeatResponse, JobStatus, PeerStatus, UserResponse } from '../../src/core/messages.js';
 import type { Attempt, Command, ControllerName, FencingToken, JobId, MachineId } from '../../src/core/types.js';
 import { encodeFrame, FrameSplitter, type PeerFrame } from '../../src/io/peers/peer_codec.js';
 import { peerFrames as sampleFrames } from '../support/sample_messages.js';
-import { GoldenFile, hex, thrownBy, unhex } from './golden_file.js';
-import { emptyReport, fullReport, gangSpec, specs } from './samples.js';
+import { GoldenFile, hex, thrownMessage, unhex } from './golden_file.js';
+import { emptyHeartbeat, fullHeartbeat, gangSpec, specs } from './samples.js';
 
 const { id: job } = gangSpec;
 const machine = 'i-000231' as MachineId;
@@ -25,11 +26,11 @@
   prefersDirectHeartbeats,
   acknowledgesCancellations: acknowledges,
 });
-const statusFrames: PeerFrame[] = flags.flatMap((leading) =>
-  flags.flatMap((storeOk) =>
-    flags.flatMap((takes) =>
+const statusFrames: PeerFrame[] = flags.flatMap((isLeader) =>
+  flags.flatMap((storeReachable) =>
+    flags.flatMap((prefersDirect) =>
       flags.map((acknowledges): PeerFrame => {
-        return { kind: 'status', status: status(leading, storeOk, takes, acknowledges) };
+        return { kind: 'status', status: status(isLeader, storeReachable, prefersDirect, acknowledges) };
       }),
     ),
   ),
@@ -44,7 +45,7 @@
   ),
 ];
 
-const userAnswers: UserResponse[] = [
+const userResponses: UserResponse[] = [
   ...statuses.map((jobStatus): UserResponse => ({ status: 200, id: job, jobStatus, done: 3, running: 2 ** 32 - 1 })),
   { status: 201, id: job, jobStatus: 'queued', done: 0, running: 0 },
   { status: 400, problem: '' },
@@ -59,7 +60,7 @@
   { op: 'stop', job, index: 4, attempt: ((1n << 64n) - 1n) as Attempt, gracePeriodSeconds: 2.5 },
   { op: 'acknowledge', job, index: 99_999, attempt: 7n as Attempt },
 ];
-const workerAnswers: HeartbeatResponse[] = [
+const heartbeatResponses: HeartbeatResponse[] = [
   { status: 200, fencingToken: 41n as FencingToken, commands: [] },
   { status: 200, fencingToken: ((1n << 63n) + 1n) as FencingToken, commands },
   { status: 421, redirectTo: 'perch-2' as ControllerName },
@@ -71,17 +72,17 @@
   { kind: 'hello', sender: 'perch-1' as ControllerName },
   ...statusFrames,
   ...requestFrames,
-  ...userAnswers.map((response, i): PeerFrame => ({ kind: 'requestResponse', id: 20 + i, response })),
-  { kind: 'heartbeat', id: 40, heartbeat: fullReport },
-  { kind: 'heartbeat', id: 41, heartbeat: emptyReport },
-  ...workerAnswers.map((response, i): PeerFrame => ({ kind: 'heartbeatResponse', id: 50 + i, machine, response })),
+  ...userResponses.map((response, i): PeerFrame => ({ kind: 'requestResponse', id: 20 + i, response })),
+  { kind: 'heartbeat', id: 40, heartbeat: fullHeartbeat },
+  { kind: 'heartbeat', id: 41, heartbeat: emptyHeartbeat },
+  ...heartbeatResponses.map((response, i): PeerFrame => ({ kind: 'heartbeatResponse', id: 50 + i, machine, response })),
   { kind: 'cancellation', id: 60, job: 'job-00007' as JobId },
   { kind: 'cancellationAck', id: 60 },
   ...sampleFrames,
 ];
 
-/** Frames with one byte changed, and with bytes missing or added. */
-function spoiled(frame: Buffer): Buffer[] {
+/** Returns copies of the frame with one byte changed, and copies with bytes missing or added. */
+function corruptedCopies(frame: Buffer): Buffer[] {
   const changed = Array.from({ length: Math.min(frame.length, 140) }, (_, i) => {
     const copy = Buffer.from(frame);
     copy.writeUInt8(0xff - copy.readUInt8(i), i);
@@ -95,8 +96,11 @@
   return [...changed, ...resized];
 }
 
-/** What a receiver makes of bytes: the frames that it reads, written again; what it skips; why it ends the connection. */
-function readAs(bytes: Buffer): string {
+/**
+ * Returns how a receiver handles the bytes: the frames that it decodes (encoded again), the number of frames that it
+ * skips, or the error for which it closes the connection.
+ */
+function decodeAndDescribe(bytes: Buffer): string {
   const splitter = new FrameSplitter();
   try {
     const read = splitter.push(bytes).map((frame) => hex(encodeFrame(frame)));
@@ -106,11 +110,11 @@
   }
 }
 
-/** Every kind of frame between nodes, and what becomes of frames that are wrong. */
+/** Tests for every kind of frame between controllers, and for malformed frames. */
 export function peerTests(): void {
   const golden = new GoldenFile('peer_frames');
 
-  test('golden: frames between nodes are written as they were, and read back', () => {
+  test('golden: frames between controllers are encoded as before and can be decoded', () => {
     frames.forEach((frame, i) => {
       const bytes = encodeFrame(frame);
       golden.check(`frame ${i}`, hex(bytes));
@@ -118,14 +122,14 @@
     });
   });
 
-  test('golden: frames that are wrong are read, skipped or refused as they were', () => {
+  test('golden: malformed frames are decoded, skipped or rejected as before', () => {
     const last = new Map(frames.map((frame) => [encodeFrame(frame).readUInt8(5), frame]));
     for (const [kind, frame] of last) {
-      golden.check(`spoiled frames of kind ${kind}`, spoiled(encodeFrame(frame)).map(readAs));
+      golden.check(`spoiled frames of kind ${kind}`, corruptedCopies(encodeFrame(frame)).map(decodeAndDescribe));
     }
     golden.check('frame of a length out of bounds', [
-      thrownBy(() => new FrameSplitter().push(unhex('000400010300'))),
-      thrownBy(() => new FrameSplitter().push(unhex('000000010300'))),
+      thrownMessage(() => new FrameSplitter().push(unhex('000400010300'))),
+      thrownMessage(() => new FrameSplitter().push(unhex('000000010300'))),
     ]);
   });
 
--- a/test/golden/problem_cases.ts
+++ b/test/golden/problem_cases.ts
@@ -1,3 +1,4 @@
+/** Golden tests of the responses with which the core rejects users' requests. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Output, UserRequest, UserResponse } from '../../src/core/messages.js';
@@ -20,7 +21,7 @@
 import { type JobOptions, makeJobSpec } from '../sim/job_options.js';
 import { C8 } from '../sim/machine_types.js';
 import { World } from '../sim/world.js';
-import { cborEntry, type Golden, GoldenFile, hex } from './golden_file.js';
+import { cborWithText, GoldenFile, type GoldenValue, hex } from './golden_file.js';
 
 const zones = ['a', 'b'] as ZoneName[];
 const SETTLE_MS = 30_000;
@@ -37,17 +38,17 @@
   return new World({ seed: 3, controllers, zones, teams, types, capacity: 2, tuning: CURRENT_BUILD.tuning, limits });
 }
 
-const entryOf = (answer: UserResponse | null): Golden =>
+const entryOf = (answer: UserResponse | null): GoldenValue =>
   answer && {
     status: answer.status,
     retryAfter: 'retryAfterSeconds' in answer ? (answer.retryAfterSeconds ?? 0) : 0,
-    body: cborEntry(encodeCbor(encodeUserResponse(answer))),
+    body: cborWithText(encodeCbor(encodeUserResponse(answer))),
   };
 
-/** What a node answers, and how long that takes at most; null: nothing. */
-function ask(world: World, node: number, request: UserRequest): UserResponse | null {
+/** Sends a request to a controller and returns its response, or null if none arrives within `ANSWER_MS`. */
+function sendRequest(world: World, controllerIndex: number, request: UserRequest): UserResponse | null {
   let answer: UserResponse | null = null;
-  world.controllers[node]?.receiveUserRequest(request, (given) => {
+  world.controllers[controllerIndex]?.receiveUserRequest(request, (given) => {
     answer = given;
   });
   world.clock.runUntil(world.clock.now + ANSWER_MS);
@@ -55,9 +56,9 @@
 }
 
 const submit = (spec: JobSpec): UserRequest => ({ op: 'submit', id: spec.id, spec, problem: '' });
-const plain = makeJobSpec('job-1', 'array', { tasks: '2' });
+const smallArray = makeJobSpec('job-1', 'array', { tasks: '2' });
 
-const refusedOptions: Readonly<Record<string, readonly [JobSpec['kind'], JobOptions]>> = {
+const rejectedJobs: Readonly<Record<string, readonly [JobSpec['kind'], JobOptions]>> = {
   'team not known': ['array', { team: 'nobody' }],
   'more processors than any machine': ['array', { cpus: '9' }],
   'more memory than any machine': ['array', { memoryGb: '33' }],
@@ -71,68 +72,75 @@
   'longer than a value': ['array', { class: 'x'.repeat(700) }],
 };
 
-/** The words with which users' requests are refused, whatever part of the core refuses them. */
+/** Tests for the texts with which the core rejects users' requests. */
 export function problemTests(): void {
   const golden = new GoldenFile('problems');
 
-  test('golden: requests are refused with the words that they were refused with', () => {
+  test('golden: requests are rejected with the same texts as before', () => {
     const world = makeWorld(3);
     world.startControllers();
     world.clock.runUntil(SETTLE_MS);
-    const check = (entry: string, request: UserRequest): void => golden.check(entry, entryOf(ask(world, 0, request)));
-    for (const [name, [shape, options]] of Object.entries(refusedOptions)) {
+    const check = (entry: string, request: UserRequest): void =>
+      golden.check(entry, entryOf(sendRequest(world, 0, request)));
+    for (const [name, [shape, options]] of Object.entries(rejectedJobs)) {
       check(name, submit(makeJobSpec('job-9', shape, options)));
     }
     check('malformed', { op: 'submit', id: 'job-9' as JobId, spec: null, problem: 'crew is not a text' });
     check('asked for, not known', { op: 'query', id: 'job-9' as JobId });
     check('called off, not known', { op: 'cancel', id: 'job-9' as JobId });
-    check('taken', submit(plain));
-    check('taken before', submit(plain));
-    check('taken before, now malformed', { op: 'submit', id: plain.id, spec: null, problem: 'crew is not a text' });
-    check('called off', { op: 'cancel', id: plain.id });
-    check('called off before', { op: 'cancel', id: plain.id });
-    check('taken before and called off', submit(plain));
+    check('taken', submit(smallArray));
+    check('taken before', submit(smallArray));
+    check('taken before, now malformed', {
+      op: 'submit',
+      id: smallArray.id,
+      spec: null,
+      problem: 'crew is not a text',
+    });
+    check('called off', { op: 'cancel', id: smallArray.id });
+    check('called off before', { op: 'cancel', id: smallArray.id });
+    check('taken before and called off', submit(smallArray));
   });
 
-  test('golden: requests in an outage are refused with the words that they were refused with', () => {
+  test('golden: requests during a state store outage are rejected with the same texts as before', () => {
     const world = makeWorld(2);
     world.startControllers();
     world.clock.runUntil(SETTLE_MS);
     world.stateStore.outage(60_000);
-    const check = (entry: string, request: UserRequest): void => golden.check(entry, entryOf(ask(world, 0, request)));
-    check('outage: submission', submit(plain));
-    check('outage: question', { op: 'query', id: plain.id });
-    check('outage: calling off', { op: 'cancel', id: plain.id });
+    const check = (entry: string, request: UserRequest): void =>
+      golden.check(entry, entryOf(sendRequest(world, 0, request)));
+    check('outage: submission', submit(smallArray));
+    check('outage: question', { op: 'query', id: smallArray.id });
+    check('outage: calling off', { op: 'cancel', id: smallArray.id });
   });
 
-  test('golden: a request that no peer answers is refused with the words that it was refused with', () => {
+  test('golden: a request that no peer answers is rejected with the same text as before', () => {
     const world = makeWorld(2);
     world.startControllers();
     world.clock.runUntil(SETTLE_MS);
     world.stateStore.refusedHosts.add('perch-0');
     world.clock.runUntil(SETTLE_MS + 1500);
     world.network.partition('perch-0', 'perch-1', 10_000, 'drop');
-    golden.check('no peer answers', entryOf(ask(world, 0, submit(plain))));
+    golden.check('no peer answers', entryOf(sendRequest(world, 0, submit(smallArray))));
   });
 
-  test('golden: a node that knows no machine types says so as it did', () => {
+  test('golden: a controller without machine types rejects requests with the same text as before', () => {
     const world = makeWorld(1);
     world.network.partition('cloud', '*', 60_000, 'drop');
     world.startControllers();
     world.clock.runUntil(SETTLE_MS);
-    golden.check('no machine types', entryOf(ask(world, 0, submit(plain))));
+    golden.check('no machine types', entryOf(sendRequest(world, 0, submit(smallArray))));
   });
 
-  test('golden: answers that come too late are replaced as they were', () => {
+  test('golden: responses that are sent too late are replaced as before', () => {
     const late = { expiresAt: 5 as MonotonicTime };
-    const response: UserResponse = { status: 200, id: plain.id, jobStatus: 'queued', done: 0, running: 0 };
+    const response: UserResponse = { status: 200, id: smallArray.id, jobStatus: 'queued', done: 0, running: 0 };
     const machine = 'i-1' as MachineId;
     const recipient = 'perch-1' as ControllerName;
     const expired = (output: Output): Output | null => checkExpiry(output, 5 as MonotonicTime).output;
     const user = expired({ kind: 'userResponse', requestId: 1, response, ...late });
     assert.ok(user?.kind === 'userResponse');
     golden.check('late answer', entryOf(user.response));
-    const passedOn = expired({
+    const forwardedResponse = expired({
       kind: 'peerMessage',
       recipient,
       message: { kind: 'requestResponse', id: 1, response },
@@ -140,7 +148,7 @@
     });
     const report = { kind: 'heartbeatResponse', id: 2, machine, response: { status: 421, redirectTo: null } } as const;
     for (const [entry, output] of [
-      ['late answer of a peer', passedOn],
+      ['late answer of a peer', forwardedResponse],
       ['late answer of a peer to a report', expired({ kind: 'peerMessage', recipient, message: report, ...late })],
     ] as const) {
       assert.ok(output?.kind === 'peerMessage');
--- a/test/golden/record_cases.ts
+++ b/test/golden/record_cases.ts
@@ -1,24 +1,25 @@
+/** Golden tests of the records and keys in the state store. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as records from '../../src/core/records.js';
 import type { JobId, ZoneName } from '../../src/core/types.js';
 import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
-import { cborEntry, type Golden, GoldenFile, hex, unhex } from './golden_file.js';
-import { leaderRecordsOf } from './leader_records.js';
+import { cborWithText, GoldenFile, type GoldenValue, hex, unhex } from './golden_file.js';
+import { electionCalls } from './leader_records.js';
 import { gangSpec, jobRecords, machineRecords, scatteredRecord } from './samples.js';
 
 const VALUE_BYTES = 8192;
 const MAX_IMAGES = 16;
 
-const bytesOf = (entry: Golden): Buffer => unhex((entry as { cbor: string }).cbor);
+const bytesOf = (entry: GoldenValue): Buffer => unhex((entry as { cbor: string }).cbor);
 const comparable = (record: records.JobRecord | null): unknown => record && { ...record, done: record.done.pairs() };
-const rewritten = (value: unknown, valueBytes = VALUE_BYTES): Buffer => {
+const reencodeJob = (value: unknown, valueBytes = VALUE_BYTES): Buffer => {
   const record = records.decodeJob(value);
   assert.ok(record);
   return encodeCbor(records.encodeJob(record, valueBytes));
 };
 
-/** What earlier and later releases may have put on record, by its stored names. */
+/** A job description as other releases may have stored it, under its stored field names. */
 const storedSpec = {
   id: 'job-5',
   tasks: 9,
@@ -42,17 +43,17 @@
   deadlineS: null,
 };
 const storedJob = { v: 1, spec: storedSpec, at: 17, state: 'accepted', term: 3, zone: 'gh', done: [[0, 4]] };
-const { spotOk: _, deadlineS: __, ...storedSpecOfLess } = storedSpec;
+const { spotOk: _, deadlineS: __, ...storedSpecWithoutFields } = storedSpec;
 
-/** Records that this code doesn't write, and must write again with all that is in their description. */
-const foreignJobs: Readonly<Record<string, unknown>> = {
+/** Records that this release does not write itself. It must preserve the whole description when it writes them back. */
+const otherReleaseJobs: Readonly<Record<string, unknown>> = {
   'as written here': storedJob,
   'fields added to the description': {
     ...storedJob,
     spec: { added: [1, { two: 'three' }], ...storedSpec, colour: 'green', 7: 'seven', 'stored:x': null },
   },
   'fields added to the record': { ...storedJob, mood: 'good' },
-  'fields missing from the description': { ...storedJob, spec: storedSpecOfLess },
+  'fields missing from the description': { ...storedJob, spec: storedSpecWithoutFields },
   'an empty description': { ...storedJob, spec: {} },
   'zones that are no list': { ...storedJob, zones: 'gh' },
   'zones that are no names': { ...storedJob, zones: ['gh', 7] },
@@ -63,7 +64,7 @@
   'a description of wrong types': { ...storedJob, spec: { ...storedSpec, tasks: 'many', zone: 7 } },
 };
 
-const noJobs: readonly unknown[] = [
+const invalidJobs: readonly unknown[] = [
   null,
   undefined,
   7,
@@ -79,17 +80,17 @@
 ];
 
 function jobTests(golden: GoldenFile): void {
-  test('golden: job records are written as they were, and read back', () => {
+  test('golden: job records are encoded as before and can be decoded', () => {
     for (const [name, record] of Object.entries(jobRecords)) {
-      const entry = cborEntry(encodeCbor(records.encodeJob(record, VALUE_BYTES)));
+      const entry = cborWithText(encodeCbor(records.encodeJob(record, VALUE_BYTES)));
       golden.check(`job: ${name}`, entry);
       const value = decodeCbor(bytesOf(entry));
       assert.deepEqual(comparable(records.decodeJob(value)), comparable(record), name);
-      assert.deepEqual(rewritten(value), bytesOf(entry), name);
+      assert.deepEqual(reencodeJob(value), bytesOf(entry), name);
     }
   });
 
-  test('golden: a record whose results find no room holds as many as before', () => {
+  test('golden: a record that cannot hold all results holds as many as before', () => {
     for (let bytes = 400; bytes <= 8192; bytes += bytes < 900 ? 25 : 900) {
       const value = records.encodeJob(scatteredRecord, bytes);
       golden.check(`job in ${bytes} bytes`, [value.done.length, JSON.stringify(value).length, hex(encodeCbor(value))]);
@@ -101,15 +102,15 @@
     golden.check('least bytes of a value with two zones', least);
   });
 
-  test('golden: records of other releases are read and written again as they were', () => {
-    for (const [name, value] of Object.entries(foreignJobs)) {
-      golden.check(`job of another release: ${name}`, cborEntry(rewritten(decodeCbor(encodeCbor(value)))));
+  test('golden: records of other releases are decoded and encoded again as before', () => {
+    for (const [name, value] of Object.entries(otherReleaseJobs)) {
+      golden.check(`job of another release: ${name}`, cborWithText(reencodeJob(decodeCbor(encodeCbor(value)))));
     }
-    for (const value of noJobs) assert.equal(records.decodeJob(value), null);
+    for (const value of invalidJobs) assert.equal(records.decodeJob(value), null);
   });
 }
 
-const foreignPages: Readonly<Record<string, unknown>> = {
+const otherReleasePages: Readonly<Record<string, unknown>> = {
   'as written here': { v: 2, machines: [['i-1', 'h:1', 'c8', 'a', 0, 0.5, ['x']]] },
   'machines of a later release': {
     v: 2,
@@ -118,24 +119,24 @@
   'machines with less': { v: 2, machines: [['i-1'], ['i-2', null, 'c8', 'a', true, -1, 'x'], ['', 'h:1']] },
   'fields added': { v: 2, machines: [], more: 1 },
 };
-const noPages: readonly unknown[] = [null, 7, [], {}, { v: 1, machines: [] }, { v: 3, machines: [] }, { v: 2 }];
+const invalidPages: readonly unknown[] = [null, 7, [], {}, { v: 1, machines: [] }, { v: 3, machines: [] }, { v: 2 }];
 
 function pageTests(golden: GoldenFile): void {
-  test('golden: pages of machines are written as they were, and read back', () => {
+  test('golden: machine registry pages are encoded as before and can be decoded', () => {
     for (const images of [MAX_IMAGES, 2, 1, 0]) {
-      const entry = cborEntry(encodeCbor(records.encodePage(machineRecords, images)));
+      const entry = cborWithText(encodeCbor(records.encodePage(machineRecords, images)));
       golden.check(`page with ${images} images a machine`, entry);
       const page = records.decodePage(decodeCbor(bytesOf(entry)));
       assert.equal(page?.complete, true);
       if (images === MAX_IMAGES) assert.deepEqual(page?.machines, machineRecords);
       assert.deepEqual(encodeCbor(records.encodePage(page?.machines ?? [], images)), bytesOf(entry));
     }
-    for (const [name, value] of Object.entries(foreignPages)) {
+    for (const [name, value] of Object.entries(otherReleasePages)) {
       const page = records.decodePage(decodeCbor(encodeCbor(value)));
       assert.ok(page);
-      const { cbor, says } = cborEntry(encodeCbor(records.encodePage(page.machines, MAX_IMAGES))) as Record<
+      const { cbor, says } = cborWithText(encodeCbor(records.encodePage(page.machines, MAX_IMAGES))) as Record<
         string,
-        Golden
+        GoldenValue
       >;
       golden.check(`page of another release: ${name}`, {
         complete: page.complete,
@@ -143,12 +144,12 @@
         says: says ?? null,
       });
     }
-    for (const value of noPages) assert.equal(records.decodePage(value), null);
+    for (const value of invalidPages) assert.equal(records.decodePage(value), null);
   });
 }
 
 function leaderTests(golden: GoldenFile): void {
-  test('golden: keys are what they were', () => {
+  test('golden: keys are unchanged', () => {
     golden.check('keys', [
       records.LEADER_KEY,
       records.TERM_KEY,
@@ -161,7 +162,7 @@
     ]);
   });
 
-  test('golden: a new leader writes leader and term as it did', () => {
+  test('golden: a new leader writes the leader and term records as before', () => {
     const terms: Readonly<Record<string, unknown>> = {
       none: null,
       'an earlier one': { n: 4 },
@@ -169,17 +170,17 @@
       'one of a later release': { n: 4, zones: 9, more: true },
     };
     for (const [name, term] of Object.entries(terms)) {
-      for (const keepsZones of [false, true]) {
-        const made = leaderRecordsOf(term, keepsZones);
+      for (const recordsZones of [false, true]) {
+        const calls = electionCalls(term, recordsZones);
         golden.check(
-          `election, term on record: ${name}, zones kept: ${keepsZones}`,
-          made.map(({ path, body }) => [path, body]),
+          `election, term on record: ${name}, zones kept: ${recordsZones}`,
+          calls.map(({ path, body }) => [path, body]),
         );
       }
     }
   });
 
-  test('golden: the leader record is read back', () => {
+  test('golden: the leader record can be decoded', () => {
     const leader: records.LeaderRecord = { node: 'perch-1', incarnation: '0f3a', lease: '17', term: 4 };
     const stored = { node: 'perch-1', incarnation: '0f3a', lease: '17', term: 4 };
     assert.deepEqual(records.decodeLeader(decodeCbor(encodeCbor(stored))), leader);
@@ -187,7 +188,7 @@
   });
 }
 
-/** Every record and key that the state service holds. */
+/** Tests for all records and keys in the state store. */
 export function recordTests(): void {
   const golden = new GoldenFile('records');
   jobTests(golden);
--- a/test/golden/samples.ts
+++ b/test/golden/samples.ts
@@ -1,3 +1,4 @@
+/** Sample values of the core's types for the golden files. Each field of a value differs from the others. */
 import { RangeSet } from '../../src/core/jobs/range_set.js';
 import type { JobRecord, MachineRecord } from '../../src/core/records.js';
 import type {
@@ -21,9 +22,8 @@
   ZoneName,
 } from '../../src/core/types.js';
 import { decodeJobSpec } from '../../src/io/users/user_codec.js';
-import { wireJob as submission } from '../support/sample_messages.js';
+import { wireJob } from '../support/sample_messages.js';
 
-/** Values of the domain's own types, each field told apart from the others, from which the golden files are made. */
 export const gangSpec: JobSpec = {
   id: 'job-17' as JobId,
   jobClass: 'train',
@@ -69,35 +69,35 @@
   estimatedRuntimeSeconds: 0,
   checkpointIntervalSeconds: 0,
 };
-/** As submissions are read: its fields are in another order. */
-const submittedSpec: JobSpec = decodeJobSpec(submission);
+/** A specification decoded from a submission, with its fields in another order. */
+const submittedSpec: JobSpec = decodeJobSpec(wireJob);
 
-const shapes: JobKind[] = ['array', 'gang', 'service'];
-const ranks: PriorityLevel[] = [0, 1, 2, 3];
-const flags = [false, true];
+const jobKinds: JobKind[] = ['array', 'gang', 'service'];
+const priorityLevels: PriorityLevel[] = [0, 1, 2, 3];
+const booleans = [false, true];
 
-// The types of results are written out so that fields renamed by the compiler are renamed here too.
-const ranked = (kind: JobKind, priorityLevel: PriorityLevel): JobSpec => ({ ...gangSpec, kind, priorityLevel });
-const flagged = (singleZone: boolean, zoneSpread: boolean, toleratesSpot: boolean): JobSpec => ({
+// The return types are explicit, so that a rename of a field by the compiler also renames it here.
+const gangWith = (kind: JobKind, priorityLevel: PriorityLevel): JobSpec => ({ ...gangSpec, kind, priorityLevel });
+const arrayWithFlags = (singleZone: boolean, zoneSpread: boolean, toleratesSpot: boolean): JobSpec => ({
   ...arraySpec,
   singleZone,
   zoneSpread,
   toleratesSpot,
 });
 
-/** Descriptions with every value of each enumeration and flag. */
+/** Specifications with every value of each enumeration and flag. */
 export const specs: Readonly<Record<string, JobSpec>> = {
   gang: gangSpec,
   array: arraySpec,
   service: serviceSpec,
   submitted: submittedSpec,
   ...Object.fromEntries(
-    shapes.flatMap((shape) => ranks.map((rank) => [`${shape} of rank ${rank}`, ranked(shape, rank)])),
+    jobKinds.flatMap((shape) => priorityLevels.map((rank) => [`${shape} of rank ${rank}`, gangWith(shape, rank)])),
   ),
   ...Object.fromEntries(
     [0, 1, 2, 3, 4, 5, 6, 7].map((bits) => [
       `flags ${bits}`,
-      flagged((bits & 4) !== 0, (bits & 2) !== 0, (bits & 1) !== 0),
+      arrayWithFlags((bits & 4) !== 0, (bits & 2) !== 0, (bits & 1) !== 0),
     ]),
   ),
 };
@@ -114,7 +114,7 @@
 const fresh = (spec: JobSpec): JobRecord => ({ ...freshRecord, spec });
 const zones = ['a', 'b'] as ZoneName[];
 
-/** Records of jobs in every state. */
+/** Records of jobs in each state. */
 export const jobRecords: Readonly<Record<string, JobRecord>> = {
   ...Object.fromEntries(Object.entries(specs).map(([name, spec]) => [name, fresh(spec)])),
   started: { ...freshRecord, spec: arraySpec, startTerm: 7, startZone: 'a' as ZoneName },
@@ -132,7 +132,7 @@
   'cancelled service': { ...freshRecord, spec: serviceSpec, state: 'cancelled', startTerm: 4, startZones: zones },
 };
 
-/** An array of which every other task is done: more ranges than fit into most values. */
+/** An array with 400 separate ranges of done tasks, which are more than fit into most values. */
 export const scatteredRecord: JobRecord = {
   ...freshRecord,
   spec: arraySpec,
@@ -186,13 +186,13 @@
   };
 }
 
-/** Tasks in every phase, ended for every reason, with and without saved progress. */
-const taskReports: readonly TaskStatus[] = flags.flatMap((saved) => [
+/** Tasks in each phase and with each exit reason, with and without a saved checkpoint. */
+const taskStatuses: readonly TaskStatus[] = booleans.flatMap((saved) => [
   ...phases.map((phase, i) => task(i, saved, phase, null)),
   ...reasons.map((reason, i) => task(10 + i, saved, 'exited', reason)),
 ]);
 
-export const fullReport: Heartbeat = {
+export const fullHeartbeat: Heartbeat = {
   machine: 'i-000231' as MachineId,
   address: '10.1.0.232:9000',
   type: 'g8' as MachineTypeName,
@@ -202,10 +202,10 @@
   sequence: ((1n << 53n) + 1n) as SequenceNumber,
   fencingToken: ((1n << 64n) - 1n) as FencingToken,
   interruptionNoticeSeconds: 7.5,
-  tasks: taskReports,
+  tasks: taskStatuses,
 };
-export const emptyReport: Heartbeat = {
-  ...fullReport,
+export const emptyHeartbeat: Heartbeat = {
+  ...fullHeartbeat,
   spot: false,
   agentEpoch: 0n as AgentEpoch,
   sequence: 1n as SequenceNumber,
--- a/test/golden/service_cases.ts
+++ b/test/golden/service_cases.ts
@@ -1,3 +1,4 @@
+/** Golden tests of the calls to the state store, the cloud and the workers, and of the responses. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type {
@@ -31,20 +32,22 @@
   decodePushedCommandsResponse,
   encodePushedCommands,
 } from '../../src/io/workers/worker_codec.js';
-import { wireHeartbeat as wireReport } from '../support/sample_messages.js';
-import { cborEntry, type Golden, GoldenFile, thrownBy } from './golden_file.js';
+import { wireHeartbeat } from '../support/sample_messages.js';
+import { cborWithText, GoldenFile, type GoldenValue, thrownMessage } from './golden_file.js';
 import { gangSpec } from './samples.js';
 
 const MAX = (1n << 64n) - 1n;
 
-/** A call as it goes out; a body is bytes. */
-const callEntry = ({ method, path, body }: HttpRequest): Golden =>
-  body === undefined ? { line: `${method} ${path}` } : { line: `${method} ${path}`, body: cborEntry(encodeCbor(body)) };
+/** Returns the golden entry of an outgoing call, with its body encoded to bytes. */
+const callEntry = ({ method, path, body }: HttpRequest): GoldenValue =>
+  body === undefined
+    ? { line: `${method} ${path}` }
+    : { line: `${method} ${path}`, body: cborWithText(encodeCbor(body)) };
 
-/** A body as it comes in. */
+/** Returns the body as decoded from its encoding; null stays null. */
 const received = (body: unknown): unknown => (body === null ? null : decodeCbor(encodeCbor(body)));
 
-const storeCalls: Readonly<Record<string, StateStoreOperation>> = {
+const stateStoreCalls: Readonly<Record<string, StateStoreOperation>> = {
   get: { op: 'get', key: 'j/job-17' },
   'list from the start': { op: 'list', prefix: 'j/', after: null, limit: 100 },
   'list from a key on': { op: 'list', prefix: 'm/', after: 'm/3', limit: 7 },
@@ -71,7 +74,7 @@
   watch: { op: 'watch', prefix: 'j/', after: revision(MAX), waitMs: 1000 },
 };
 
-const storeAnswers: readonly (readonly [keyof typeof storeCalls, unknown, StateStoreResponse])[] = [
+const stateStoreResponses: readonly (readonly [keyof typeof stateStoreCalls, unknown, StateStoreResponse])[] = [
   [
     'get',
     { k: 'a/b', data: { x: 1 }, feather: 412, tether: 7 },
@@ -106,7 +109,7 @@
   ],
 ];
 
-const malformedStoreAnswers: readonly (readonly [keyof typeof storeCalls, number, unknown])[] = [
+const malformedStateStoreResponses: readonly (readonly [keyof typeof stateStoreCalls, number, unknown])[] = [
   ['get', 200, null],
   ['get', 200, { k: 7 }],
   ['get', 200, { k: 'a', data: 1, feather: -1 }],
@@ -122,19 +125,19 @@
   ['watch', 200, { news: [{ feather: 1 }], molt: 1 }],
 ];
 
-/** What the state service is asked, and what its answers mean. */
+/** Tests for calls to the state store and for the decoding of its responses. */
 export function storeTests(): void {
   const golden = new GoldenFile('state_service');
-  const callNamed = (name: string): StateStoreOperation => storeCalls[name] as StateStoreOperation;
+  const callNamed = (name: string): StateStoreOperation => stateStoreCalls[name] as StateStoreOperation;
 
-  test('golden: calls to the state service go out as they did', () => {
-    for (const [name, op] of Object.entries(storeCalls))
+  test('golden: calls to the state store are encoded as before', () => {
+    for (const [name, op] of Object.entries(stateStoreCalls))
       golden.check(`call: ${name}`, callEntry(encodeStateStoreRequest(op)));
   });
 
-  test('golden: answers of the state service are read as they were', () => {
-    for (const [name, body, value] of storeAnswers) {
-      golden.check(`answer: ${name}`, cborEntry(encodeCbor(body)));
+  test('golden: responses of the state store are decoded as before', () => {
+    for (const [name, body, value] of stateStoreResponses) {
+      golden.check(`answer: ${name}`, cborWithText(encodeCbor(body)));
       assert.deepEqual(decodeStateStoreResponse(callNamed(name), 200, received(body)), { ok: true, value });
     }
     assert.deepEqual(decodeStateStoreResponse(callNamed('get'), 404, received({ molt: 431 })), {
@@ -155,7 +158,7 @@
       [500, { ok: false, error: { code: 'outcomeUnknown' } }],
       [503, { ok: false, error: { code: 'unavailable' } }],
     ];
-    for (const [name, op] of Object.entries(storeCalls)) {
+    for (const [name, op] of Object.entries(stateStoreCalls)) {
       for (const [status, failure] of failures) {
         if (status === 404 && op.op === 'get') continue;
         assert.deepEqual(decodeStateStoreResponse(op, status, null), failure, `${name} ${status}`);
@@ -163,10 +166,10 @@
     }
   });
 
-  test('golden: malformed answers of the state service are refused with the same words', () => {
-    malformedStoreAnswers.forEach(([name, status, body], i) => {
-      const said = thrownBy(() => decodeStateStoreResponse(callNamed(name), status, received(body)));
-      golden.check(`malformed answer ${i}`, [name, status, cborEntry(encodeCbor(body)), said]);
+  test('golden: malformed responses of the state store are rejected with the same texts as before', () => {
+    malformedStateStoreResponses.forEach(([name, status, body], i) => {
+      const message = thrownMessage(() => decodeStateStoreResponse(callNamed(name), status, received(body)));
+      golden.check(`malformed answer ${i}`, [name, status, cborWithText(encodeCbor(body)), message]);
     });
   });
 
@@ -224,7 +227,7 @@
   ageSeconds: 7.5,
 };
 
-const cloudAnswers: readonly (readonly [keyof typeof cloudCalls, unknown, CloudResponse])[] = [
+const cloudResponses: readonly (readonly [keyof typeof cloudCalls, unknown, CloudResponse])[] = [
   ['types', { breeds: [{ ...wireType, more: 1 }] }, { machineTypes: [machineType] }],
   [
     'list from the start',
@@ -250,7 +253,7 @@
   ['delete', {}, {}],
 ];
 
-const malformedCloudAnswers: readonly (readonly [keyof typeof cloudCalls, unknown])[] = [
+const malformedCloudResponses: readonly (readonly [keyof typeof cloudCalls, unknown])[] = [
   ['types', null],
   ['types', { breeds: {} }],
   ['types', { breeds: [7] }],
@@ -264,19 +267,19 @@
   ['delete', []],
 ];
 
-/** What the cloud is asked, and what its answers mean. */
+/** Tests for calls to the cloud and for the decoding of its responses. */
 export function cloudTests(): void {
   const golden = new GoldenFile('cloud');
   const callNamed = (name: string): CloudOperation => cloudCalls[name] as CloudOperation;
 
-  test('golden: calls to the cloud go out as they did', () => {
+  test('golden: calls to the cloud are encoded as before', () => {
     for (const [name, op] of Object.entries(cloudCalls))
       golden.check(`call: ${name}`, callEntry(encodeCloudRequest(op)));
   });
 
-  test('golden: answers of the cloud are read as they were', () => {
-    for (const [name, body, value] of cloudAnswers) {
-      golden.check(`answer: ${name}`, cborEntry(encodeCbor(body)));
+  test('golden: responses of the cloud are decoded as before', () => {
+    for (const [name, body, value] of cloudResponses) {
+      golden.check(`answer: ${name}`, cborWithText(encodeCbor(body)));
       assert.deepEqual(decodeCloudResponse(callNamed(name), 200, received(body)), { ok: true, value });
     }
     const full = received({ error: 'no capacity' });
@@ -289,17 +292,17 @@
       [503, full, { ok: false, error: { code: 'noCapacity' } }, { ok: false, error: { code: 'unavailable' } }],
     ];
     for (const [name, op] of Object.entries(cloudCalls)) {
-      for (const [status, body, ofRent, ofOthers] of failures) {
-        const failure = op.op === 'provision' ? ofRent : ofOthers;
+      for (const [status, body, provisionResult, otherResult] of failures) {
+        const failure = op.op === 'provision' ? provisionResult : otherResult;
         assert.deepEqual(decodeCloudResponse(op, status, body), failure, `${name} ${status}`);
       }
     }
   });
 
-  test('golden: malformed answers of the cloud are refused with the same words', () => {
-    malformedCloudAnswers.forEach(([name, body], i) => {
-      const said = thrownBy(() => decodeCloudResponse(callNamed(name), 200, received(body)));
-      golden.check(`malformed answer ${i}`, [name, cborEntry(encodeCbor(body)), said]);
+  test('golden: malformed responses of the cloud are rejected with the same texts as before', () => {
+    malformedCloudResponses.forEach(([name, body], i) => {
+      const message = thrownMessage(() => decodeCloudResponse(callNamed(name), 200, received(body)));
+      golden.check(`malformed answer ${i}`, [name, cborWithText(encodeCbor(body)), message]);
     });
   });
 
@@ -307,7 +310,7 @@
 }
 
 const { id: job } = gangSpec;
-const workerCalls: Readonly<Record<string, CommandPush>> = {
+const commandPushes: Readonly<Record<string, CommandPush>> = {
   'no commands': { address: 'h:1', fencingToken: MAX as FencingToken, agentEpoch: 3n as AgentEpoch, commands: [] },
   'all commands': {
     address: 'h:1',
@@ -321,18 +324,18 @@
   },
 };
 
-/** What workers are sent directly, and what their answers mean; reports are in http_cases.ts. */
+/** Tests for commands pushed to workers and for the decoding of the responses. Heartbeats are in http_cases.ts. */
 export function commandTests(): void {
   const golden = new GoldenFile('worker_commands');
 
-  test('golden: commands to workers go out as they did', () => {
+  test('golden: commands to workers are encoded as before', () => {
     golden.check('path', COMMANDS_PATH);
-    for (const [name, op] of Object.entries(workerCalls))
-      golden.check(name, cborEntry(encodeCbor(encodePushedCommands(op))));
+    for (const [name, op] of Object.entries(commandPushes))
+      golden.check(name, cborWithText(encodeCbor(encodePushedCommands(op))));
   });
 
-  test('golden: answers of workers are read as they were', () => {
-    const body = received(wireReport);
+  test('golden: responses of workers are decoded as before', () => {
+    const body = received(wireHeartbeat);
     const values = [200, 409].map((status) => decodePushedCommandsResponse(status, body));
     const [executed, notExecuted] = values as [CommandPushResult, CommandPushResult];
     assert.ok(executed.ok && executed.value.executed);
@@ -343,7 +346,7 @@
     }
     golden.check(
       'malformed answer',
-      thrownBy(() => decodePushedCommandsResponse(200, null)),
+      thrownMessage(() => decodePushedCommandsResponse(200, null)),
     );
   });
 
--- a/test/golden/settings_cases.ts
+++ b/test/golden/settings_cases.ts
@@ -1,3 +1,4 @@
+/** Golden tests of the settings files and the command line. */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -8,7 +9,7 @@
 import { loadFeatures } from '../../src/config/features.js';
 import { loadPlatform } from '../../src/config/platform.js';
 import { loadTuning } from '../../src/config/tuning.js';
-import { type Golden, GoldenFile } from './golden_file.js';
+import { GoldenFile, type GoldenValue } from './golden_file.js';
 
 type Load = (file: string) => unknown;
 
@@ -20,13 +21,13 @@
 };
 const repositoryFile = (path: string): string => fileURLToPath(new URL(`../../../../${path}`, import.meta.url));
 
-/** Every value in a parsed result, whatever the code calls it, as a sorted list. */
-function leaves(value: unknown): string[] {
-  if (typeof value === 'object' && value !== null) return Object.values(value).flatMap(leaves).sort();
+/** Returns all values of a parsed result as a sorted list, without the names that the code gives them. */
+function leafValues(value: unknown): string[] {
+  if (typeof value === 'object' && value !== null) return Object.values(value).flatMap(leafValues).sort();
   return [JSON.stringify(value) ?? 'undefined'];
 }
 
-function without(list: readonly string[], others: readonly string[]): string[] {
+function difference(list: readonly string[], others: readonly string[]): string[] {
   const left = [...list];
   for (const other of others) {
     const index = left.indexOf(other);
@@ -35,26 +36,29 @@
   return left;
 }
 
-/** What a file is read as, beside what the base is read as; or the words with which it is refused. */
-function effect(load: Load, text: string, base: readonly string[]): Golden {
+/**
+ * Returns the values that the file loses (`goes`) and gains (`comes`) in comparison with `base`, or the error message
+ * if the file is rejected.
+ */
+function effectOf(load: Load, text: string, base: readonly string[]): GoldenValue {
   const file = fileOf('settings.toml', text);
   try {
-    const read = leaves(load(file));
-    return { goes: without(base, read), comes: without(read, base) };
+    const read = leafValues(load(file));
+    return { goes: difference(base, read), comes: difference(read, base) };
   } catch (error) {
     return (error as Error).message.replaceAll(file, 'FILE');
   }
 }
 
-/** Every place of a value or table in a TOML document. */
-function places(value: unknown, path: readonly string[] = []): string[][] {
+/** Returns the path of every value and table in a TOML document. */
+function pathsOf(value: unknown, path: readonly string[] = []): string[][] {
   const own = path.length > 0 ? [[...path]] : [];
   if (typeof value !== 'object' || value === null) return own;
-  return [...own, ...Object.entries(value).flatMap(([key, part]) => places(part, [...path, key]))];
+  return [...own, ...Object.entries(value).flatMap(([key, part]) => pathsOf(part, [...path, key]))];
 }
 
-/** The document with another value at a place; undefined: none. */
-function changed(table: TomlTable, path: readonly string[], value: unknown): string {
+/** Returns the document as text with another value at the path; undefined removes the value. */
+function withValueAt(table: TomlTable, path: readonly string[], value: unknown): string {
   const copy = structuredClone(table);
   let at = copy as Record<string, unknown>;
   for (const key of path.slice(0, -1)) at = at[key] as Record<string, unknown>;
@@ -87,7 +91,7 @@
   Number.POSITIVE_INFINITY,
 ];
 
-/** A platform's file with every key, and every value another one. */
+/** A platform's file that has every key, with distinct values. */
 const PLATFORM: TomlTable = {
   host_name: 'perch-1',
   area: 'a1',
@@ -125,7 +129,7 @@
   },
 };
 
-/** The operators' own files as they were delivered, key by key; later ones may say more. */
+/** The keys of the operators' files as first delivered. Later versions may have more keys. */
 const TUNING: TomlTable = {
   leadership: { lease_share: 0.3, margin_ms: 401, resign_after_ms: 6001, backoff_ms: 15_001, reports_cpu_share: 0.51 },
   scheduler: {
@@ -177,33 +181,33 @@
 ];
 
 function fileTests(golden: GoldenFile, name: string, load: Load, table: TomlTable): void {
-  test(`golden: every key of the ${name} file means what it meant`, () => {
-    const base = leaves(load(fileOf('base.toml', stringify(table))));
+  test(`golden: every key of the ${name} file has the same effect as before`, () => {
+    const base = leafValues(load(fileOf('base.toml', stringify(table))));
     golden.check(`${name}: all keys`, base);
-    for (const path of places(table)) {
+    for (const path of pathsOf(table)) {
       const key = `${name}: ${path.join('.')}`;
-      golden.check(`${key}, missing`, effect(load, changed(table, path, undefined), base));
+      golden.check(`${key}, missing`, effectOf(load, withValueAt(table, path, undefined), base));
       golden.check(
         `${key}, other values`,
-        OTHER_VALUES.map((value) => effect(load, changed(table, path, value), base)),
+        OTHER_VALUES.map((value) => effectOf(load, withValueAt(table, path, value), base)),
       );
     }
-    for (const path of places(table).filter((place) => place.length < 3)) {
+    for (const path of pathsOf(table).filter((place) => place.length < 3)) {
       golden.check(
         `${name}: a key beside ${path.join('.')}`,
-        effect(load, changed(table, [...path.slice(0, -1), 'unheard_of'], 7), base),
+        effectOf(load, withValueAt(table, [...path.slice(0, -1), 'unheard_of'], 7), base),
       );
     }
-    for (const text of ['', 'no toml', 'a = 1\na = 2']) golden.check(`${name}: "${text}"`, effect(load, text, base));
+    for (const text of ['', 'no toml', 'a = 1\na = 2']) golden.check(`${name}: "${text}"`, effectOf(load, text, base));
   });
 }
 
-/** Runs the program itself as operators do. */
+/** Tests that run the program from the command line, as operators do. */
 function programTests(golden: GoldenFile): void {
-  test('golden: command line, exit codes and messages are what they were', () => {
+  test('golden: command line, exit codes and messages are unchanged', () => {
     const main = fileURLToPath(new URL('../../src/main.js', import.meta.url));
     const config = fileOf('platform.toml', stringify(PLATFORM));
-    const wrong = fileOf('wrong.toml', changed(PLATFORM, ['deployment', 'state', 'rps'], 0));
+    const wrong = fileOf('wrong.toml', withValueAt(PLATFORM, ['deployment', 'state', 'rps'], 0));
     const files = [
       '--tuning',
       repositoryFile('deploy/tuning.toml'),
@@ -235,26 +239,26 @@
   });
 }
 
-/** Every key of the settings files, what each file is read as, and what is refused with which words. */
+/** Tests for every key of the settings files, the values that are read, and the error messages for invalid files. */
 export function settingsTests(): void {
   const golden = new GoldenFile('settings');
   fileTests(golden, 'platform', loadPlatform, PLATFORM);
   fileTests(golden, 'tuning', loadTuning, TUNING);
   fileTests(golden, 'features', loadFeatures, FEATURES);
 
-  test('golden: keys under their old names are refused', () => {
+  test('golden: old names of renamed keys are rejected', () => {
     for (const key of OLD_TUNING_KEYS) {
       const table = { ...TUNING, scheduler: { ...(TUNING.scheduler as TomlTable), [key]: 1 } };
-      golden.check(`tuning: old key ${key}`, effect(loadTuning, stringify(table), []));
+      golden.check(`tuning: old key ${key}`, effectOf(loadTuning, stringify(table), []));
     }
   });
 
-  test('golden: the delivered files have the keys that they had', () => {
+  test('golden: the keys of the files in deploy are unchanged', () => {
     for (const name of ['tuning', 'features', 'service']) {
       const table = parse(readFileSync(repositoryFile(`deploy/${name}.toml`), 'utf8'));
       golden.check(
         `keys of deploy/${name}.toml`,
-        places(table).map((path) => path.join('.')),
+        pathsOf(table).map((path) => path.join('.')),
       );
     }
   });
--- a/test/measure/cold_start.ts
+++ b/test/measure/cold_start.ts
@@ -1,3 +1,11 @@
+/**
+ * Measures a cold start in simulated worlds. All controllers crash at the same time and restart after 5 s, while 1 %
+ * of the machines or none disappear. Each world runs with the same seed on the production version and on the current
+ * version, with recovery off and on.
+ *   node target/check/test/measure/cold_start.js [--failures] [WORKERS ...]
+ * With --failures all tasks on 1 % of the machines fail while no controller is running, and the time until they run
+ * again is measured.
+ */
 import { type Histogram, build as makeHistogram } from 'hdr-histogram-js';
 import type { JobId, MachineId, TeamName, ZoneName } from '../../src/core/types.js';
 import { type Build, CURRENT_BUILD, FEATURES_OFF } from '../sim/build.js';
@@ -9,35 +17,28 @@
 import { crashControllers } from '../sim/scenario/events/controllers.js';
 import { World } from '../sim/world.js';
 
-/*
- * Measures a cold start on stand-ins: all controllers end at once and are back 5 s later, while one machine in a hundred
- * vanishes, or none does. The same seeds for the version in production and this one, with recovery off and on.
- *   node target/check/test/measure/cold_start.js [--failures] [WORKERS ...]
- * With --failures all tasks fail on one machine in a hundred while no controller is up; measured is when they run again.
- */
-
 const CRASH_SECONDS = 40;
 const RESTART_SECONDS = 5;
 const END_SECONDS = 100;
-/** Jobs differ in how long their tasks run, so that some end at any time. */
+/** The run time of tasks differs between jobs, so that tasks finish throughout the measurement. */
 const SHORTEST_RUN_SECONDS = 25;
 const RUN_STEP_SECONDS = 5;
 const RUN_LENGTHS = 10;
-/** Tasks take a core each. */
+/** Each task uses one core. */
 const TASKS_PER_MACHINE = C8.cpus;
 const VANISHING_SHARE = 0.01;
 const FAILING_SHARE = 0.01;
-/** So long after the crash tasks fail. */
+/** Time from the crash to the failure of tasks, in milliseconds. */
 const FAILURE_DELAY_MS = 2000;
 const SAMPLE_INTERVAL_MS = 20;
 const ZONES = ['a', 'b', 'c'] as ZoneName[];
 const TYPES = [{ ...C8, zones: ZONES }];
 const TEAMS = [{ name: 'crew' as TeamName, guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: 0, gpus: 0 } }];
 
-/** Processor time of the controllers' steps, in microseconds. */
+/** Total processor time of the controllers' steps, in microseconds. */
 let stepMicroseconds = 0;
 
-function meterSteps(): void {
+function instrumentSteps(): void {
   const { step } = ControllerProcess.prototype;
   ControllerProcess.prototype.step = function (input) {
     const before = process.cpuUsage();
@@ -66,7 +67,7 @@
   return world;
 }
 
-/** Arrays that fill all machines twice over; every other one has to be in one zone. */
+/** Submits arrays that need twice the capacity of all machines. Every second array must run in a single zone. */
 function submitWork(world: World, workers: number): void {
   const jobs = Math.max(4, Math.ceil(workers / 20));
   const tasks = Math.ceil((workers * TASKS_PER_MACHINE * 2) / jobs);
@@ -81,20 +82,20 @@
 }
 
 interface Measurement {
-  readonly renewed: Histogram;
-  /** Of a job begun before. */
+  readonly renewalTimes: Histogram;
+  /** Seconds from the election to the first start of a task of a job that had already started before the crash. */
   firstStartSeconds: number;
-  /** For each task that failed while no controller was up, how long after the election it was on a machine again. */
+  /** Seconds from the election until a task that failed while no controller was running is on a machine again. */
   readonly restartSeconds: number[];
 }
 
-/** A task that failed while no controller was up. */
+/** A task that failed while no controller was running. */
 interface FailedTask {
   readonly job: JobId;
   readonly index: number;
 }
 
-/** All tasks on these machines fail a moment after the crash; returns those that did, once they have. */
+/** Makes all tasks on these machines fail after `FAILURE_DELAY_MS`. Returns a list that is filled at that time. */
 function failTasksLater(world: World, machines: readonly MachineId[]): readonly FailedTask[] {
   const failed: FailedTask[] = [];
   world.clock.schedule(FAILURE_DELAY_MS, () => {
@@ -110,7 +111,7 @@
   return failed;
 }
 
-/** Watches tasks that failed until they are on a machine again. */
+/** Watches failed tasks until they are on a machine again. */
 class RestartWatch {
   private readonly restarted = new Set<FailedTask>();
 
@@ -119,41 +120,41 @@
     private readonly failed: readonly FailedTask[],
   ) {}
 
-  /** Returns those that are there again since it was last asked. */
-  takeNew(): FailedTask[] {
+  /** Returns the tasks that are on a machine again since the previous call. */
+  takeRestarted(): FailedTask[] {
     const { tasksOnMachines } = this.world.invariants;
-    const isAgainThere = ({ job, index }: FailedTask): boolean => tasksOnMachines.get(job)?.has(index) ?? false;
-    const found = this.failed.filter((task) => !this.restarted.has(task) && isAgainThere(task));
+    const isOnMachine = ({ job, index }: FailedTask): boolean => tasksOnMachines.get(job)?.has(index) ?? false;
+    const found = this.failed.filter((task) => !this.restarted.has(task) && isOnMachine(task));
     for (const task of found) this.restarted.add(task);
     return found;
   }
 }
 
-/** Watches the workers' side: when each was first answered by the new leader, and the first start after that. */
-function watchRecovery(world: World, lost: ReadonlySet<MachineId>, failed: readonly FailedTask[]): Measurement {
-  const renewed = makeHistogram({ highestTrackableValue: 120_000, numberOfSignificantValueDigits: 3 });
-  const measured: Measurement = { renewed, firstStartSeconds: Number.NaN, restartSeconds: [] };
+/** Measures when each worker gets its first response from the new leader, and when tasks are started again. */
+function watchRecovery(world: World, vanished: ReadonlySet<MachineId>, failed: readonly FailedTask[]): Measurement {
+  const renewalTimes = makeHistogram({ highestTrackableValue: 120_000, numberOfSignificantValueDigits: 3 });
+  const measured: Measurement = { renewalTimes, firstStartSeconds: Number.NaN, restartSeconds: [] };
   const restarts = new RestartWatch(world, failed);
   const startsBefore = new Map(world.invariants.startsByJob);
   const before = world.stateStore.item('leader')?.version;
-  const waiting = new Set([...world.workers.keys()].filter((id) => !lost.has(id)));
-  let ledAt: number | null = null;
-  const look = (): void => {
-    if (world.clock.now < END_SECONDS * 1000) world.clock.schedule(SAMPLE_INTERVAL_MS, look);
+  const waiting = new Set([...world.workers.keys()].filter((id) => !vanished.has(id)));
+  let electedAt: number | null = null;
+  const sample = (): void => {
+    if (world.clock.now < END_SECONDS * 1000) world.clock.schedule(SAMPLE_INTERVAL_MS, sample);
     const leader = world.stateStore.item('leader');
     if (!leader || leader.version === before) return;
-    ledAt ??= world.clock.now;
-    const sinceMs = world.clock.now - ledAt;
+    electedAt ??= world.clock.now;
+    const sinceMs = world.clock.now - electedAt;
     for (const id of waiting) {
       if ((world.workers.get(id)?.highestFencingToken ?? 0n) !== (leader.version as bigint)) continue;
-      renewed.recordValue(sinceMs);
+      renewalTimes.recordValue(sinceMs);
       waiting.delete(id);
     }
-    measured.restartSeconds.push(...restarts.takeNew().map(() => sinceMs / 1000));
+    measured.restartSeconds.push(...restarts.takeRestarted().map(() => sinceMs / 1000));
     if (Number.isNaN(measured.firstStartSeconds) && hasStartedMore(world, startsBefore))
       measured.firstStartSeconds = sinceMs / 1000;
   };
-  look();
+  sample();
   return measured;
 }
 
@@ -163,14 +164,14 @@
 }
 
 function restartCount(world: World): number {
-  let begun = 0;
+  let total = 0;
   for (const [id, starts] of world.invariants.startsByJob) {
-    begun += Math.max(0, starts - (world.invariants.submitted.get(id)?.taskCount ?? 0));
+    total += Math.max(0, starts - (world.invariants.submitted.get(id)?.taskCount ?? 0));
   }
-  return begun;
+  return total;
 }
 
-/** The median and the largest of some times, and how many of `all` they are. */
+/** Returns the median and the maximum as text, with the number of times out of `all`. */
 function describeTimes(seconds: readonly number[], all: number): string {
   if (all === 0) return '-';
   const sorted = [...seconds].sort((first, second) => first - second);
@@ -179,15 +180,15 @@
   return `${median.toFixed(2)}/${largest.toFixed(2)} (${sorted.length} of ${all})`;
 }
 
-/** What one of the measured worlds meets. */
-interface Case {
+/** Conditions of one measured world. */
+interface MeasuredCase {
   readonly workers: number;
   readonly build: Build;
   readonly vanish: boolean;
   readonly failures: boolean;
 }
 
-function measure({ workers, build, vanish, failures }: Case, oldVersions: ReadonlyMap<string, Build>): string {
+function measure({ workers, build, vanish, failures }: MeasuredCase, oldVersions: ReadonlyMap<string, Build>): string {
   const world = makeWorld(workers, build, oldVersions);
   submitWork(world, workers);
   world.startControllers();
@@ -196,30 +197,30 @@
   const ids = [...world.workers.keys()];
   const vanishing = Math.ceil(workers * VANISHING_SHARE);
   const failing = failures ? Math.ceil(workers * FAILING_SHARE) : 0;
-  const lost = new Set(ids.slice(0, vanish ? vanishing : 0));
+  const vanished = new Set(ids.slice(0, vanish ? vanishing : 0));
   crashControllers(world, 'all', String(RESTART_SECONDS));
-  for (const id of lost) world.cloud.interrupt(id);
+  for (const id of vanished) world.cloud.interrupt(id);
   world.commandCounts.reset();
   const failed = failTasksLater(world, ids.slice(vanishing, vanishing + failing));
-  const measured = watchRecovery(world, lost, failed);
+  const measured = watchRecovery(world, vanished, failed);
   stepMicroseconds = 0;
   world.clock.runUntil(END_SECONDS * 1000);
-  const { renewed, firstStartSeconds, restartSeconds } = measured;
-  const orders = (['start', 'stop', 'acknowledge', 'inquiry'] as const)
+  const { renewalTimes, firstStartSeconds, restartSeconds } = measured;
+  const commands = (['start', 'stop', 'acknowledge', 'inquiry'] as const)
     .map((kind) => world.commandCounts.count(kind))
     .join('/');
   const restarted = Math.max(0, restartCount(world));
-  const times = [renewed.getValueAtPercentile(50), renewed.getValueAtPercentile(99), renewed.maxValue];
-  const told = times.map((ms) => (ms / 1000).toFixed(2)).join('/');
+  const times = [renewalTimes.getValueAtPercentile(50), renewalTimes.getValueAtPercentile(99), renewalTimes.maxValue];
+  const renewalSeconds = times.map((ms) => (ms / 1000).toFixed(2)).join('/');
   const summary = world.leader()?.recoverySummary();
   const certainS = summary?.finishedAt ? ((summary.finishedAt - summary.startedAt) / 1000).toFixed(2) : '-';
   const cells = [
     workers,
     vanish ? '1 %' : 'none',
     build.name,
-    orders,
+    commands,
     restarted,
-    told,
+    renewalSeconds,
     firstStartSeconds.toFixed(2),
     certainS,
     describeTimes(restartSeconds, failed.length),
@@ -228,17 +229,19 @@
   return `| ${[...cells, losses, (stepMicroseconds / 1e6).toFixed(2)].join(' | ')} |`;
 }
 
-const words = process.argv.slice(2);
-const failures = words.includes('--failures');
-const sizes = words.filter((word) => word !== '--failures').map(Number);
+const args = process.argv.slice(2);
+const failures = args.includes('--failures');
+const sizes = args.filter((word) => word !== '--failures').map(Number);
 const oldVersions = await loadOldVersions();
 const production = oldVersions.get('production');
-if (!production) throw new Error('the version in production is not built');
-meterSteps();
+if (!production) throw new Error('the production version is not built: run tools/old_versions.sh');
+instrumentSteps();
+console.log(
+  '| workers | vanished | build | start/stop/acknowledge/inquiry | restarts | renewal p50/p99/max s | first start s |',
+);
 console.log(
-  '| workers | vanish | build | start/stop/forget/inquiry | begun again | renewed p50/p99/max s | begun job goes on s |',
+  '  recovery finished s | failed tasks restarted p50/max s | expired leases/violations | steps, s of processor time |',
 );
-console.log('  certain s | failed tasks again p50/max s | leases lost/rules broken | steps, s of processor time |');
 for (const workers of sizes.length > 0 ? sizes : [30, 600, 4000]) {
   for (const vanish of [false, true]) {
     for (const build of [production, FEATURES_OFF, CURRENT_BUILD])
--- a/test/measure/speed.ts
+++ b/test/measure/speed.ts
@@ -1,10 +1,10 @@
 /**
- * Times two builds beside each other in one process: reading of heartbeats, controllers' steps and steps with a planning
- * round, on the same seeded worlds, in turns. Prints a table with medians and the ratio of the second to the first; of a
- * world's steps each counts with its fastest run.
+ * Compares the speed of two builds in one process: the decoding of heartbeats, and the controllers' steps without and
+ * with a planning round. Both builds take turns on the same seeded worlds. Prints a table with medians and the ratio
+ * of the second build to the first. For each step of a world, the fastest run counts.
  *   node target/check/test/measure/speed.js NAME=DRIVER.js NAME=DRIVER.js
- * A driver is a module that exports `driver`, such as speed_driver.js beside this file; one for an earlier build says what it
- * needs by that build's names.
+ * A driver is a module that exports `driver`, such as speed_driver.js in this directory. A driver for an earlier
+ * build uses the names of that build.
  */
 import { resolve } from 'node:path';
 import { fileURLToPath, pathToFileURL } from 'node:url';
@@ -19,7 +19,7 @@
   readonly atMs: number;
 }
 
-/** A seeded world, by names of its own, so that a driver of any build can make it. */
+/** A seeded world, described without types of the core, so that a driver of any build can create it. */
 export interface WorldPlan {
   readonly seed: number;
   readonly controllers: number;
@@ -35,15 +35,15 @@
   readonly seconds: number;
 }
 
-/** How long steps of controllers took, in nanoseconds, in their order; `rounds`: those that planned. */
+/** Durations of the controllers' steps in order, in nanoseconds. `rounds` has only the steps with a planning round. */
 export interface StepTimes {
   readonly steps: readonly number[];
   readonly rounds: readonly number[];
 }
 
-/** What a build's driver offers. */
+/** The interface of a build's driver. */
 export interface SpeedDriver {
-  /** Operations to be timed by name, the same names from every driver, on a heartbeat as it comes over the wire. */
+  /** Returns the operations to time on a heartbeat in wire format, by name. All drivers must use the same names. */
   heartbeatOperations(wireHeartbeat: unknown, tasks: number): Readonly<Record<string, () => unknown>>;
   playWorld(plan: WorldPlan): StepTimes;
 }
@@ -75,13 +75,13 @@
   let last: unknown;
   const before = process.hrtime.bigint();
   for (let i = 0; i < times; i++) last = operation();
-  const took = Number(process.hrtime.bigint() - before);
-  // Looked at, so that the compiler can't leave the operations out.
-  if (last === undefined) throw new Error('an operation made nothing');
-  return took / times;
+  const elapsedNs = Number(process.hrtime.bigint() - before);
+  // Using the result keeps the compiler from removing the operations.
+  if (last === undefined) throw new Error('a timed operation returned undefined');
+  return elapsedNs / times;
 }
 
-/** How many times an operation fits into a batch. */
+/** Returns how many times an operation must be repeated for a batch to take at least `BATCH_MS`. */
 function batchSize(operation: () => unknown): number {
   let times = 16;
   while (timeBatch(operation, times) * times < BATCH_MS * NS_PER_MS) times *= 2;
@@ -115,15 +115,15 @@
   };
 }
 
-/** Batches of both sides in turns, so that whatever else the machine does meets both alike. */
+/** Runs batches of both builds in turns, so that other load on the computer affects both alike. */
 function compareOperation(name: string, operations: readonly [() => unknown, () => unknown]): void {
   const sizes = operations.map(batchSize) as [number, number];
   const times: [number[], number[]] = [[], []];
   for (let batch = 0; batch < WARM_UP_BATCHES + BATCHES; batch++) {
     const order = batch % 2 === 0 ? ([0, 1] as const) : ([1, 0] as const);
     for (const side of order) {
-      const took = timeBatch(operations[side], sizes[side]);
-      if (batch >= WARM_UP_BATCHES) times[side].push(took);
+      const nsPerOperation = timeBatch(operations[side], sizes[side]);
+      if (batch >= WARM_UP_BATCHES) times[side].push(nsPerOperation);
     }
   }
   printRow(name, 'ns', [median(times[0]), median(times[1])]);
@@ -142,7 +142,10 @@
   }
 }
 
-/** Machines that are full twice over, with gangs, services and arrays of all priorities, submitted within half a minute. */
+/**
+ * Returns a world whose jobs need twice the capacity of its machines. Gangs, services and arrays of all priorities are
+ * submitted within half a minute.
+ */
 function makeWorldPlan(machines: number): WorldPlan {
   const kinds = ['array', 'array', 'gang', 'service'] as const;
   const jobs = Array.from({ length: machines }, (_, i): JobPlan => {
@@ -155,10 +158,14 @@
   return { seed: 11, controllers: 3, machines, zones: ['a', 'b', 'c'], machineType, jobs, seconds: 60 };
 }
 
-/** The fastest run of each step, at the same index: a run of the same plan takes the same steps, whatever else is busy. */
+/**
+ * Returns the shortest duration of each step over all runs. Runs of the same plan take the same steps, whatever the
+ * load on the computer, so steps correspond by index.
+ */
 function fastest(runs: readonly (readonly number[])[]): number[] {
   const [first = [], ...others] = runs;
-  if (others.some(({ length }) => length !== first.length)) throw new Error('runs of one plan differ in their steps');
+  if (others.some(({ length }) => length !== first.length))
+    throw new Error('runs of the same plan must have the same number of steps');
   return first.map((ns, i) => others.reduce((least, run) => Math.min(least, run[i] ?? least), ns));
 }
 
@@ -201,12 +208,12 @@
 
 async function main(): Promise<void> {
   const [first, second] = process.argv.slice(2);
-  if (!first || !second) throw new Error('two drivers are needed: NAME=DRIVER.js NAME=DRIVER.js');
+  if (!first || !second) throw new Error('expected two drivers as arguments: NAME=DRIVER.js NAME=DRIVER.js');
   const pair = [await loadSide(first), await loadSide(second)] as const;
   console.log(`| | ${pair[0].name} | ${pair[1].name} | ratio |\n|---|---|---|---|`);
   compareHeartbeats(pair);
   for (const machines of [30, 120]) compareWorld(pair, machines);
 }
 
-// A driver imports types of this module alone; run as a program it compares.
+// Drivers import only the types of this module. The comparison runs only if this module is the main program.
 if (process.argv[1] && fileURLToPath(import.meta.url) === resolve(process.argv[1])) await main();
--- a/test/measure/speed_driver.ts
+++ b/test/measure/speed_driver.ts
@@ -1,4 +1,4 @@
-/** What the speed comparison (speed.ts) times of this build. */
+/** The driver with which the speed comparison (speed.ts) times this build. */
 import { Controller } from '../../src/core/controller.js';
 import type { MachineType, MachineTypeName, TeamName, ZoneName } from '../../src/core/types.js';
 import { encodeFrame, FrameSplitter } from '../../src/io/peers/peer_codec.js';
@@ -10,7 +10,9 @@
 import { World } from '../sim/world.js';
 import type { SpeedDriver, StepTimes, WorldPlan } from './speed.js';
 
-/** Told of each step: how long it took in nanoseconds, and whether it planned; null: steps aren't timed. */
+/**
+ * Called after each step with its duration in nanoseconds and whether it ran a planning round. Null while not timing.
+ */
 let onStep: ((ns: number, isRound: boolean) => void) | null = null;
 
 function timeSteps(): void {
@@ -19,9 +21,9 @@
     if (onStep === null) return step.call(this, now, input);
     const before = process.hrtime.bigint();
     const outputs = step.call(this, now, input);
-    const took = Number(process.hrtime.bigint() - before);
+    const elapsedNs = Number(process.hrtime.bigint() - before);
     const isRound = outputs.some((output) => output.kind === 'log' && output.event === 'planning round');
-    onStep(took, isRound);
+    onStep(elapsedNs, isRound);
     return outputs;
   };
 }
