--- a/test/golden/http_cases.ts
+++ b/test/golden/http_cases.ts
@@ -234,7 +234,7 @@
 }
 
 /** Tests for all heartbeats of workers, and for the responses. */
-export function reportTests(): void {
+export function heartbeatTests(): void {
   const golden = new GoldenFile('worker_reports');
 
   test('golden: heartbeats are accepted or rejected as before', () =>
--- a/test/golden/service_cases.ts
+++ b/test/golden/service_cases.ts
@@ -126,7 +126,7 @@
 ];
 
 /** Tests for calls to the state store and for the decoding of its responses. */
-export function storeTests(): void {
+export function stateStoreTests(): void {
   const golden = new GoldenFile('state_service');
   const callNamed = (name: string): StateStoreOperation => stateStoreCalls[name] as StateStoreOperation;
 
