--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -11,7 +11,7 @@
 
 /** Maximum period that one observation adds to the spot interruption rate, in seconds. */
 const MAX_OBSERVED_SECONDS = 5;
-/** Spot-tolerant work on on-demand machines, as a number of machines, from which a spot machine is requested. */
+/** Minimum spot-tolerant work on on-demand machines for which a spot machine is requested, as a number of machines. */
 const MIN_SPOT_ELIGIBLE_MACHINES = 0.7;
 /** Maximum ratio of the spot price to the on-demand price at which on-demand machines are replaced. */
 const MAX_SPOT_PRICE_RATIO = 0.6;
--- a/src/core/autoscaling/machine_list.ts
+++ b/src/core/autoscaling/machine_list.ts
@@ -10,8 +10,8 @@
 const MAX_LISTED_MACHINES = 20_000;
 
 /**
- * The cloud's list of machines, which lags behind. A machine that is missing from it may still exist, but a listed
- * machine may be one that this leader did not know.
+ * Reads the cloud's list of machines, which may be out of date. A machine that is missing from the list is not removed,
+ * because it may still exist. A listed machine that this leader did not know is added.
  */
 export class MachineList {
   private readInFlight = false;
--- a/src/core/autoscaling/scale_in.ts
+++ b/src/core/autoscaling/scale_in.ts
@@ -24,7 +24,10 @@
 const NEW_LEADER_GRACE_PERIODS = 3;
 /** Heartbeat intervals without contact after which a spot machine counts as lost. */
 const SPOT_LOST_AFTER_PERIODS = 4;
-/** Time beyond the lease duration after which a machine without contact, or unresponsive, is terminated. */
+/**
+ * Time beyond the lease duration after which a machine without contact, or unresponsive, is terminated, in
+ * milliseconds.
+ */
 const TERMINATE_AFTER_LEASE_MS = 15_000;
 /** Lower bound of the boot timeout. */
 const MIN_BOOT_TIMEOUT_SECONDS = 30;
@@ -125,8 +128,8 @@
   }
 
   /**
-   * Returns a reason if the machine is idle and no guarantee needs its capacity, which is then subtracted from the
-   * surplus in `deficit`.
+   * Returns a reason if the machine is idle and no guarantee needs its capacity. The capacity is then subtracted from
+   * the surplus in `deficit`.
    */
   private idleReason(machine: Machine, deficit: Capacity): DrainReason | null {
     if (machine.cordon.isDraining || machine.phase === 'booting') return null;
--- a/src/core/autoscaling/scale_out.ts
+++ b/src/core/autoscaling/scale_out.ts
@@ -13,9 +13,9 @@
  * Time during which a request with an unknown outcome is retried, in milliseconds. Its idempotency key makes this safe.
  */
 const RETRY_WINDOW_MS = 20_000;
-/** Factor by which the backoff grows with each refusal in a row. */
+/** Factor by which the backoff grows with each consecutive refusal. */
 const BACKOFF_FACTOR = 1.5;
-/** Number of refusals in a row after which the backoff no longer grows. */
+/** Number of consecutive refusals after which the backoff no longer grows. */
 const MAX_BACKOFF_STEPS = 4;
 
 /** A pending request for machines. `requestId` is its idempotency key, so that it can be sent again. */
@@ -38,7 +38,7 @@
   private readonly backoffs = new Map<string, CapacityBackoff>();
   private requestCount = 0;
 
-  /** `register` is called for each provisioned machine, which must be stored in the registry before it is used. */
+  /** `register` is called for each provisioned machine, whose record must be stored before tasks are started on it. */
   constructor(
     private readonly cluster: Cluster,
     private readonly register: (machine: Machine) => void,
@@ -134,7 +134,7 @@
     }
   }
 
-  /** Starts or extends the backoff of a pool. It grows with each refusal in a row. */
+  /** Starts or extends the backoff of a pool. It grows with each consecutive refusal. */
   private backOff(pool: CapacityPool): void {
     const key = capacityPoolKey(pool);
     const refusalCount = Math.min(MAX_BACKOFF_STEPS, (this.backoffs.get(key)?.refusalCount ?? 0) + 1);
--- a/src/core/autoscaling/scale_out_demand.ts
+++ b/src/core/autoscaling/scale_out_demand.ts
@@ -26,7 +26,7 @@
   readonly unplaced: boolean;
 }
 
-/** Demand for machines of one pool. `machines` is fractional and summed over jobs. `minimum` is a lower bound. */
+/** Demand for machines of one pool. `machines` is fractional and summed over jobs. At least `minimum` are needed. */
 interface PoolDemand {
   readonly pool: CapacityPool;
   machines: number;
--- a/src/core/clients/call_queue.ts
+++ b/src/core/clients/call_queue.ts
@@ -3,8 +3,8 @@
 import type { TokenBucket } from './token_bucket.js';
 
 /**
- * Priority of a call. Lower values are sent first. The order is the leader election and its lease, calls that the
- * leader needs to act, users' requests, and calls that can be deferred.
+ * Priority of a call. Lower values are sent first. Priority 0 is for the leader election and lease, 1 for calls that
+ * the leader needs to act, 2 mainly for users' requests, and higher values are for calls that can be deferred.
  */
 export type CallPriority = 0 | 1 | 2 | 3 | 4;
 const PRIORITY_COUNT = 5;
--- a/src/core/clients/cloud_client.ts
+++ b/src/core/clients/cloud_client.ts
@@ -23,7 +23,7 @@
 export class CloudClient {
   private readonly openCalls = new OpenCalls<OnResult>();
   private readonly queue: CallQueue;
-  /** Has no work of its own. It starts a step of the controller, at whose end queued calls are sent. */
+  /** Has no callback. Its expiry starts a step of the controller, and queued calls are sent at the end of each step. */
   private readonly queueTimer: Timer;
 
   constructor(
--- a/src/core/clients/state_store_client.ts
+++ b/src/core/clients/state_store_client.ts
@@ -26,7 +26,10 @@
   readonly timeoutMs?: number;
   /** Maximum wait for tokens before the call is sent, in milliseconds. A call that has to wait longer is refused. */
   readonly maxQueueTimeMs?: number;
-  /** Whether a call that certainly can't be sent within `maxQueueTimeMs` is refused at once. For callers that wait. */
+  /**
+   * Whether the call is refused at once if it can't be sent within `maxQueueTimeMs`. Set if someone waits for the
+   * result.
+   */
   readonly failFast?: boolean;
   /** Called when the call is sent. */
   readonly onSend?: (at: MonotonicTime) => void;
@@ -39,7 +42,7 @@
   readonly isWrite: boolean;
 }
 
-/** Shares of the limits that the leader, and all followers together, use. Their sum exceeds the whole. */
+/** Shares of the limits that the leader uses and that all followers together use. They add up to more than 1. */
 const LEADER_SHARE = 0.65;
 const FOLLOWERS_SHARE = 0.7;
 const DEFAULT_TIMEOUT_MS = 1500;
@@ -68,7 +71,7 @@
   private readonly requestTokens: TokenBucket;
   private readonly writeTokens: TokenBucket;
   private readonly queue: CallQueue;
-  /** Has no work of its own. It starts a step of the controller, at whose end queued calls are sent. */
+  /** Has no callback. Its expiry starts a step of the controller, and queued calls are sent at the end of each step. */
   private readonly queueTimer: Timer;
 
   /** `controllerCount`: the number of controllers that share the limits. */
@@ -106,7 +109,7 @@
 
   /**
    * Sets the buckets to this controller's share of the limits. The controllers divide the limits without coordination.
-   * Most writes come from the leader, so it uses the larger share, and the followers divide the other one among them. A
+   * Most writes come from the leader, so it uses the larger share, and the followers divide the other share equally. A
    * controller pauses when the state store refuses a call.
    */
   private resizeBuckets(): void {
--- a/src/core/scheduler/apply.ts
+++ b/src/core/scheduler/apply.ts
@@ -70,7 +70,7 @@
   return placed;
 }
 
-/** Places all tasks of a gang or none of them (Eq. (8) of the paper). */
+/** Places all tasks of a gang or none of them (Eq. (8) of the EVO-GP paper). */
 function placeGang(
   cluster: SchedulableCluster,
   job: Job,
--- a/src/core/scheduler/backfill.ts
+++ b/src/core/scheduler/backfill.ts
@@ -23,7 +23,7 @@
 }
 
 /**
- * Starts jobs in order of rank on the capacity that is free now. Without the backfill machines would stand idle,
+ * Starts jobs in order of rank on the capacity that is free now. Without the backfill, machines would stand idle,
  * because a round plans only a limited number of jobs in full. No start of the plan is delayed. Returns the starts, all
  * of them due now.
  */
--- a/src/core/scheduler/candidates.ts
+++ b/src/core/scheduler/candidates.ts
@@ -73,7 +73,7 @@
 }
 
 /**
- * Returns whether the job may use the machine: it tolerates spot instances or the machine is not one, the machine is
+ * Returns whether the job may use the machine: it tolerates spot machines or the machine is not one, the machine is
  * not excluded, and spare capacity is sufficient where the job is limited to it. The machine type is not checked.
  */
 const isEligible = (job: PlanJob, machine: PlanMachine): boolean =>
--- a/src/core/scheduler/capacity_timeline.ts
+++ b/src/core/scheduler/capacity_timeline.ts
@@ -1,7 +1,7 @@
 /**
  * Operations on a machine's free capacity over time, σ(n, t) of Eq. (13) in the EVO-GP paper. `step` is an index into
- * the machine's `stepTimesSeconds`. They run many thousand times a round and therefore allocate no objects, apart from
- * the copy that `clonePlanMachine` returns.
+ * the machine's `stepTimesSeconds`. The operations run many thousands of times per round. They therefore allocate no
+ * objects, apart from the copy that `clonePlanMachine` returns.
  */
 import { countFitting, RESOURCE_TOLERANCE as TOLERANCE } from '../resource_amounts.js';
 import type { MachineType, Resources } from '../types.js';
@@ -52,7 +52,7 @@
   );
 }
 
-/** Returns how many tasks fit for `durationSeconds` from a step on (the node capacity of Eq. (9), over time). */
+/** Returns how many tasks fit for `durationSeconds` from a step on (the machine capacity of Eq. (9), over time). */
 export function fittingTasks(machine: PlanMachine, step: number, durationSeconds: number, task: Resources): number {
   const untilSeconds = elementAt(machine.stepTimesSeconds, step) + durationSeconds;
   let cpus = Number.POSITIVE_INFINITY;
--- a/src/core/scheduler/eviction.ts
+++ b/src/core/scheduler/eviction.ts
@@ -24,8 +24,8 @@
 }
 
 /**
- * Returns an eviction after which one task of the job fits on the machine, or null if there is none. To keep it cheap,
- * tasks are evicted in ascending order of lost work until the task fits.
+ * Returns an eviction after which one task of the job fits on the machine, or null if there is none. To keep its cost
+ * low, tasks are selected in ascending order of lost work until the task fits.
  */
 export function findEviction(cluster: ClusterState, job: Job, machine: Machine): Eviction | null {
   if (!mayEvictOn(cluster, job, machine)) return null;
--- a/src/core/scheduler/gang_search.ts
+++ b/src/core/scheduler/gang_search.ts
@@ -38,8 +38,8 @@
 }
 
 /**
- * Searches the candidates for machines that can run all tasks of a gang at the same time (Eq. (8)). Machines of the
- * preferred zone come first.
+ * Searches the candidates for machines that can run all tasks of a gang at the same time (Eq. (8) of the EVO-GP paper).
+ * Machines of the preferred zone come first.
  */
 export class GangSearch {
   /** Plan steps spent so far. */
--- a/src/core/scheduler/gpu_claims.ts
+++ b/src/core/scheduler/gpu_claims.ts
@@ -10,7 +10,7 @@
 /** A task that takes more than this share of a machine needs a whole machine. */
 const WHOLE_MACHINE_SHARE = 0.6;
 
-/** What the GPU work and the gangs of a round need. */
+/** Capacity that GPU jobs and waiting gangs need. */
 export interface GpuClaims {
   /** The cores and memory that GPU work could use beside its GPUs. */
   readonly demand: GpuDemand;
@@ -29,7 +29,7 @@
   };
 }
 
-/** Returns the machine types of which waiting gangs need whole machines that may not be spot instances. */
+/** Returns the machine types of which waiting gangs need whole on-demand machines. */
 function typesReservedForGangs(cluster: ClusterState, waiting: readonly RankedJob[]): Set<MachineTypeName> {
   const reserved = new Set<MachineTypeName>();
   for (const { job } of waiting) {
--- a/src/core/scheduler/placement_constraints.ts
+++ b/src/core/scheduler/placement_constraints.ts
@@ -33,7 +33,7 @@
 
 /**
  * Returns whether a job allows the machine's type and zone, one of its tasks fits an empty machine of the type, and the
- * job tolerates spot instances if the machine is one.
+ * job tolerates spot machines if the machine is one.
  */
 export function isFeasibleMachine(job: Job, machine: Machine): boolean {
   return isFeasibleType(job, machine.type, machine.zone) && (job.spec.toleratesSpot || !machine.spot);
--- a/src/core/scheduler/plan_types.ts
+++ b/src/core/scheduler/plan_types.ts
@@ -33,7 +33,7 @@
   imagePullSeconds(image: ImageName, imageGb: number): number;
   /**
    * Whether this is an on-demand machine of a type that is awaited by gangs that need whole machines and do not
-   * tolerate spot instances.
+   * tolerate spot machines.
    */
   readonly reservedForGangs: boolean;
   /**
@@ -68,7 +68,7 @@
   /** Whether the job requests no GPUs and fits a machine type without GPUs. */
   readonly fitsTypesWithoutGpus: boolean;
   readonly toleratesSpot: boolean;
-  /** Expected delay through interruptions if a task starts on a spot instance. */
+  /** Expected delay through interruptions if a task starts on a spot machine. */
   readonly spotDelaySeconds: number;
   readonly singleZone: boolean;
   /** Number of additional tasks allowed in each zone. Null if there is no such limit. */
--- a/src/core/scheduler/plan_workspace.ts
+++ b/src/core/scheduler/plan_workspace.ts
@@ -11,10 +11,7 @@
  * not modify its input.
  */
 export class PlanWorkspace {
-  /**
-   * Plan steps used so far by all plans. Rounds are limited by plan steps instead of time, so that the same seed gives
-   * the same result.
-   */
+  /** Plan steps used so far by all plans and backfills (see `Plan.steps`). */
   steps = 0;
   private baseMachines: readonly PlanMachine[] = [];
   private planned: PlanMachine[] = [];
--- a/src/core/scheduler/policy.ts
+++ b/src/core/scheduler/policy.ts
@@ -18,11 +18,11 @@
   /** For a machine with GPUs, for a job that requests none. */
   readonly gpuMachineSeconds: number;
   /**
-   * For an on-demand machine, for a job that tolerates spot instances. Spot instances are cheaper, and jobs that do not
+   * For an on-demand machine, for a job that tolerates spot machines. Spot machines are cheaper, and jobs that do not
    * tolerate them have no alternative to on-demand machines.
    */
   readonly onDemandSeconds: number;
-  /** For a machine that waiting gangs without an alternative need, for an array that tolerates spot instances. */
+  /** For a machine that waiting gangs without an alternative need, for an array that tolerates spot machines. */
   readonly reservedTypeSeconds: number;
   /** For a machine that has images of jobs with larger tasks, which would otherwise pull these images elsewhere. */
   readonly cachedImageSeconds: number;
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -19,8 +19,8 @@
 
 /**
  * Preempts array tasks of lower priority for gangs of higher priority that would otherwise wait, on the machines where
- * the least work is lost. The plan itself never stops running tasks (Eq. (11) of the paper). A preemption only frees
- * capacity and reserves it for the gang, which the next round starts.
+ * the least work is lost. The plan itself never stops running tasks (Eq. (11) of the EVO-GP paper). A preemption
+ * only frees capacity and reserves it for the gang, which the next round starts.
  */
 export function preempt(cluster: SchedulableCluster, round: RoundResult): void {
   const freeAtSeconds = capacityFreeAt(round);
--- a/src/core/scheduler/ranking.ts
+++ b/src/core/scheduler/ranking.ts
@@ -29,11 +29,11 @@
 type RankGroup = (typeof RANK_GROUPS)[keyof typeof RANK_GROUPS];
 
 /**
- * A round plans at most this many tasks of one array, or `ARRAY_TASKS_PLANNED_PER_MACHINE` tasks for each machine if
- * that is more.
+ * A round plans at most `ARRAY_TASK_LIMIT_PER_MACHINE` tasks of one array for each machine. The limit is never lower
+ * than `MIN_ARRAY_TASK_LIMIT`.
  */
-const MIN_ARRAY_TASKS_PLANNED = 400;
-const ARRAY_TASKS_PLANNED_PER_MACHINE = 2;
+const MIN_ARRAY_TASK_LIMIT = 400;
+const ARRAY_TASK_LIMIT_PER_MACHINE = 2;
 /** Maximum number of tasks planned for an overdue array in one round, so that other jobs also make progress. */
 const OVERDUE_ARRAY_TASKS = 20;
 /**
@@ -81,7 +81,7 @@
 
 /** Returns how many of the job's waiting tasks its team's limit allows now. For a gang this is all of them or none. */
 function tasksWithinLimit(cluster: ClusterState, job: Job): number {
-  const maxTasks = Math.max(MIN_ARRAY_TASKS_PLANNED, ARRAY_TASKS_PLANNED_PER_MACHINE * cluster.machines.size);
+  const maxTasks = Math.max(MIN_ARRAY_TASK_LIMIT, ARRAY_TASK_LIMIT_PER_MACHINE * cluster.machines.size);
   const pending = Math.min(job.startableCount, maxTasks);
   const allowed = cluster.quotas.remainingTasks(job.spec);
   // An array that fails on every machine is retried with one task at a time.
--- a/src/core/scheduler/replica_demand.ts
+++ b/src/core/scheduler/replica_demand.ts
@@ -8,7 +8,7 @@
 import { waitingServices } from './waiting_services.js';
 import { waitedSeconds } from './waiting_time.js';
 
-/** The remaining capacity of a machine that has been ordered or is booting. */
+/** The remaining capacity of a machine that is being provisioned. */
 interface IncomingCapacity {
   readonly machine: Machine;
   cpus: number;
@@ -18,7 +18,7 @@
 
 /**
  * Returns the plan with waiting replicas added to its unplaced tasks, except for replicas that fit on machines that are
- * being provisioned. Services with other waiting replicas are added to the input.
+ * being provisioned. The services of the added replicas are also added to the input.
  */
 export function addWaitingReplicas(cluster: ClusterState, input: PlanInput, plan: Plan): Plan {
   const waiting = waitingServices(cluster);
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -1,4 +1,4 @@
-/** A planning round with its steps: rank, search, plan, backfill and apply (Section III-A of the paper). */
+/** A planning round with its steps: rank, search, plan, backfill and apply (Section III-A of the EVO-GP paper). */
 import { applyReservations, applyStarts } from './apply.js';
 import type { SchedulableCluster } from './cluster_state.js';
 import { findOverdueGangReservations } from './gang_reservation.js';
--- a/src/core/scheduler/service_placement.ts
+++ b/src/core/scheduler/service_placement.ts
@@ -17,9 +17,9 @@
 
 /**
  * Places waiting replicas by best fit over all zones. Each replica goes to the machine on which it starts soonest,
- * according to its image pull and the machine's penalties. Of equal machines, the one with the least free capacity is
- * used. If there is no machine for a replica, arrays of lower priority are preempted as far as the rules allow. The
- * call is cheap enough to be made after every event that requires it. Returns the number of replicas placed.
+ * according to its image pull and the machine's penalties. Of machines with equal start delay, the one with the least
+ * free capacity is used. If there is no machine for a replica, it may preempt arrays of lower priority. The call is
+ * cheap enough to be made after every event that requires it. Returns the number of replicas placed.
  */
 export function placeServices(cluster: SchedulableCluster): number {
   if (!cluster.jobs.hasPendingReplicas()) return 0;
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -64,7 +64,7 @@
     return machine.commandChannel.isReady(this.context.now.monotonic);
   }
 
-  /** Returns the stops that the worker has yet to execute. A machine without any is not checked for stops again. */
+  /** Returns the stops that the worker has yet to execute. If there are none, clears the machine's pending stops. */
   private dueStops(machine: Machine): Command[] {
     const { pendingCommands } = this.cluster;
     if (!pendingCommands.hasStops(machine)) return [];
@@ -73,9 +73,7 @@
     return stops;
   }
 
-  /**
-   * Returns the machine's replicas that have yet to be started. A machine without any is not checked for starts again.
-   */
+  /** Returns the machine's replicas that have yet to be started. If there are none, clears its pending starts. */
   private plannedReplicas(machine: Machine): Placement[] {
     const { pendingCommands } = this.cluster;
     if (!pendingCommands.hasStarts(machine)) return [];
--- a/src/core/workers/commands.ts
+++ b/src/core/workers/commands.ts
@@ -8,7 +8,7 @@
 import { mayAcknowledgeUnknownJob } from './recovered_tasks.js';
 import { isGangStartDue, mayStart } from './start_checks.js';
 
-/** Number of commands up to which starts are added to a response, which is limited to 64 KiB. */
+/** Number of commands at which no more starts are added to a response, because a response is limited to 64 KiB. */
 const MAX_COMMANDS_PER_RESPONSE = 400;
 
 /**
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -79,7 +79,7 @@
     });
   }
 
-  /** Responds with 503 to all waiting heartbeats, because another controller leads from now on. */
+  /** Responds with 503 to all waiting heartbeats, because this controller no longer leads. */
   stop(): void {
     this.deferredResponses.stop();
     this.backlog.stop();
@@ -120,8 +120,8 @@
       this.recordDuplicate(machine, heartbeat);
       return REFUSED;
     }
-    // An unconfirmed machine that keeps sending an old fencing token may have been removed long ago. It gets no
-    // response.
+    // An unconfirmed machine that keeps sending an old fencing token may have been removed long ago, so its lease is
+    // not renewed.
     if (this.hasStaleToken(heartbeat) && machine.reachability.recordStaleToken()) return REFUSED;
     return { kind: 'admitted', machine };
   }
--- a/src/core/workers/heartbeat_router.ts
+++ b/src/core/workers/heartbeat_router.ts
@@ -1,7 +1,7 @@
 /**
- * Routes workers' heartbeats to the leader, which processes them. Every controller accepts heartbeats, because the
- * leader's sockets are too expensive to serve all workers. The leader receives them from the workers or through another
- * controller.
+ * Routes workers' heartbeats to the leader, which processes them. Every controller accepts heartbeats, because serving
+ * all workers directly would use too many of the leader's sockets. The leader receives heartbeats from the workers or
+ * through another controller.
  */
 import type { RequestId } from '../messages.js';
 import type { HeartbeatForwarding } from '../peers/heartbeat_forwarding.js';
@@ -19,7 +19,7 @@
 const REDIRECT_ONE_IN = 4;
 /** Time after its election in which a leader prefers direct heartbeats although none has arrived, in milliseconds. */
 const PREFERS_DIRECT_GRACE_MS = 4000;
-/** After that time, a leader prefers direct heartbeats only if one arrived within this time, in milliseconds. */
+/** After the grace period, a leader prefers direct heartbeats only if one arrived within this time, in milliseconds. */
 const DIRECT_HEARTBEAT_FRESH_MS = 1500;
 /**
  * Time after a redirect in which the worker is not redirected again, in milliseconds. A worker that returns within it
--- a/src/core/workers/status_requests.ts
+++ b/src/core/workers/status_requests.ts
@@ -1,4 +1,7 @@
-/** Requests machines' statuses when there is no time to wait for a heartbeat or a heartbeat doesn't prove enough. */
+/**
+ * Requests machines' statuses when a heartbeat would arrive too late, or would not prove that messages reach the
+ * machine.
+ */
 import type { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
 import type { StepContext } from '../step_context.js';
@@ -104,7 +107,7 @@
 
   private needsProbe(machine: Machine): boolean {
     if (!machine.reachability.isUsable) return true;
-    // A replica runs elsewhere only once it is known whether its machine has failed, so its machine is probed early.
+    // A replica is replaced only once it is proven that it no longer runs, so its machine is probed early.
     const missedAfterMs = HEARTBEAT_MISSED_AFTER_INTERVALS * this.context.settings.workers.heartbeatIntervalMs;
     return (
       this.context.now.monotonic - machine.messages.lastContactAt >= missedAfterMs && machine.allocations.hasReplica
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -109,7 +109,7 @@
 /**
  * Processes the exit of a replica, which is placed again regardless of its exit reason. If it exited soon after its
  * start, it is restarted after a delay that doubles with further short runs, so that a service that can't stay up does
- * not use up the cluster's time.
+ * not occupy the cluster with restarts.
  */
 function recordReplicaExit(cluster: Cluster, placement: Placement, task: TaskStatus): void {
   if (task.exitReason === 'stopped') return;
--- a/test/core/clients/call_queue.test.ts
+++ b/test/core/clients/call_queue.test.ts
@@ -79,7 +79,7 @@
     assert.deepEqual(sent.slice(-2), ['record', 'later']);
   });
 
-  test('refuses calls whose callers wait either at once or never, and only calls that would have expired', () => {
+  test('addOrRefuse refuses a call only when it is added, and only if the call would have expired in the queue', () => {
     const property = fc.property(fc.array(arrival, { maxLength: 120 }), (arrivals) => {
       const early = simulateArrivals(arrivals, true);
       const withoutEarlyRefusal = simulateArrivals(arrivals, false);
