--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -34,7 +34,7 @@
   private possibleStartZones: Set<ZoneName> | null = null;
   private isGangBroken = false;
   private mayRunOnUnreconciledMachine = false;
-  /** Number of machines on which each task is an unexpected task. Tasks without any are omitted. */
+  /** Number of machines that report each task as an unexpected task (state/unexpected_tasks.ts). Zeros are omitted. */
   private readonly unexpectedTasks = new Map<number, number>();
   private readonly placedTasks = new Set<number>();
   private replicaWaitingSince: MonotonicTime | null = null;
@@ -69,7 +69,7 @@
 
   // ---- state
 
-  /** Whether the job is accepted, done or cancelled, as known to this leader. The stored record may lag behind. */
+  /** The job's state as known to this leader. The stored record may lag behind. */
   get state(): JobState {
     return this.currentState;
   }
@@ -95,7 +95,7 @@
 
   /** Marks a task as complete. If the job is a gang, marks all of its tasks. */
   markDone(index: number): void {
-    // A replica that exits has to run again, whatever exit reason it reports.
+    // A replica that exits has to run again, regardless of its exit reason.
     if (this.isService) return;
     if (this.isGang) for (let task = 0; task < this.spec.taskCount; task++) this.doneTasks.add(task);
     else this.doneTasks.add(index);
@@ -103,12 +103,12 @@
     if (this.doneTasks.count >= this.spec.taskCount && this.currentState === 'accepted') this.currentState = 'done';
   }
 
-  /** Whether the task is known to be complete. */
+  /** Returns whether the task is known to be complete. */
   isDone(index: number): boolean {
     return this.doneTasks.has(index);
   }
 
-  /** Whether the task may be started again: the job is still accepted and the task is not complete. */
+  /** Returns whether the task may be started again: the job is still accepted and the task is not complete. */
   mayStartAgain(index: number): boolean {
     return this.currentState === 'accepted' && !this.isDone(index);
   }
@@ -165,8 +165,8 @@
   }
 
   /**
-   * Whether the state store is known to hold the job's first start, and the zone among its start zones if they are
-   * stored.
+   * Returns whether the state store is known to hold the job's first start and, if the job's start zones are stored,
+   * this zone among them.
    */
   isStartDurable(zone: ZoneName): boolean {
     return this.stored.startTerm > 0 && (this.possibleStartZones === null || this.stored.startZones.has(zone));
@@ -207,12 +207,12 @@
     this.lastActiveAt = now;
   }
 
-  /** Whether the current attempt of the gang can't complete any more, so that all of its tasks have to be evicted. */
+  /** Whether the current attempt of the gang cannot complete any more, so that all of its tasks have to be evicted. */
   get gangBroken(): boolean {
     return this.isGangBroken;
   }
 
-  /** Records that a task of the gang's current attempt is lost. */
+  /** Records that the gang's current attempt cannot complete, because a task is lost or all tasks are being evicted. */
   markGangBroken(): void {
     this.isGangBroken = true;
   }
@@ -288,7 +288,7 @@
     this.mayRunOnUnreconciledMachine = mayRun;
   }
 
-  /** Number of tasks that this leader can't account for, because they are neither done nor located. */
+  /** Number of tasks that this leader cannot account for, because they are neither done nor located. */
   get unaccountedCount(): number {
     if (this.isGang && this.doneTasks.count > 0) return 0;
     if (this.isGang) return this.spec.taskCount - this.locatedTasks.count;
@@ -313,7 +313,7 @@
     else this.unexpectedTasks.delete(index);
   }
 
-  /** Whether the job fails on whatever machine it runs, so that the job itself is considered at fault. */
+  /** Whether the job itself, rather than the machines on which it failed, is likely at fault. */
   get isFaulty(): boolean {
     return this.failureHistory.isFaulty;
   }
--- a/src/core/jobs/job_cache.ts
+++ b/src/core/jobs/job_cache.ts
@@ -43,7 +43,7 @@
  */
 export class JobCache {
   private readonly jobs = new Map<JobId, CachedJob>();
-  /** Jobs whose stored records can't be decoded. A later release may have written them. */
+  /** Jobs whose stored records cannot be decoded. A later release may have written them. */
   private readonly unreadableIds = new Set<JobId>();
   /** The revision from which the watch continues. Null if all records have to be read first. */
   private watchRevision: Revision | null = null;
@@ -70,12 +70,12 @@
     this.asOf = context.now.monotonic;
   }
 
-  /** The time as of which the copy is current: it includes everything that the state store held at that time. */
+  /** The copy includes everything that the state store held at this time. */
   get currentAsOf(): MonotonicTime {
     return this.asOf;
   }
 
-  /** Jobs whose stored records can't be decoded. A later release may have written them. */
+  /** Jobs whose stored records cannot be decoded. A later release may have written them. */
   get unreadableJobs(): ReadonlySet<JobId> {
     return this.unreadableIds;
   }
@@ -194,8 +194,8 @@
   }
 
   /**
-   * Applies a current or past version of a stored record, unless that version or a newer one is known. Returns null if
-   * the record can't be decoded.
+   * Applies a current or past version of a stored record, unless that version or a newer one is known. Returns the
+   * newest known version, or null if the record cannot be decoded.
    */
   update(item: StoredEntry): CachedJob | null {
     const id = item.key.slice(JOB_PREFIX.length) as JobId;
--- a/src/core/jobs/located_tasks.ts
+++ b/src/core/jobs/located_tasks.ts
@@ -5,13 +5,13 @@
 export type ReleaseReason =
   /** The start was planned but never sent. */
   | 'startNotSent'
-  /** The heartbeat response with the start was lost. The evidence is a newer heartbeat that doesn't show the task. */
+  /** The heartbeat response with the start was lost. The evidence is a newer heartbeat that does not show the task. */
   | 'startDropped'
   /** The start was refused because an earlier attempt is still on the machine. */
   | 'earlierAttemptFound'
   /** The worker reports that the task has exited. */
   | 'exited'
-  /** The task was on the machine, and a newer status doesn't show it. */
+  /** The task was on the machine, and a newer status does not show it. */
   | 'missingFromStatus'
   /** The worker has begun a new agent epoch. */
   | 'agentEpochEnded'
@@ -51,7 +51,7 @@
   }
 
   /**
-   * Records that this leader has found the task on a machine. From then on, the task can't be on another machine
+   * Records that this leader has found the task on a machine. From then on, the task cannot be on another machine
    * without this leader's knowledge.
    */
   add(index: number): void {
@@ -64,7 +64,7 @@
     if (known === undefined || known.attempt < release.attempt) this.releases.set(index, release);
   }
 
-  /** Returns how the task's last attempt of a previous term ended, and forgets it. Returns null if that isn't known. */
+  /** Removes and returns the release of the task's last attempt of a previous term. Returns null if there is none. */
   takeRelease(index: number): TaskRelease | null {
     const release = this.releases.get(index) ?? null;
     this.releases.delete(index);
--- a/src/core/jobs/retries.ts
+++ b/src/core/jobs/retries.ts
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Records that a replica exited soon after its start. The next start is delayed, and longer with each consecutive
-   * short run.
+   * Records that a replica exited soon after its start. After several consecutive short runs, the next start is
+   * delayed, and longer with each further one.
    */
   recordShortRun(placedAt: MonotonicTime, now: MonotonicTime): void {
     // Replicas that started together and exit together count as one failure.
--- a/src/core/jobs/runtime_estimator.ts
+++ b/src/core/jobs/runtime_estimator.ts
@@ -3,7 +3,7 @@
 
 /**
  * Expected run time of a service replica, in seconds. It equals the longest planning horizon, because the capacity of a
- * replica doesn't become free.
+ * replica does not become free.
  */
 const UNBOUNDED_RUNTIME_SECONDS = 3600;
 const MIN_RUNTIME_SECONDS = 0.5;
--- a/src/core/jobs/stored_job_state.ts
+++ b/src/core/jobs/stored_job_state.ts
@@ -32,7 +32,7 @@
     return this.knownVersion;
   }
 
-  /** Whether the stored record says accepted, done or cancelled. */
+  /** The job's state in the stored record. */
   get state(): JobState {
     return this.knownState;
   }
@@ -62,7 +62,10 @@
     return this.writtenAt;
   }
 
-  /** Returns whether the worker may discard the result of the task. */
+  /**
+   * Returns whether the worker may discard the result of the task, because the state store holds it or holds that the
+   * job has ended.
+   */
   isResultDurable(index: number): boolean {
     return this.knownState !== 'accepted' || this.knownDoneTasks.has(index);
   }
@@ -103,7 +106,7 @@
     this.callInFlight = true;
   }
 
-  /** Records that the write or read was answered or failed. */
+  /** Records that the write or read has ended with any outcome. */
   endCall(): void {
     this.callInFlight = false;
   }
--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -34,7 +34,10 @@
   onLost(): void;
 }
 
-/** This controller's state in the election. Every state except `leader` ends with another read of the leader key. */
+/**
+ * This controller's state in the election. Every state ends with another read of the leader key, except for a candidacy
+ * that was won.
+ */
 type ElectionState =
   /** The leader key will be read when the retry timer fires. */
   | { readonly kind: 'waiting' }
@@ -223,10 +226,10 @@
   private watchLeaderKey(): void {
     const watch = { op: 'watch', prefix: LEADER_KEY, after: this.observedRevision, waitMs: WATCH_MS } as const;
     const options = { timeoutMs: WATCH_MS + WATCH_TIMEOUT_MARGIN_MS };
-    this.context.stateStore.call(watch, ELECTION_PRIORITY, (result) => this.onWatchAnswered(result), options);
+    this.context.stateStore.call(watch, ELECTION_PRIORITY, (result) => this.onWatchResponse(result), options);
   }
 
-  private onWatchAnswered(result: StateStoreResultOf<'watch'>): void {
+  private onWatchResponse(result: StateStoreResultOf<'watch'>): void {
     if (!result.ok) {
       this.scheduleRetry(result.error.code === 'gone' ? IMMEDIATE_RETRY_MS : RETRY_MS);
       return;
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -114,7 +114,7 @@
     });
   }
 
-  /** The number of machines that may exist. */
+  /** The number of machines that are not proven to be terminated. */
   get machineCount(): number {
     return this.cluster.machines.size;
   }
--- a/src/core/state/cluster.ts
+++ b/src/core/state/cluster.ts
@@ -109,8 +109,8 @@
   }
 
   /**
-   * Applies a cancellation that a controller has persisted. A persisted cancellation is never undone, so nothing more
-   * of the job is started.
+   * Applies a cancellation that a controller has persisted. A persisted cancellation is never undone, so no more tasks
+   * of the job are started.
    */
   applyCancellationBroadcast(id: JobId): void {
     const job = this.jobs.get(id);
--- a/src/core/state/job_table.ts
+++ b/src/core/state/job_table.ts
@@ -69,12 +69,12 @@
     return false;
   }
 
-  /** Sets the jobs whose records this release can't read. */
+  /** Sets the jobs whose records this release cannot read. */
   setUnreadable(ids: ReadonlySet<JobId>): void {
     this.unreadableIds = ids;
   }
 
-  /** Returns whether the job has a record that this release can't read. */
+  /** Returns whether the job has a record that this release cannot read. */
   isUnreadable(id: JobId): boolean {
     return this.unreadableIds.has(id);
   }
--- a/src/core/state/machine_table.ts
+++ b/src/core/state/machine_table.ts
@@ -52,12 +52,12 @@
     return this.removedIds.has(id);
   }
 
-  /** Returns whether this object still represents the machine with its id. */
+  /** Returns whether the table still holds this object, rather than none or a replacement with the same id. */
   isCurrent(machine: Machine): boolean {
     return this.byId.get(machine.id) === machine;
   }
 
-  /** Returns whether the machine is still booting although the time that boots take has passed. */
+  /** Returns whether the machine has been booting for much longer than expected. */
   isBootOverdue(machine: Machine): boolean {
     const now = this.context.now.monotonic;
     const { phase, type, zone } = machine;
--- a/src/core/state/pending_commands.ts
+++ b/src/core/state/pending_commands.ts
@@ -13,13 +13,13 @@
     private readonly timers: TermTimers,
   ) {}
 
-  /** Schedules the tasks to stop on the machine for a command push in the next step. */
+  /** Schedules a push of the machine's stop commands in the next step. */
   scheduleStops(machine: Machine): void {
     this.withStops.add(machine);
     this.timers.commandPush.set(this.context.now.monotonic);
   }
 
-  /** Requests that the replicas placed on the machine be started with the next command push. */
+  /** Requests that the next command push include the start commands for the replicas placed on the machine. */
   requestStarts(machine: Machine): void {
     this.withStarts.add(machine);
   }
--- a/src/core/state/placement.ts
+++ b/src/core/state/placement.ts
@@ -3,7 +3,7 @@
 import type { Machine } from '../machines/machine.js';
 import type { Attempt, MonotonicTime, SequenceNumber } from '../types.js';
 
-/** The progress of a placed task, as far as the leader knows. */
+/** The progress of a placed task, as far as the leader knows. `TaskPhase` describes the phases after `sent`. */
 export type PlacementPhase =
   /** No start has been sent yet, so the placement can be withdrawn without a stop. */
   | 'planned'
@@ -19,7 +19,7 @@
 
 /** A request to stop a task. */
 export interface StopRequest {
-  /** How long the task may save its work, in seconds. 0 means that it is killed. */
+  /** Time that the task has to save its work, in seconds. 0 means that it is killed immediately. */
   readonly gracePeriodSeconds: number;
   readonly requestedAt: MonotonicTime;
 }
@@ -95,7 +95,7 @@
     this.startSentInResponseTo = inResponseTo;
   }
 
-  /** Reverts the placement to `planned` after its start was lost and can't arrive any more. */
+  /** Reverts the placement to `planned` after its start was lost and cannot arrive any more. */
   revertStart(): void {
     this.currentPhase = 'planned';
     this.startSentInResponseTo = null;
--- a/src/core/state/placement_table.ts
+++ b/src/core/state/placement_table.ts
@@ -174,7 +174,7 @@
   }
 
   /**
-   * Evicts the other tasks of a gang's attempt after one task was lost, because the attempt can't complete without it.
+   * Evicts the other tasks of a gang's attempt after one task was lost, because the attempt cannot complete without it.
    */
   breakGang(job: Job): void {
     if (!job.gangBroken) this.evictGang(job, 0);
--- a/src/core/state/previous_terms.ts
+++ b/src/core/state/previous_terms.ts
@@ -40,7 +40,7 @@
   readonly term: number;
   readonly quotas: Quotas;
   readonly machines: MachineTable;
-  /** The first term since which every leader has stored start zones. Null if this leader does not store them. */
+  /** The term since which every leader has recorded start zones. Null if this leader does not record them. */
   readonly startZonesRecordedSince: StartZonesRecordedSince;
 }
 
@@ -51,7 +51,7 @@
    * are reconciled.
    */
   readonly recovery: Recovery | null;
-  /** Jobs first started in previous terms of which tasks may be on any machine. */
+  /** Jobs first started in previous terms that may have tasks which this leader has not found yet. */
   private readonly jobs = new Set<Job>();
   private unreconciledMachineCount = 0;
   private recordsToLookUp: JobId[] = [];
@@ -97,7 +97,8 @@
   }
 
   /**
-   * Handles a registry page that can't be read. Machines on it may run tasks until their leases have certainly expired.
+   * Handles a registry page that cannot be read. Machines on it may run tasks until their leases have certainly
+   * expired.
    */
   onUnreadablePage(): void {
     this.recovery?.onUnreadablePage(this.context.after(workerLeaseExpiryMs(this.context.settings)));
@@ -128,8 +129,8 @@
   }
 
   /**
-   * Recounts the unreconciled machines, which may hold tasks of any team. Charges each team with a limit for what its
-   * own tasks may use there. Returns the number of these machines.
+   * Recounts the unreconciled machines, which may hold tasks of any team, and updates how much of their capacity counts
+   * against each team's limit. Returns the number of these machines.
    */
   updateUnreconciled(): number {
     if (this.recovery) this.updateExposure(this.recovery);
@@ -168,7 +169,7 @@
     this.init.quotas.unreconciledCapacity = { cpus, gpus };
   }
 
-  /** Once all machines are reconciled, ends recovery and logs its result. Later calls do nothing. */
+  /** Ends recovery and logs its result if all machines are reconciled. Has no effect after recovery has ended. */
   finishIfReconciled(): void {
     const { recovery } = this;
     if (!recovery?.finish(this.context.now.monotonic, () => this.countMissing())) return;
--- a/src/core/state/quotas.ts
+++ b/src/core/state/quotas.ts
@@ -21,7 +21,7 @@
   unreconciledCapacity: Usage = { cpus: 0, gpus: 0 };
   /**
    * Capacity of machines that hold tasks of unknown jobs. It counts against every team with a limit, because the teams
-   * of these tasks can't be determined.
+   * of these tasks cannot be determined.
    */
   readonly unattributedCapacity: Usage = { cpus: 0, gpus: 0 };
   /**
--- a/src/core/state/service_placement_schedule.ts
+++ b/src/core/state/service_placement_schedule.ts
@@ -1,7 +1,4 @@
-/**
- * Schedules the next attempt to place replicas without a placement, so that they don't have to wait for a planning
- * round.
- */
+/** Schedules the next attempt to place pending replicas, so that they do not have to wait for a planning round. */
 import type { StepContext } from '../step_context.js';
 import type { MonotonicTime } from '../types.js';
 import type { JobTable } from './job_table.js';
@@ -30,8 +27,8 @@
   }
 
   /**
-   * Schedules a placement of replicas, not before `at`. Called when a replica has no placement or capacity for one was
-   * freed.
+   * Schedules a placement of replicas, not before `at`. Called when a replica needs a placement or when capacity for
+   * one was freed.
    */
   request(at: MonotonicTime = this.context.now.monotonic): void {
     if (!this.jobs.hasPendingReplicas()) return;
--- a/src/recovery/lease_renewals.ts
+++ b/src/recovery/lease_renewals.ts
@@ -1,4 +1,4 @@
-/** Tracks when workers' leases were last renewed before the machines have been read from the state store. */
+/** Tracks when this leader last renewed workers' leases before it had read the machines from the state store. */
 import type { MachineId, MonotonicTime } from '../core/types.js';
 
 /**
@@ -9,7 +9,7 @@
 /** Uses bounded memory. For a machine that is not tracked, it assumes the latest possible renewal. */
 export class LeaseRenewals {
   private readonly renewedAtByMachine = new Map<MachineId, MonotonicTime>();
-  /** The latest renewal of a machine that is not tracked because the maximum was reached. Null if there was none. */
+  /** The latest renewal for a machine that is not tracked individually. Null if there was none. */
   private untrackedRenewedAt: MonotonicTime | null = null;
 
   constructor(private readonly maxMachines = MAX_MACHINES) {}
--- a/src/recovery/orphan_tracker.ts
+++ b/src/recovery/orphan_tracker.ts
@@ -17,10 +17,10 @@
 }
 
 /**
- * Distinguishes orphans from jobs whose records have only not been read yet. A start is sent only after the state store
- * has confirmed the write of the job's record, and a transaction that is executed late cannot have been confirmed
- * before. The record that justifies a start therefore exists before the task does. A read that is sent after the task
- * was reported finds the record, regardless of any message that is still in flight.
+ * Distinguishes orphans from jobs whose records exist but have not been read yet. A start is sent only after the state
+ * store has confirmed the write of the job's record, and a transaction is never confirmed before it is executed. The
+ * record that justifies a start therefore exists before the task does. A read that is sent after the task was reported
+ * finds the record, regardless of any message that is still in flight.
  */
 export class OrphanTracker {
   private readonly jobs = new Map<JobId, SuspectedOrphan>();
--- a/src/recovery/types.ts
+++ b/src/recovery/types.ts
@@ -75,7 +75,7 @@
   | 'agrees'
   /** The task completed, and its result has yet to be stored. */
   | 'finished'
-  /** The task has exited as completed, and its result is already stored or its job was cancelled. */
+  /** The task completed, and its result is already stored or its job was cancelled. */
   | 'finishedOnRecord'
   /** The task exited without a result. */
   | 'endedOtherwise'
@@ -128,10 +128,11 @@
   /** The lookup failed. */
   | 'unavailable';
 
-/** A job whose tasks a worker reports but whose record has not been found in the state store. */
+/** A job whose record has not been found in the state store, and one of the machines that report tasks of it. */
 export interface Orphan {
   readonly job: JobId;
   readonly machine: MachineId;
+  /** When a task of the job was first reported by any machine. */
   readonly seenAt: MonotonicTime;
   /** Whether the state store has confirmed that the job has no record. */
   readonly confirmed: boolean;
--- a/test/core/state/restart_log.test.ts
+++ b/test/core/state/restart_log.test.ts
@@ -121,7 +121,7 @@
     );
   });
 
-  test('no release is stored for a complete task or for a task of an ended job', () => {
+  test('no release is recorded for a complete task or for a task of an ended job', () => {
     const { job, findAndRelease } = setUp();
     job.markDone(1);
     findAndRelease(1, 'exited');
--- a/test/recovery_properties.test.ts
+++ b/test/recovery_properties.test.ts
@@ -149,7 +149,7 @@
   return recovery;
 }
 
-test('a task on an unreconciled machine is always considered possible, and counts against its team’s quota', () => {
+test('tasks on unreconciled machines are always considered possible, and count against their team’s quota', () => {
   const listedMachines = fc.uniqueArray(fc.nat(MACHINES - 1));
   const history = fc.array(arbitraryStep, { maxLength: 40 });
   const property = fc.property(history, fc.boolean(), listedMachines, (steps, lastRecordsZones, listedNumbers) => {
