--- a/src/core/leadership_validity.ts
+++ b/src/core/leadership_validity.ts
@@ -1,7 +1,4 @@
-/**
- * Whether this controller is the leader, and until when no other controller can be. Outputs that are reserved to the
- * leader depend on it.
- */
+/** Tracks whether this controller is the leader, and until when no other controller can be. */
 import type { MonotonicTime } from './types.js';
 
 /** Validity of this controller's leadership. Set by the election and the controller, and read by senders of outputs. */
@@ -14,7 +11,7 @@
    */
   validUntil = 0 as MonotonicTime;
 
-  /** The expiry of outputs that are reserved to the leader. */
+  /** The expiry of outputs that only the leader may send. */
   get expiry(): { readonly expiresAt: MonotonicTime } {
     return { expiresAt: this.validUntil };
   }
--- a/src/core/lease_bounds.ts
+++ b/src/core/lease_bounds.ts
@@ -10,20 +10,21 @@
  * Additional time for workers and heartbeat responses: a tick of the worker, a late timer, and a message in transit.
  */
 const TIMER_AND_NETWORK_MARGIN_MS = 1000;
+/** Lower limit of `maxJobViewAgeMs`. It applies even if `cancel_s` is too short for it. */
 const MIN_JOB_VIEW_AGE_BOUND_MS = 1000;
 
 /**
- * Returns how long a worker that receives no further heartbeat responses may still have tasks. The time counts from
- * when it sent the last heartbeat that was answered.
+ * Returns the time after which a worker that receives no further heartbeat responses has no tasks left. It is counted
+ * from the sending of the last heartbeat that was answered.
  */
 export const workerLeaseExpiryMs = ({ workers }: Settings): number =>
   workers.leaseMs * (1 + CLOCK_DRIFT) + TIMER_AND_NETWORK_MARGIN_MS;
 
 /**
  * Returns the maximum age of a leader's view of jobs at which its heartbeat responses may still renew workers' leases.
- * If a job is cancelled right after the view was current, the last renewal of the lease under which its tasks run comes
- * at most this time later. This age and the worker's lease expiry together stay within `cancel_s`, whatever happens
- * meanwhile to the state store, the network and the leader.
+ * If the view misses the cancellation of a job, the leader renews the leases of the job's workers for at most this time
+ * after the cancellation. The tasks end when the last renewed lease expires. Both times together stay within
+ * `cancel_s`, regardless of failures of the state store, the network and the leader.
  */
 export function maxJobViewAgeMs(settings: Settings): number {
   return Math.max(MIN_JOB_VIEW_AGE_BOUND_MS, settings.workers.cancellationTimeoutMs - workerLeaseExpiryMs(settings));
--- a/src/core/machines/agent_messages.ts
+++ b/src/core/machines/agent_messages.ts
@@ -75,7 +75,7 @@
     return this.renewedAt;
   }
 
-  /** Returns whether heartbeats have been missing for so long that the machine gets no new tasks. */
+  /** Returns whether the last heartbeat is too old for the machine to get new tasks. */
   isHeartbeatOverdue(now: MonotonicTime, heartbeatIntervalMs: number): boolean {
     return now - this.heartbeatAt >= HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs;
   }
@@ -126,7 +126,7 @@
     if (token > this.fencingToken) this.fencingToken = token;
   }
 
-  /** Records that the status of a message for which `isNewer` holds is being processed. */
+  /** Records that the status in a message is being processed. `isNewer` must hold for the message. */
   recordStatus({ agentEpoch, sequence }: MessageOrder, now: MonotonicTime): EpochChange {
     const before = this.epoch;
     this.epoch = agentEpoch;
--- a/src/core/machines/allocations.ts
+++ b/src/core/machines/allocations.ts
@@ -38,7 +38,7 @@
     return this.memoryGb;
   }
 
-  /** Since when no task has been allocated. Meaningless while a task is allocated. */
+  /** The time since which no task has been allocated. Meaningless while a task is allocated. */
   get idleSince(): MonotonicTime {
     return this.emptySince;
   }
--- a/src/core/machines/boot_time_estimator.ts
+++ b/src/core/machines/boot_time_estimator.ts
@@ -1,22 +1,20 @@
 /** Estimates how long machines take to boot, from recent boots. */
 import type { MachineType, MonotonicTime, ZoneName } from '../types.js';
 
-/** Number of observed boots that the nominal boot time counts as. */
+/** Weight of the nominal boot time in estimates, as a number of observed boots. */
 const PRIOR_BOOTS = 2;
 /** Time constant, in milliseconds, with which observations lose weight. Problems of the cloud pass within minutes. */
 const DECAY_MS = 120_000;
-/** Bounds of one boot's effect: at most 8 times slower, or 30 times faster, than the nominal time. */
+/** Bounds of one observation. A boot counts as at most 8 times slower or 30 times faster than the nominal time. */
 const MAX_LOG_RATIO = Math.log(8);
 const MIN_LOG_RATIO = -Math.log(30);
-/** A machine is expected slightly after the estimated boot time. */
+/** Ratio of the expected to the estimated boot time. A machine is expected slightly later than estimated. */
 const EXPECTED_FACTOR = 1.05;
 /** Multiple of the expected boot time after which a machine is overdue. */
 const OVERDUE_FACTOR = 1.6;
-/**
- * A machine near or past its expected boot time is expected after at least this share of that time, plus a share of the
- * time by which it is late.
- */
+/** Minimum remaining boot time of a machine that is not up yet, as a share of its expected boot time. */
 const MIN_REMAINING_SHARE = 0.15;
+/** Share of the time by which a machine is late that is added to its minimum remaining boot time. */
 const LATENESS_SHARE = 0.5;
 /** Lower bound of observed and expected boot times. */
 const MIN_BOOT_SECONDS = 1;
@@ -86,7 +84,7 @@
     return this.overdueCount / (this.bootCount + this.overdueCount + PRIOR_BOOTS);
   }
 
-  /** Returns the factor by which earlier timeouts extend that of a machine provisioned at the given time. */
+  /** Returns the factor by which earlier timeouts extend the timeout of a machine provisioned at the given time. */
   timeoutFactorFor(provisionedAt: MonotonicTime): number {
     return provisionedAt < this.lastTimeoutAt ? this.previousTimeoutFactor : this.timeoutFactor;
   }
--- a/src/core/machines/command_channel.ts
+++ b/src/core/machines/command_channel.ts
@@ -40,12 +40,12 @@
     this.pausedUntil = until;
   }
 
-  /** Returns whether the start was pushed without a response, so that it may still arrive. */
+  /** Returns whether the start was pushed and no response has confirmed it, so that it may still arrive. */
   isUnconfirmed(start: StartKey): boolean {
     return this.unconfirmed.has(start);
   }
 
-  /** Whether any start was pushed without a response. */
+  /** Whether any pushed start has not been confirmed by a response. */
   get hasUnconfirmedStarts(): boolean {
     return this.unconfirmed.size > 0;
   }
--- a/src/core/machines/cordon.ts
+++ b/src/core/machines/cordon.ts
@@ -47,7 +47,7 @@
     return this.reason !== null || this.interruptionTime !== null;
   }
 
-  /** Records that the machine's interruption was counted. Returns whether this is the first time. */
+  /** Marks the machine's interruption as counted. Returns whether it had not been counted before. */
   countInterruption(): boolean {
     const isFirst = !this.interruptionCounted;
     this.interruptionCounted = true;
--- a/src/core/machines/image_cache.ts
+++ b/src/core/machines/image_cache.ts
@@ -8,16 +8,16 @@
 const OBSERVATION_WEIGHT = 0.6;
 /** Shorter pulls are ignored, because most of their apparent duration is the wait for the next heartbeat. */
 const MIN_OBSERVED_PULL_SECONDS = 2;
-/** Minimum remaining time of a pull in progress, also if it should have finished. */
+/** Minimum remaining time of a pull in progress, even if it should already have finished. */
 const MIN_REMAINING_PULL_SECONDS = 1;
-/** Lower bound of an assumed pull rate. */
+/** Lower bound of the pull rate from which pull times are calculated. */
 const MIN_PULL_GB_PER_SECOND = 0.01;
 
 /** An image that a machine holds or pulls. */
 interface CachedImage {
   readonly sizeGb: number;
   lastUsedAt: MonotonicTime;
-  /** Since when the image has been pulled. Null once it is complete. */
+  /** The time since which the image has been pulled. Null once it is complete. */
   pullingSince: MonotonicTime | null;
   /** Whether the pull was observed from its beginning. */
   pullObserved: boolean;
@@ -35,7 +35,7 @@
 
   constructor(private readonly type: MachineType) {}
 
-  /** Whether the complete images have changed since they were last written to the state store. */
+  /** Whether the set of complete images has changed since it was last written to the state store. */
   get isDirty(): boolean {
     return this.hasUnwrittenChanges;
   }
--- a/src/core/machines/lifecycle.ts
+++ b/src/core/machines/lifecycle.ts
@@ -55,7 +55,7 @@
     return this.termination !== 'none';
   }
 
-  /** Whether it is a registered machine of a previous leader that has not sent this leader a heartbeat yet. */
+  /** Whether it is registered and still booting, and this leader did not provision it. */
   get isInheritedBooting(): boolean {
     return this.currentPhase === 'booting' && this.registered && !this.isProvisionedByThisLeader;
   }
--- a/src/core/machines/machine_registry.ts
+++ b/src/core/machines/machine_registry.ts
@@ -75,7 +75,7 @@
     this.pages.get(pageIndex(key))?.preservedRecords.push(record);
   }
 
-  /** Marks a page for a rewrite without the machines that are also on another page, whose records take precedence. */
+  /** Marks a page for a rewrite that leaves out the machines that were already restored from another page. */
   rewriteWithoutDuplicates(key: string): void {
     const page = this.pages.get(pageIndex(key));
     if (page) page.markRewriteDue();
@@ -167,7 +167,7 @@
 
   // ---- writing
 
-  /** Returns the pages to write, most urgent first. Pages with only image changes require spare writes. */
+  /** Returns the pages to write, most urgent first. Pages with only image changes require spare write capacity. */
   duePages(now: MonotonicTime, hasSpareWrites: boolean): RegistryPage[] {
     const due = [...this.pages.values()].filter((page) => page.isWriteDue(now, hasSpareWrites));
     return due.sort(
--- a/src/core/machines/reachability.ts
+++ b/src/core/machines/reachability.ts
@@ -5,10 +5,11 @@
 const UNRESPONSIVE_AFTER_IGNORED_RESPONSES = 2;
 /**
  * Number of heartbeats with a stale fencing token that are accepted from an unconfirmed machine. An agent sends a new
- * token with its next heartbeat or the one after that. An agent that keeps sending the old token receives no responses.
+ * token with its next heartbeat or the one after that. An agent that keeps sending the old token does not receive the
+ * responses.
  */
 const MAX_STALE_TOKEN_HEARTBEATS = 4;
-/** Interval between probes of a machine, in milliseconds. */
+/** Minimum interval between probes of a machine, in milliseconds. A probe requests its status. */
 const PROBE_INTERVAL_MS = 3000;
 
 /** Whether responses and pushed commands reach a machine, judged by its messages. */
@@ -32,7 +33,7 @@
     return this.confirmed;
   }
 
-  /** Since when it has sent heartbeats without reacting to responses and gets no new tasks. Null if it reacts. */
+  /** The time since which it has sent heartbeats without reacting to responses. Null if it reacts. */
   get unresponsiveSince(): MonotonicTime | null {
     return this.unresponsive;
   }
--- a/src/core/machines/registry_page.ts
+++ b/src/core/machines/registry_page.ts
@@ -50,7 +50,7 @@
     return this.versionUnknown && !this.callInFlight;
   }
 
-  /** Returns whether the page may and should be written now. Image changes alone are written only with spare writes. */
+  /** Returns whether the page may and should be written now. Image changes alone require spare write capacity. */
   isWriteDue(now: MonotonicTime, hasSpareWrites: boolean): boolean {
     // A page that is being split is too large to be written until the departing machines have been removed.
     if (this.callInFlight || this.versionUnknown || this.departing.size > 0) return false;
--- a/src/core/machines/reported_tasks.ts
+++ b/src/core/machines/reported_tasks.ts
@@ -12,7 +12,7 @@
   readonly isDone: boolean;
 }
 
-/** A live task on a machine that has no placement there. */
+/** A live task that a machine reports although the task has no placement there. */
 export interface UnexpectedTask {
   readonly job: JobId;
   readonly index: number;
--- a/src/core/machines/spot_interruption_rate.ts
+++ b/src/core/machines/spot_interruption_rate.ts
@@ -1,9 +1,9 @@
 /** Estimates how often spot machines are interrupted, and the delay that this causes for a task. */
 /** Time constant with which observations lose weight. */
 const DECAY_SECONDS = 150;
-/** Number of observed interruptions that the cautious initial estimate counts as. */
+/** Weight of the cautious initial estimate, as a number of observed interruptions. */
 const PRIOR_INTERRUPTIONS = 0.3;
-/** Cautious initial estimate of the interruption rate per machine. */
+/** Cautious initial estimate of the number of interruptions per machine and second. */
 const PRIOR_PER_SECOND = 1.5 / 3600;
 /** Approximate time until the loss of a task is detected, the task is placed again and its image is pulled. */
 const RESTART_SECONDS = 15;
@@ -13,7 +13,7 @@
   private interruptionCount = 0;
   private machineSeconds = 0;
 
-  /** Records that this number of spot machines was up for this further period. */
+  /** Records that a number of spot machines has been up for a further period. */
   observe(machines: number, seconds: number): void {
     const decayFactor = Math.exp(-seconds / DECAY_SECONDS);
     this.interruptionCount *= decayFactor;
--- a/src/core/machines/straggler_detector.ts
+++ b/src/core/machines/straggler_detector.ts
@@ -13,7 +13,7 @@
 const MAX_JOBS = 6;
 /** Minimum number of jobs from which a machine can be judged. */
 const MIN_JOBS = 2;
-/** Number of its standard errors by which the mean log ratio must exceed zero. */
+/** Number of standard errors by which the mean log ratio must exceed zero. */
 const MIN_STANDARD_ERRORS = 3;
 /** Log ratio above which a machine is a straggler. It corresponds to twice the expected run time. */
 export const STRAGGLER_LOG_RATIO = Math.log(2);
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -282,8 +282,8 @@
 
 /**
  * The time until which an output may be sent. The process may be paused between the step that creates an output and its
- * sending. By then the lease may have expired, so that outputs reserved to the leader are no longer valid, and a
- * confirmed state of an unfinished job may be outdated.
+ * sending. By then the lease may have expired, so that outputs that only the leader may send are no longer valid, and
+ * a confirmed state of an unfinished job may be outdated.
  */
 interface Expiring {
   readonly expiresAt?: MonotonicTime;
--- a/src/core/outbox.ts
+++ b/src/core/outbox.ts
@@ -5,7 +5,7 @@
 import type { StepClock } from './step_clock.js';
 import type { ControllerName, MonotonicTime } from './types.js';
 
-/** A response about an unfinished job is discarded if it is not sent within this time. */
+/** Time within which a response about an unfinished job must be sent. Later it is replaced by a refusal. */
 const UNFINISHED_JOB_RESPONSE_MS = 250;
 
 /** The expiry of an output. Null if it may be sent at any time. */
--- a/src/core/peers/peer_table.ts
+++ b/src/core/peers/peer_table.ts
@@ -18,7 +18,7 @@
   readonly status: PeerStatus;
   readonly lastStatusAt: MonotonicTime;
   /** The time since which the peer has been alive without interruption. */
-  readonly reachableSince: MonotonicTime;
+  readonly aliveSince: MonotonicTime;
   /** The time until which no heartbeats are forwarded to the peer, because it did not respond to one. */
   readonly heartbeatsPausedUntil: MonotonicTime;
 }
@@ -43,9 +43,9 @@
   onStatus(name: ControllerName, status: PeerStatus): void {
     const { monotonic } = this.context.now;
     const known = this.peers.get(name);
-    const reachableSince = known && this.isAlive(known) ? known.reachableSince : monotonic;
+    const aliveSince = known && this.isAlive(known) ? known.aliveSince : monotonic;
     const heartbeatsPausedUntil = known?.heartbeatsPausedUntil ?? monotonic;
-    this.peers.set(name, { name, status, lastStatusAt: monotonic, reachableSince, heartbeatsPausedUntil });
+    this.peers.set(name, { name, status, lastStatusAt: monotonic, aliveSince, heartbeatsPausedUntil });
   }
 
   /** Stops forwarding heartbeats to the peer for `ms` milliseconds. */
--- a/src/core/peers/request_forwarding.ts
+++ b/src/core/peers/request_forwarding.ts
@@ -1,4 +1,4 @@
-/** Forwards user requests to a peer that reaches the state store, when this controller's calls to it fail. */
+/** Forwards user requests to a peer that reaches the state store, if this controller's own calls to it fail. */
 import type { UserRequest, UserResponse } from '../messages.js';
 import type { StepContext } from '../step_context.js';
 import type { MessageIds } from './message_ids.js';
--- a/src/core/peers/status_exchange.ts
+++ b/src/core/peers/status_exchange.ts
@@ -81,9 +81,9 @@
   }
 
   private receivesHeartbeats(peer: Peer): boolean {
-    // A peer that has just become reachable received its heartbeats while it could not forward them. It forwards them
-    // from now on, so they don't show that this leader is isolated.
-    if (this.context.now.monotonic - peer.reachableSince < this.isolationMs) return false;
+    // A peer that has just become alive again received its heartbeats while it could not forward them. It forwards
+    // heartbeats from now on, so the earlier ones don't show that this leader is isolated.
+    if (this.context.now.monotonic - peer.aliveSince < this.isolationMs) return false;
     const { sinceLastHeartbeatMs } = peer.status;
     return this.peers.isReachable(peer) && sinceLastHeartbeatMs >= 0 && sinceLastHeartbeatMs < this.isolationMs / 2;
   }
--- a/src/core/requests/job_cancellation.ts
+++ b/src/core/requests/job_cancellation.ts
@@ -12,8 +12,8 @@
 const WRITE_OPTIONS = { timeoutMs: 1000, maxQueueTimeMs: 1000, failFast: true } as const;
 
 /**
- * Notifies the leader of a persisted cancellation. `onDone` is called when the leader has acknowledged it, or shortly
- * after without an acknowledgement.
+ * Notifies the leader of a persisted cancellation. `onDone` is called when the leader has acknowledged it, or after a
+ * short timeout.
  */
 export type BroadcastCancellation = (id: JobId, onDone: () => void) => void;
 
@@ -56,7 +56,8 @@
   private cancelKnown(job: CachedJob, continuation: RequestContinuation, attempt: number): void {
     switch (job.record.state) {
       case 'cancelled':
-        // An earlier attempt may have persisted the cancellation without a reply. The leader may not know of it yet.
+        // An earlier attempt may have persisted the cancellation although its reply was lost. The leader may not know
+        // of it yet.
         this.respondCancelled(job.record, continuation);
         return;
       case 'done':
--- a/src/core/requests/job_submission.ts
+++ b/src/core/requests/job_submission.ts
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Returns the bytes by which a record may grow later: its first start, and the zones of all its starts. */
+  /** Returns the number of bytes by which a record may grow when its first start and its start zones are recorded. */
   private reservedBytes(): number {
     return RESERVED_BYTES + JSON.stringify(this.context.settings.zones).length;
   }
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -86,9 +86,9 @@
   readonly singleZone: boolean;
   /** Whether no zone may hold more than half of the tasks. */
   readonly zoneSpread: boolean;
-  /** Whether tasks may be on spot instances. */
+  /** Whether tasks may be placed on spot machines. */
   readonly toleratesSpot: boolean;
-  /** The owner's estimate of a task's run time, excluding the image pull. It is often wrong by 50 % or more. */
+  /** The user's estimate of a task's run time, excluding the image pull. It is often wrong by 50 % or more. */
   readonly estimatedRuntimeSeconds: number;
   /** The progress, in seconds, after which a task saves a checkpoint automatically. 0 means that it never saves one. */
   readonly checkpointIntervalSeconds: number;
@@ -158,7 +158,7 @@
   readonly sequence: SequenceNumber;
   /** The highest fencing token that the worker has seen. */
   readonly fencingToken: FencingToken;
-  /** The time until the cloud reclaims the spot instance. Null if no interruption notice was given. */
+  /** The time until the cloud reclaims the spot machine. Null if no interruption notice was given. */
   readonly interruptionNoticeSeconds: number | null;
   readonly tasks: readonly TaskStatus[];
 }
--- a/src/io/http/http_client.ts
+++ b/src/io/http/http_client.ts
@@ -18,7 +18,7 @@
  * Why a call ended without a usable response. In each case callers must assume that the request may have been executed.
  */
 export type HttpCallErrorCode =
-  /** No complete response arrived within the call's time-out. */
+  /** No complete response arrived within the call's timeout. */
   | 'timedOut'
   /** The connection was refused, or failed before the response was complete. */
   | 'connectionFailed'
@@ -81,7 +81,7 @@
 
   /**
    * `address` is `host:port`. `sockets` is the maximum number of connections. Further calls wait for a connection, and
-   * that wait counts towards their time-out.
+   * that wait counts towards their timeout.
    */
   constructor(address: string, sockets: number) {
     const { host, port } = parseHostPort(address);
@@ -123,7 +123,7 @@
 
   /**
    * Closes all connections and ends the calls on them. Calls that wait for a connection get a new one if it is
-   * available within their time-out.
+   * available within their timeout.
    */
   closeConnections(): void {
     this.agent.destroy();
--- a/src/io/workers/command_push_transport.ts
+++ b/src/io/workers/command_push_transport.ts
@@ -10,8 +10,8 @@
 const MAX_CLIENTS = 128;
 
 /**
- * Connections to workers. Machines come and go, so only the `MAX_CLIENTS` most recently opened addresses keep a
- * connection.
+ * Connections to workers. Machines are replaced frequently, so only the `MAX_CLIENTS` most recently opened addresses
+ * keep a connection.
  */
 export class CommandPushTransport {
   /** Clients by address, in the order in which they were opened. */
--- a/test/io/http_client.test.ts
+++ b/test/io/http_client.test.ts
@@ -52,7 +52,8 @@
 const head = (status: number, length: number): string => `HTTP/1.1 ${status} X\r\ncontent-length: ${length}\r\n\r\n`;
 const responseWith = (body: Uint8Array): Buffer => Buffer.concat([Buffer.from(head(200, body.length)), body]);
 
-const endsWith = (code: HttpCallErrorCode) => (error: unknown) => error instanceof HttpCallError && error.code === code;
+const hasErrorCode = (code: HttpCallErrorCode) => (error: unknown) =>
+  error instanceof HttpCallError && error.code === code;
 
 describe('an outgoing call ends', () => {
   test('with the response, and the next call reuses the connection', async (t) => {
@@ -72,18 +73,18 @@
 
   test('as connectionFailed if the port has no listener', async () => {
     const client = new HttpClient('127.0.0.1:1', 1);
-    await assert.rejects(client.send(REQUEST, TIMEOUT_MS), endsWith('connectionFailed'));
+    await assert.rejects(client.send(REQUEST, TIMEOUT_MS), hasErrorCode('connectionFailed'));
     client.close();
   });
 
   test('as connectionFailed if the connection ends without a response', async (t) => {
     const service = await Service.start(t, (socket) => socket.end());
-    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), endsWith('connectionFailed'));
+    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), hasErrorCode('connectionFailed'));
   });
 
   test('as connectionFailed if the response is not HTTP', async (t) => {
     const service = await Service.start(t, (socket) => socket.end('nonsense\r\n\r\n'));
-    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), endsWith('connectionFailed'));
+    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), hasErrorCode('connectionFailed'));
     await service.allClosed();
   });
 
@@ -97,13 +98,13 @@
     const service = await Service.start(t, (socket) =>
       socket.write('HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n'),
     );
-    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), endsWith('connectionFailed'));
+    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), hasErrorCode('connectionFailed'));
     await service.allClosed();
   });
 
   test('as unusableBody if the body is not CBOR', async (t) => {
     const service = await Service.start(t, (socket) => socket.write(responseWith(Buffer.from('nonsense'))));
-    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), endsWith('unusableBody'));
+    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), hasErrorCode('unusableBody'));
   });
 
   test('as unusableBody as soon as the body is too long, and the connection is closed', async (t) => {
@@ -111,26 +112,26 @@
       socket.write(head(200, 2 * MAX_RESPONSE_BYTES));
       socket.write(Buffer.alloc(MAX_RESPONSE_BYTES + 1));
     });
-    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), endsWith('unusableBody'));
+    await assert.rejects(service.client.send(REQUEST, TIMEOUT_MS), hasErrorCode('unusableBody'));
     await service.allClosed();
   });
 
   test('as timedOut if no response arrives in time, and the connection is closed', async (t) => {
     const service = await Service.start(t, () => {});
-    await assert.rejects(service.client.send(REQUEST, 50), endsWith('timedOut'));
+    await assert.rejects(service.client.send(REQUEST, 50), hasErrorCode('timedOut'));
     await service.allClosed();
   });
 
   test('as timedOut if the body is not complete in time, and the connection is closed', async (t) => {
     const service = await Service.start(t, (socket) => socket.write(`${head(200, 100)}short`));
-    await assert.rejects(service.client.send(REQUEST, 50), endsWith('timedOut'));
+    await assert.rejects(service.client.send(REQUEST, 50), hasErrorCode('timedOut'));
     await service.allClosed();
   });
 
   test('as timedOut if no connection becomes free in time, while the call on the connection continues', async (t) => {
     const service = await Service.start(t, () => {});
     const first = service.client.send(REQUEST, TIMEOUT_MS);
-    await assert.rejects(service.client.send(REQUEST, 50), endsWith('timedOut'));
+    await assert.rejects(service.client.send(REQUEST, 50), hasErrorCode('timedOut'));
     assert.equal(service.sockets.length, 1);
     service.sockets[0]?.write(head(200, 0));
     assert.equal((await first).status, 200);
@@ -141,8 +142,8 @@
     const sent = service.client.send(REQUEST, TIMEOUT_MS);
     const waiting = service.client.send(REQUEST, TIMEOUT_MS);
     await Promise.all([
-      assert.rejects(sent, endsWith('clientClosed')),
-      assert.rejects(waiting, endsWith('clientClosed')),
+      assert.rejects(sent, hasErrorCode('clientClosed')),
+      assert.rejects(waiting, hasErrorCode('clientClosed')),
     ]);
     await service.allClosed();
   });
