--- a/src/core/autoscaling/scale_in.ts
+++ b/src/core/autoscaling/scale_in.ts
@@ -1,6 +1,6 @@
 /** Terminates machines that are idle, drained and empty, lost, unresponsive, or whose boot timed out. */
 import { startKey, startKeyOf } from '../jobs/task_keys.js';
-import { HEARTBEAT_OVERDUE_AFTER_PERIODS } from '../machines/agent_messages.js';
+import { HEARTBEAT_OVERDUE_AFTER_INTERVALS } from '../machines/agent_messages.js';
 import type { DrainReason } from '../machines/cordon.js';
 import type { Machine } from '../machines/machine.js';
 import type { Cluster } from '../state/cluster.js';
@@ -21,9 +21,9 @@
 const FEW_OVERDUE_MACHINES = 2;
 const FEW_OVERDUE_SHARE = 0.03;
 /** Heartbeat intervals after its election in which a leader terminates no machine as overdue or unresponsive. */
-const NEW_LEADER_GRACE_PERIODS = 3;
+const NEW_LEADER_GRACE_INTERVALS = 3;
 /** Heartbeat intervals without contact after which a spot machine counts as lost. */
-const SPOT_LOST_AFTER_PERIODS = 4;
+const SPOT_LOST_AFTER_INTERVALS = 4;
 /**
  * Time beyond the lease duration after which a machine without contact, or unresponsive, is terminated, in
  * milliseconds.
@@ -88,10 +88,10 @@
     for (const { phase, messages } of this.cluster.machines.values()) {
       if (phase !== 'up') continue;
       up += 1;
-      if (now.monotonic - messages.lastContactAt < HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs)
+      if (now.monotonic - messages.lastContactAt < HEARTBEAT_OVERDUE_AFTER_INTERVALS * heartbeatIntervalMs)
         withRecentContact += 1;
     }
-    const ledLongEnough = now.monotonic - leadingSince > NEW_LEADER_GRACE_PERIODS * heartbeatIntervalMs;
+    const ledLongEnough = now.monotonic - leadingSince > NEW_LEADER_GRACE_INTERVALS * heartbeatIntervalMs;
     return {
       now: now.monotonic,
       heartbeatIntervalMs,
@@ -213,10 +213,10 @@
   { now, heartbeatIntervalMs, leaseMs, fewOverdue }: FleetOverview,
 ): DrainReason | null {
   const sinceContactMs = now - machine.messages.lastContactAt;
-  const isOverdue = sinceContactMs > HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs;
+  const isOverdue = sinceContactMs > HEARTBEAT_OVERDUE_AFTER_INTERVALS * heartbeatIntervalMs;
   if (machine.spot && machine.cordon.interruptionAt !== null && isOverdue) return 'spot interruption';
   // Its termination proves that no task runs on it, sooner than the expiry of its lease would.
-  if (machine.spot && sinceContactMs > SPOT_LOST_AFTER_PERIODS * heartbeatIntervalMs) return 'heartbeat overdue';
+  if (machine.spot && sinceContactMs > SPOT_LOST_AFTER_INTERVALS * heartbeatIntervalMs) return 'heartbeat overdue';
   // A replica is replaced only after it is proven that it no longer runs. Users of the service wait until then.
   if (fewOverdue && isOverdue && machine.allocations.hasReplica) return 'heartbeat overdue';
   return sinceContactMs > leaseMs + TERMINATE_AFTER_LEASE_MS ? 'heartbeat overdue' : null;
--- a/src/core/machines/agent_messages.ts
+++ b/src/core/machines/agent_messages.ts
@@ -2,7 +2,7 @@
 import type { AgentEpoch, FencingToken, Heartbeat, MonotonicTime, SequenceNumber } from '../types.js';
 
 /** Number of heartbeat intervals without a heartbeat after which a machine gets no new tasks. */
-export const HEARTBEAT_OVERDUE_AFTER_PERIODS = 2.5;
+export const HEARTBEAT_OVERDUE_AFTER_INTERVALS = 2.5;
 /** The sequence number before the first message of an epoch. */
 const NO_MESSAGE = 0n as SequenceNumber;
 
@@ -77,7 +77,7 @@
 
   /** Returns whether the last heartbeat is too old for the machine to get new tasks. */
   isHeartbeatOverdue(now: MonotonicTime, heartbeatIntervalMs: number): boolean {
-    return now - this.heartbeatAt >= HEARTBEAT_OVERDUE_AFTER_PERIODS * heartbeatIntervalMs;
+    return now - this.heartbeatAt >= HEARTBEAT_OVERDUE_AFTER_INTERVALS * heartbeatIntervalMs;
   }
 
   /** Returns whether a message is newer than every status that was processed. */
