--- a/test/cold_start_process.test.ts
+++ b/test/cold_start_process.test.ts
@@ -2,7 +2,7 @@
 import type { ChildProcess } from 'node:child_process';
 import { type TestContext, test } from 'node:test';
 import { FakeServices } from './support/fake_services.js';
-import { FakeWorker, RETRY_DELAY_MS, SHORTEST_PERIOD_SHARE, WorkLog } from './support/fake_worker.js';
+import { FakeWorker, HEARTBEAT_RETRY_DELAY_MS, MIN_HEARTBEAT_PERIOD_FACTOR, WorkLog } from './support/fake_worker.js';
 import { sendRequest } from './support/http.js';
 import {
   allocateAddress,
@@ -13,22 +13,29 @@
 } from './support/processes.js';
 
 /*
- * The built program, started as deploy/service.toml says, on loopback: three controllers are killed together in the middle of
- * their work and come back, while stand-in workers run on. What reaches the workers is written down on their side.
+ * Guards against controllers that stop, repeat or lose tasks when all of them restart. Three processes of the built
+ * program, started as deploy/service.toml says, are killed together on loopback while tasks run, and are started again.
+ * Stand-in workers keep running and record which commands reach them.
  */
 
 const ZONE = 'north';
 const LEASE_SECONDS = 10;
-/** Controllers that are away for 2 s and start beside a busy machine's other work are back within it. */
+/**
+ * A lease long enough for controllers that are down for 2 s and then start slowly, because the test machine has other
+ * work.
+ */
 const LONG_LEASE_SECONDS = 20;
-/** From when a controller listens until every worker knows the leader: what a lease of 10 s less 2 s away left for it. */
+/**
+ * Maximum time from when a controller listens until every worker has the new leader's fencing token. It is what 2 s of
+ * downtime leave of a lease of 10 s.
+ */
 const MAX_RECOVERY_SECONDS = 8;
 const HEARTBEAT_SECONDS = 0.5;
 const WORKERS = 6;
-/** How long all controllers are away, within the workers' lease. */
-const AWAY_MS = 2000;
-/** How long workers are watched after the recovery for commands that they must not get. */
-const WATCHED_MS = 1500;
+/** Downtime of all controllers, which is shorter than the workers' lease. */
+const DOWNTIME_MS = 2000;
+/** Time after the recovery in which workers must not receive any command. */
+const OBSERVATION_MS = 1500;
 const CONTROLLERS = ['node-a', 'node-b', 'node-c'];
 
 interface JobOptions {
@@ -38,10 +45,10 @@
 }
 
 /** Three controllers, six workers, a state store and a cloud that provisions nothing. */
-class RealCluster {
+class ProcessCluster {
   readonly log = new WorkLog();
   readonly workers: FakeWorker[] = [];
-  /** Every state that any controller has told of a job, in order. */
+  /** Every state of a job that any controller returned, in order. */
   readonly statesByJob = new Map<string, string[]>();
   private readonly services = new FakeServices(ZONE);
   private readonly runMs = new Map<string, number>();
@@ -63,7 +70,7 @@
       ),
     );
     this.startControllers();
-    await waitUntil('a leader', () => this.services.leader() !== null);
+    await waitUntil('a controller leads', () => this.services.leader() !== null);
     for (let i = 0; i < WORKERS; i++) await this.addWorker(`i-00000${i}`);
   }
 
@@ -73,10 +80,10 @@
     const worker = new FakeWorker({ ...options, runMs }, this.controllers, this.log);
     await worker.start();
     this.workers.push(worker);
-    this.services.addMachine(id, worker.address, () => this.loseWorker(worker));
+    this.services.addMachine(id, worker.address, () => this.removeWorker(worker));
   }
 
-  loseWorker(worker: FakeWorker): void {
+  removeWorker(worker: FakeWorker): void {
     worker.stop();
     this.services.removeMachine(worker.id);
     const index = this.workers.indexOf(worker);
@@ -87,11 +94,11 @@
     this.processes = this.settingsFiles.map(startController);
   }
 
-  /** All at once, by their ids, without a word. */
+  /** Kills all controllers at once with SIGKILL, so that they can't step down, and waits until they have exited. */
   async killControllers(): Promise<void> {
-    const ended = this.processes.map((child) => new Promise((resolve) => child.once('exit', resolve)));
+    const exits = this.processes.map((child) => new Promise((resolve) => child.once('exit', resolve)));
     for (const child of this.processes) child.kill('SIGKILL');
-    await Promise.all(ended);
+    await Promise.all(exits);
   }
 
   async waitUntilListening(): Promise<void> {
@@ -103,36 +110,36 @@
     });
   }
 
-  /** A new leader whose fencing token every worker shows. */
+  /** Waits until every worker has received the fencing token of the current leader. */
   async waitUntilRecovered(): Promise<void> {
-    await waitUntil('all workers know the leader', () => {
+    await waitUntil('all workers have the fencing token of the leader', () => {
       const token = this.services.leaderFencingToken();
       return token !== null && this.workers.every((worker) => worker.hasFencingToken(token));
     });
   }
 
-  /** Every worker has failed to reach a controller for so long, by its count of failed heartbeats. */
+  /** Waits until every worker's heartbeats have failed for `ms` milliseconds, as derived from their number. */
   async waitUntilUnanswered(ms: number): Promise<void> {
-    const failures = 1 + Math.ceil(ms / RETRY_DELAY_MS);
-    const wanted = new Map(this.workers.map((worker) => [worker, worker.failedHeartbeats + failures]));
+    const failures = 1 + Math.ceil(ms / HEARTBEAT_RETRY_DELAY_MS);
+    const targets = new Map(this.workers.map((worker) => [worker, worker.failedHeartbeats + failures]));
     await waitUntil('no worker reaches a controller', () =>
-      [...wanted].every(([worker, count]) => worker.failedHeartbeats >= count),
+      [...targets].every(([worker, count]) => worker.failedHeartbeats >= count),
     );
   }
 
-  /** Every worker has had its heartbeats answered for so long, by their count. */
+  /** Waits until every worker's heartbeats have succeeded for `ms` milliseconds, as derived from their number. */
   async waitUntilAnswered(ms: number): Promise<void> {
-    const answers = 1 + Math.ceil(ms / (SHORTEST_PERIOD_SHARE * HEARTBEAT_SECONDS * 1000));
-    const wanted = new Map(this.workers.map((worker) => [worker, worker.answeredHeartbeats + answers]));
-    await waitUntil('all heartbeats are answered', () =>
-      [...wanted].every(([worker, count]) => worker.answeredHeartbeats >= count),
+    const answers = 1 + Math.ceil(ms / (MIN_HEARTBEAT_PERIOD_FACTOR * HEARTBEAT_SECONDS * 1000));
+    const targets = new Map(this.workers.map((worker) => [worker, worker.answeredHeartbeats + answers]));
+    await waitUntil('controllers respond to the heartbeats of all workers', () =>
+      [...targets].every(([worker, count]) => worker.answeredHeartbeats >= count),
     );
   }
 
   async submit({ id, tasks, cpus }: JobOptions, runMs: number): Promise<void> {
     this.runMs.set(id, runMs);
-    const needs = { cpus, gpus: 0, mem_gb: 1, plumage: 'img', image_gb: 0, breeds: null, grove: null };
-    const wishes = { same_place: false, apart: false, loaners: false, flight_s: runMs / 1000, cache_s: 0, stash_s: 0 };
+    const resources = { cpus, gpus: 0, mem_gb: 1, plumage: 'img', image_gb: 0, breeds: null, grove: null };
+    const options = { same_place: false, apart: false, loaners: false, flight_s: runMs / 1000, cache_s: 0, stash_s: 0 };
     const job = {
       ref: id,
       flock: 'f',
@@ -140,8 +147,8 @@
       shape: 'batch',
       rank: 'normal',
       chicks: tasks,
-      ...needs,
-      ...wishes,
+      ...resources,
+      ...options,
     };
     await waitUntil(`${id} is accepted`, async () => {
       const reply = await sendRequest(this.controllers[0]?.port ?? 0, 'POST', '/v2/runs', job, 5000);
@@ -149,7 +156,7 @@
     });
   }
 
-  /** Asks every controller for every job, and records what it says. */
+  /** Queries every job on every controller, and records the returned states. */
   async pollAll(ids: readonly string[]): Promise<void> {
     for (const { port } of this.controllers) {
       for (const id of ids) {
@@ -170,19 +177,19 @@
           this.statesByJob
             .get(id)
             ?.slice(-CONTROLLERS.length)
-            .every((mood) => mood === 'done'),
+            .every((state) => state === 'done'),
         );
       },
       60_000,
     );
   }
 
-  /** A job that was once called done is never called anything else. */
+  /** Asserts that every job was returned as done, and in no other state afterwards. */
   assertStatesFinal(): void {
-    for (const [id, moods] of this.statesByJob) {
-      const first = moods.indexOf('done');
-      assert.ok(first >= 0, `${id} was never called done`);
-      assert.deepEqual([...new Set(moods.slice(first))], ['done'], id);
+    for (const [id, states] of this.statesByJob) {
+      const first = states.indexOf('done');
+      assert.ok(first >= 0, `${id} was never returned as done`);
+      assert.deepEqual([...new Set(states.slice(first))], ['done'], id);
     }
   }
 
@@ -197,15 +204,15 @@
   }
 }
 
-/** A cluster that has started, and that ends with the test. */
-async function startCluster(t: TestContext, leaseSeconds = LEASE_SECONDS): Promise<RealCluster> {
-  const cluster = new RealCluster(leaseSeconds);
+/** Starts a cluster that is stopped at the end of the test. */
+async function startCluster(t: TestContext, leaseSeconds = LEASE_SECONDS): Promise<ProcessCluster> {
+  const cluster = new ProcessCluster(leaseSeconds);
   t.after(() => cluster.stop());
   await cluster.start();
   return cluster;
 }
 
-test('killed and back within a lease with nothing in disagreement: workers are told nothing', async (t) => {
+test('controllers restarted within a lease send no commands if records and statuses agree', async (t) => {
   const cluster = await startCluster(t, LONG_LEASE_SECONDS);
   const { log } = cluster;
   await cluster.submit({ id: 'job-1', tasks: 12, cpus: 4 }, LONG_LEASE_SECONDS * 1000);
@@ -213,16 +220,22 @@
   log.resetCommands();
   const killedAt = performance.now();
   await cluster.killControllers();
-  await cluster.waitUntilUnanswered(AWAY_MS);
+  await cluster.waitUntilUnanswered(DOWNTIME_MS);
   cluster.startControllers();
   await cluster.waitUntilListening();
   const listeningAt = performance.now();
   await cluster.waitUntilRecovered();
   const recoverySeconds = (performance.now() - listeningAt) / 1000;
-  assert.ok(recoverySeconds < MAX_RECOVERY_SECONDS, `recovered only ${recoverySeconds} s after it listened`);
-  const awaySeconds = (performance.now() - killedAt) / 1000;
-  assert.ok(awaySeconds < LONG_LEASE_SECONDS, `back after ${awaySeconds} s: not within a lease`);
-  await cluster.waitUntilAnswered(WATCHED_MS);
+  assert.ok(
+    recoverySeconds < MAX_RECOVERY_SECONDS,
+    `recovery ended only ${recoverySeconds} s after a controller listened`,
+  );
+  const downtimeSeconds = (performance.now() - killedAt) / 1000;
+  assert.ok(
+    downtimeSeconds < LONG_LEASE_SECONDS,
+    `recovery ended ${downtimeSeconds} s after the crash, which is not within the lease`,
+  );
+  await cluster.waitUntilAnswered(OBSERVATION_MS);
   assert.deepEqual(log.commands, { run: 0, stop: 0, reap: 0 });
   await cluster.waitUntilDone(['job-1']);
   cluster.assertStatesFinal();
@@ -232,43 +245,46 @@
   assert.deepEqual(log.expiredLeases, []);
 });
 
-test('tasks end and a machine vanishes while no controller is up: one final answer, nothing done twice', async (t) => {
+test('tasks end and a machine is lost with no controller running: jobs and tasks complete only once', async (t) => {
   const cluster = await startCluster(t);
   const { log } = cluster;
   await cluster.submit({ id: 'job-2', tasks: 6, cpus: 4 }, 60_000);
   await waitUntil('job-2 runs', () => log.runningTasks() === 6);
   await cluster.submit({ id: 'job-1', tasks: 6, cpus: 4 }, 5000);
   await waitUntil('both jobs run', () => log.runningTasks() === 12);
-  // All machines are full: it waits until the controllers are back.
+  // All machines are full, so job-3 waits until the controllers have been restarted.
   await cluster.submit({ id: 'job-3', tasks: 9, cpus: 2 }, 1000);
   await cluster.killControllers();
   log.resetCommands();
-  const [vanishing] = cluster.workers;
-  assert.ok(vanishing);
-  const lost = vanishing.taskNames;
-  cluster.loseWorker(vanishing);
-  await waitUntil('the tasks of job-1 that were left have ended', () => {
-    const left = 6 - lost.filter((task) => task.startsWith('job-1/')).length;
-    return cluster.completionCounts('job-1').length === left;
+  const [removedWorker] = cluster.workers;
+  assert.ok(removedWorker);
+  const lostTasks = removedWorker.taskNames;
+  cluster.removeWorker(removedWorker);
+  await waitUntil('the remaining tasks of job-1 have completed', () => {
+    const remaining = 6 - lostTasks.filter((task) => task.startsWith('job-1/')).length;
+    return cluster.completionCounts('job-1').length === remaining;
   });
   cluster.startControllers();
   await cluster.waitUntilDone(['job-1', 'job-3']);
   cluster.assertStatesFinal();
   assert.deepEqual(cluster.completionCounts('job-1'), Array(6).fill(1));
   assert.deepEqual(cluster.completionCounts('job-3'), Array(9).fill(1));
-  for (const [task, times] of log.startsByTask) assert.ok(times <= (lost.includes(task) ? 2 : 1), `${task}: ${times}`);
+  for (const [task, times] of log.startsByTask)
+    assert.ok(times <= (lostTasks.includes(task) ? 2 : 1), `${task}: ${times}`);
   assert.equal(log.commands.stop, 0);
   assert.deepEqual(log.concurrentRuns, []);
   assert.deepEqual(log.expiredLeases, []);
 });
 
-test('away for longer than a lease: sessions have moved on, all begins anew and ends once', async (t) => {
+test('controllers down for more than a lease: agent epochs change, tasks start again, the job ends once', async (t) => {
   const cluster = await startCluster(t);
   const { log } = cluster;
   await cluster.submit({ id: 'job-1', tasks: 6, cpus: 4 }, 4000);
   await waitUntil('all tasks run', () => log.runningTasks() === 6);
   await cluster.killControllers();
-  await waitUntil('all leases have ended', () => cluster.workers.every((worker) => worker.currentAgentEpoch > 1));
+  await waitUntil('the leases of all workers have expired', () =>
+    cluster.workers.every((worker) => worker.currentAgentEpoch > 1),
+  );
   cluster.startControllers();
   await cluster.waitUntilDone(['job-1']);
   cluster.assertStatesFinal();
--- a/test/cold_start_properties.test.ts
+++ b/test/cold_start_properties.test.ts
@@ -8,7 +8,10 @@
 import { checkProperty } from './support/properties.js';
 import { constantWord, halfSeconds, machineName, scenarioLineWithin } from './support/scenario_lines.js';
 
-/* Generated scenarios round cold starts. Counter-examples are lines of a scenario: kept, they go to test/scenarios/. */
+/*
+ * Generated scenarios in which all controllers crash and restart, together with other faults. A counterexample consists
+ * of scenario lines. To keep one, add it to test/scenarios/.
+ */
 
 const oldVersions = await loadOldVersions();
 
@@ -52,24 +55,26 @@
   return runScenario(parseScenarioText('generated', `# generated\n${text}\n`), oldVersions);
 }
 
-test('after any troubles round cold starts no rule is broken, and every job has one final answer', () => {
-  const troubles = fc.tuple(coldStart, fc.array(fault, { minLength: 1, maxLength: 6 }));
-  const property = fc.property(troubles, ([first, rest]) => {
+test('with any faults around cold starts no invariant is violated, and every accepted job has a final state', () => {
+  const faults = fc.tuple(coldStart, fc.array(fault, { minLength: 1, maxLength: 6 }));
+  const property = fc.property(faults, ([first, rest]) => {
     const { world, failures } = runGeneratedScenario([first, ...rest]);
-    const open = ['job-1', 'job-2', 'job-3', 'job-4'].filter((id) => {
+    const unfinished = ['job-1', 'job-2', 'job-3', 'job-4'].filter((id) => {
       return world.invariants.isAccepted(id as JobId) && !world.invariants.finalStateOf(id as JobId);
     });
-    assert.deepEqual([...failures, ...world.errors, ...open], []);
+    assert.deepEqual([...failures, ...world.errors, ...unfinished], []);
     assert.equal(world.leader()?.recoverySummary()?.unreconciledMachines ?? 0, 0);
   });
   checkProperty(import.meta.url, property, 60);
 });
 
-test('where truth and record agree nothing is stopped and nothing begun twice, however often all controllers fall', () => {
-  const fall = fc.tuple(halfSeconds(8, 60), halfSeconds(0.5, 7)).map(([at, back]) => `at ${at} crash all ${back}`);
-  const property = fc.property(fc.array(fall, { minLength: 1, maxLength: 3 }), (falls) => {
-    const { world } = runGeneratedScenario(falls);
-    // Falls that meet may keep all controllers away for longer than a lease.
+test('if records and workers agree, crashes of all controllers stop no task and start no task twice', () => {
+  const crashAll = fc
+    .tuple(halfSeconds(8, 60), halfSeconds(0.5, 7))
+    .map(([at, restartAfter]) => `at ${at} crash all ${restartAfter}`);
+  const property = fc.property(fc.array(crashAll, { minLength: 1, maxLength: 3 }), (crashes) => {
+    const { world } = runGeneratedScenario(crashes);
+    // Crashes that overlap may keep all controllers down for longer than a lease.
     fc.pre(world.expiredLeases === 0);
     assert.deepEqual(world.invariants.violations, []);
     const tasks = new Map([
--- a/test/golden.test.ts
+++ b/test/golden.test.ts
@@ -5,7 +5,8 @@
 import { cloudTests, commandTests, storeTests } from './golden/service_cases.js';
 import { settingsTests } from './golden/settings_cases.js';
 
-/** What others see of this program is compared with what it was, byte for byte (golden/golden_file.ts). */
+/* Compares messages, stored records and settings byte for byte with the golden files (see golden/golden_file.ts). */
+
 recordTests();
 peerTests();
 storeTests();
--- a/test/paused_process.test.ts
+++ b/test/paused_process.test.ts
@@ -12,17 +12,18 @@
 } from './support/processes.js';
 
 /*
- * A real process is paused by a signal for longer than its lease, with its clocks running on, and continued. What was sent to
- * it meanwhile waits in its sockets.
+ * Guards against a leader that still responds with its old fencing token after a pause. A signal stops its process for
+ * longer than its lease while its clocks run on, and another one continues it. Heartbeats sent meanwhile wait in its
+ * sockets.
  */
 
-/** The workers' lease: that of the leader is 3 s. */
+/** Lease of the workers. The leader's lease is 3 s. */
 const LEASE_SECONDS = 10;
 
-/** The response to a heartbeat; null: there was none. */
+/** The response to a heartbeat, or null if there was none. */
 type HeartbeatReply = { readonly status: number; readonly fencingToken: bigint } | null;
 
-/** A worker that shows one task as ended, so that its heartbeats are answered at once. */
+/** Sends a worker's heartbeats. Their status lists an exited task, so that a controller responds at once. */
 class HeartbeatSender {
   private sequence = 0;
   private highestFencingToken = 0n;
@@ -38,10 +39,10 @@
   }
 
   private heartbeat(): unknown {
-    const at = { breed: 'c8', grove: 'north', loaners: false };
-    const ended = { chick: 'job-7/0', hop: 1, mood: 'exited', cause: 'stopped' };
+    const place = { breed: 'c8', grove: 'north', loaners: false };
+    const exitedTask = { chick: 'job-7/0', hop: 1, mood: 'exited', cause: 'stopped' };
     const numbers = { roost: 1, chirp: this.sequence, crest: this.highestFencingToken };
-    return { perch: this.id, addr: '127.0.0.1:1', ...at, ...numbers, chicks: [ended] };
+    return { perch: this.id, addr: '127.0.0.1:1', ...place, ...numbers, chicks: [exitedTask] };
   }
 }
 
@@ -52,10 +53,10 @@
   );
 }
 
-/** The fencing token in a controller's responses to the worker. */
+/** Sends heartbeats until the controller responds with status 200, and returns the fencing token of that response. */
 async function fencingTokenOf(worker: HeartbeatSender, port: number): Promise<bigint> {
   let token = 0n;
-  await waitUntil('heartbeats are answered', async () => {
+  await waitUntil('a controller responds to heartbeats with status 200', async () => {
     const response = await worker.send(port);
     token = response?.fencingToken ?? 0n;
     return response?.status === 200;
@@ -63,7 +64,7 @@
   return token;
 }
 
-test('a leader that a signal pauses for longer than its lease says nothing with its old token', async (t) => {
+test('a leader paused for longer than its lease sends no response with its old fencing token', async (t) => {
   const services = new FakeServices('north');
   const servicesPort = await services.start();
   const [first, second] = [await allocateAddress('node-a'), await allocateAddress('node-b')];
@@ -80,10 +81,13 @@
   await waitUntil('node-a leads', () => services.leader() === 'node-a');
   const worker = new HeartbeatSender('i-000001');
   const oldToken = await fencingTokenOf(worker, first.port);
-  // Its machine is on record by now: nothing else would hold an answer back.
+  // The record of the worker's machine is stored by now, so nothing else would defer a response.
   assert.equal(await fencingTokenOf(worker, first.port), oldToken);
   children.push(startController(writeSettingsFile(second, [first], servicesPort, { leaseSeconds: LEASE_SECONDS })));
-  await waitUntil('node-b answers', async () => (await new HeartbeatSender('i-000002').send(second.port)) !== null);
+  await waitUntil(
+    'node-b responds to heartbeats',
+    async () => (await new HeartbeatSender('i-000002').send(second.port)) !== null,
+  );
 
   paused.kill('SIGSTOP');
   const queued = worker.send(first.port, WAIT_TIMEOUT_MS);
@@ -95,7 +99,7 @@
   const response = await queued;
   assert.ok(response?.status !== 200 || response.fencingToken === newToken, 'a response with the old fencing token');
   const later = new HeartbeatSender('i-000004');
-  await waitUntil('node-a takes heartbeats to the new leader', async () => {
+  await waitUntil('node-a forwards or redirects heartbeats to the new leader', async () => {
     const answer = await later.send(first.port);
     assert.ok(answer?.status !== 200 || answer.fencingToken === newToken);
     return answer !== null && (answer.status === 200 || answer.status === 421);
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -12,11 +12,17 @@
 import { lateLargestJobs, servedShares } from './sim/served_jobs.js';
 import { World } from './sim/world.js';
 
+/*
+ * Random jobs and random faults in simulated worlds, one world for each seed. The environment variables SEED_FROM and
+ * SEEDS select the first seed and the number of seeds.
+ */
+
 const FAULTS_SECONDS = 260;
+/** Time after FAULTS_SECONDS in which all work must end. */
 const QUIET_SECONDS = 420;
 
 const zones = ['a', 'b'] as ZoneName[];
-/** Small caches and short boots, so that images are evicted and machines come and go within a day. */
+/** Small image caches and short boot times, so that images are evicted and machines are replaced within one run. */
 const machineTypes = [C8, G4].map((type) => ({ ...type, imageCacheGb: 20, bootSeconds: 15, zones }));
 const makeTeam = (name: string, guaranteedGpus: number, gpuLimit: number): TeamQuota => ({
   name: name as TeamName,
@@ -25,9 +31,9 @@
 });
 const teams = [makeTeam('red', 4, 8), makeTeam('blue', 0, 0)];
 
-/** `isRolled`: the controllers begin with old versions, drawn for each. */
-function makeWorld(seed: number, isRolled: boolean): World {
-  // On every other day leaders have cores enough to take workers' heartbeats themselves.
+/** Creates a world. With `isRollingUpgrade`, each controller begins with a randomly selected old version. */
+function makeWorld(seed: number, isRollingUpgrade: boolean): World {
+  // For every second seed, leaders have enough CPU to receive the workers' heartbeats directly.
   const limits = { ...LIMITS, cpuShare: seed % 2 === 0 ? 0.8 : 0.3 };
   const options = {
     seed,
@@ -39,14 +45,16 @@
     tuning: CURRENT_BUILD.tuning,
     limits,
   };
-  return new World(isRolled ? { ...options, builds: drawBuilds(seed, options.controllers), oldVersions } : options);
+  return new World(
+    isRollingUpgrade ? { ...options, builds: drawBuilds(seed, options.controllers), oldVersions } : options,
+  );
 }
 
-/** A day of random jobs and random faults: whatever happens, every invariant holds, and once all is quiet all work ends. */
-function runRandomDay(seed: number): World {
-  // On every fourth day controllers begin with old versions, and are replaced in some order while faults come.
-  const isRolled = seed % 4 === 1;
-  const world = makeWorld(seed, isRolled);
+/** Runs a world with random jobs and faults. All invariants must hold, and all work must end after the faults. */
+function runRandomWorld(seed: number): World {
+  // For every fourth seed, controllers begin with old versions and are upgraded in random order while faults occur.
+  const isRollingUpgrade = seed % 4 === 1;
+  const world = makeWorld(seed, isRollingUpgrade);
   const { clock } = world;
   for (let i = 0; i < 4; i++) {
     world.cloud.addMachine(
@@ -58,9 +66,10 @@
   }
   world.startControllers();
   for (let i = 0; i < 16; i++) addJob(world, i, clock.randomBetween(1, FAULTS_SECONDS * 0.8));
-  if (isRolled) scheduleRollingUpgrade(world);
-  // Nothing new is asked of the service before all have the new version.
-  for (let i = 0; i < 2; i++) addService(world, i, clock.randomBetween(isRolled ? 170 : 5, FAULTS_SECONDS * 0.8));
+  if (isRollingUpgrade) scheduleRollingUpgrade(world);
+  // In a rolling upgrade, services are submitted only after all controllers have the current version.
+  for (let i = 0; i < 2; i++)
+    addService(world, i, clock.randomBetween(isRollingUpgrade ? 170 : 5, FAULTS_SECONDS * 0.8));
   for (let i = 0; i < 2; i++) addFaultyJob(world, i, clock.randomBetween(1, FAULTS_SECONDS * 0.6));
   if (seed % 10 === 0) addHugeArray(world, clock.randomBetween(5, FAULTS_SECONDS * 0.5));
   injectRandomFaults(world);
@@ -69,22 +78,27 @@
   return world;
 }
 
-/** The controllers are replaced by the current version, one after the other in some order. */
+/** Upgrades the controllers to the current version, one after the other in random order. */
 function scheduleRollingUpgrade(world: World): void {
   const { clock } = world;
   const order = [...world.controllers].sort(() => clock.randomBetween(-1, 1));
   let at = clock.randomBetween(5, 40);
-  for (const node of order) {
-    clock.schedule(at * 1000, () => upgradeControllers(world, node.name, String(clock.randomBetween(0.2, 6)), 0));
+  for (const controller of order) {
+    clock.schedule(at * 1000, () => upgradeControllers(world, controller.name, String(clock.randomBetween(0.2, 6)), 0));
     at += clock.randomBetween(1, 25);
   }
 }
 
-/** Mostly both old versions are there; on some days all nodes run the same one. */
-function drawBuilds(seed: number, nodes: number): Build[] {
+/**
+ * Selects an old version for each controller. Most seeds mix the old versions, and some give all controllers the same.
+ */
+function drawBuilds(seed: number, controllers: number): Build[] {
   const known = [...oldVersions.values()];
   const random = xoroshiro128plus(seed);
-  return Array.from({ length: nodes }, () => known[unsafeUniformIntDistribution(0, known.length - 1, random)] as Build);
+  return Array.from(
+    { length: controllers },
+    () => known[unsafeUniformIntDistribution(0, known.length - 1, random)] as Build,
+  );
 }
 
 function addJob(world: World, i: number, atS: number): void {
@@ -115,7 +129,7 @@
     clock.schedule((atS + clock.randomBetween(0, 20)) * 1000, () => world.users.cancel(spec.id));
 }
 
-/** A job that fails wherever it runs, until its user calls it off. */
+/** Submits a job whose tasks fail on every machine, until its user cancels it. */
 function addFaultyJob(world: World, i: number, atS: number): void {
   const { clock } = world;
   const gang = clock.randomBetween(0, 1) < 0.5;
@@ -134,7 +148,7 @@
   clock.schedule((FAULTS_SECONDS + clock.randomBetween(5, 60)) * 1000, () => world.users.cancel(spec.id));
 }
 
-/** A guest's array of very many small tasks. */
+/** Submits an array of 2500 small tasks for a team without guaranteed resources. */
 function addHugeArray(world: World, atS: number): void {
   const options = {
     class: 'huge',
@@ -163,7 +177,7 @@
   const spec = { ...makeJobSpec(`job-${200 + i}`, 'service', options), image: `img-${i % 4}` as ImageName };
   clock.schedule(atS * 1000, () => world.users.submit(spec, 1e9));
   clock.schedule((FAULTS_SECONDS + 150) * 1000, () => {
-    // One that an outage kept from being accepted is owed nothing.
+    // A service that was not accepted because of an outage need not run.
     if (world.invariants.cancellationRequested.has(spec.id) || !world.invariants.isAccepted(spec.id)) return;
     availabilityAtEnd.set(world, [
       ...(availabilityAtEnd.get(world) ?? []),
@@ -173,7 +187,7 @@
   });
 }
 
-/** Which part of each service was up when it was cancelled, long after all faults. */
+/** The share of each service's replicas that were available when it was cancelled, long after all faults. */
 const availabilityAtEnd = new WeakMap<World, string[]>();
 
 function injectRandomFaults(world: World): void {
@@ -182,31 +196,36 @@
   for (let i = 0; i < faults; i++) {
     const at = clock.randomBetween(5, FAULTS_SECONDS);
     injectRandomFault(world, at);
-    // Some come in the middle of others.
+    // Some faults begin while another one lasts.
     if (clock.randomBetween(0, 1) < 0.4) injectRandomFault(world, at + clock.randomBetween(0, 8));
   }
 }
 
 function injectRandomFault(world: World, atS: number): void {
   const { clock } = world;
-  const node = clock.pickRandom(['perch-0', 'perch-1', 'perch-2', 'perch-4', 'leader', 'leader']);
+  const controller = clock.pickRandom(['perch-0', 'perch-1', 'perch-2', 'perch-4', 'leader', 'leader']);
   const secs = (low: number, high: number): string => String(clock.randomBetween(low, high));
   const mode = clock.pickRandom(['drop', 'delay']);
   const machine = (): string => clock.pickRandom([...world.workers.keys(), 'none' as MachineId]);
   const choices: [string, () => string[]][] = [
-    ['crash', () => [node, secs(0.1, 6)]],
+    ['crash', () => [controller, secs(0.1, 6)]],
     ['crash', () => ['all', secs(0.1, 6)]],
     ['store-outage', () => [secs(1, 25)]],
-    ['store-refuse', () => [node, secs(3, 30)]],
+    ['store-refuse', () => [controller, secs(3, 30)]],
     [
       'partition',
-      () => [node, clock.pickRandom(['state-store', 'workers', 'cloud', '*', 'users', 'perch-0']), secs(2, 30), mode],
+      () => [
+        controller,
+        clock.pickRandom(['state-store', 'workers', 'cloud', '*', 'users', 'perch-0']),
+        secs(2, 30),
+        mode,
+      ],
     ],
-    ['partition', () => [node, 'control-plane', secs(2, 30), clock.pickRandom(['drop', 'delay', 'refuse'])]],
+    ['partition', () => [controller, 'control-plane', secs(2, 30), clock.pickRandom(['drop', 'delay', 'refuse'])]],
     ['machine-inbound-loss', () => [machine(), secs(5, 40)]],
-    ['controller-outbound-loss', () => [node, secs(5, 30)]],
+    ['controller-outbound-loss', () => [controller, secs(5, 30)]],
     ['duplicate-heartbeats', () => [secs(5, 60)]],
-    ['crash', () => [node, secs(0.02, 0.4)]],
+    ['crash', () => [controller, secs(0.02, 0.4)]],
     ['crash', () => ['followers', secs(0.02, 0.4)]],
     [
       'crash-at',
@@ -216,7 +235,7 @@
         secs(0.02, 0.4),
       ],
     ],
-    ['pause', () => [node, secs(1, 30)]],
+    ['pause', () => [controller, secs(1, 30)]],
     ['pause', () => ['all', secs(1, 20)]],
     ['partition', () => [machine(), '*', secs(2, 30), mode]],
     ['hang', () => [machine(), secs(2, 30)]],
@@ -226,14 +245,17 @@
     ['interrupt', () => [machine()]],
     ['fail-machine', () => [machine()]],
     ['cloud-outage', () => [secs(3, 20)]],
-    ['pause', () => [node, secs(30, 80)]],
-    ['pause', () => [node, clock.pickRandom(['3.6', '4.4', '13.6', '14.6'])]],
+    ['pause', () => [controller, secs(30, 80)]],
+    ['pause', () => [controller, clock.pickRandom(['3.6', '4.4', '13.6', '14.6'])]],
     [
       'pause-before-sending',
-      () => [node, secs(2, 40), clock.pickRandom(['terminate', 'provision', 'commands', 'responses'])],
+      () => [controller, secs(2, 40), clock.pickRandom(['terminate', 'provision', 'commands', 'responses'])],
+    ],
+    [
+      'partition',
+      () => [controller, clock.pickRandom(['state-store', 'workers', 'control-plane', '*']), secs(60, 95), mode],
     ],
-    ['partition', () => [node, clock.pickRandom(['state-store', 'workers', 'control-plane', '*']), secs(60, 95), mode]],
-    ['store-refuse', () => [node, secs(60, 95)]],
+    ['store-refuse', () => [controller, secs(60, 95)]],
     ['boot-fault', () => [clock.pickRandom(['0.04', '4']), clock.pickRandom(['0', '0.5', '1']), secs(20, 80)]],
     ['boot-fault', () => ['1', '1', secs(20, 80), clock.pickRandom(zones)]],
     ['never-boot', () => ['1']],
@@ -242,7 +264,11 @@
     ['delay-heartbeats', () => [clock.pickRandom([machine(), 'all']), secs(2, 25)]],
     [
       'add-latency',
-      () => [clock.pickRandom([machine(), node, 'all']), String(clock.pickRandom([300, 2000, 6000])), secs(5, 40)],
+      () => [
+        clock.pickRandom([machine(), controller, 'all']),
+        String(clock.pickRandom([300, 2000, 6000])),
+        secs(5, 40),
+      ],
     ],
     ['slow-store', () => [String(clock.pickRandom([20, 100, 400])), secs(5, 40)]],
     ['delay-writes', () => [String(clock.pickRandom([0.1, 0.5, 0.9])), secs(5, 30)]],
@@ -263,26 +289,26 @@
 const seedCount = process.env.SEEDS ? Number(process.env.SEEDS) : 120;
 const firstSeed = process.env.SEED_FROM ? Number(process.env.SEED_FROM) : 1;
 
-test(`random days of troubles keep every rule (${seedCount} seeds)`, () => {
+test(`random jobs and faults violate no invariant (${seedCount} seeds)`, () => {
   for (let seed = firstSeed; seed < firstSeed + seedCount; seed++) {
-    const world = runRandomDay(seed);
-    assert.deepEqual(world.invariants.violations, [], `seed ${seed} broke a rule`);
+    const world = runRandomWorld(seed);
+    assert.deepEqual(world.invariants.violations, [], `seed ${seed} violated an invariant`);
     assert.deepEqual(world.errors, [], `seed ${seed} logged an error`);
-    const down = (availabilityAtEnd.get(world) ?? []).filter((line) => !line.endsWith(' 1'));
-    assert.deepEqual(down, [], `seed ${seed} left services without all of their replicas`);
-    const open = [...world.invariants.submitted.keys()].filter(
+    const unavailableServices = (availabilityAtEnd.get(world) ?? []).filter((line) => !line.endsWith(' 1'));
+    assert.deepEqual(unavailableServices, [], `seed ${seed} left services without all of their replicas`);
+    const unfinished = [...world.invariants.submitted.keys()].filter(
       (id: JobId) => world.invariants.isAccepted(id) && !world.invariants.finalStateOf(id),
     );
-    assert.deepEqual(open, [], `seed ${seed} left accepted jobs without an end`);
+    assert.deepEqual(unfinished, [], `seed ${seed} left accepted jobs without a final state`);
     const unserved = [...servedShares(world.invariants)].filter(([, share]) => share < 1);
-    assert.deepEqual(unserved, [], `seed ${seed} did not serve everybody`);
-    assert.deepEqual(lateLargestJobs(world.invariants), [], `seed ${seed} let the largest wait`);
+    assert.deepEqual(unserved, [], `seed ${seed} did not finish all jobs of every class and team`);
+    assert.deepEqual(lateLargestJobs(world.invariants), [], `seed ${seed} started the largest jobs too late`);
   }
 });
 
-test('a day with the same seed is the same day', () => {
-  const world = runRandomDay(7);
-  const second = runRandomDay(7);
+test('two runs with the same seed are identical', () => {
+  const world = runRandomWorld(7);
+  const second = runRandomWorld(7);
   assert.equal(world.invariants.starts, second.invariants.starts);
   assert.equal(world.stateStore.changesApplied, second.stateStore.changesApplied);
 });
--- a/test/single_controller_process.test.ts
+++ b/test/single_controller_process.test.ts
@@ -6,7 +6,9 @@
 import { allocateAddress, mainModule, repositoryRoot, writeExampleSettings } from './support/processes.js';
 import { smallWireJob } from './support/sample_messages.js';
 
-test('a controller alone starts, is healthy, and answers 503 while it can’t reach the state store', async (t) => {
+/* Starts the compiled program as a single process. No state store or cloud listens at the addresses in its settings. */
+
+test('a single controller starts, is healthy, and returns 503 while it cannot reach the state store', async (t) => {
   const { port, peerPort } = await allocateAddress('node-a');
   const settings = writeExampleSettings((text) =>
     text.replace('127.0.0.1:18080', `127.0.0.1:${port}`).replace('127.0.0.1:18081', `127.0.0.1:${peerPort}`),
@@ -18,7 +20,7 @@
   t.after(() => child.kill());
   await new Promise<void>((resolve, reject) => {
     child.stderr.on('data', (part: Buffer) => part.toString().includes('started') && resolve());
-    child.on('exit', () => reject(new Error('ended by itself')));
+    child.on('exit', () => reject(new Error('the controller exited before it logged that it had started')));
   });
   const up = await exchange(port, 'GET', '/up');
   const submitted = await exchange(port, 'POST', '/v2/runs', { body: encodeCbor(smallWireJob) });
--- a/test/support/fake_services.ts
+++ b/test/support/fake_services.ts
@@ -3,8 +3,8 @@
 import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
 
 /*
- * Stand-ins for the state store and the cloud that real processes can talk to: as little as a controller needs to lead, in real
- * time and by the names on the wire.
+ * Stand-in for the state store and the cloud, to which real controller processes connect. It runs in real time, uses
+ * the names on the wire and implements only what a controller needs to lead.
  */
 
 interface StoreEntry {
@@ -24,7 +24,7 @@
   readonly onTerminated: () => void;
 }
 
-interface HttpAnswer {
+interface ServiceResponse {
   readonly status: number;
   readonly body: unknown;
 }
@@ -33,9 +33,9 @@
 
 const NOT_FOUND = 404;
 const CONFLICT = 409;
-const NO_CAPACITY: HttpAnswer = { status: 503, body: { error: 'no capacity' } };
+const NO_CAPACITY: ServiceResponse = { status: 503, body: { error: 'no capacity' } };
 
-/** One store and one cloud with a single machine type, on one address. */
+/** A state store and a cloud with a single machine type, on one address. The cloud refuses to provision machines. */
 export class FakeServices {
   private readonly entries = new Map<string, StoreEntry>();
   private readonly leases = new Map<number, Lease>();
@@ -49,51 +49,51 @@
     this.server = createServer((request, response) => void this.serve(request, response));
   }
 
-  /** Listens on a free port of 127.0.0.1, which is returned. */
+  /** Listens on a free port of 127.0.0.1 and returns the port. */
   async start(): Promise<number> {
     await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Ends all connections. */
+  /** Stops listening and closes all connections. */
   stop(): void {
     for (const { expiry } of this.leases.values()) clearTimeout(expiry);
     this.server.closeAllConnections();
     this.server.close();
   }
 
-  /** The leader's name; null: there is none. */
+  /** Returns the name of the leader, or null if there is none. */
   leader(): string | null {
     const data = this.entries.get('leader')?.data as { node?: string } | undefined;
     return data?.node ?? null;
   }
 
-  /** The leader's fencing token; null: there is no leader. */
+  /** Returns the fencing token of the leader, or null if there is no leader. */
   leaderFencingToken(): bigint | null {
     const entry = this.entries.get('leader');
     return entry ? BigInt(entry.version) : null;
   }
 
-  /** A machine that the cloud shows as running; `onDeleted` is called when it is returned. */
+  /** Adds a machine that the cloud lists as running. `onTerminated` is called when a controller terminates it. */
   addMachine(id: string, addr: string, onTerminated: () => void): void {
     this.machines.set(id, { addr, addedAt: performance.now(), onTerminated });
   }
 
-  /** The cloud shows the machine no longer. */
+  /** Removes a machine from the cloud's list without calling its `onTerminated`. */
   removeMachine(id: string): void {
     this.machines.delete(id);
   }
 
-  private listMachines(parameters: URLSearchParams): HttpAnswer {
+  private listMachines(parameters: URLSearchParams): ServiceResponse {
     const after = parameters.get('after') ?? '';
     const place = { breed: 'c8', grove: this.zone, loaners: false, mood: 'running' };
-    const heldS = (addedAt: number): number => (performance.now() - addedAt) / 1000;
+    const secondsHeld = (addedAt: number): number => (performance.now() - addedAt) / 1000;
     const listed = [...this.machines].filter(([id]) => id > after);
-    const perches = listed.map(([ref, { addr, addedAt }]) => ({ ref, addr, held_s: heldS(addedAt), ...place }));
+    const perches = listed.map(([ref, { addr, addedAt }]) => ({ ref, addr, held_s: secondsHeld(addedAt), ...place }));
     return ok({ perches, has_next: false });
   }
 
-  private terminateMachines(body: Fields): HttpAnswer {
+  private terminateMachines(body: Fields): ServiceResponse {
     for (const id of body.perches as string[]) {
       const machine = this.machines.get(id);
       this.machines.delete(id);
@@ -107,12 +107,12 @@
     for await (const part of request) parts.push(part as Buffer);
     const body = parts.length > 0 ? (decodeCbor(Buffer.concat(parts)) as Fields) : {};
     const url = new URL(request.url ?? '/', 'http://stand-in');
-    const { status, body: answer } = await this.answer(request.method ?? 'GET', url, body);
+    const { status, body: responseBody } = await this.respond(request.method ?? 'GET', url, body);
     response.writeHead(status, { 'content-type': 'application/cbor' });
-    response.end(encodeCbor(answer));
+    response.end(encodeCbor(responseBody));
   }
 
-  private async answer(method: string, url: URL, body: Fields): Promise<HttpAnswer> {
+  private async respond(method: string, url: URL, body: Fields): Promise<ServiceResponse> {
     const { pathname, searchParams } = url;
     if (pathname === '/catalog') return ok({ breeds: [this.machineType()] });
     if (pathname === '/hosts/delete') return this.terminateMachines(body);
@@ -122,7 +122,7 @@
     if (pathname.startsWith('/kv/')) return this.get(pathname.slice('/kv/'.length));
     if (pathname === '/multi') return this.transaction(body);
     if (pathname === '/grants') return this.grant(Number(body.life_ms));
-    if (pathname.startsWith('/grants/')) return this.onLease(method, Number(pathname.split('/')[2]));
+    if (pathname.startsWith('/grants/')) return this.renewOrRevokeLease(method, Number(pathname.split('/')[2]));
     if (pathname === '/follow') return await this.watch(searchParams);
     return { status: NOT_FOUND, body: {} };
   }
@@ -132,19 +132,19 @@
     return { name: 'c8', ...size, rate: 0.4, spot_price: 0.1, startup_s: 20, groves: [this.zone] };
   }
 
-  private get(key: string): HttpAnswer {
+  private get(key: string): ServiceResponse {
     const entry = this.entries.get(key);
     if (!entry) return { status: NOT_FOUND, body: { molt: this.revision } };
     return ok({ k: key, data: entry.data, feather: entry.version, tether: entry.lease });
   }
 
-  private list(prefix: string): HttpAnswer {
+  private list(prefix: string): ServiceResponse {
     const found = [...this.entries].filter(([key]) => key.startsWith(prefix));
     const entries = found.map(([k, { data, version }]) => ({ k, data, feather: version }));
     return ok({ entries, has_next: false, molt: this.revision });
   }
 
-  private transaction(body: Fields): HttpAnswer {
+  private transaction(body: Fields): ServiceResponse {
     const conditions = (body.if ?? []) as { k: string; feather: number }[];
     const failed = conditions.filter(({ k, feather }) => (this.entries.get(k)?.version ?? 0) !== Number(feather));
     if (failed.length > 0) return { status: CONFLICT, body: { failed: failed.map(({ k }) => k), molt: this.revision } };
@@ -163,14 +163,14 @@
     this.entries.set(key, { data, version: this.revision, lease });
   }
 
-  private grant(durationMs: number): HttpAnswer {
+  private grant(durationMs: number): ServiceResponse {
     this.lastLeaseId += 1;
     const id = this.lastLeaseId;
     this.leases.set(id, { durationMs, expiry: setTimeout(() => this.endLease(id), durationMs) });
     return ok({ tether: id });
   }
 
-  private onLease(method: string, id: number): HttpAnswer {
+  private renewOrRevokeLease(method: string, id: number): ServiceResponse {
     const lease = this.leases.get(id);
     if (!lease) return { status: NOT_FOUND, body: {} };
     clearTimeout(lease.expiry);
@@ -187,25 +187,29 @@
   }
 
   private notifyWatchers(): void {
-    const waiting = this.changeListeners;
+    const listeners = this.changeListeners;
     this.changeListeners = [];
-    for (const tell of waiting) tell();
+    for (const notify of listeners) notify();
   }
 
-  /** Tells at once of everything that has changed; a dropped key is only noticed by reading it again. */
-  private async watch(parameters: URLSearchParams): Promise<HttpAnswer> {
+  /**
+   * Waits until the revision changes or `wait_ms` has passed, and returns the entries that were written after the
+   * revision `after`. Returns at once if there are any. Deletions are not listed: a client notices a deleted key only
+   * by reading it again.
+   */
+  private async watch(parameters: URLSearchParams): Promise<ServiceResponse> {
     const prefix = parameters.get('under') ?? '';
     const after = Number(parameters.get('after'));
-    const until = performance.now() + Number(parameters.get('wait_ms'));
-    const news = (): Fields[] =>
+    const deadline = performance.now() + Number(parameters.get('wait_ms'));
+    const changes = (): Fields[] =>
       [...this.entries]
         .filter(([key, { version }]) => key.startsWith(prefix) && version > after)
         .map(([put, { data, version }]) => ({ put, data, feather: version }));
-    const atFirst = this.revision;
-    while (news().length === 0 && this.revision === atFirst && performance.now() < until) {
-      await this.nextChange(until - performance.now());
+    const initialRevision = this.revision;
+    while (changes().length === 0 && this.revision === initialRevision && performance.now() < deadline) {
+      await this.nextChange(deadline - performance.now());
     }
-    return ok({ molt: this.revision, news: news() });
+    return ok({ molt: this.revision, news: changes() });
   }
 
   private nextChange(ms: number): Promise<void> {
@@ -219,4 +223,4 @@
   }
 }
 
-const ok = (body: unknown): HttpAnswer => ({ status: 200, body });
+const ok = (body: unknown): ServiceResponse => ({ status: 200, body });
--- a/test/support/fake_worker.ts
+++ b/test/support/fake_worker.ts
@@ -4,7 +4,10 @@
 import { sendRequest } from './http.js';
 import { type ControllerAddress, pause } from './processes.js';
 
-/* A stand-in worker in real time, by the names on the wire: heartbeats, fencing tokens, leases, commands, tasks that run. */
+/*
+ * Stand-in for workers in tests with real controller processes. It runs in real time and uses the names on the wire for
+ * heartbeats, fencing tokens, leases, commands and tasks.
+ */
 
 type Fields = Record<string, unknown>;
 
@@ -16,67 +19,67 @@
   completion: NodeJS.Timeout | null;
 }
 
-/** What happened on all workers together, written down apart from any controller. */
+/** Record of what happened on all workers, kept independently of the controllers. */
 export class WorkLog {
-  /** Commands that reached workers, by their names on the wire. */
+  /** Number of commands that workers received, by their names on the wire. */
   readonly commands = { run: 0, stop: 0, reap: 0 };
-  /** Starts that had an effect, by task. */
+  /** Number of executions started, by task. Start commands without an effect don't count. */
   readonly startsByTask = new Map<string, number>();
-  /** Tasks that ran to their end, by task. */
+  /** Number of executions that ran to completion, by task. */
   readonly completionsByTask = new Map<string, number>();
-  /** Machines whose lease expired under their tasks. */
+  /** Machines whose lease expired while they had tasks. */
   readonly expiredLeases: string[] = [];
-  /** Tasks that ran in two places at once. */
+  /** Tasks that ran on two machines at the same time. */
   readonly concurrentRuns: string[] = [];
-  private readonly runningOn = new Map<string, string>();
+  private readonly machineByTask = new Map<string, string>();
 
-  /** Counts commands from now on. */
+  /** Sets the counts of commands to zero. */
   resetCommands(): void {
     Object.assign(this.commands, { run: 0, stop: 0, reap: 0 });
   }
 
-  /** A task begins on a machine. */
+  /** Records that a task started to run on a machine. */
   onStarted(task: string, machine: string): void {
-    const other = this.runningOn.get(task);
+    const other = this.machineByTask.get(task);
     if (other !== undefined) this.concurrentRuns.push(`${task} on ${other} and ${machine}`);
-    this.runningOn.set(task, machine);
+    this.machineByTask.set(task, machine);
     this.startsByTask.set(task, (this.startsByTask.get(task) ?? 0) + 1);
   }
 
-  /** A task is no longer on a machine. */
+  /** Records that a task no longer runs on a machine. */
   onEnded(task: string, machine: string): void {
-    if (this.runningOn.get(task) === machine) this.runningOn.delete(task);
+    if (this.machineByTask.get(task) === machine) this.machineByTask.delete(task);
   }
 
-  /** A task has run to its end. */
+  /** Records that a task ran to completion. */
   onCompleted(task: string): void {
     this.completionsByTask.set(task, (this.completionsByTask.get(task) ?? 0) + 1);
   }
 
-  /** How many tasks run on all machines. */
+  /** Returns the number of tasks that run on all machines together. */
   runningTasks(): number {
-    return this.runningOn.size;
+    return this.machineByTask.size;
   }
 }
 
-/** A machine and its timing. */
+/** Identity of a worker's machine, and the worker's timing. */
 export interface FakeWorkerOptions {
   readonly id: string;
   readonly zone: string;
   readonly heartbeatMs: number;
   readonly leaseMs: number;
-  /** How long tasks of a job run. */
+  /** Returns the runtime of each task of a job, in milliseconds. */
   runMs(job: string): number;
 }
 
-/** After a heartbeat that failed. */
-export const RETRY_DELAY_MS = 200;
-/** The time between two heartbeats, as shares of the period. */
-export const SHORTEST_PERIOD_SHARE = 0.8;
-const LONGEST_PERIOD_SHARE = 1.2;
+/** Delay before the next heartbeat after a failed one, in milliseconds. */
+export const HEARTBEAT_RETRY_DELAY_MS = 200;
+/** Bounds of the random time between two heartbeats, as factors of the heartbeat period. */
+export const MIN_HEARTBEAT_PERIOD_FACTOR = 0.8;
+const MAX_HEARTBEAT_PERIOD_FACTOR = 1.2;
 const RESPONSE_TIMEOUT_MS = 4000;
 
-/** A worker in real time: heartbeats, leases, pushed commands, and tasks that end after their runtime. */
+/** A worker that sends heartbeats, holds a lease, receives pushed commands and ends each task after its runtime. */
 export class FakeWorker {
   private readonly server: Server;
   private readonly tasks = new Map<string, FakeTask>();
@@ -89,8 +92,9 @@
   private listenAddress = '';
   private lastHeartbeatAt = 0;
   private hasUnreportedChange = false;
-  /** Heartbeats that a controller answered with commands, and heartbeats that nobody answered so. */
+  /** Number of heartbeats that got a response with status 200. */
   answeredHeartbeats = 0;
+  /** Number of heartbeats that got a redirect, an error or no response in time. */
   failedHeartbeats = 0;
 
   constructor(
@@ -106,24 +110,24 @@
     });
   }
 
-  /** The name of its machine. */
+  /** The id of the worker's machine. */
   get id(): string {
     return this.options.id;
   }
 
-  /** Where commands are pushed to. */
+  /** The address to which controllers push commands. */
   get address(): string {
     return this.listenAddress;
   }
 
-  /** Listens for pushed commands, and sends heartbeats from now on. */
+  /** Listens for pushed commands and begins to send heartbeats. */
   async start(): Promise<void> {
     await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     this.listenAddress = `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
     void this.sendHeartbeats();
   }
 
-  /** The machine is gone with everything on it. */
+  /** Simulates the loss of the machine: ends the worker and all of its tasks. */
   stop(): void {
     this.isAlive = false;
     this.dropTasks();
@@ -131,27 +135,27 @@
     this.server.close();
   }
 
-  /** Whether it shows the newest token that a controller may have. */
+  /** Returns whether the highest fencing token that the worker has received is `token`. */
   hasFencingToken(token: bigint): boolean {
     return this.highestFencingToken === token;
   }
 
-  /** How many leases it has had. */
+  /** The agent epoch, which starts at 1 and increases each time the lease expires. */
   get currentAgentEpoch(): number {
     return this.agentEpoch;
   }
 
-  /** The tasks that it shows, exited ones with them. */
+  /** The tasks in the worker's status, including exited ones. */
   get taskNames(): string[] {
     return [...this.tasks.keys()];
   }
 
   private dropTasks(): void {
-    for (const task of this.tasks.values()) this.onTaskLeft(task);
+    for (const task of this.tasks.values()) this.stopExecution(task);
     this.tasks.clear();
   }
 
-  private onTaskLeft(task: FakeTask): void {
+  private stopExecution(task: FakeTask): void {
     if (task.completion) clearTimeout(task.completion);
     if (task.phase === 'running') this.log.onEnded(task.name, this.id);
   }
@@ -187,18 +191,21 @@
       if (answered) this.answeredHeartbeats += 1;
       else this.failedHeartbeats += 1;
       if (answered) await this.waitForNextHeartbeat();
-      else await pause(RETRY_DELAY_MS);
+      else await pause(HEARTBEAT_RETRY_DELAY_MS);
     }
   }
 
-  /** A heartbeat is due after its period, or half a second after the last one if something has changed. */
+  /**
+   * Waits until the next heartbeat is due. A change makes it due 500 ms after the last heartbeat, if that is earlier.
+   */
   private async waitForNextHeartbeat(): Promise<void> {
     const due =
       this.lastHeartbeatAt +
       this.options.heartbeatMs *
-        (SHORTEST_PERIOD_SHARE + (LONGEST_PERIOD_SHARE - SHORTEST_PERIOD_SHARE) * Math.random());
-    const early = this.lastHeartbeatAt + 500;
-    while (this.isAlive && performance.now() < (this.hasUnreportedChange ? Math.min(early, due) : due)) await pause(20);
+        (MIN_HEARTBEAT_PERIOD_FACTOR + (MAX_HEARTBEAT_PERIOD_FACTOR - MIN_HEARTBEAT_PERIOD_FACTOR) * Math.random());
+    const earliest = this.lastHeartbeatAt + 500;
+    while (this.isAlive && performance.now() < (this.hasUnreportedChange ? Math.min(earliest, due) : due))
+      await pause(20);
   }
 
   private async sendHeartbeat(): Promise<boolean> {
@@ -215,10 +222,10 @@
       this.controllerIndex += 1;
       return false;
     }
-    const crest = BigInt(reply.body.crest as number | bigint);
-    if (agentEpoch !== this.agentEpoch || crest < this.highestFencingToken) return true;
-    if (crest > this.highestFencingToken) this.hasUnreportedChange = true;
-    this.highestFencingToken = crest;
+    const fencingToken = BigInt(reply.body.crest as number | bigint);
+    if (agentEpoch !== this.agentEpoch || fencingToken < this.highestFencingToken) return true;
+    if (fencingToken > this.highestFencingToken) this.hasUnreportedChange = true;
+    this.highestFencingToken = fencingToken;
     this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sentAt);
     for (const command of reply.body.calls as Fields[]) this.execute(command);
     return true;
@@ -228,29 +235,29 @@
     const parts: Buffer[] = [];
     for await (const part of request) parts.push(part as Buffer);
     const body = decodeCbor(Buffer.concat(parts)) as Fields;
-    const crest = BigInt(body.crest as number | bigint);
-    const executed = crest >= this.highestFencingToken && Number(body.roost) === this.agentEpoch;
+    const fencingToken = BigInt(body.crest as number | bigint);
+    const executed = fencingToken >= this.highestFencingToken && Number(body.roost) === this.agentEpoch;
     if (executed) {
-      if (crest > this.highestFencingToken) this.hasUnreportedChange = true;
-      this.highestFencingToken = crest;
+      if (fencingToken > this.highestFencingToken) this.hasUnreportedChange = true;
+      this.highestFencingToken = fencingToken;
       for (const command of body.calls as Fields[]) this.execute(command);
     }
     return { status: executed ? 200 : 409, body: this.makeHeartbeat() };
   }
 
   private execute(command: Fields): void {
-    const chick = String(command.chick);
-    const hop = BigInt(command.hop as number | bigint);
-    const task = this.tasks.get(chick);
+    const taskName = String(command.chick);
+    const attempt = BigInt(command.hop as number | bigint);
+    const task = this.tasks.get(taskName);
     this.log.commands[command.call as keyof WorkLog['commands']] += 1;
-    if (command.call === 'run') this.startTask(chick, hop, task);
-    else if (task?.attempt !== hop) return;
-    else if (command.call === 'reap' && task.phase === 'exited') this.tasks.delete(chick);
+    if (command.call === 'run') this.startTask(taskName, attempt, task);
+    else if (task?.attempt !== attempt) return;
+    else if (command.call === 'reap' && task.phase === 'exited') this.tasks.delete(taskName);
     else if (command.call === 'stop' && task.phase === 'running') this.exitTask(task, 'stopped');
   }
 
-  private startTask(name: string, attempt: bigint, before: FakeTask | undefined): void {
-    if (before && (before.attempt === attempt || before.phase === 'running')) return;
+  private startTask(name: string, attempt: bigint, previous: FakeTask | undefined): void {
+    if (previous && (previous.attempt === attempt || previous.phase === 'running')) return;
     const task: FakeTask = { name, attempt, phase: 'running', exitReason: null, completion: null };
     const job = name.slice(0, name.lastIndexOf('/'));
     this.tasks.set(name, task);
@@ -263,7 +270,7 @@
   }
 
   private exitTask(task: FakeTask, cause: string): void {
-    this.onTaskLeft(task);
+    this.stopExecution(task);
     task.phase = 'exited';
     task.exitReason = cause;
     this.hasUnreportedChange = true;
--- a/test/support/http.ts
+++ b/test/support/http.ts
@@ -1,28 +1,28 @@
 import { request } from 'node:http';
 import { decodeCbor, encodeCbor } from '../../src/io/wire/cbor.js';
 
-/* Requests over HTTP with CBOR bodies, as users and workers send them. */
+/* HTTP requests with CBOR bodies, as users and workers send them. */
 
-/** A response that came in whole. */
+/** A response that was received completely. */
 export interface HttpResponse {
   readonly status: number;
   readonly headers: NodeJS.Dict<string | string[]>;
-  /** The decoded body; empty where there is none. */
+  /** The decoded body, or an empty object if the response has none. */
   readonly body: Record<string, unknown>;
 }
 
-/** The methods that are tried. */
+/** The HTTP methods that tests use. */
 export type HttpMethod = 'GET' | 'POST' | 'DELETE';
 
 interface ExchangeOptions {
   readonly body?: Uint8Array;
-  /** Without it there is no limit. */
+  /** Time limit in milliseconds. There is no limit if it is missing. */
   readonly timeoutMs?: number;
-  /** Whether the connection is of this request alone. */
+  /** Whether the request opens a connection that no other request uses. */
   readonly ownConnection?: boolean;
 }
 
-/** Sends one request to 127.0.0.1; rejects if the connection fails or the response takes too long. */
+/** Sends one request to 127.0.0.1. Rejects if the connection fails or the response takes too long. */
 export function exchange(
   port: number,
   method: HttpMethod,
@@ -47,7 +47,7 @@
   });
 }
 
-/** One request on a connection of its own; null: no response in time. */
+/** Sends one request on its own connection. Returns null if the connection fails or the response takes too long. */
 export async function sendRequest(
   port: number,
   method: 'GET' | 'POST',
--- a/test/support/properties.ts
+++ b/test/support/properties.ts
@@ -3,14 +3,15 @@
 import { fileURLToPath } from 'node:url';
 import fc from 'fast-check';
 
-/* Property tests with fixed seeds. */
+/* Runs property tests with a fixed seed. */
 
 const SEED = Number(process.env.FC_SEED ?? 28);
 const RUNS = Number(process.env.FC_RUNS ?? 0);
 
 /**
- * Checks a property with so many runs of the fixed seed; FC_SEED, FC_PATH and FC_RUNS choose others. A failure prints the line
- * with which it is played again; `testFile`: the `import.meta.url` of the test.
+ * Checks a property with `runs` generated values and a fixed seed. The environment variables FC_SEED, FC_PATH and
+ * FC_RUNS replace the seed, the path to a single value and the number of values. The message of a failure ends with the
+ * command that replays it. `testFile` is the `import.meta.url` of the test.
  */
 export function checkProperty<T>(testFile: string, property: fc.IProperty<T>, runs: number): void {
   const path = process.env.FC_PATH ? { path: process.env.FC_PATH } : {};
--- a/test/support/sample_messages.ts
+++ b/test/support/sample_messages.ts
@@ -4,7 +4,9 @@
 import { decodeJobSpec } from '../../src/io/users/user_codec.js';
 import { decodeHeartbeat } from '../../src/io/workers/worker_codec.js';
 
-/** A submission as it comes over the wire. */
+/* Sample messages of users, workers and peers. */
+
+/** A job submission, as encoded on the wire. */
 export const wireJob = {
   ref: 'job-000412',
   flock: 'train',
@@ -28,7 +30,7 @@
   due_s: 900.0,
 };
 
-/** The smallest submission that is accepted. */
+/** A job submission that is accepted, with the required fields only. */
 export const smallWireJob = {
   ref: 'job-1',
   flock: 'f',
@@ -49,7 +51,7 @@
   stash_s: 0,
 };
 
-/** A worker's heartbeat as it comes over the wire. */
+/** A worker's heartbeat, as encoded on the wire. */
 export const wireHeartbeat = {
   perch: 'i-000231',
   addr: '10.1.0.232:9000',
@@ -66,9 +68,9 @@
   ],
 };
 
-/** The submission as the core has it. */
+/** The submission `wireJob`, as decoded for the core. */
 export const jobSpec = decodeJobSpec(wireJob);
-/** Frames between nodes of every kind, with every shape of their payloads. */
+/** Frames of every kind between controllers, with every shape of payload. */
 export const peerFrames: PeerFrame[] = [
   { kind: 'hello', sender: 'perch-1' as ControllerName },
   {
--- a/test/takeover_properties.test.ts
+++ b/test/takeover_properties.test.ts
@@ -7,31 +7,34 @@
 import { halfSeconds, machineName, scenarioLineWithin, constantWord as word } from './support/scenario_lines.js';
 
 /*
- * Generated worlds in which leaders change while tasks fail, responses are lost and single machines are cut off: what a worker
- * shows of an earlier term meets what another machine does not show. Counter-examples are lines of a scenario: kept, they go to
- * test/scenarios/.
+ * Guards against a new leader that starts a task which still runs on another machine. In generated worlds the leader
+ * changes while tasks fail, responses are lost and some machines are partitioned. One worker may then report an attempt
+ * from the previous term while another attempt of the task runs on a machine that reports nothing. A counterexample
+ * consists of scenario lines. To keep one, add it to test/scenarios/.
  */
 
-/** CI plays so many worlds of each size; FC_RUNS and FC_SEED choose others for a long run. */
+/**
+ * Number of worlds of each size in a CI run. FC_RUNS and FC_SEED select another number and other worlds for a long run.
+ */
 const SMALL_WORLDS = 400;
 const LARGE_WORLDS = 25;
 
-/** The machines of a world and the work that they are given. */
+/** The machines of a world, its jobs, and how many machines a fault affects. */
 interface WorldSize {
   readonly machines: number;
-  /** How many machines hear nothing round a takeover. */
-  readonly deaf: number;
-  /** How many machines a takeover finds silent. */
-  readonly cut: number;
+  /** Maximum number of machines that receive no messages around a takeover. */
+  readonly maxInboundLossMachines: number;
+  /** Number of machines that are partitioned during a takeover. */
+  readonly partitionedMachines: number;
   readonly jobs: readonly string[];
-  /** Cores that the team `limited` may use. */
+  /** CPU limit of the team `limited`, in cores. */
   readonly cpuLimit: number;
 }
 
 const SMALL: WorldSize = {
   machines: 6,
-  deaf: 1,
-  cut: 1,
+  maxInboundLossMachines: 1,
+  partitionedMachines: 1,
   jobs: [
     'every 6 66 4 submit job-1 array tasks=2 cpus=4 runtime=14',
     'at 7 submit job-200 gang tasks=2 cpus=4 runtime=30 checkpointInterval=5',
@@ -39,15 +42,15 @@
   ],
   cpuLimit: 9,
 };
-/** Arrays with an image each: the time that it takes to pull lies between a start and the failure that follows. */
+/** Arrays with a different image each, so that an image pull lies between the start of a task and its failure. */
 const LARGE_ARRAYS = Array.from({ length: 30 }, (_, number) => {
   const at = 6 + 2 * number;
   return `at ${at} submit job-${100 + number} array tasks=40 cpus=4 runtime=10 image=img-${number} imageGb=3`;
 });
 const LARGE: WorldSize = {
   machines: 120,
-  deaf: 30,
-  cut: 40,
+  maxInboundLossMachines: 30,
+  partitionedMachines: 40,
   jobs: [
     ...LARGE_ARRAYS,
     'every 7 60 13 submit job-200 gang tasks=6 cpus=4 runtime=20 checkpointInterval=5',
@@ -59,28 +62,37 @@
 const machineOf = ({ machines }: WorldSize): fc.Arbitrary<string> => machineName(machines);
 const scenarioLine = scenarioLineWithin(8, 70);
 
-/** A machine begins to fail tasks so long before it goes deaf: earlier, it would be drained by then. */
+/**
+ * Time from when a machine begins to fail tasks until it receives no messages. With more time it would be drained
+ * first.
+ */
 const FAILING_BEFORE_SECONDS = 3;
 
-/** Machines that fail tasks hear nothing from before a change of leader to after it, and others are cut off meanwhile. */
-function takeover(size: WorldSize): fc.Arbitrary<string[]> {
+/**
+ * Generates faults around a change of leader: machines that may fail tasks receive no messages, others are partitioned.
+ */
+function takeoverFaults(size: WorldSize): fc.Arbitrary<string[]> {
   const group = fc.record({
     at: halfSeconds(14, 60),
     crash: fc.tuple(fc.constantFrom('leader', 'all'), halfSeconds(0.5, 3)),
-    deafMachines: fc.uniqueArray(machineOf(size), { minLength: 1, maxLength: size.deaf }),
+    inboundLossMachines: fc.uniqueArray(machineOf(size), { minLength: 1, maxLength: size.maxInboundLossMachines }),
     isFailing: fc.boolean(),
-    deaf: fc.record({ before: halfSeconds(0.5, 9), after: halfSeconds(0.5, 5) }),
-    cut: fc.record({ before: halfSeconds(0, 2.5), after: halfSeconds(2, 12), how: fc.constantFrom('delay', 'drop') }),
-    cutMachine: machineOf(size),
+    inboundLoss: fc.record({ before: halfSeconds(0.5, 9), after: halfSeconds(0.5, 5) }),
+    partition: fc.record({
+      before: halfSeconds(0, 2.5),
+      after: halfSeconds(2, 12),
+      how: fc.constantFrom('delay', 'drop'),
+    }),
+    partitionedMachine: machineOf(size),
   });
-  return group.map(({ at, crash, deafMachines, isFailing, deaf, cut, cutMachine }) => {
-    const cutMachines = size.cut === 1 ? cutMachine : `some:${size.cut}`;
+  return group.map(({ at, crash, inboundLossMachines, isFailing, inboundLoss, partition, partitionedMachine }) => {
+    const targets = size.partitionedMachines === 1 ? partitionedMachine : `some:${size.partitionedMachines}`;
     return [
-      ...deafMachines.flatMap((machine) => [
-        ...(isFailing ? [`at ${at - deaf.before - FAILING_BEFORE_SECONDS} fail-tasks ${machine}`] : []),
-        `at ${at - deaf.before} machine-inbound-loss ${machine} ${deaf.before + deaf.after}`,
+      ...inboundLossMachines.flatMap((machine) => [
+        ...(isFailing ? [`at ${at - inboundLoss.before - FAILING_BEFORE_SECONDS} fail-tasks ${machine}`] : []),
+        `at ${at - inboundLoss.before} machine-inbound-loss ${machine} ${inboundLoss.before + inboundLoss.after}`,
       ]),
-      `at ${at - cut.before} partition ${cutMachines} * ${cut.before + cut.after} ${cut.how}`,
+      `at ${at - partition.before} partition ${targets} * ${partition.before + partition.after} ${partition.how}`,
       `at ${at} crash ${crash.join(' ')}`,
     ];
   });
@@ -101,36 +113,36 @@
   );
 }
 
-const troubles = (size: WorldSize): fc.Arbitrary<string[]> =>
+const faultLines = (size: WorldSize): fc.Arbitrary<string[]> =>
   fc
     .tuple(
-      fc.array(takeover(size), { minLength: 1, maxLength: 3 }).map((groups) => groups.flat()),
+      fc.array(takeoverFaults(size), { minLength: 1, maxLength: 3 }).map((groups) => groups.flat()),
       fc.array(otherFault(size), { maxLength: 3 }),
     )
     .map((groups) => groups.flat());
 
-function assertRulesHold({ machines, jobs, cpuLimit }: WorldSize, lines: readonly string[]): void {
-  const setting = [
+function assertInvariantsHold({ machines, jobs, cpuLimit }: WorldSize, lines: readonly string[]): void {
+  const setupLines = [
     `machines ${machines} c8 a`,
     `capacity ${machines}`,
     'team crew',
     `team limited cpuLimit=${cpuLimit}`,
   ];
-  const text = [...setting, ...jobs, ...lines, 'until 330'].join('\n');
+  const text = [...setupLines, ...jobs, ...lines, 'until 330'].join('\n');
   const { world, failures } = runScenario(parseScenarioText('generated', `# generated\n${text}\n`), new Map());
   const { invariants } = world;
-  const open = [...invariants.submitted.keys()].filter(
+  const unfinished = [...invariants.submitted.keys()].filter(
     (id) => invariants.isAccepted(id) && !invariants.finalStateOf(id),
   );
-  assert.deepEqual([...failures, ...world.errors, ...open.map((id) => `${id} has not ended`)], []);
+  assert.deepEqual([...failures, ...world.errors, ...unfinished.map((id) => `${id} has not ended`)], []);
 }
 
-test('whatever an earlier leader knew of ended tasks, the next one starts nothing that still runs elsewhere', () => {
-  const property = fc.property(troubles(SMALL), (lines) => assertRulesHold(SMALL, lines));
+test('a new leader starts no task that still runs elsewhere, whatever the previous leader knew of ended tasks', () => {
+  const property = fc.property(faultLines(SMALL), (lines) => assertInvariantsHold(SMALL, lines));
   checkProperty(import.meta.url, property, SMALL_WORLDS);
 });
 
-test('the same with many machines and tasks', () => {
-  const property = fc.property(troubles(LARGE), (lines) => assertRulesHold(LARGE, lines));
+test('a new leader starts no task that still runs elsewhere, with many machines and tasks', () => {
+  const property = fc.property(faultLines(LARGE), (lines) => assertInvariantsHold(LARGE, lines));
   checkProperty(import.meta.url, property, LARGE_WORLDS);
 });
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -10,7 +10,12 @@
 import { loadOldVersions, oldFrame } from './sim/old_versions.js';
 import { jobSpec, peerFrames } from './support/sample_messages.js';
 
-/** What the state service gives back of a value: it passes through CBOR twice. */
+/*
+ * Checks that this version and the old versions in test/old_versions.txt write the same keys, records and peer frames,
+ * and that each reads what the other has written.
+ */
+
+/** Returns a value as the state store returns it, after CBOR encoding and decoding. */
 const throughStore = (value: unknown): unknown => decodeCbor(encodeCbor(value));
 
 const VALUE_BYTES = 8192;
@@ -75,20 +80,20 @@
 const comparable = (record: records.JobRecord | null): unknown =>
   record && { ...record, done: record.done.pairs(VALUE_BYTES) };
 
-/** A record as a version reads it that knows nothing of the zones in which jobs were started. */
+/** Returns a job record as decoded by a version that doesn't know the field `startZones`. */
 function withoutZones(record: records.JobRecord): unknown {
   const { startZones: _, ...known } = oldJobRecord(record);
   return { ...known, done: record.done.pairs(VALUE_BYTES) };
 }
 
-/** Kinds of frame that a version knows: those after them go only to peers that announced them. */
+/** Returns the frames of the kinds that a version knows. Later kinds are sent only to peers that announced them. */
 const framesKnownTo = (build: Build): PeerFrame[] =>
   peerFrames.filter(
     ({ kind }) => build.name !== 'production' || (kind !== 'cancellation' && kind !== 'cancellationAck'),
   );
 
 for (const [name, old] of oldVersions) {
-  test(`${name}: keys and job records are written alike and read by both`, () => {
+  test(`${name}: keys and job records are encoded identically and read by both versions`, () => {
     assert.equal(old.records.LEADER_KEY, records.LEADER_KEY);
     assert.equal(old.records.TERM_KEY, records.TERM_KEY);
     assert.equal(old.records.jobKey(jobSpec.id), records.jobKey(jobSpec.id));
@@ -102,7 +107,7 @@
     }
   });
 
-  test(`${name}: reads past the zones that a job's record names, and drops them when it writes the record`, () => {
+  test(`${name}: ignores the start zones in a job record, and omits them when it writes the record again`, () => {
     for (const record of jobRecords) {
       const withZones = { ...record, startZones: ['a', 'b'] as ZoneName[] };
       const value = throughStore(records.encodeJob(withZones, VALUE_BYTES));
@@ -114,7 +119,7 @@
     }
   });
 
-  test(`${name}: registry pages are written alike and read by both`, () => {
+  test(`${name}: registry pages are encoded identically and read by both versions`, () => {
     const oldValue = throughStore(old.records.encodePage(oldMachines, 16));
     const newValue = throughStore(records.encodePage(machineRecords, 16));
     assert.deepEqual(newValue, oldValue);
@@ -123,18 +128,18 @@
     assert.deepEqual(decoded, old.names === 'names-2' ? { machines: oldMachines, complete: true } : oldMachines);
   });
 
-  test(`${name}: the leader key is read by both as it stands`, () => {
+  test(`${name}: the value of the leader key is read unchanged by both versions`, () => {
     const value = throughStore({ node: 'perch-1', incarnation: '0f3a', lease: '17', term: 4 });
     const expected = { node: 'perch-1', incarnation: '0f3a', lease: '17', term: 4 };
     assert.deepEqual(records.decodeLeader(value), expected);
     assert.deepEqual(old.records.decodeLeader(value), expected);
   });
 
-  test(`${name}: peer frames are the same bytes and read by both`, () => {
+  test(`${name}: peer frames are encoded to the same bytes and read by both versions`, () => {
     for (const frame of framesKnownTo(old)) {
       const newBytes = encodeFrame(frame);
       const oldBytes = old.encodeFrame(oldFrame(old, frame) as PeerFrame);
-      // The bit of a status that announces later kinds is one that the version in production neither sets nor reads.
+      // The version in production neither sets nor reads the bit of a status that announces support for later kinds.
       const announces = frame.kind === 'status' && old.name === 'production';
       if (!announces) assert.deepEqual(newBytes, oldBytes, frame.kind);
       assert.deepEqual(new old.splitterClass().push(newBytes), [oldFrame(old, frame)]);
@@ -144,7 +149,7 @@
   });
 }
 
-test('a service that an old leader put on record as done is read as accepted, with all of its replicas to run', () => {
+test('a service that an old leader stored as done is read as accepted, with all of its replicas to run', () => {
   const service = { ...jobSpec, kind: 'service' as const, taskCount: 3 };
   const done = {
     ...(jobRecords[0] as records.JobRecord),
