--- a/src/config/platform_schema.ts
+++ b/src/config/platform_schema.ts
@@ -2,7 +2,10 @@
 import * as v from 'valibot';
 import { hostAndPort, nonEmptyText, nonNegativeNumber, positiveInteger, positiveNumber } from './value_schemas.js';
 
-/** A team's guaranteed cores and GPUs (`cpus`, `gpus`) and its limits (`cpus_max`, `gpus_max`). 0 means none. */
+/**
+ * A team's guaranteed cores and GPUs (`cpus`, `gpus`) and its limits (`cpus_max`, `gpus_max`). 0 means no guarantee or
+ * no limit.
+ */
 const teamSchema = v.object({
   name: nonEmptyText,
   cpus: v.optional(nonNegativeNumber, 0),
@@ -21,7 +24,7 @@
   times: v.optional(positiveNumber, 1),
 });
 
-/** Intervals and time-outs of workers, in seconds. */
+/** Intervals and timeouts of workers, in seconds. */
 const workersSchema = v.object({
   /** Interval between heartbeats. */
   report_s: positiveNumber,
--- a/src/core/scheduler/evolutionary_search.ts
+++ b/src/core/scheduler/evolutionary_search.ts
@@ -1,6 +1,7 @@
 /**
- * Evolutionary search for the zone of each job. This is the upper layer of EVO-GP, Algorithm 1 and Section III-B of the
- * EVO-GP paper.
+ * Evolutionary search for the zone of each job. This is the upper layer of EVO-GP, Algorithm 1 and Section III-B of
+ * "Two-Layer Evolutionary Scheduling for Machine Learning Jobs in Multi-Cluster Environments". Comments call this work
+ * the EVO-GP paper.
  */
 import { type RandomGenerator, unsafeUniformIntDistribution } from 'pure-rand';
 import type { ZoneName } from '../types.js';
--- a/test/golden/http_cases.ts
+++ b/test/golden/http_cases.ts
@@ -12,7 +12,7 @@
 import { cborWithText, GoldenFile, type GoldenValue, hex } from './golden_file.js';
 import { gangSpec } from './samples.js';
 
-const MAX = (1n << 64n) - 1n;
+const MAX_UINT64 = (1n << 64n) - 1n;
 const MAX_CONNECTIONS = 100;
 const HEADERS = ['content-type', 'retry-after', 'allow'];
 
@@ -105,7 +105,7 @@
       {},
       [1],
       true,
-      MAX + 1n,
+      MAX_UINT64 + 1n,
       Number.NaN,
       Number.POSITIVE_INFINITY,
     ];
@@ -113,7 +113,7 @@
   });
 }
 
-const NON_MAP_BODIES: readonly Uint8Array[] = [
+const MALFORMED_BODIES: readonly Uint8Array[] = [
   Buffer.from(''),
   Buffer.from('ff', 'hex'),
   Buffer.from('not cbor'),
@@ -144,7 +144,15 @@
 const causes = ['done', 'stopped', 'mates_gone', 'alone', 'error', 'full', 'in_use', 'no_such', 'busy', 'no_room'];
 const heartbeats: readonly Fields[] = [
   wireHeartbeat,
-  { ...wireHeartbeat, mystery: [1, 2], loaners: false, warning_s: 7.5, roost: MAX, chirp: MAX, crest: MAX },
+  {
+    ...wireHeartbeat,
+    mystery: [1, 2],
+    loaners: false,
+    warning_s: 7.5,
+    roost: MAX_UINT64,
+    chirp: MAX_UINT64,
+    crest: MAX_UINT64,
+  },
   ...moods.map((mood) => ({ ...wireHeartbeat, chicks: [{ ...chick, mood, kept: true, more: 1 }] })),
   ...causes.map((cause) => ({ ...wireHeartbeat, chicks: [{ ...chick, mood: 'exited', cause }] })),
   { ...wireHeartbeat, chicks: [{ ...chick, mood: 'exited' }] },
@@ -170,12 +178,12 @@
 ];
 const commands: readonly Command[] = [
   { op: 'start', job, index: 3, attempt: 5n as Attempt },
-  { op: 'stop', job, index: 4, attempt: MAX as Attempt, gracePeriodSeconds: 2.5 },
+  { op: 'stop', job, index: 4, attempt: MAX_UINT64 as Attempt, gracePeriodSeconds: 2.5 },
   { op: 'acknowledge', job, index: 99_999, attempt: 7n as Attempt },
 ];
 const heartbeatResponses: readonly HeartbeatResponse[] = [
   { status: 200, fencingToken: 41n as FencingToken, commands: [] },
-  { status: 200, fencingToken: MAX as FencingToken, commands },
+  { status: 200, fencingToken: MAX_UINT64 as FencingToken, commands },
   { status: 421, redirectTo: 'perch-2' as ControllerName },
   { status: 421, redirectTo: null },
   { status: 503 },
@@ -209,7 +217,7 @@
   test('golden: submissions are accepted or rejected as before', () =>
     withServer(async (client) => {
       const all = [...submissions, ...malformedVariants(wireJob)].map((fields) => encodeCbor(fields));
-      for (const [i, body] of [...all, ...NON_MAP_BODIES, OVERSIZED_BODY].entries()) {
+      for (const [i, body] of [...all, ...MALFORMED_BODIES, OVERSIZED_BODY].entries()) {
         const shown = body.length > 10_000 ? `of ${body.length} bytes` : hex(body);
         golden.check(`submission ${i}`, { body: shown, ...((await client.call('POST', '/v2/runs', body)) as object) });
       }
@@ -217,8 +225,8 @@
 
   test('golden: responses to users are unchanged', () =>
     withServer(async (client, handlers) => {
-      for (const [i, answer] of userResponses.entries()) {
-        handlers.userResponse = answer;
+      for (const [i, response] of userResponses.entries()) {
+        handlers.userResponse = response;
         golden.check(`answer ${i}`, await client.call('POST', '/v2/runs', encodeCbor(wireJob)));
       }
     }));
@@ -240,7 +248,7 @@
   test('golden: heartbeats are accepted or rejected as before', () =>
     withServer(async (client) => {
       const all = [...heartbeats, ...malformedVariants(wireHeartbeat)].map((fields) => encodeCbor(fields));
-      for (const [i, body] of [...all, ...NON_MAP_BODIES].entries()) {
+      for (const [i, body] of [...all, ...MALFORMED_BODIES].entries()) {
         golden.check(`report ${i}`, {
           body: hex(body),
           ...((await client.call('POST', '/agent/beat', body)) as object),
@@ -251,8 +259,8 @@
 
   test('golden: heartbeat responses are unchanged', () =>
     withServer(async (client, handlers) => {
-      for (const [i, answer] of heartbeatResponses.entries()) {
-        handlers.heartbeatResponse = answer;
+      for (const [i, response] of heartbeatResponses.entries()) {
+        handlers.heartbeatResponse = response;
         golden.check(`answer ${i}`, await client.call('POST', '/agent/beat', encodeCbor(wireHeartbeat)));
       }
     }));
--- a/test/golden/problem_cases.ts
+++ b/test/golden/problem_cases.ts
@@ -24,8 +24,9 @@
 import { cborWithText, GoldenFile, type GoldenValue, hex } from './golden_file.js';
 
 const zones = ['a', 'b'] as ZoneName[];
+/** Time within which a world elects a leader, in milliseconds. */
 const SETTLE_MS = 30_000;
-const ANSWER_MS = 6000;
+const RESPONSE_TIMEOUT_MS = 6000;
 
 function teamOf(name: string, cpuLimit: number, gpuLimit: number): TeamQuota {
   return { name: name as TeamName, guaranteed: { cpus: 0, gpus: 0 }, limit: { cpus: cpuLimit, gpus: gpuLimit } };
@@ -38,21 +39,21 @@
   return new World({ seed: 3, controllers, zones, teams, types, capacity: 2, tuning: CURRENT_BUILD.tuning, limits });
 }
 
-const entryOf = (answer: UserResponse | null): GoldenValue =>
-  answer && {
-    status: answer.status,
-    retryAfter: 'retryAfterSeconds' in answer ? (answer.retryAfterSeconds ?? 0) : 0,
-    body: cborWithText(encodeCbor(encodeUserResponse(answer))),
+const entryOf = (response: UserResponse | null): GoldenValue =>
+  response && {
+    status: response.status,
+    retryAfter: 'retryAfterSeconds' in response ? (response.retryAfterSeconds ?? 0) : 0,
+    body: cborWithText(encodeCbor(encodeUserResponse(response))),
   };
 
 /** Sends a request to a controller and returns its response, or null if none arrives within `ANSWER_MS`. */
 function sendRequest(world: World, controllerIndex: number, request: UserRequest): UserResponse | null {
-  let answer: UserResponse | null = null;
+  let response: UserResponse | null = null;
   world.controllers[controllerIndex]?.receiveUserRequest(request, (given) => {
-    answer = given;
+    response = given;
   });
-  world.clock.runUntil(world.clock.now + ANSWER_MS);
-  return answer;
+  world.clock.runUntil(world.clock.now + RESPONSE_TIMEOUT_MS);
+  return response;
 }
 
 const submit = (spec: JobSpec): UserRequest => ({ op: 'submit', id: spec.id, spec, problem: '' });
@@ -82,8 +83,8 @@
     world.clock.runUntil(SETTLE_MS);
     const check = (entry: string, request: UserRequest): void =>
       golden.check(entry, entryOf(sendRequest(world, 0, request)));
-    for (const [name, [shape, options]] of Object.entries(rejectedJobs)) {
-      check(name, submit(makeJobSpec('job-9', shape, options)));
+    for (const [name, [kind, options]] of Object.entries(rejectedJobs)) {
+      check(name, submit(makeJobSpec('job-9', kind, options)));
     }
     check('malformed', { op: 'submit', id: 'job-9' as JobId, spec: null, problem: 'crew is not a text' });
     check('asked for, not known', { op: 'query', id: 'job-9' as JobId });
--- a/test/golden/service_cases.ts
+++ b/test/golden/service_cases.ts
@@ -36,7 +36,7 @@
 import { cborWithText, GoldenFile, type GoldenValue, thrownMessage } from './golden_file.js';
 import { gangSpec } from './samples.js';
 
-const MAX = (1n << 64n) - 1n;
+const MAX_UINT64 = (1n << 64n) - 1n;
 
 /** Returns the golden entry of an outgoing call, with its body encoded to bytes. */
 const callEntry = ({ method, path, body }: HttpRequest): GoldenValue =>
@@ -54,7 +54,7 @@
   'transaction that compares only': {
     op: 'compareAndSwap',
     conditions: [
-      { key: 'leader', version: revision(MAX) },
+      { key: 'leader', version: revision(MAX_UINT64) },
       { key: 'j/job-17', version: revision(0) },
     ],
     changes: [],
@@ -64,14 +64,14 @@
     conditions: [{ key: 'leader', version: revision(41) }],
     changes: [
       { put: 'a', value: { x: [1, null, true, 0.5] } },
-      { put: 'b', value: 'text', lease: MAX as LeaseId },
+      { put: 'b', value: 'text', lease: MAX_UINT64 as LeaseId },
       { drop: 'c' },
     ],
   },
   grant: { op: 'grant', ttlMs: 4200 },
-  renew: { op: 'renew', lease: MAX as LeaseId },
+  renew: { op: 'renew', lease: MAX_UINT64 as LeaseId },
   revoke: { op: 'revoke', lease: 7n as LeaseId },
-  watch: { op: 'watch', prefix: 'j/', after: revision(MAX), waitMs: 1000 },
+  watch: { op: 'watch', prefix: 'j/', after: revision(MAX_UINT64), waitMs: 1000 },
 };
 
 const stateStoreResponses: readonly (readonly [keyof typeof stateStoreCalls, unknown, StateStoreResponse])[] = [
@@ -82,12 +82,12 @@
   ],
   [
     'list from the start',
-    { entries: [{ k: 'j/1', data: null, feather: MAX }], has_next: true, molt: 9 },
-    { items: [{ key: 'j/1', value: null, version: revision(MAX) }], more: true, revision: revision(9) },
+    { entries: [{ k: 'j/1', data: null, feather: MAX_UINT64 }], has_next: true, molt: 9 },
+    { items: [{ key: 'j/1', value: null, version: revision(MAX_UINT64) }], more: true, revision: revision(9) },
   ],
   ['list from a key on', { entries: [], molt: 9 }, { items: [], more: false, revision: revision(9) }],
   ['transaction with changes', { molt: 433 }, { revision: revision(433) }],
-  ['grant', { tether: MAX, life_ms: 4200 }, { lease: MAX as LeaseId }],
+  ['grant', { tether: MAX_UINT64, life_ms: 4200 }, { lease: MAX_UINT64 as LeaseId }],
   ['renew', {}, {}],
   ['revoke', null, {}],
   [
@@ -311,14 +311,19 @@
 
 const { id: job } = gangSpec;
 const commandPushes: Readonly<Record<string, CommandPush>> = {
-  'no commands': { address: 'h:1', fencingToken: MAX as FencingToken, agentEpoch: 3n as AgentEpoch, commands: [] },
+  'no commands': {
+    address: 'h:1',
+    fencingToken: MAX_UINT64 as FencingToken,
+    agentEpoch: 3n as AgentEpoch,
+    commands: [],
+  },
   'all commands': {
     address: 'h:1',
     fencingToken: 41n as FencingToken,
-    agentEpoch: MAX as AgentEpoch,
+    agentEpoch: MAX_UINT64 as AgentEpoch,
     commands: [
       { op: 'start', job, index: 3, attempt: 5n as Attempt },
-      { op: 'stop', job, index: 4, attempt: MAX as Attempt, gracePeriodSeconds: 2.5 },
+      { op: 'stop', job, index: 4, attempt: MAX_UINT64 as Attempt, gracePeriodSeconds: 2.5 },
       { op: 'acknowledge', job, index: 5, attempt: 7n as Attempt },
     ],
   },
--- a/test/measure/cold_start.ts
+++ b/test/measure/cold_start.ts
@@ -1,7 +1,7 @@
 /**
- * Measures a cold start in simulated worlds. All controllers crash at the same time and restart after 5 s, while 1 %
- * of the machines or none disappear. Each world runs with the same seed on the production version and on the current
- * version, with recovery off and on.
+ * Measures a cold start in simulated worlds. All controllers crash at the same time and restart after 5 s. In half of
+ * the worlds, 1 % of the machines disappear at the crash. Each world runs with the same seed on the production version
+ * and on the current version, with recovery off and on.
  *   node target/check/test/measure/cold_start.js [--failures] [WORKERS ...]
  * With --failures all tasks on 1 % of the machines fail while no controller is running, and the time until they run
  * again is measured.
@@ -120,7 +120,7 @@
     private readonly failed: readonly FailedTask[],
   ) {}
 
-  /** Returns the tasks that are on a machine again since the previous call. */
+  /** Returns the tasks that have come onto a machine again since the previous call. */
   takeRestarted(): FailedTask[] {
     const { tasksOnMachines } = this.world.invariants;
     const isOnMachine = ({ job, index }: FailedTask): boolean => tasksOnMachines.get(job)?.has(index) ?? false;
--- a/test/sim/clock.ts
+++ b/test/sim/clock.ts
@@ -8,7 +8,7 @@
   readonly run: () => void;
 }
 
-/** Virtual time and the only source of randomness: two runs with the same seed are identical. */
+/** Virtual time and the only source of randomness. Two runs with the same seed are identical. */
 export class Clock {
   /** Milliseconds since the start of the run. */
   now = 0;
--- a/test/sim/controller_process.ts
+++ b/test/sim/controller_process.ts
@@ -42,12 +42,12 @@
   private splitters = new Map<ControllerName, FrameSplitter>();
   private pendingReplies = new Map<number, (response: never) => void>();
   private lastRequestId = 0;
-  /** Incremented whenever a timer is scheduled: only the latest one fires. */
+  /** Incremented whenever a timer is scheduled, so that only the latest one fires. */
   private timerGeneration = 0;
   private startCount = 0;
   /** Incremented at each start and crash, so that callbacks of previous processes are ignored. */
   private generation = 0;
-  private frozenUntil = 0;
+  private pausedUntil = 0;
   private deferredInputs: Input[] = [];
   /**
    * Pauses the process for `ms` before it sends the next outputs for which `isDue` returns true; null if no pause is
@@ -72,9 +72,9 @@
     return this.controller !== null;
   }
 
-  /** The result of the load balancer's health check; false while the process is frozen. */
+  /** The result of the load balancer's health check; false while the process is paused. */
   get isHealthy(): boolean {
-    if (this.world.clock.now < this.frozenUntil) return false;
+    if (this.world.clock.now < this.pausedUntil) return false;
     return this.controller?.isHealthy(this.clockReading().monotonic) ?? false;
   }
 
@@ -99,7 +99,7 @@
   crash(): void {
     this.controller = null;
     this.splitters.clear();
-    this.frozenUntil = 0;
+    this.pausedUntil = 0;
     this.deferredInputs = [];
     this.pendingReplies.clear();
     this.generation += 1;
@@ -114,10 +114,10 @@
    * Pauses the process for `ms` milliseconds. Its clocks continue, and inputs that arrive in that time are processed
    * afterwards, as if they had waited in its sockets.
    */
-  freeze(ms: number): void {
+  pause(ms: number): void {
     if (!this.controller) return;
     const { generation, world } = this;
-    this.frozenUntil = world.clock.now + ms;
+    this.pausedUntil = world.clock.now + ms;
     world.clock.schedule(ms, () => {
       if (generation !== this.generation) return;
       const deferred = this.deferredInputs;
@@ -134,7 +134,7 @@
   step(input: Input): void {
     const { controller } = this;
     if (!controller) return;
-    if (this.world.clock.now < this.frozenUntil) {
+    if (this.world.clock.now < this.pausedUntil) {
       if (input.kind !== 'timer') this.deferredInputs.push(input);
       return;
     }
@@ -159,7 +159,7 @@
     // The outputs are sent 1 ms before the pause ends, so that they leave before the process handles its deferred
     // inputs.
     this.world.clock.schedule(ms - 1, performAll);
-    this.freeze(ms);
+    this.pause(ms);
   }
 
   private performUnlessExpired(output: Output): void {
--- a/test/sim/idle_capacity.ts
+++ b/test/sim/idle_capacity.ts
@@ -10,8 +10,8 @@
 
 /**
  * Checks that after the end of all faults no job waits for 90 s while feasible machines have free capacity for it and
- * its team is within its quota. It checks only jobs without a task on any machine. For a gang, the
- * free capacity must suffice for all its tasks at once.
+ * its team is within its quota. It checks only jobs without a task on any machine. For a gang, the free capacity must
+ * suffice for all its tasks at once.
  */
 export class IdleCapacityCheck {
   private readonly idleSince = new Map<JobId, number>();
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -3,7 +3,7 @@
 import type { JobId, JobSpec, MachineId, MachineType, TeamQuota, ZoneName } from '../../src/core/types.js';
 import type { Clock } from './clock.js';
 
-/** Where a task is. */
+/** The machine that a task is on, and its zone. */
 interface TaskPlacement {
   readonly machine: MachineId;
   readonly zone: ZoneName;
--- a/test/sim/meters.ts
+++ b/test/sim/meters.ts
@@ -31,8 +31,8 @@
   largestRoundSteps = 0;
   /** The highest number of command pushes without a response at any time. */
   peakOpenCommands = 0;
-  /** The number of times that a leader quarantined a machine because tasks failed on it. */
-  quarantinedMachines = 0;
+  /** The number of times that a leader drained a machine because tasks failed on it. */
+  drainedFaultyMachines = 0;
   /** The size of the largest frame to a peer, in bytes. */
   largestFrameBytes = 0;
   /** The number of machines that were terminated with tasks on them. */
@@ -77,9 +77,9 @@
     this.largestFrameBytes = Math.max(this.largestFrameBytes, encodeFrame(message).length);
   }
 
-  /** Reads the cost of planning rounds and the quarantined machines from log events. */
+  /** Reads the cost of planning rounds and the number of drained faulty machines from log events. */
   onLogEvent({ event, fields }: Extract<Output, { kind: 'log' }>): void {
     if (event === 'planning round') this.largestRoundSteps = Math.max(this.largestRoundSteps, Number(fields.planSteps));
-    else if (event === 'machine failing tasks') this.quarantinedMachines += 1;
+    else if (event === 'machine failing tasks') this.drainedFaultyMachines += 1;
   }
 }
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -4,7 +4,7 @@
 /** The host name of the state store. */
 export const STATE_STORE_HOST = 'state-store';
 
-/** Whether a partition loses messages, or holds them back and delivers them at its end. */
+/** Whether a partition drops messages, or delays them until its end. */
 type PartitionMode = 'drop' | 'delay';
 
 /** A fault that separates two hosts. */
@@ -15,14 +15,14 @@
   readonly mode: PartitionMode;
   /** Whether only messages to `host` are affected. Those that it sends then still arrive. */
   readonly oneWay: boolean;
-  readonly heldMessages: (() => void)[];
+  readonly delayedMessages: (() => void)[];
 }
 
 /** Returns whether the partition separates `host`, as its first host, from `peer`. */
 const separates = (partition: Partition, host: string, peer: string): boolean =>
   partition.host === host && (partition.peer === peer || (partition.peer === '*' && host !== peer));
 
-/** Delivers messages between hosts, unless partitions lose them or hold them back. */
+/** Delivers messages between hosts, unless partitions drop or delay them. */
 export class Network {
   private readonly partitions = new Set<Partition>();
   private readonly addedLatencyMs = new Map<string, number>();
@@ -33,11 +33,11 @@
    * Separates `host` from `peer` ("*" for all hosts) for `ms` milliseconds. `oneWay` affects only messages to `host`.
    */
   partition(host: string, peer: string, ms: number, mode: PartitionMode, oneWay = false): void {
-    const partition: Partition = { host, peer, mode, oneWay, heldMessages: [] };
+    const partition: Partition = { host, peer, mode, oneWay, delayedMessages: [] };
     this.partitions.add(partition);
     this.clock.schedule(ms, () => {
       this.partitions.delete(partition);
-      for (const deliver of partition.heldMessages) this.clock.schedule(this.clock.randomBetween(1, 20), deliver);
+      for (const deliver of partition.delayedMessages) this.clock.schedule(this.clock.randomBetween(1, 20), deliver);
     });
   }
 
@@ -47,11 +47,11 @@
     this.clock.schedule(ms, () => this.addedLatencyMs.delete(host));
   }
 
-  /** Delivers a message after a random latency, unless a partition is in its way. */
+  /** Delivers a message after a random latency, unless a partition drops or delays it. */
   send(from: string, to: string, deliver: () => void): void {
     for (const partition of this.partitions) {
       if (!separates(partition, to, from) && (partition.oneWay || !separates(partition, from, to))) continue;
-      if (partition.mode === 'delay') partition.heldMessages.push(deliver);
+      if (partition.mode === 'delay') partition.delayedMessages.push(deliver);
       return;
     }
     const addedLatencyMs = Math.max(this.addedLatencyMs.get(from) ?? 0, this.addedLatencyMs.get(to) ?? 0);
--- a/test/sim/rate_limiter.ts
+++ b/test/sim/rate_limiter.ts
@@ -2,8 +2,8 @@
 import type { Clock } from './clock.js';
 
 /**
- * A token bucket as the state store enforces it. It holds the tokens of one second, and refuses any request beyond
- * them.
+ * A token bucket as the state store enforces it. It holds at most the tokens of one second. Requests that need more
+ * tokens than it holds are refused.
  */
 export class RateLimiter {
   private tokens: number;
--- a/test/sim/scenario/checks/machines.ts
+++ b/test/sim/scenario/checks/machines.ts
@@ -25,11 +25,12 @@
       ? null
       : `${world.cloud.provisionedCount} machines provisioned in total, expected at most ${wanted}`;
   },
-  /** quarantined at-most|at-least N: the number of machines that a leader quarantined because tasks failed on them */
+  /** quarantined at-most|at-least N: the number of machines that a leader drained because tasks failed on them */
   quarantined(world, [bound, wanted]) {
-    const { quarantinedMachines } = world.meters;
-    const holds = bound === 'at-most' ? quarantinedMachines <= Number(wanted) : quarantinedMachines >= Number(wanted);
-    return holds ? null : `${quarantinedMachines} machines quarantined, expected ${bound} ${wanted}`;
+    const { drainedFaultyMachines } = world.meters;
+    const holds =
+      bound === 'at-most' ? drainedFaultyMachines <= Number(wanted) : drainedFaultyMachines >= Number(wanted);
+    return holds ? null : `${drainedFaultyMachines} machines drained for failing tasks, expected ${bound} ${wanted}`;
   },
   /** terminated-busy at-most N: the number of machines that were terminated with tasks on them */
   'terminated-busy'(world, [, wanted]) {
--- a/test/sim/scenario/checks/recovery.ts
+++ b/test/sim/scenario/checks/recovery.ts
@@ -54,7 +54,7 @@
     const same = listed.size === ids.length && ids.every((id) => listed.has(id));
     return same ? null : `other orphans listed than expected: ${[...listed].join(' ')}`;
   },
-  /** runs-only-on MACHINE TASK: the task has not exited on this machine, and is on no other machine */
+  /** runs-only-on MACHINE TASK: only this machine has the task, apart from machines on which it has exited */
   'runs-only-on'(world, [machine, task]) {
     const places = [...world.workers.values()].filter(
       ({ tasks }) => (tasks.get(task ?? '')?.phase ?? 'exited') !== 'exited',
@@ -78,7 +78,10 @@
     world.errors.splice(0, world.errors.length, ...others);
     return null;
   },
-  /** started-again TASK EVIDENCE: a leader started a task of a previous term again and logged this evidence */
+  /**
+   * started-again TASK EVIDENCE: a leader started a task of a previous term again, and logged this evidence that its
+   * earlier attempt had ended
+   */
   'started-again'(world, [task, evidence]) {
     const logged = world.restartEvidence.get(task ?? '');
     return logged === evidence ? null : `${task} was started again with evidence ${logged}, expected ${evidence}`;
--- a/test/sim/scenario/events/controllers.ts
+++ b/test/sim/scenario/events/controllers.ts
@@ -4,7 +4,7 @@
 import type { World } from '../../world.js';
 import { controllersNamed, type EventTable, noteFault } from './targets.js';
 
-/** For scenarios that use no old versions. */
+/** The builds of old versions for scenarios that use none. */
 export const NO_OLD_VERSIONS: ReadonlyMap<string, Build> = new Map();
 
 /** Returns the build with the given name, of the current version or an old one. */
@@ -103,7 +103,7 @@
   },
   /** pause CONTROLLER S: the process is paused while its clocks run on */
   pause(world, [which, seconds]) {
-    for (const controller of controllersNamed(world, which)) controller.freeze(noteFault(world, seconds));
+    for (const controller of controllersNamed(world, which)) controller.pause(noteFault(world, seconds));
   },
   /**
    * pause-before-sending CONTROLLER S terminate|provision|commands|responses: the controller is paused between making
@@ -125,8 +125,8 @@
     upgradeControllers(world, which, restartSeconds ?? '3', Number(every ?? 0));
   },
   /**
-   * downgrade CONTROLLER VERSION [RESTART]: the controller crashes and restarts with an old version, as one that a
-   * rolling upgrade left behind
+   * downgrade CONTROLLER VERSION [RESTART]: the controller crashes and restarts with an old version, as if a rolling
+   * upgrade had left it out
    */
   downgrade(world, [which, version, restartSeconds]) {
     for (const controller of controllersNamed(world, which)) {
--- a/test/sim/scenario/events/jobs.ts
+++ b/test/sim/scenario/events/jobs.ts
@@ -52,7 +52,7 @@
     world.users.cancelOnCompletion = { share: Number(share), until: world.clock.now + noteFault(world, seconds) };
   },
   /**
-   * poll-bursts S: for S seconds, users poll all controllers within milliseconds after a job is accepted, ended or
+   * poll-bursts S: for S seconds, users poll all controllers within milliseconds after a job is accepted, done or
    * cancelled
    */
   'poll-bursts'(world, [seconds]) {
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -18,7 +18,7 @@
 
 /** The users of a world. They submit, poll and cancel jobs, and pass the responses to the invariants. */
 export class SimulatedUsers {
-  /** The time until which users poll a job in bursts at every change of its status. */
+  /** The time until which users poll a job in bursts when it is accepted, done or cancelled. */
   pollBurstsUntil = 0;
   /** The share of the jobs completed before `until` that a user cancels at about the time of their completion. */
   cancelOnCompletion = { share: 0, until: 0 };
@@ -39,8 +39,8 @@
     }
     if (clock.now >= this.cancelOnCompletion.until || clock.randomBetween(0, 1) >= this.cancelOnCompletion.share)
       return;
-    // Random delays let cancellations meet each stage: the leader learns of the completion, stores it, and followers
-    // read it.
+    // The random delays make cancellations arrive before and after the leader learns of the completion, stores it, and
+    // followers read it.
     const delayMs = clock.randomBetween(0, 1) < 0.5 ? 0 : clock.randomBetween(0, 2500);
     clock.schedule(delayMs, () => this.cancel(job));
   }
@@ -84,7 +84,7 @@
     );
   }
 
-  /** Sends several requests to every controller within milliseconds: the submission once more, and polls. */
+  /** Sends several requests to every controller within milliseconds. One repeats the submission, the others poll. */
   private sendPollBurst(id: JobId): void {
     const spec = this.invariants.submitted.get(id);
     if (this.clock.now >= this.pollBurstsUntil || !spec) return;
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -47,7 +47,7 @@
   /** The time until which its heartbeats are lost. Pushed commands still reach it. */
   heartbeatsLostUntil = 0;
   /**
-   * The time until which its heartbeats are held back. They are delivered to the controller that leads then, and their
+   * The time until which its heartbeats are delayed. They are delivered to the controller that leads then, and their
    * responses are ignored.
    */
   heartbeatsDelayedUntil = 0;
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -1,4 +1,4 @@
-/** The simulated deployment that scenarios and random days run in. */
+/** The simulated deployment in which scenarios and property tests run. */
 import type { Settings, Tuning } from '../../src/core/settings.js';
 import type { ControllerName, JobId, MachineId, MachineType, ZoneName } from '../../src/core/types.js';
 import { ServiceAvailability } from './availability.js';
@@ -73,7 +73,7 @@
   readonly registryCheck = new RegistryCheck(this);
   readonly availability = new ServiceAvailability(this);
   readonly commandCounts = new CommandCounts();
-  /** The time until which each heartbeat is also delivered a second time, with a delay. */
+  /** The time until which each heartbeat that a worker sends is delivered a second time, with a delay. */
   duplicateHeartbeatsUntil = 0;
   /**
    * The number of transactions that the state store refused for their size. Only those of controllers of this version
--- a/tools/run_tests.sh
+++ b/tools/run_tests.sh
@@ -6,7 +6,7 @@
 tests=$(find target/check/test -name '*.test.js' | sort)
 [ -n "$tests" ] || { echo "no tests are built" >&2; exit 1; }
 # shellcheck disable=SC2086 # word splitting is intended: one argument for each file
-# With the time-out, a test that hangs fails under its own name and does not block the whole run.
+# With the timeout, a test that hangs fails under its own name and does not block the whole run.
 node --test --test-timeout=600000 --test-reporter=spec --test-reporter-destination=stdout \
   --test-reporter=tap --test-reporter-destination="$results" $tests && exit 0
 # Collects the failed tests at any depth. A suite is skipped if it failed only because of its tests.
