--- a/test/golden/leader_records.ts
+++ b/test/golden/leader_records.ts
@@ -21,6 +21,7 @@
   readonly body: GoldenValue;
 }
 
+/** Simulated time within which the controller is elected, and the time between its steps, in milliseconds. */
 const ELECTION_MS = 2000;
 const STEP_MS = 20;
 
--- a/test/measure/speed.ts
+++ b/test/measure/speed.ts
@@ -45,9 +45,11 @@
 export interface SpeedDriver {
   /** Returns the operations to time on a heartbeat in wire format, by name. All drivers must use the same names. */
   heartbeatOperations(wireHeartbeat: unknown, tasks: number): Readonly<Record<string, () => unknown>>;
+  /** Runs a world and returns the durations of its controllers' steps. */
   playWorld(plan: WorldPlan): StepTimes;
 }
 
+/** A build in the comparison, with the name under which its driver was given. */
 interface Side {
   readonly name: string;
   readonly driver: SpeedDriver;
