--- a/src/core/autoscaling/scale_in.ts
+++ b/src/core/autoscaling/scale_in.ts
@@ -162,7 +162,7 @@
     if (reason === 'heartbeat overdue' || reason === 'stopped') this.onLost(machine);
     machine.cordon.drain(reason);
     if (reason === 'boot timeout') this.recordBootTimeout(machine);
-    this.cluster.context.log('terminating machine', { machine: machine.id, type: machine.typeName, reason });
+    this.cluster.context.log('machine termination requested', { machine: machine.id, type: machine.typeName, reason });
     this.queue.push(machine);
   }
 
--- a/src/core/leadership/election.ts
+++ b/src/core/leadership/election.ts
@@ -110,7 +110,7 @@
   stepDown(reason: StepDownReason): void {
     if (this.state.kind !== 'leader') return;
     const { fencingToken, leaseId } = this.state.lease.leadership;
-    this.context.log('stepping down as leader', { reason, fencingToken });
+    this.context.log('leader stepped down', { reason, fencingToken });
     this.endLeadership(this.state.lease);
     this.nextCandidacyAt = this.context.after(this.context.tuning.leadership.backoff_ms);
     this.revoke(leaseId);
@@ -176,7 +176,7 @@
     this.electedAt = this.context.now.monotonic;
     this.observedRevision = fencingToken as bigint as Revision;
     this.leaderRecord = record;
-    this.context.log('elected leader', { fencingToken, term });
+    this.context.log('leader elected', { fencingToken, term });
     lease.start();
     this.callbacks.onElected(leadership);
   }
@@ -211,7 +211,7 @@
    * beside this one, so there is no need to wait for the lease to expire.
    */
   private revokePreviousIncarnation(lease: LeaseId): void {
-    this.context.log('revoking lease of previous process', {});
+    this.context.log('lease of previous process found', {});
     this.revoke(lease, () => this.scheduleRetry(IMMEDIATE_RETRY_MS));
   }
 
--- a/src/core/log_events.ts
+++ b/src/core/log_events.ts
@@ -46,7 +46,7 @@
 /** Events of the process and its connections. */
 const PROCESS_EVENTS = {
   started: event<{ readonly listenAddress: string; readonly peers: number }>('info'),
-  'listen failed': event<{ readonly listenAddress: string; readonly error: string }>('error'),
+  'listener failed': event<{ readonly listenAddress: string; readonly error: string }>('error'),
   'uncaught exception': event<{ readonly error: string }>('error'),
   'peer listener failed': event<{ readonly error: string }>('error'),
   'peer connection dropped': event<{ readonly peer: string | null; readonly reason: string }>('info'),
@@ -56,11 +56,11 @@
 
 /** Events of leadership, and of the stored state that a leader reads. */
 const LEADERSHIP_EVENTS = {
-  'elected leader': event<LeadershipFields & { readonly term: number }>('info'),
+  'leader elected': event<LeadershipFields & { readonly term: number }>('info'),
   'leadership resumed after gap in renewals': event<LeadershipFields>('info'),
   'leadership lost: lease expired': event<LeadershipFields>('info'),
-  'stepping down as leader': event<LeadershipFields & { readonly reason: string }>('info'),
-  'revoking lease of previous process': event<NoFields>('info'),
+  'leader stepped down': event<LeadershipFields & { readonly reason: string }>('info'),
+  'lease of previous process found': event<NoFields>('info'),
   'state read': event<{
     readonly term: number;
     readonly jobs: number;
@@ -69,7 +69,7 @@
     readonly machines: number;
   }>('info'),
   'recovery finished': event<LogFields>('info'),
-  'task of a job not on record': event<{ readonly job: JobId }>('error'),
+  'task without job record found': event<{ readonly job: JobId }>('error'),
   'leader key not understood': event<StoredKeyFields>('error'),
   'registry page not understood': event<StoredKeyFields>('error'),
   'job record not understood': event<StoredKeyFields>('error'),
@@ -83,20 +83,22 @@
     'info',
   ),
   'machine up': event<MachineFields & MachineTypeFields & { readonly ageSeconds: number }>('info'),
-  'terminating machine': event<MachineFields & { readonly type: MachineTypeName; readonly reason: string }>('info'),
+  'machine termination requested': event<MachineFields & { readonly type: MachineTypeName; readonly reason: string }>(
+    'info',
+  ),
   'unregistered machine listed': event<MachineFields & { readonly phase: string }>('info'),
-  'heartbeat from unregistered machine': event<MachineFields>('info'),
+  'heartbeat received from unregistered machine': event<MachineFields>('info'),
   'machine stopped': event<MachineFields & { readonly lostTasks: number }>('info'),
   'machine failing tasks': event<MachineFields>('info'),
   'straggler detected': event<MachineFields>('info'),
   'agent lease expired': event<MachineFields & { readonly lostTasks: number; readonly reconciled: boolean }>('info'),
   'agent epoch began': event<MachineFields & { readonly agentEpoch: bigint; readonly lostTasks: number }>('info'),
-  'interruption notice': event<MachineFields & { readonly interruptionNoticeSeconds: number }>('info'),
+  'interruption notice received': event<MachineFields & { readonly interruptionNoticeSeconds: number }>('info'),
   'machine unresponsive': event<MachineFields>('info'),
   'machine reachable again': event<MachineFields>('info'),
-  'duplicate heartbeat': event<MachineFields & { readonly sequence: SequenceNumber; readonly duplicates: number }>(
-    'debug',
-  ),
+  'duplicate heartbeat ignored': event<
+    MachineFields & { readonly sequence: SequenceNumber; readonly duplicates: number }
+  >('debug'),
 };
 
 /** Events of tasks and of their placement. */
@@ -131,7 +133,7 @@
       readonly pullSpeed: number;
     }
   >('debug'),
-  'planning round': event<{
+  'planning round finished': event<{
     readonly waitingJobs: number;
     readonly plannedJobs: number;
     readonly machines: number;
@@ -139,10 +141,10 @@
     readonly startedTasks: number;
     readonly cost: number;
   }>('debug'),
-  'gang preemption': event<{ readonly job: JobId; readonly machines: number }>('debug'),
-  'gang migration': event<{ readonly job: JobId; readonly machines: readonly string[] }>('debug'),
-  'replica preemption': event<MachineFields & { readonly job: JobId }>('debug'),
-  'replica migration': event<{
+  'machines reserved for gang': event<{ readonly job: JobId; readonly machines: number }>('debug'),
+  'gang migration started': event<{ readonly job: JobId; readonly machines: readonly string[] }>('debug'),
+  'tasks preempted for replica': event<MachineFields & { readonly job: JobId }>('debug'),
+  'replica migration started': event<{
     readonly job: JobId;
     readonly fromMachine: MachineId;
     readonly toMachine: MachineId;
--- a/src/core/scheduler/migration.ts
+++ b/src/core/scheduler/migration.ts
@@ -23,7 +23,7 @@
     const migration = findMigration(cluster, job);
     if (!migration) continue;
     const machines = migration.targets.map(({ id }) => id);
-    cluster.context.log('gang migration', { job: job.id, machines });
+    cluster.context.log('gang migration started', { job: job.id, machines });
     applyGangMigration(cluster, migration);
   }
 }
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -32,7 +32,7 @@
     if (!evictions) continue;
     gangs += 1;
     applyGangPreemption(cluster, { job, evictions, reservationMs: PREEMPTION_RESERVATION_MS });
-    cluster.context.log('gang preemption', { job: job.id, machines: evictions.length });
+    cluster.context.log('machines reserved for gang', { job: job.id, machines: evictions.length });
   }
 }
 
--- a/src/core/scheduler/replica_move.ts
+++ b/src/core/scheduler/replica_move.ts
@@ -24,7 +24,7 @@
   if (!move) return;
   applyReplicaMove(cluster, move);
   const { job, machine } = placement;
-  cluster.context.log('replica migration', {
+  cluster.context.log('replica migration started', {
     job: job.id,
     fromMachine: machine.id,
     toMachine: move.target.id,
--- a/src/core/scheduler/round.ts
+++ b/src/core/scheduler/round.ts
@@ -33,7 +33,7 @@
   const planned = planRound(input, policy, seed);
   const capacityPlan = addWaitingReplicas(cluster, input, planned.capacityPlan);
   const startedTasks = applyRound(cluster, input, planned);
-  cluster.context.log('planning round', {
+  cluster.context.log('planning round finished', {
     waitingJobs: ranked.length,
     plannedJobs: planned.plannedJobs,
     machines: input.machines.length,
--- a/src/core/scheduler/service_placement.ts
+++ b/src/core/scheduler/service_placement.ts
@@ -64,7 +64,7 @@
   const { machine } = eviction;
   applyPreemption(cluster, { job, evictions: [eviction], reservationMs: PREEMPTION_RESERVATION_MS });
   useZoneAllowance(allowance, machine.zone, job, 1);
-  cluster.context.log('replica preemption', { job: job.id, machine: machine.id });
+  cluster.context.log('tasks preempted for replica', { job: job.id, machine: machine.id });
   return true;
 }
 
--- a/src/core/state/previous_terms.ts
+++ b/src/core/state/previous_terms.ts
@@ -252,7 +252,7 @@
   /** Handles the result of looking up a job's record. */
   onRecordLookedUp(job: JobId, result: RecordLookupResult): void {
     if (!this.recovery?.onRecordLookedUp(job, result)) return;
-    this.context.log('task of a job not on record', { job });
+    this.context.log('task without job record found', { job });
   }
 }
 
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -146,7 +146,7 @@
     const machine = new Machine({ id, type, zone, spot, address, reconciled: true, phase: 'up', now });
     this.cluster.machines.add(machine);
     this.cluster.previousTerms.recovery?.onUnregisteredMachine();
-    this.context.log('heartbeat from unregistered machine', { machine: id });
+    this.context.log('heartbeat received from unregistered machine', { machine: id });
     return machine;
   }
 
@@ -156,7 +156,7 @@
    */
   private recordDuplicate(machine: Machine, { sequence }: Heartbeat): void {
     this.duplicates += 1;
-    this.context.log('duplicate heartbeat', { machine: machine.id, sequence, duplicates: this.duplicates });
+    this.context.log('duplicate heartbeat ignored', { machine: machine.id, sequence, duplicates: this.duplicates });
   }
 
   private hasStaleToken(heartbeat: Heartbeat): boolean {
--- a/src/core/workers/status_reconciliation.ts
+++ b/src/core/workers/status_reconciliation.ts
@@ -109,7 +109,7 @@
     if (interruptionNoticeSeconds === null) return;
     const interruptionAt = addMilliseconds(cluster.context.now.monotonic, interruptionNoticeSeconds * 1000);
     if (!machine.cordon.recordInterruptionNotice(interruptionAt)) return;
-    cluster.context.log('interruption notice', { machine: machine.id, interruptionNoticeSeconds });
+    cluster.context.log('interruption notice received', { machine: machine.id, interruptionNoticeSeconds });
     this.planning = 'due';
   }
 
--- a/src/io/controller_runtime.ts
+++ b/src/io/controller_runtime.ts
@@ -94,7 +94,7 @@
     const { listenAddress, peerListenAddress, peers } = this.platform;
     const { host, port } = parseHostPort(listenAddress);
     this.httpServer.on('error', (error) => {
-      this.log(logEntry('listen failed', { listenAddress, error: error.message }));
+      this.log(logEntry('listener failed', { listenAddress, error: error.message }));
       process.exit(1);
     });
     this.httpServer.listen(port, host, () => {
--- a/test/core/log_events.test.ts
+++ b/test/core/log_events.test.ts
@@ -35,6 +35,6 @@
 
   test('a log line has the level of its event', () => {
     const fields = { fencingToken: 7n as FencingToken, term: 3 };
-    assert.deepEqual(logEntry('elected leader', fields), { level: 'info', event: 'elected leader', fields });
+    assert.deepEqual(logEntry('leader elected', fields), { level: 'info', event: 'leader elected', fields });
   });
 });
--- a/test/measure/speed_driver.ts
+++ b/test/measure/speed_driver.ts
@@ -22,7 +22,7 @@
     const before = process.hrtime.bigint();
     const outputs = step.call(this, now, input);
     const elapsedNs = Number(process.hrtime.bigint() - before);
-    const isRound = outputs.some((output) => output.kind === 'log' && output.event === 'planning round');
+    const isRound = outputs.some((output) => output.kind === 'log' && output.event === 'planning round finished');
     onStep(elapsedNs, isRound);
     return outputs;
   };
--- a/test/sim/meters.ts
+++ b/test/sim/meters.ts
@@ -79,7 +79,8 @@
 
   /** Reads the cost of planning rounds and the quarantined machines from log events. */
   onLogEvent({ event, fields }: Extract<Output, { kind: 'log' }>): void {
-    if (event === 'planning round') this.largestRoundSteps = Math.max(this.largestRoundSteps, Number(fields.planSteps));
+    if (event === 'planning round finished')
+      this.largestRoundSteps = Math.max(this.largestRoundSteps, Number(fields.planSteps));
     else if (event === 'machine failing tasks') this.quarantinedMachines += 1;
   }
 }
