--- a/test/cold_start_process.test.ts
+++ b/test/cold_start_process.test.ts
@@ -13,9 +13,9 @@
 } from './support/processes.js';
 
 /*
- * Guards against controllers that stop, repeat or lose tasks when all of them restart. Three processes of the built
- * program, started as deploy/service.toml says, are killed together on loopback while tasks run, and are started again.
- * Stand-in workers keep running and record which commands reach them.
+ * Guards against controllers that stop, repeat or lose tasks when all of them restart. Three controller processes on
+ * loopback, started as deploy/service.toml says, are killed together while tasks run, and are started again. Stand-in
+ * workers keep running and record which commands reach them.
  */
 
 const ZONE = 'north';
@@ -26,8 +26,8 @@
  */
 const LONG_LEASE_SECONDS = 20;
 /**
- * Maximum time from when a controller listens until every worker has the new leader's fencing token. It is what 2 s of
- * downtime leave of a lease of 10 s.
+ * Maximum time from when a controller listens until every worker has the new leader's fencing token. It equals a lease
+ * of 10 s minus 2 s of downtime.
  */
 const MAX_RECOVERY_SECONDS = 8;
 const HEARTBEAT_SECONDS = 0.5;
@@ -119,7 +119,7 @@
   }
 
   /** Waits until every worker's heartbeats have failed for `ms` milliseconds, as derived from their number. */
-  async waitUntilUnanswered(ms: number): Promise<void> {
+  async waitForFailedHeartbeats(ms: number): Promise<void> {
     const failures = 1 + Math.ceil(ms / HEARTBEAT_RETRY_DELAY_MS);
     const targets = new Map(this.workers.map((worker) => [worker, worker.failedHeartbeats + failures]));
     await waitUntil('no worker reaches a controller', () =>
@@ -128,11 +128,11 @@
   }
 
   /** Waits until every worker's heartbeats have succeeded for `ms` milliseconds, as derived from their number. */
-  async waitUntilAnswered(ms: number): Promise<void> {
-    const answers = 1 + Math.ceil(ms / (MIN_HEARTBEAT_PERIOD_FACTOR * HEARTBEAT_SECONDS * 1000));
-    const targets = new Map(this.workers.map((worker) => [worker, worker.answeredHeartbeats + answers]));
+  async waitForSuccessfulHeartbeats(ms: number): Promise<void> {
+    const successes = 1 + Math.ceil(ms / (MIN_HEARTBEAT_PERIOD_FACTOR * HEARTBEAT_SECONDS * 1000));
+    const targets = new Map(this.workers.map((worker) => [worker, worker.successfulHeartbeats + successes]));
     await waitUntil('controllers respond to the heartbeats of all workers', () =>
-      [...targets].every(([worker, count]) => worker.answeredHeartbeats >= count),
+      [...targets].every(([worker, count]) => worker.successfulHeartbeats >= count),
     );
   }
 
@@ -161,7 +161,7 @@
     for (const { port } of this.controllers) {
       for (const id of ids) {
         const reply = await sendRequest(port, 'GET', `/v2/runs/${id}`, undefined, 2000);
-        assert.notEqual(reply?.status, 404, `${id} answered 404`);
+        assert.notEqual(reply?.status, 404, `a controller returned 404 for ${id}`);
         if (reply?.status === 200)
           this.statesByJob.set(id, [...(this.statesByJob.get(id) ?? []), String(reply.body.mood)]);
       }
@@ -220,7 +220,7 @@
   log.resetCommands();
   const killedAt = performance.now();
   await cluster.killControllers();
-  await cluster.waitUntilUnanswered(DOWNTIME_MS);
+  await cluster.waitForFailedHeartbeats(DOWNTIME_MS);
   cluster.startControllers();
   await cluster.waitUntilListening();
   const listeningAt = performance.now();
@@ -235,7 +235,7 @@
     downtimeSeconds < LONG_LEASE_SECONDS,
     `recovery ended ${downtimeSeconds} s after the crash, which is not within the lease`,
   );
-  await cluster.waitUntilAnswered(OBSERVATION_MS);
+  await cluster.waitForSuccessfulHeartbeats(OBSERVATION_MS);
   assert.deepEqual(log.commands, { run: 0, stop: 0, reap: 0 });
   await cluster.waitUntilDone(['job-1']);
   cluster.assertStatesFinal();
--- a/test/core/clients/call_queue.test.ts
+++ b/test/core/clients/call_queue.test.ts
@@ -93,7 +93,7 @@
             `call ${i} was refused early but would have been sent in time`,
           );
       });
-      // Calls that can't be sent in time no longer queue ahead of others, so at least as many calls are sent.
+      // With early refusal, calls that can't be sent in time do not queue ahead of others, so no fewer calls are sent.
       const sent = (outcomes: typeof early): number => outcomes.filter(({ outcome }) => outcome === 'sent').length;
       assert.ok(sent(early) >= sent(withoutEarlyRefusal));
     });
@@ -106,7 +106,7 @@
       true,
     );
     const refused = outcomes.filter(({ outcome, waitedMs }) => outcome === 'not sent' && waitedMs === 0).length;
-    // The burst of one second, and the tokens that become available before the calls expire after one second.
+    // The bucket holds the tokens of one second. More tokens arrive in the second before the calls expire.
     const inTime = 2 * RATE - 1;
     assert.equal(refused, 100 - inTime);
     assert.equal(outcomes.filter(({ outcome }) => outcome === 'sent').length, inTime);
--- a/test/core/machines/machine.test.ts
+++ b/test/core/machines/machine.test.ts
@@ -10,7 +10,7 @@
     assert.equal(reportedMachine.isSchedulable(now, 2000), false);
     reportedMachine.reachability.confirm();
     assert.equal(reportedMachine.isSchedulable(now, 2000), true);
-    // A machine that this leader provisioned is not known from a possibly outdated message.
+    // This leader provisioned the machine, so it does not rely on a message that may be outdated.
     const provisionedMachine = makeMachine('i-2', '', 'booting', now, true);
     provisionedMachine.lifecycle.markUp();
     assert.equal(provisionedMachine.isSchedulable(now, 2000), true);
--- a/test/core/state/restart_log.test.ts
+++ b/test/core/state/restart_log.test.ts
@@ -135,12 +135,12 @@
 
 describe('attempt numbers', () => {
   test('are higher in a later term than in any previous one, and show whether they are of a previous term', () => {
-    const earlier = new AttemptNumbers(TERM - 1);
+    const previous = new AttemptNumbers(TERM - 1);
     const later = new AttemptNumbers(TERM);
-    const [first, second, third] = [earlier.next(), earlier.next(), later.next()];
+    const [first, second, third] = [previous.next(), previous.next(), later.next()];
     assert.ok(first < second && second < third);
     assert.ok(later.isOfPreviousTerm(second));
     assert.ok(!later.isOfPreviousTerm(third));
-    assert.ok(!earlier.isOfPreviousTerm(first));
+    assert.ok(!previous.isOfPreviousTerm(first));
   });
 });
--- a/test/core/workers/deferred_responses.test.ts
+++ b/test/core/workers/deferred_responses.test.ts
@@ -19,8 +19,8 @@
 });
 
 /**
- * Creates a deferred response to an empty machine. `ends` collects how responses ended: 'sent' with their commands, or
- * a status code.
+ * Creates the deferred responses of a term and a response for the worker of an empty machine. `ends` has one entry for
+ * each response that has ended, which is 'sent' if it was sent with its commands, and otherwise its status code.
  */
 function setUp() {
   const context = new StepContext(settings, CURRENT_BUILD.tuning, clockReading(START));
--- a/test/paused_process.test.ts
+++ b/test/paused_process.test.ts
@@ -100,9 +100,9 @@
   assert.ok(response?.status !== 200 || response.fencingToken === newToken, 'a response with the old fencing token');
   const later = new HeartbeatSender('i-000004');
   await waitUntil('node-a forwards or redirects heartbeats to the new leader', async () => {
-    const answer = await later.send(first.port);
-    assert.ok(answer?.status !== 200 || answer.fencingToken === newToken);
-    return answer !== null && (answer.status === 200 || answer.status === 421);
+    const reply = await later.send(first.port);
+    assert.ok(reply?.status !== 200 || reply.fencingToken === newToken);
+    return reply !== null && (reply.status === 200 || reply.status === 421);
   });
   assert.equal(paused.exitCode, null);
   assert.equal(services.leader(), 'node-b');
--- a/test/recovery_properties.test.ts
+++ b/test/recovery_properties.test.ts
@@ -42,7 +42,7 @@
 
 interface JobState {
   startTerm: number;
-  /** The zones in the stored record, and the zones that the present leader relies on. Null means any zone. */
+  /** The zones in the stored record, and the zones that the current leader relies on. Null means any zone. */
   recordedZones: ZoneName[] | null;
   trustedZones: ZoneName[] | null;
   /** The machine of each task. Null if the task is on no machine. */
@@ -55,7 +55,7 @@
   | { readonly kind: 'end'; readonly job: number; readonly task: number };
 
 /**
- * A model of the actual state: where the tasks are, and what the state store holds. The leader changes, and some
+ * A model of the actual positions of the tasks and of the contents of the state store. The leader changes, and some
  * leaders do not record zones.
  */
 class ClusterModel {
@@ -115,7 +115,7 @@
     ) as number[];
   }
 
-  /** Returns what the present leader knows of a job after the `listed` machines have sent their statuses. */
+  /** Returns what the current leader knows of a job after the `listed` machines have sent their statuses. */
   previousTermJob(job: number, listed: ReadonlySet<number>): PreviousTermJob {
     const { startTerm, trustedZones, machineByTask } = this.jobs[job] as JobState;
     const foundTasks = machineByTask.filter((place) => place !== null && listed.has(place)).length;
--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -25,9 +25,9 @@
 
 test('invalid input in a scenario file throws an error with file and line', () => {
   const file = join(mkdtempSync(join(tmpdir(), 'scenario-')), 'bad.txt');
-  const fails = (text: string, said: RegExp): void => {
+  const fails = (text: string, expectedMessage: RegExp): void => {
     writeFileSync(file, text);
-    assert.throws(() => runScenario(parseScenario(file)), said);
+    assert.throws(() => runScenario(parseScenario(file)), expectedMessage);
   };
   fails('# title\nmachine 2 c8 a\n', /bad\.txt:2: no statement machine/);
   fails('# title\nuntil 1\nat 0 explode all\n', /bad\.txt:3: no event explode/);
--- a/test/support/fake_services.ts
+++ b/test/support/fake_services.ts
@@ -194,8 +194,8 @@
 
   /**
    * Waits until the revision changes or `wait_ms` has passed, and returns the entries that were written after the
-   * revision `after`. Returns at once if there are any. Deletions are not listed: a client notices a deleted key only
-   * by reading it again.
+   * revision `after`. Returns at once if there are any. Deletions are not listed, so a client notices a deleted key
+   * only by reading it again.
    */
   private async watch(parameters: URLSearchParams): Promise<ServiceResponse> {
     const prefix = parameters.get('under') ?? '';
--- a/test/support/fake_worker.ts
+++ b/test/support/fake_worker.ts
@@ -27,9 +27,9 @@
   readonly startsByTask = new Map<string, number>();
   /** Number of executions that ran to completion, by task. */
   readonly completionsByTask = new Map<string, number>();
-  /** Machines whose lease expired while they had tasks. */
+  /** Ids of the machines whose workers had tasks when their lease expired, one entry for each expiry. */
   readonly expiredLeases: string[] = [];
-  /** Tasks that ran on two machines at the same time. */
+  /** Descriptions of the cases in which a task ran on two machines at the same time. */
   readonly concurrentRuns: string[] = [];
   private readonly machineByTask = new Map<string, string>();
 
@@ -91,9 +91,9 @@
   private isAlive = true;
   private listenAddress = '';
   private lastHeartbeatAt = 0;
-  private hasUnreportedChange = false;
+  private hasUnsentChange = false;
   /** Number of heartbeats that got a response with status 200. */
-  answeredHeartbeats = 0;
+  successfulHeartbeats = 0;
   /** Number of heartbeats that got a redirect, an error or no response in time. */
   failedHeartbeats = 0;
 
@@ -127,7 +127,7 @@
     void this.sendHeartbeats();
   }
 
-  /** Simulates the loss of the machine: ends the worker and all of its tasks. */
+  /** Simulates the loss of the machine by ending the worker and all of its tasks. */
   stop(): void {
     this.isAlive = false;
     this.dropTasks();
@@ -145,7 +145,7 @@
     return this.agentEpoch;
   }
 
-  /** The tasks in the worker's status, including exited ones. */
+  /** Names of the tasks in the worker's status, including exited ones. */
   get taskNames(): string[] {
     return [...this.tasks.keys()];
   }
@@ -185,10 +185,10 @@
   private async sendHeartbeats(): Promise<void> {
     while (this.isAlive) {
       this.checkLease();
-      this.hasUnreportedChange = false;
+      this.hasUnsentChange = false;
       this.lastHeartbeatAt = performance.now();
       const answered = await this.sendHeartbeat();
-      if (answered) this.answeredHeartbeats += 1;
+      if (answered) this.successfulHeartbeats += 1;
       else this.failedHeartbeats += 1;
       if (answered) await this.waitForNextHeartbeat();
       else await pause(HEARTBEAT_RETRY_DELAY_MS);
@@ -204,8 +204,7 @@
       this.options.heartbeatMs *
         (MIN_HEARTBEAT_PERIOD_FACTOR + (MAX_HEARTBEAT_PERIOD_FACTOR - MIN_HEARTBEAT_PERIOD_FACTOR) * Math.random());
     const earliest = this.lastHeartbeatAt + 500;
-    while (this.isAlive && performance.now() < (this.hasUnreportedChange ? Math.min(earliest, due) : due))
-      await pause(20);
+    while (this.isAlive && performance.now() < (this.hasUnsentChange ? Math.min(earliest, due) : due)) await pause(20);
   }
 
   private async sendHeartbeat(): Promise<boolean> {
@@ -224,7 +223,7 @@
     }
     const fencingToken = BigInt(reply.body.crest as number | bigint);
     if (agentEpoch !== this.agentEpoch || fencingToken < this.highestFencingToken) return true;
-    if (fencingToken > this.highestFencingToken) this.hasUnreportedChange = true;
+    if (fencingToken > this.highestFencingToken) this.hasUnsentChange = true;
     this.highestFencingToken = fencingToken;
     this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sentAt);
     for (const command of reply.body.calls as Fields[]) this.execute(command);
@@ -238,7 +237,7 @@
     const fencingToken = BigInt(body.crest as number | bigint);
     const executed = fencingToken >= this.highestFencingToken && Number(body.roost) === this.agentEpoch;
     if (executed) {
-      if (fencingToken > this.highestFencingToken) this.hasUnreportedChange = true;
+      if (fencingToken > this.highestFencingToken) this.hasUnsentChange = true;
       this.highestFencingToken = fencingToken;
       for (const command of body.calls as Fields[]) this.execute(command);
     }
@@ -262,7 +261,7 @@
     const job = name.slice(0, name.lastIndexOf('/'));
     this.tasks.set(name, task);
     this.log.onStarted(name, this.id);
-    this.hasUnreportedChange = true;
+    this.hasUnsentChange = true;
     task.completion = setTimeout(() => {
       this.log.onCompleted(name);
       this.exitTask(task, 'done');
@@ -273,6 +272,6 @@
     this.stopExecution(task);
     task.phase = 'exited';
     task.exitReason = cause;
-    this.hasUnreportedChange = true;
+    this.hasUnsentChange = true;
   }
 }
--- a/test/support/properties.ts
+++ b/test/support/properties.ts
@@ -9,8 +9,8 @@
 const RUNS = Number(process.env.FC_RUNS ?? 0);
 
 /**
- * Checks a property with `runs` generated values and a fixed seed. The environment variables FC_SEED, FC_PATH and
- * FC_RUNS replace the seed, the path to a single value and the number of values. The message of a failure ends with the
+ * Checks a property with `runs` generated values and a fixed seed. The environment variables FC_SEED and FC_RUNS
+ * replace the seed and the number of values, and FC_PATH selects a single value. The message of a failure ends with the
  * command that replays it. `testFile` is the `import.meta.url` of the test.
  */
 export function checkProperty<T>(testFile: string, property: fc.IProperty<T>, runs: number): void {
--- a/test/support/scenario_lines.ts
+++ b/test/support/scenario_lines.ts
@@ -13,7 +13,8 @@
 export const constantWord = (text: string): fc.Arbitrary<string> => fc.constant(text);
 
 /**
- * Returns a function that makes a generator of events between these seconds from the generators of the event's words.
+ * Returns a function that combines generators of the words of an event into a generator of scenario lines. The event of
+ * each line takes place between `from` and `to` seconds.
  */
 export const scenarioLineWithin =
   (from: number, to: number) =>
--- a/test/takeover_properties.test.ts
+++ b/test/takeover_properties.test.ts
@@ -8,8 +8,8 @@
 
 /*
  * Guards against a new leader that starts a task which still runs on another machine. In generated worlds the leader
- * changes while tasks fail, responses are lost and some machines are partitioned. One worker may then report an attempt
- * from the previous term while another attempt of the task runs on a machine that reports nothing. A counterexample
+ * changes while tasks fail, responses are lost and some machines are partitioned. One worker's status may then list an
+ * attempt from the previous term while another attempt of the task runs on a partitioned machine. A counterexample
  * consists of scenario lines. To keep one, add it to test/scenarios/.
  */
 
