--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -26,7 +26,7 @@
 }
 
 /**
- * Returns the limits of the state store. Sizes are limited to the smaller of the present and the announced limit from
+ * Returns the limits of the state store. Sizes are limited to the smaller of the current and the announced limit from
  * the start, because a larger value would be refused as soon as the announced limit comes into force.
  */
 function stateStoreSettings(state: RawDeployment['state']): Settings['stateStore'] {
--- a/src/config/platform_schema.ts
+++ b/src/config/platform_schema.ts
@@ -28,7 +28,7 @@
 const workersSchema = v.object({
   /** Interval between heartbeats. */
   report_s: positiveNumber,
-  /** Time from the last heartbeat that was answered until the worker stops its tasks. */
+  /** Time from the last heartbeat that got a response until the worker stops its tasks. */
   lease_s: positiveNumber,
   /** Maximum time that a task waits at the barrier of its gang. */
   gang_wait_s: positiveNumber,
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -25,7 +25,7 @@
 const UNHEALTHY_AFTER_MS = 3000;
 
 /**
- * How long after its arrival a request may still be answered with a state that is not final. Users wait 2 s for the
+ * How long after its arrival a request may still get a response with a state that is not final. Users wait 2 s for the
  * response to a status query, and 5 s for the responses to other requests.
  */
 const STATUS_QUERY_TIMEOUT_MS = 1900;
--- a/src/core/jobs/located_tasks.ts
+++ b/src/core/jobs/located_tasks.ts
@@ -45,7 +45,6 @@
     return this.located;
   }
 
-  /** Returns whether the task has been located. */
   has(index: number): boolean {
     return this.located.has(index);
   }
--- a/src/core/jobs/range_set.ts
+++ b/src/core/jobs/range_set.ts
@@ -37,7 +37,6 @@
     return low;
   }
 
-  /** Returns whether the number is in the set. */
   has(number: number): boolean {
     const range = this.ranges[this.lowerBound(number)];
     return range !== undefined && range[0] <= number;
--- a/src/core/leadership/candidacy.ts
+++ b/src/core/leadership/candidacy.ts
@@ -14,11 +14,10 @@
   readonly kind: 'won';
   readonly leadership: Leadership;
   readonly record: LeaderRecord;
-  /** When the request for the lease was sent. The lease cannot have begun earlier. */
+  /** When the request for the lease was sent. The lease cannot have started earlier. */
   readonly grantSentAt: MonotonicTime;
 }
 
-/** Outcome of a candidacy. */
 export type CandidacyOutcome =
   | ElectionWon
   /** The state store did not respond, or did not grant a lease. */
@@ -30,14 +29,12 @@
    */
   | { readonly kind: 'notConfirmed' };
 
-/** A lease granted to the candidate. */
 interface GrantedLease {
   readonly term: TermRecord;
   readonly leaseId: LeaseId;
   readonly grantSentAt: MonotonicTime;
 }
 
-/** Parameters of a candidacy. */
 export interface CandidacyInit {
   /** Distinguishes this process from previous processes of the same controller. */
   readonly incarnation: string;
--- a/src/core/leadership/job_view.ts
+++ b/src/core/leadership/job_view.ts
@@ -5,7 +5,7 @@
 import type { MonotonicTime } from '../types.js';
 
 /**
- * Maximum age of the view of jobs for starting tasks, in milliseconds. A cancellation that was stored after the view
+ * Maximum age of the view of jobs for starting tasks, in milliseconds. A cancellation that was persisted after the view
  * was read is not visible in it.
  */
 const MAX_AGE_FOR_STARTS_MS = 4000;
--- a/src/core/leadership/leader.ts
+++ b/src/core/leadership/leader.ts
@@ -217,8 +217,8 @@
   }
 
   /**
-   * Applies a cancellation that a controller has stored. The watch of the state store may report the same cancellation
-   * much later.
+   * Applies a cancellation that a controller has persisted. The watch of the state store may report the same
+   * cancellation much later.
    */
   onCancellationBroadcast(id: JobId): void {
     if (this.state !== 'stopped') this.cluster.applyCancellationBroadcast(id);
--- a/src/core/leadership/leader_lease.ts
+++ b/src/core/leadership/leader_lease.ts
@@ -12,7 +12,6 @@
 const MAX_RENEWAL_TIMEOUT_MS = 1500;
 const RENEWAL_TIMEOUT_SHARE = 1 / 3;
 
-/** Outcome of a renewal. */
 type RenewalOutcome = 'renewed' | 'unanswered' | 'expired';
 
 /**
--- a/src/core/leadership/record_writer.ts
+++ b/src/core/leadership/record_writer.ts
@@ -40,7 +40,6 @@
   onWriteFinished(): void;
 }
 
-/** Outcome of a transaction. */
 type WriteOutcome =
   | { readonly kind: 'written'; readonly version: Revision }
   /** The transaction was certainly not executed. */
--- a/src/core/leadership/state_restorer.ts
+++ b/src/core/leadership/state_restorer.ts
@@ -10,8 +10,8 @@
 /** Used once per term, after all records have been read. */
 export class StateRestorer {
   /**
-   * `lastLeaseRenewalAt` returns the latest time at which any controller may have renewed a machine's lease before this
-   * leader knew of the machine.
+   * `lastLeaseRenewalAt` returns the latest time at which any controller may have renewed the lease of a machine's
+   * worker before this leader knew of the machine.
    */
   constructor(
     private readonly cluster: Cluster,
--- a/src/core/lease_bounds.ts
+++ b/src/core/lease_bounds.ts
@@ -15,7 +15,7 @@
 
 /**
  * Returns the time after which a worker that receives no further heartbeat responses has no tasks left. It is counted
- * from the sending of the last heartbeat that was answered.
+ * from the sending of the last heartbeat that got a response.
  */
 export const workerLeaseExpiryMs = ({ workers }: Settings): number =>
   workers.leaseMs * (1 + CLOCK_DRIFT) + TIMER_AND_NETWORK_MARGIN_MS;
--- a/src/core/machines/agent_messages.ts
+++ b/src/core/machines/agent_messages.ts
@@ -1,4 +1,4 @@
-/** Tracks the order of one agent's messages within its epochs, and the time of its last lease renewal. */
+/** Tracks the order of one worker's messages within its agent epochs, and the time of its last lease renewal. */
 import type { AgentEpoch, FencingToken, Heartbeat, MonotonicTime, SequenceNumber } from '../types.js';
 
 /** Number of heartbeat intervals without a heartbeat after which a machine gets no new tasks. */
@@ -11,15 +11,15 @@
   /** It is the first status of the machine that this leader processes. */
   | 'firstEpoch'
   | 'sameEpoch'
-  /** The agent's lease expired in between, and all tasks of the previous epoch have ended. */
+  /** The worker's lease expired in between, and all tasks of the previous epoch have ended. */
   | 'newEpoch';
 
 /** Fields that determine the order of heartbeats and responses to pushed commands. */
 type MessageOrder = Pick<Heartbeat, 'agentEpoch' | 'sequence'>;
 
 /**
- * The messages of one machine's agent. Heartbeats and responses to pushed commands share one series of sequence numbers
- * within an agent epoch. An epoch lasts until the agent's lease expires.
+ * The messages of one machine's worker. Heartbeats and responses to pushed commands share one series of sequence
+ * numbers within an agent epoch. An epoch lasts until the worker's lease expires.
  */
 export class AgentMessages {
   private epoch: AgentEpoch | null = null;
@@ -50,7 +50,7 @@
     return this.sequence;
   }
 
-  /** The highest fencing token that the agent has sent. */
+  /** The highest fencing token that the worker has sent. */
   get highestFencingToken(): FencingToken {
     return this.fencingToken;
   }
@@ -70,7 +70,7 @@
     return this.firstAt;
   }
 
-  /** When the agent's lease may last have been renewed, either by an answered heartbeat or by a new epoch. */
+  /** When the worker's lease may last have been renewed, either by a heartbeat response or by a new epoch. */
   get leaseRenewedAt(): MonotonicTime {
     return this.renewedAt;
   }
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Returns whether a heartbeat is a duplicate or arrived out of order. An agent has one heartbeat in flight at a time,
-   * and its sequence numbers increase. A heartbeat that is not newer than the last has therefore been answered before.
+   * Returns whether a heartbeat is a duplicate or arrived out of order. A worker has one heartbeat in flight at a time,
+   * and its sequence numbers increase. A heartbeat that is not newer than the last has therefore had its response.
    */
   isDuplicateHeartbeat({ agentEpoch, sequence }: MessageOrder): boolean {
     if (this.epoch === null) return false;
@@ -101,7 +101,7 @@
     return this.epoch !== null && agentEpoch > this.epoch;
   }
 
-  /** Records a heartbeat that is no duplicate and will be answered. Returns whether it is the first to this leader. */
+  /** Records a heartbeat that is no duplicate and gets a response. Returns whether it is the first to this leader. */
   recordHeartbeat(now: MonotonicTime): boolean {
     this.contactAt = now;
     this.heartbeatAt = now;
@@ -111,7 +111,7 @@
     return true;
   }
 
-  /** Records that the agent responded to a pushed command. */
+  /** Records that the worker responded to a pushed command. */
   recordCommandResponse(now: MonotonicTime): void {
     this.contactAt = now;
   }
@@ -138,7 +138,7 @@
     return before === null ? 'firstEpoch' : 'newEpoch';
   }
 
-  /** Ends the current epoch because the agent's lease has expired. The agent will return with a new epoch. */
+  /** Ends the current epoch because the worker's lease has expired. The worker will return with a new epoch. */
   expireEpoch(): void {
     if (this.epoch === null) return;
     this.epoch = (this.epoch + 1n) as AgentEpoch;
--- a/src/core/machines/allocations.ts
+++ b/src/core/machines/allocations.ts
@@ -18,7 +18,6 @@
     this.emptySince = now;
   }
 
-  /** Number of allocated tasks. */
   get taskCount(): number {
     return this.specs.size;
   }
--- a/src/core/machines/lifecycle.ts
+++ b/src/core/machines/lifecycle.ts
@@ -1,7 +1,7 @@
 /** Tracks the lifecycle of one machine from provisioning to termination. */
 import type { MonotonicTime } from '../types.js';
 
-/** `booting` until its agent sends a heartbeat or the cloud lists the machine as running. */
+/** `booting` until its worker sends a heartbeat or the cloud lists the machine as running. */
 export type MachinePhase = 'booting' | 'up';
 
 /** State of the request to terminate the machine. `unknown`: a request failed, and its outcome can't be determined. */
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -17,7 +17,7 @@
   readonly type: MachineType;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  /** Address at which its agent accepts commands. Empty while it is unknown. */
+  /** Address at which its worker accepts commands. Empty while it is unknown. */
   readonly address: string;
   /** False if it may hold tasks of a previous leader that this leader does not know. */
   readonly reconciled: boolean;
@@ -44,9 +44,9 @@
   readonly spot: boolean;
   /** Its state between provisioning and termination. */
   readonly lifecycle: Lifecycle;
-  /** Order and arrival times of its agent's messages. */
+  /** Order and arrival times of its worker's messages. */
   readonly messages: AgentMessages;
-  /** Whether heartbeat responses and commands reach it. */
+  /** Whether heartbeat responses and commands reach its worker. */
   readonly reachability: Reachability;
   /** State of the commands that are pushed to it. */
   readonly commandChannel = new CommandChannel();
@@ -91,12 +91,12 @@
     return this.lifecycle.phase;
   }
 
-  /** Address at which its agent accepts commands. Empty while it is unknown. */
+  /** Address at which its worker accepts commands. Empty while it is unknown. */
   get address(): string {
     return this.currentAddress;
   }
 
-  /** Updates the agent's address. An empty address is ignored. */
+  /** Updates the worker's address. An empty address is ignored. */
   updateAddress(address: string): void {
     if (address !== '') this.currentAddress = address;
   }
--- a/src/core/machines/machine_registry.ts
+++ b/src/core/machines/machine_registry.ts
@@ -20,7 +20,6 @@
 /** Maximum number of cached images that are stored for each machine. */
 const MAX_IMAGES = 16;
 
-/** One write of a page. */
 interface PageWrite {
   readonly change: StateChange;
   /** Approximate size of the encoded page. */
--- a/src/core/machines/reachability.ts
+++ b/src/core/machines/reachability.ts
@@ -1,18 +1,18 @@
-/** Determines whether heartbeat responses and pushed commands reach one machine. */
+/** Determines whether heartbeat responses and pushed commands reach one machine's worker. */
 import { addMilliseconds, type MonotonicTime } from '../types.js';
 
 /** Number of consecutive responses without effect after which a machine counts as unresponsive. */
 const UNRESPONSIVE_AFTER_IGNORED_RESPONSES = 2;
 /**
- * Number of heartbeats with a stale fencing token that are accepted from an unconfirmed machine. An agent sends a new
- * token with its next heartbeat or the one after that. An agent that keeps sending the old token does not receive the
+ * Number of heartbeats with a stale fencing token that are accepted from an unconfirmed machine. A worker sends a new
+ * token with its next heartbeat or the one after that. A worker that keeps sending the old token does not receive the
  * responses.
  */
 const MAX_STALE_TOKEN_HEARTBEATS = 4;
 /** Minimum interval between probes of a machine, in milliseconds. A probe requests its status. */
 const PROBE_INTERVAL_MS = 3000;
 
-/** Whether responses and pushed commands reach a machine, judged by its messages. */
+/** Whether responses and pushed commands reach a machine's worker, judged by its messages. */
 export class Reachability {
   private confirmed: boolean;
   private staleTokenHeartbeats = 0;
@@ -33,12 +33,12 @@
     return this.confirmed;
   }
 
-  /** The time since which it has sent heartbeats without reacting to responses. Null if it reacts. */
+  /** The time since which the worker has sent heartbeats without reacting to responses. Null if it reacts. */
   get unresponsiveSince(): MonotonicTime | null {
     return this.unresponsive;
   }
 
-  /** Whether it sends heartbeats but does not react to responses. */
+  /** Whether the worker sends heartbeats but does not react to responses. */
   get isUnresponsive(): boolean {
     return this.unresponsive !== null;
   }
@@ -69,7 +69,7 @@
     this.ignoredResponses += 1;
   }
 
-  /** Records that the lease expired although heartbeats were answered, so no response can have arrived. */
+  /** Records that the lease expired although responses to heartbeats were sent, so none can have arrived. */
   recordLostResponses(): void {
     this.ignoredResponses = UNRESPONSIVE_AFTER_IGNORED_RESPONSES;
   }
@@ -95,7 +95,6 @@
     return this.nextProbeAt <= now;
   }
 
-  /** Records that a probe is sent. */
   recordProbe(now: MonotonicTime): void {
     this.nextProbeAt = addMilliseconds(now, PROBE_INTERVAL_MS);
   }
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -71,7 +71,6 @@
 export type StateStoreResult = Result<StateStoreResponse, StateStoreError>;
 /** The result of any call to the cloud. */
 export type CloudResult = Result<CloudResponse, CloudError>;
-/** The result of a push of commands. */
 export type CommandPushResult = Result<CommandPushResponse, CommandPushError>;
 
 /** A key and value of the state store. `version` is the revision of the key's last change. */
@@ -135,14 +134,12 @@
   readonly watch: { readonly events: readonly WatchEvent[]; readonly revision: Revision };
 }
 
-/** The name of a call to the state store. */
 export type StateStoreOperationName = StateStoreOperation['op'];
 /** The response to any call to the state store. */
 export type StateStoreResponse = StateStoreResponses[StateStoreOperationName];
 /** The result of one kind of call to the state store. */
 export type StateStoreResultOf<Op extends StateStoreOperationName> = Result<StateStoreResponses[Op], StateStoreError>;
 
-/** Receives the result of a push of commands. */
 export type OnCommandPushResult = (result: CommandPushResult) => void;
 
 /** Calls to the cloud. Repeating a `provision` call with the same idempotency key provisions no further machines. */
@@ -169,7 +166,6 @@
   readonly terminate: Readonly<Record<string, never>>;
 }
 
-/** The name of a call to the cloud. */
 export type CloudOperationName = CloudOperation['op'];
 /** The response to any call to the cloud. */
 export type CloudResponse = CloudResponses[CloudOperationName];
--- a/src/core/outbox.ts
+++ b/src/core/outbox.ts
@@ -37,7 +37,6 @@
     this.outputs.push({ kind: 'log', ...logEntry(event, fields) });
   }
 
-  /** Sends a message to another controller. */
   sendToPeer(recipient: ControllerName, message: PeerMessage): void {
     this.outputs.push({ kind: 'peerMessage', recipient, message, ...this.messageExpiry(message) });
   }
--- a/src/core/peers/heartbeat_forwarding.ts
+++ b/src/core/peers/heartbeat_forwarding.ts
@@ -7,8 +7,8 @@
 import { PendingMessages } from './pending_messages.js';
 
 /**
- * How long a forwarded heartbeat waits for the leader's response. The leader defers responses to idle machines for up
- * to 2.5 s, and workers wait 4 s for a response.
+ * How long a forwarded heartbeat waits for the leader's response. The leader defers responses to the workers of idle
+ * machines for up to 2.5 s, and workers wait 4 s for a response.
  */
 const TIMEOUT_MS = 3200;
 
--- a/src/core/peers/peer_table.ts
+++ b/src/core/peers/peer_table.ts
@@ -69,7 +69,6 @@
     return this.context.now.monotonic - peer.lastStatusAt < REACHABLE_MS;
   }
 
-  /** Returns whether any peer is alive. */
   isAnyAlive(now: MonotonicTime): boolean {
     for (const peer of this.peers.values()) if (this.isAlive(peer, now)) return true;
     return false;
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -9,13 +9,11 @@
 
 /** The key of the leader's record. It is attached to the leader's lease and exists as long as the lease. */
 export const LEADER_KEY = 'leader';
-/** The key of the term counter. */
 export const TERM_KEY = 'term';
 /** Prefix of the keys of job records. */
 export const JOB_PREFIX = 'j/';
 /** Prefix of the keys of the machine registry's pages. */
 export const MACHINE_PREFIX = 'm/';
-/** Returns the key of a job's record. */
 export const jobKey = (id: JobId): string => JOB_PREFIX + id;
 /** Returns the key of a page of the machine registry. Pages are numbered from 0. */
 export const pageKey = (index: number): string => MACHINE_PREFIX + index;
--- a/src/core/requests/job_submission.ts
+++ b/src/core/requests/job_submission.ts
@@ -21,7 +21,8 @@
 }
 
 /**
- * Handles valid submissions. The job id is the idempotency key: a repeated submission is answered with the job's state.
+ * Handles valid submissions. The job id is the idempotency key, and the response to a repeated submission is the job's
+ * state.
  */
 export class JobSubmission {
   constructor(
--- a/src/core/requests/linearizable_reads.ts
+++ b/src/core/requests/linearizable_reads.ts
@@ -16,7 +16,7 @@
 const CONFIRM_PRIORITY = 2;
 const CONFIRM_OPTIONS = { timeoutMs: 1000, maxQueueTimeMs: 600, failFast: true } as const;
 
-/** A cached record, and the queries that are answered when it is confirmed. */
+/** A cached record, and the queries that get their response when it is confirmed. */
 interface BatchedJob {
   readonly job: CachedJob;
   readonly queries: StatusQuery[];
--- a/src/core/requests/request_handler.ts
+++ b/src/core/requests/request_handler.ts
@@ -109,7 +109,7 @@
     }
   }
 
-  /** How long the state store has refused or not answered this controller's calls, in milliseconds. 0 if it answers. */
+  /** How long the state store has refused this controller's calls or not replied, in milliseconds. 0 if it replies. */
   private stateStoreFailingMs(): number {
     const since = this.context.stateStore.failingSince;
     return since === null ? 0 : this.context.now.monotonic - since;
@@ -118,7 +118,7 @@
   /**
    * Forwards a request to a peer. A refused submission is forwarded as a query only, because a peer with an earlier
    * release might accept a job that can never run (upgrade-invalid-requests.txt). The query is still needed, since a
-   * repeated submission of an accepted job is answered with the state of the job.
+   * repeated submission of an accepted job gets a response with the state of the job.
    */
   private forward(request: UserRequest, submission: Submission | null, respond: Respond): boolean {
     if (submission?.kind !== 'refused') return this.dependencies.forward(request, respond);
--- a/src/core/scheduler/apply.ts
+++ b/src/core/scheduler/apply.ts
@@ -145,7 +145,7 @@
   machine.endReservation(job.id);
 }
 
-/** Reserves the target for the replica and stops the replica on its present machine. */
+/** Reserves the target for the replica and stops the replica on its current machine. */
 export function applyReplicaMove(cluster: SchedulableCluster, { placement, target, reservationMs }: ReplicaMove): void {
   target.reserve(placement.job.id, cluster.context.after(reservationMs));
   cluster.placements.stop(placement, 0);
--- a/src/core/scheduler/replica_move.ts
+++ b/src/core/scheduler/replica_move.ts
@@ -36,7 +36,7 @@
   const { job, machine: from } = placement;
   if (!mayMoveReplica(cluster, job)) return null;
   const allowance = zoneAllowance(cluster, job);
-  // The replica counts against its present zone until the move, so its place there is added to the allowance.
+  // The replica counts against its current zone until the move, so its place there is added to the allowance.
   useZoneAllowance(allowance, from.zone, job, -1);
   const mayUseGpuMachine = gpuMachineCheck(cluster, job);
   const mayUse = (machine: Machine): boolean =>
--- a/src/core/scheduler/zone_search.ts
+++ b/src/core/scheduler/zone_search.ts
@@ -9,7 +9,6 @@
 import type { Planner } from './planner.js';
 import type { SearchSettings } from './policy.js';
 
-/** Input of the search. */
 export interface SearchInput {
   readonly machines: readonly PlanMachine[];
   /** The jobs that are planned in full, in ranking order. */
@@ -18,7 +17,6 @@
   readonly seed: number;
 }
 
-/** Result of the search. */
 export interface SearchResult {
   /** The plan with the lowest cost among those evaluated. */
   readonly plan: Plan;
--- a/src/core/settings.ts
+++ b/src/core/settings.ts
@@ -16,7 +16,6 @@
 
 /** The platform's settings for this deployment. */
 export interface Settings {
-  /** The name of this controller. */
   readonly controller: ControllerName;
   readonly zone: ZoneName;
   /** The other controllers that are known at startup. */
@@ -46,7 +45,7 @@
     readonly writesPerSecond: number;
     /**
      * The announced lower rates, which the state store may enforce at any time without further notice. Equal to the
-     * present rates if no lower ones are announced.
+     * current rates if no lower ones are announced.
      */
     readonly announcedRequestsPerSecond: number;
     readonly announcedWritesPerSecond: number;
--- a/src/core/timers.ts
+++ b/src/core/timers.ts
@@ -1,7 +1,6 @@
 /** One-shot timers of a controller. The caller of the core only needs to know when the next one is due. */
 import type { MonotonicTime } from './types.js';
 
-/** Creates timers. */
 export interface TimerFactory {
   /** Creates an unset timer. `callback` is called when the timer is due. Without it, the timer only triggers a step. */
   create(callback?: () => void): Timer;
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -43,7 +43,6 @@
   readonly wallClock: WallClockTime;
 }
 
-/** Returns the time `ms` milliseconds after `time`. */
 export const addMilliseconds = (time: MonotonicTime, ms: number): MonotonicTime => (time + ms) as MonotonicTime;
 /** Brands a number received from the state store as a revision. */
 export const revision = (value: bigint | number): Revision => BigInt(value) as Revision;
@@ -70,7 +69,7 @@
 /** A job as submitted by its user. The resources are those of one task. */
 export interface JobSpec extends Resources {
   readonly id: JobId;
-  /** The class of the job. Operators' objectives apply to a class, and runtime estimates are kept for each class. */
+  /** The class of the job. Operators' objectives apply to a class, and run time estimates are kept for each class. */
   readonly jobClass: string;
   readonly team: TeamName;
   readonly kind: JobKind;
@@ -146,7 +145,7 @@
 /** A task that has not exited. */
 export type LiveTaskStatus = TaskStatus & { readonly phase: Exclude<TaskPhase, 'exited'> };
 
-/** The message that a worker sends periodically: its machine, the state of its agent, and all tasks on the machine. */
+/** The message that a worker sends periodically: its machine, its own state, and all tasks on the machine. */
 export interface Heartbeat {
   readonly machine: MachineId;
   /** Host and port to which commands can be pushed. */
--- a/src/core/workers/command_delivery.ts
+++ b/src/core/workers/command_delivery.ts
@@ -23,7 +23,6 @@
   readonly starts: readonly StartKey[];
 }
 
-/** The result of a delivery. */
 type DeliveryOutcome =
   | { readonly kind: 'executed' }
   /** Not executed, because the worker has another agent epoch or has seen a higher fencing token. */
--- a/src/core/workers/commands.ts
+++ b/src/core/workers/commands.ts
@@ -1,4 +1,4 @@
-/** Builds the commands that tell a worker which exits to drop and which tasks to stop and start. */
+/** Builds the commands that tell a worker which exits it may discard and which tasks to stop and start. */
 
 import { startKey } from '../jobs/task_keys.js';
 import type { Machine } from '../machines/machine.js';
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -17,11 +17,11 @@
 /** Maximum deferral of a heartbeat response for records, a planning round or the backlog, in milliseconds. */
 const MAX_DEFERRAL_MS = 600;
 /**
- * Maximum deferral of the response to an idle machine, in milliseconds. It is well below 4 s, after which workers
- * discard a response.
+ * Maximum deferral of the response to the worker of an idle machine, in milliseconds. It is well below 4 s, after which
+ * workers discard a response.
  */
 const MAX_IDLE_DEFERRAL_MS = 2500;
-/** Maximum deferral of the response to an idle machine, as a share of the heartbeat interval. */
+/** Maximum deferral of the response to the worker of an idle machine, as a share of the heartbeat interval. */
 const IDLE_DEFERRAL_SHARE = 0.8;
 
 /** The leader's state and operations that heartbeat handling depends on. */
--- a/src/io/http/routes.ts
+++ b/src/io/http/routes.ts
@@ -6,8 +6,6 @@
 // biome-ignore lint/style/useNamingConvention: the name is given by hono.
 export type Environment = { Bindings: HttpBindings };
 
-/** The routes of a server. */
 export type Routes = Hono<Environment>;
 
-/** The context of one request. */
 export type RequestContext = Context<Environment>;
--- a/src/io/peers/frame_buffer.ts
+++ b/src/io/peers/frame_buffer.ts
@@ -149,5 +149,4 @@
 /** Returns `bit` if it has to be set, otherwise 0. */
 export const bitIf = (isSet: boolean, bit: number): number => (isSet ? bit : 0);
 
-/** Returns whether `bit` is set in `bits`. */
 export const hasBit = (bits: number, bit: number): boolean => (bits & bit) !== 0;
--- a/src/io/users/user_codec.ts
+++ b/src/io/users/user_codec.ts
@@ -74,7 +74,7 @@
 
 /**
  * Decodes a submission. A malformed submission with a valid job id is returned with the problem and a `spec` of null,
- * because a repeated submission of a known job is answered with the state of the job even if the body is malformed.
+ * because the response to a repeated submission of a known job is the job's state even if the body is malformed.
  * Throws `WireError` if the job id is missing or malformed.
  */
 export function decodeSubmission(fields: WireMap): Extract<UserRequest, { op: 'submit' }> {
--- a/src/io/wire/cbor.ts
+++ b/src/io/wire/cbor.ts
@@ -9,7 +9,6 @@
 
 const codec: CborEncoder = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
-/** Returns the encoded value. */
 export function encodeCbor(value: unknown): Buffer {
   return Buffer.from(codec.encode(value));
 }
--- a/src/recovery/lease_renewals.ts
+++ b/src/recovery/lease_renewals.ts
@@ -14,7 +14,7 @@
 
   constructor(private readonly maxMachines = MAX_MACHINES) {}
 
-  /** Records that the machine's lease is renewed now. */
+  /** Records that the lease of the machine's worker is renewed now. */
   record(machine: MachineId, now: MonotonicTime): void {
     const isTracked = this.renewedAtByMachine.size < this.maxMachines || this.renewedAtByMachine.has(machine);
     if (isTracked) this.renewedAtByMachine.set(machine, now);
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Returns the latest time at which the machine's lease may have been renewed. `lastRenewalByOthers` is the latest
-   * time at which other controllers may have renewed it.
+   * Returns the latest time at which the lease of the machine's worker may have been renewed. `lastRenewalByOthers` is
+   * the latest time at which other controllers may have renewed it.
    */
   lastRenewalAt(machine: MachineId, lastRenewalByOthers: MonotonicTime): MonotonicTime {
     return this.renewedAtByMachine.get(machine) ?? this.untrackedRenewedAt ?? lastRenewalByOthers;
--- a/src/recovery/recovery.ts
+++ b/src/recovery/recovery.ts
@@ -6,7 +6,6 @@
 import type { PreviousTermJob, ReconciledBy, RecordLookupResult, TaskClass, UnreconciledMachine } from './types.js';
 import { type Capacity, UnreconciledMachines } from './unreconciled_machines.js';
 
-/** Parameters of a recovery. */
 export interface RecoveryInit {
   /** The term of this leader. */
   readonly term: number;
@@ -158,7 +157,7 @@
 
   /**
    * Returns whether recovery has just finished because all machines are reconciled now. `countMissing` counts the tasks
-   * of jobs begun in previous terms that were not found on any machine.
+   * of jobs first started in previous terms that were not found on any machine.
    */
   finish(now: MonotonicTime, countMissing: () => number): boolean {
     if (this.finishedAt !== null || !this.isReconciled(now)) return false;
--- a/src/recovery/summary.ts
+++ b/src/recovery/summary.ts
@@ -22,7 +22,7 @@
   /** Machines that were found although they were not in the stored registry. */
   readonly unregisteredMachines: number;
   readonly tasks: TaskCounts;
-  /** Tasks of jobs begun in previous terms that were not on any machine when all machines were reconciled. */
+  /** Tasks of jobs first started in previous terms that were not on any machine when all machines were reconciled. */
   readonly missingTasks: number;
   /** Job records and pages of the machine registry that this release cannot read. */
   readonly unreadableRecords: number;
@@ -51,9 +51,7 @@
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** Returns mutable task counts, all zero. */
 export const zeroTaskCounts = (): Mutable<TaskCounts> => ({ ...ZERO_TASK_COUNTS });
-/** Returns mutable counts of reconciled machines, all zero. */
 export const zeroReconciledByCounts = (): Mutable<ReconciledByCounts> => ({ ...ZERO_RECONCILED_BY_COUNTS });
 
 /** Returns the summary's log fields. Counts of 0 are omitted. */
--- a/src/recovery/types.ts
+++ b/src/recovery/types.ts
@@ -21,9 +21,9 @@
 
 /** How a machine was reconciled, that is, how it became certain which tasks are on it. */
 export type ReconciledBy =
-  /** The machine sent a status with this leader's fencing token. */
+  /** The machine's worker sent a status with this leader's fencing token. */
   | 'listed'
-  /** No controller can have renewed the machine's lease for longer than the lease lasts. */
+  /** No controller can have renewed the worker's lease for longer than the lease lasts. */
   | 'leaseEnded'
   /** The machine was deleted, or the cloud reports that it stopped on its own. */
   | 'gone';
@@ -108,7 +108,7 @@
   | 'recordResult'
   /** Count the exit once and acknowledge it to the worker. The task waits for a new placement. */
   | 'requeue'
-  /** Acknowledge the exit to the worker, which then drops the task. */
+  /** Acknowledge the exit to the worker, which then discards the task. */
   | 'acknowledge'
   /** Look up the job's record in the state store, and leave the task alone meanwhile. */
   | 'lookUpRecord'
