--- a/src/core/jobs/failure_history.ts
+++ b/src/core/jobs/failure_history.ts
@@ -55,7 +55,6 @@
   private lastFailureAt = Number.NEGATIVE_INFINITY as MonotonicTime;
   private longestFailureMs = 0;
 
-  /** Records that a task of the job failed on the machine. */
   recordFailure(machine: MachineId, { placedAt, ranMs, now, machineSuspected }: TaskFailure): void {
     this.failedAtByMachine.set(machine, now);
     if (!machineSuspected) this.unsuspectedMachines.add(machine);
@@ -71,7 +70,7 @@
     this.failedAttempts = 0;
   }
 
-  /** Forgets the machines on which the job failed. */
+  /** Discards the record of the machines on which the job failed. */
   clearMachines(): void {
     this.failedAtByMachine.clear();
     this.unsuspectedMachines.clear();
@@ -87,7 +86,7 @@
     return this.succeeded;
   }
 
-  /** Whether a task has failed on a machine that has not been forgotten. */
+  /** Whether a task has failed on any machine since the last call of `clearMachines`. */
   get hasFailed(): boolean {
     return this.failedAtByMachine.size > 0;
   }
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -105,7 +105,7 @@
 };
 
 /**
- * The stored form of each job spec. A spec that was read is written back unchanged: fields that a later release added
+ * The stored form of each job spec. A spec that was read is written back unchanged. Fields that a later release added
  * are preserved, and missing fields are not added.
  */
 const storedSpecs = new WeakMap<JobSpec, StoredFields>();
--- a/src/core/requests/request_handler.ts
+++ b/src/core/requests/request_handler.ts
@@ -91,7 +91,7 @@
       return;
     }
     // A call that failed here may succeed for a peer that the state store does not refuse. Forwarding the whole request
-    // also resolves an unknown outcome: the peer finds that the request was executed, or executes it.
+    // also resolves an unknown outcome, because the peer finds that the request was executed, or executes it.
     const onUnavailable = (): void => {
       if (!tryForward()) respond(STATE_STORE_UNAVAILABLE);
     };
--- a/src/core/scheduler/migration.ts
+++ b/src/core/scheduler/migration.ts
@@ -14,7 +14,7 @@
 
 /**
  * Moves each gang whose image pull will still take long to machines that have the image cached and have become free.
- * Stopping a pull loses no work. The plan therefore need not rely on an estimate of when machines become free: the gang
+ * Stopping a pull loses no work. The plan therefore need not rely on an estimate of when machines become free. The gang
  * begins to pull at once, and moves if that lets it start sooner. It starts on the new machines after its stops have
  * been reported, as with any restart.
  */
--- a/src/core/state/previous_terms.ts
+++ b/src/core/state/previous_terms.ts
@@ -250,7 +250,6 @@
     return jobs;
   }
 
-  /** Handles the result of looking up a job's record. */
   onRecordLookedUp(job: JobId, result: RecordLookupResult): void {
     if (!this.recovery?.onRecordLookedUp(job, result)) return;
     this.context.log('task of a job not on record', { job });
--- a/src/core/workers/recovered_tasks.ts
+++ b/src/core/workers/recovered_tasks.ts
@@ -54,7 +54,7 @@
 
 /**
  * Adds and returns the placement of a live task when the recovery feature is off. Returns null if the job is unknown,
- * or if another machine already holds the task. The machine that reported the task first keeps it.
+ * or if the task already has a placement on another machine, which it then keeps.
  */
 export function placeReportedTask(cluster: Cluster, machine: Machine, task: LiveTaskStatus): Placement | null {
   const job = cluster.jobs.get(task.job);
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -145,7 +145,7 @@
   });
 }
 
-/** Processes the end of a task that has no result. */
+/** Processes the exit of a task that has no result. */
 function recordFailure(cluster: Cluster, run: EndedRun, task: TaskStatus): void {
   const { exitReason } = task;
   if (exitReason === 'stopped' || exitReason === 'gang_member_lost') {
@@ -177,7 +177,7 @@
 }
 
 /**
- * Processes the end of a task that was stopped or whose gang lost a member. The job's run times are no longer used for
+ * Processes the exit of a task that was stopped or whose gang lost a member. The job's run times are no longer used for
  * estimates, but a saved checkpoint counts as a success of the job.
  */
 function recordInterruption({ job, runningSince }: EndedRun, { checkpointSaved }: TaskStatus): void {
