--- a/src/core/jobs/located_tasks.ts
+++ b/src/core/jobs/located_tasks.ts
@@ -32,7 +32,7 @@
 /** The located tasks of one job, by task index. */
 export class LocatedTasks {
   private readonly located = new Set<number>();
-  /** Only for attempts of previous terms, and only until the task is started again. */
+  /** The latest release of each task. Holds only attempts of previous terms, until the task is started again. */
   private readonly releases = new Map<number, TaskRelease>();
 
   /** Number of tasks that have been located. */
--- a/src/core/jobs/runtime_estimator.ts
+++ b/src/core/jobs/runtime_estimator.ts
@@ -12,7 +12,7 @@
 const PRIOR_STANDARD_DEVIATION = 0.5;
 /** Maximum number of tasks per class that the history represents. */
 const MAX_REMEMBERED_TASKS = 200;
-/** Limit of log(actual / estimate) for one task, as a factor e^3 too long or too short. */
+/** Limit of the absolute value of log(actual / estimate) for one task, which is a factor of e^3 in either direction. */
 const MAX_LOG_RATIO = 3;
 const MIN_STANDARD_DEVIATION = 0.1;
 
--- a/src/core/leadership/candidacy.ts
+++ b/src/core/leadership/candidacy.ts
@@ -41,7 +41,7 @@
   readonly leaseDurationMs: number;
 }
 
-/** Each instance runs once. `onOutcome` is called exactly once, or not at all if the state store never responds. */
+/** Each instance runs once, and calls `onOutcome` exactly once. */
 export class Candidacy {
   constructor(
     private readonly context: StepContext,
--- a/src/core/state/placement_table.ts
+++ b/src/core/state/placement_table.ts
@@ -1,4 +1,4 @@
-/** The table that says which task is placed on which machine. Placements are only added, stopped and released here. */
+/** The table that says which task is placed on which machine. Placements are added, stopped and released only here. */
 import type { Job } from '../jobs/job.js';
 import type { ReleaseReason } from '../jobs/located_tasks.js';
 import type { TaskKey } from '../jobs/task_keys.js';
--- a/src/core/state/term_timers.ts
+++ b/src/core/state/term_timers.ts
@@ -1,7 +1,7 @@
 /** The timers of one term: those that several components set, and the scope in which components create their own. */
 import type { Timer, TimerFactory, TimerScope, Timers } from '../timers.js';
 
-/** Timers that stop when the term ends. The component that does a timer's work assigns it with `setCallback`. */
+/** Timers that stop when the term ends. The component that does a timer's work sets its callback. */
 export class TermTimers implements TimerFactory {
   readonly planningRound: Timer;
   readonly servicePlacement: Timer;
--- a/src/core/workers/backlogged_heartbeats.ts
+++ b/src/core/workers/backlogged_heartbeats.ts
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Enqueues the heartbeat unless it may be reconciled now. An older queued heartbeat of the same machine is removed
-   * and gets a 503 response.
+   * Enqueues the heartbeat unless it may be reconciled now. An older queued heartbeat of the same machine is removed.
+   * If it has no response yet, it gets a 503 response.
    */
   admitOrEnqueue(backlogged: BackloggedHeartbeat): QueueDecision {
     const { machine, heartbeat } = backlogged;
@@ -83,7 +83,7 @@
     if (next !== null) this.dueTimer.set(next);
   }
 
-  /** Responds with 503 to all queued heartbeats. */
+  /** Responds with 503 to all queued heartbeats that have no response yet. */
   stop(): void {
     for (const { respond } of this.backlog.pending()) respond?.(UNAVAILABLE);
   }
--- a/src/core/workers/command_pusher.ts
+++ b/src/core/workers/command_pusher.ts
@@ -21,7 +21,7 @@
 
 /** The leader's state that pushed commands depend on. */
 export interface CommandLeader {
-  /** Returns whether no other controller can be the leader at this moment. */
+  /** Returns whether this controller is the leader and its lease rules out any other leader at this moment. */
   isLeaseValid(): boolean;
   /** Returns whether the view of jobs is recent enough to renew workers' leases. */
   hasRecentJobView(): boolean;
--- a/src/core/workers/heartbeat_handler.ts
+++ b/src/core/workers/heartbeat_handler.ts
@@ -26,7 +26,7 @@
 
 /** The leader's state and operations that heartbeat handling depends on. */
 export interface HeartbeatLeader {
-  /** Returns whether no other controller can be the leader at this moment. */
+  /** Returns whether this controller is the leader and its lease rules out any other leader at this moment. */
   isLeaseValid(): boolean;
   /** Returns whether the view of jobs is recent enough to renew workers' leases. */
   hasRecentJobView(): boolean;
@@ -217,8 +217,8 @@
   // ---- queueing
 
   /**
-   * Enqueues the heartbeat if too many have arrived at once. Heartbeats with another fencing token are not queued, and
-   * none are once recovery has established the state that previous terms left.
+   * Enqueues the heartbeat if too many have arrived at once. Heartbeats with another fencing token are never queued.
+   * After recovery has finished, and while the recovery feature is off, no heartbeat is queued.
    */
   private admitOrEnqueue(pending: BackloggedHeartbeat): QueueDecision {
     const { recovery } = this.cluster.previousTerms;
--- a/src/core/workers/heartbeat_router.ts
+++ b/src/core/workers/heartbeat_router.ts
@@ -15,9 +15,12 @@
 const LEADER_HEARTBEAT_SHARE = 0.4;
 /** Minimum heartbeat rate at which a leader redirects workers. */
 const LEADER_MIN_HEARTBEATS_PER_SECOND = 4;
-/** Only one heartbeat in this many is redirected, because the rates that the decision uses are a second old. */
+/**
+ * Number of heartbeats that qualify for a redirect per redirect that is sent. Not all are redirected, because the rates
+ * that the decision uses are a second old.
+ */
 const REDIRECT_ONE_IN = 4;
-/** Time after its election in which a leader prefers direct heartbeats although none has arrived, in milliseconds. */
+/** Time after its election in which a leader prefers direct heartbeats even if none has arrived, in milliseconds. */
 const PREFERS_DIRECT_GRACE_MS = 4000;
 /** After the grace period, a leader prefers direct heartbeats only if one arrived within this time, in milliseconds. */
 const DIRECT_HEARTBEAT_FRESH_MS = 1500;
--- a/src/core/workers/status_requests.ts
+++ b/src/core/workers/status_requests.ts
@@ -41,7 +41,7 @@
     this.context = cluster.context;
   }
 
-  /** Ends the term. No further machines are requested. */
+  /** Ends the term. No further statuses are requested. */
   stop(): void {
     this.stopped = true;
     this.pending = [];
--- a/src/core/workers/task_exits.ts
+++ b/src/core/workers/task_exits.ts
@@ -177,8 +177,8 @@
 }
 
 /**
- * Processes the exit of a task that was stopped or whose gang lost a member. The job's run times are no longer used for
- * estimates, but a saved checkpoint counts as a success of the job.
+ * Processes the exit of a task that was stopped or whose gang lost a member. If the task had run, the job's run times
+ * are no longer used for estimates. A saved checkpoint counts as a success of the job.
  */
 function recordInterruption({ job, runningSince }: EndedRun, { checkpointSaved }: TaskStatus): void {
   if (runningSince !== null) job.retries.recordFailure();
--- a/src/recovery/orphan_tracker.ts
+++ b/src/recovery/orphan_tracker.ts
@@ -5,7 +5,7 @@
 /** Maximum number of entries in the list for operators. Further orphans are handled in the same way but not listed. */
 const MAX_LISTED_ORPHANS = 1000;
 /**
- * Maximum number of suspected jobs that are tracked. The tasks of further jobs are left alone until there are fewer.
+ * Maximum number of suspected jobs that are tracked. The tasks of further jobs are left alone until fewer are tracked.
  */
 const MAX_SUSPECTED_JOBS = 10_000;
 
--- a/src/recovery/recovery.ts
+++ b/src/recovery/recovery.ts
@@ -146,9 +146,7 @@
     this.longestBacklog = Math.max(this.longestBacklog, length);
   }
 
-  /**
-   * Counts a status that was ignored because it may be older than a previous leader's command that is still in flight.
-   */
+  /** Counts a status without this leader's fencing token that was ignored because it may be outdated. */
   countOutdatedStatus(): void {
     this.outdatedStatuses += 1;
   }
--- a/src/recovery/summary.ts
+++ b/src/recovery/summary.ts
@@ -28,7 +28,10 @@
   readonly unreadableRecords: number;
   /** The largest number of heartbeats that were waiting in the backlog at once. */
   readonly longestBacklog: number;
-  /** Statuses that were ignored because commands of a previous leader might still have changed what they show. */
+  /**
+   * Statuses without this leader's fencing token that were ignored because they may be outdated. Commands of a previous
+   * leader might still have changed what they show, or the machine may have been removed long ago.
+   */
   readonly outdatedStatuses: number;
   readonly orphans: readonly Orphan[];
 }
--- a/src/recovery/task_classification.ts
+++ b/src/recovery/task_classification.ts
@@ -38,8 +38,8 @@
 }
 
 /**
- * Attempt numbers only increase, so the lower attempt is left over from an earlier start. No number that the two
- * machines share can tell equal attempts apart, so the placement that was found first is retained.
+ * Attempt numbers only increase, so the lower attempt is left over from an earlier start. Two machines report no other
+ * number by which equal attempts could be ordered, so the placement that was found first is then retained.
  */
 function classifyDuplicate(attempt: bigint, otherPlacement: OtherPlacement): Classification {
   if (attempt > otherPlacement.attempt) return { taskClass: 'newerDuplicate', action: 'adoptAndStopOther' };
--- a/src/recovery/types.ts
+++ b/src/recovery/types.ts
@@ -89,7 +89,7 @@
   | 'newerDuplicate'
   /** The job is not among the records read so far. A read has to confirm that it has no record. */
   | 'orphanSuspected'
-  /** The job was never recorded. */
+  /** The state store has confirmed that the job has no record. */
   | 'orphan'
   /** The job's record cannot be read. */
   | 'unreadable';
