--- a/test/core/scheduler/planner.test.ts
+++ b/test/core/scheduler/planner.test.ts
@@ -20,7 +20,7 @@
     assert.equal(free.starts, 200);
     const bounded = runBackfill(1500);
     assert.ok(bounded.steps < 1500 + 300 && bounded.starts > 0 && bounded.starts < 200, JSON.stringify(bounded));
-    // No machine has enough free GPUs, so that none of the 200 jobs examines the 300 machines.
+    // No machine has enough free GPUs, so none of the 200 jobs examines the 300 machines.
     const occupied = machines.map((machine) => ({ ...machine, freeGpus: [3] }));
     assert.deepEqual(runBackfill(1_000_000, occupied), { steps: 0, starts: 0 });
   });
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -187,7 +187,10 @@
   });
 }
 
-/** The share of each service's replicas that were available when it was cancelled, long after all faults. */
+/**
+ * For each world, one text per service: its id and the share of its replicas that ran when it was cancelled, long after
+ * all faults.
+ */
 const availabilityAtEnd = new WeakMap<World, string[]>();
 
 function injectRandomFaults(world: World): void {
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -112,7 +112,7 @@
     this.clock.schedule(this.clock.randomBetween(50, 250), () => reply(this.execute(op)));
   }
 
-  /** The machines after `after` as they were at a random time ago, between 0.2 and 2 times the configured staleness. */
+  /** The machines after `after` as they were some time ago: a random 0.2 to 2 times the configured staleness. */
   private staleList(after: MachineId | null): CloudResult {
     const stalenessMs = this.clock.randomBetween(0.2, 2) * this.listStalenessMs;
     let list: CloudMachine[] = [];
--- a/test/sim/controller_process.ts
+++ b/test/sim/controller_process.ts
@@ -28,7 +28,7 @@
 
 type OutputOf<Kind extends Output['kind']> = Extract<Output, { readonly kind: Kind }>;
 
-/** Timeout of a call of the cloud, in milliseconds. */
+/** Timeout of a call to the cloud, in milliseconds. */
 const CLOUD_TIMEOUT_MS = 4000;
 /** Timeout of a command push to a worker, in milliseconds. */
 const PUSH_TIMEOUT_MS = 2500;
--- a/test/sim/invalid_requests.ts
+++ b/test/sim/invalid_requests.ts
@@ -6,8 +6,8 @@
 
 /**
  * Returns whether a controller of the build may accept a gang that requires both a single zone and a zone spread. The
- * version in production does. Other old versions forward submissions unchecked to a controller of that version.
- * Controllers of the present version check them first, so the invariants always check their responses.
+ * production version does. Other old versions forward submissions unchecked to a controller of the production version.
+ * Controllers of the current version check submissions first, so the invariants always check their responses.
  */
 function mayAcceptSplitGangs(world: World, build: Build): boolean {
   if (isCurrent(build)) return false;
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -130,7 +130,7 @@
     );
   }
 
-  /** Called when a machine has disappeared from the machine registry while the cloud still provisions it. */
+  /** Called when a machine has disappeared from the machine registry although it is still provisioned. */
   onUnregistered(machine: string): void {
     this.report('unregistered', `${machine} is provisioned but no longer in the machine registry`);
   }
--- a/test/sim/old_versions.ts
+++ b/test/sim/old_versions.ts
@@ -1,4 +1,4 @@
-/** Loads the builds of earlier versions, and makes them usable under the present names. */
+/** Loads the builds of old versions, and makes them usable under the present names. */
 import { existsSync, readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import type { Controller } from '../../src/core/controller.js';
@@ -69,7 +69,7 @@
 
 let loadedVersions: Promise<ReadonlyMap<string, Build>> | null = null;
 
-/** Loads every earlier version that the tests run beside this one, by name; fails if one was not built. */
+/** Loads every old version that the tests run beside this one, by name. Fails if one was not built. */
 export function loadOldVersions(): Promise<ReadonlyMap<string, Build>> {
   loadedVersions ??= Promise.all(readOldVersions().map(loadVersion)).then(
     (builds) => new Map(builds.map((build) => [build.name, build])),
--- a/test/sim/scenario/events/state_store.ts
+++ b/test/sim/scenario/events/state_store.ts
@@ -44,7 +44,7 @@
       world.clock.schedule(noteFault(world, seconds), () => world.stateStore.jobReadsRefusedFor.delete(name));
     }
   },
-  /** slow-store FACTOR S: for S seconds, each call of the state store takes FACTOR times as long */
+  /** slow-store FACTOR S: for S seconds, each call to the state store takes FACTOR times as long */
   'slow-store'(world, [factor, seconds]) {
     world.stateStore.slowDown(Number(factor), noteFault(world, seconds));
   },
--- a/test/sim/served_jobs.ts
+++ b/test/sim/served_jobs.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * The shares of jobs that completed, by class, by team, and for the largest jobs of each class. Only accepted jobs
- * without a requested cancellation count, and no services.
+ * The shares of jobs that completed, by class, by team, and for the largest jobs of each class. Counts only accepted
+ * arrays and gangs whose cancellation no user requested.
  */
 export function servedShares(invariants: Invariants): Map<string, number> {
   const counts = new Map<string, { total: number; served: number }>();
--- a/test/sim/task_execution.ts
+++ b/test/sim/task_execution.ts
@@ -43,8 +43,8 @@
 }
 
 /**
- * Returns whether all members of the gang run. The task exits if it waits for others or misses one of them for too
- * long.
+ * Returns whether all members of the gang run. The task exits if it waits at the barrier for too long, or if another
+ * member is missing or hangs for too long.
  */
 function advanceGang(world: World, worker: SimulatedWorker, task: SimulatedTask, spec: JobSpec): boolean {
   const { clock, workerTiming } = world;
--- a/test/sim/wire_trace.ts
+++ b/test/sim/wire_trace.ts
@@ -56,8 +56,9 @@
 
 /**
  * A digest of all messages that the controllers of a world send, as bytes on the wire with sender, recipient and
- * virtual time. Two builds with the same digest behave alike, whatever names their code uses. `SIM_TRACE=FILE` turns
- * tracing on. Each world appends a line to FILE with its name, the digest and the number of messages.
+ * virtual time. Two builds with the same digest sent the same messages, whatever names their code uses.
+ * `SIM_TRACE=FILE` turns tracing on. Each world appends a line to FILE with its name, the digest and the number of
+ * messages.
  */
 export class WireTrace {
   private readonly hash: Hash = createHash('sha256');
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -139,7 +139,7 @@
     for (const frame of framesKnownTo(old)) {
       const newBytes = encodeFrame(frame);
       const oldBytes = old.encodeFrame(oldFrame(old, frame) as PeerFrame);
-      // The version in production neither sets nor reads the bit of a status that announces support for later kinds.
+      // The production version neither sets nor reads the bit of a status that announces support for later kinds.
       const announces = frame.kind === 'status' && old.name === 'production';
       if (!announces) assert.deepEqual(newBytes, oldBytes, frame.kind);
       assert.deepEqual(new old.splitterClass().push(newBytes), [oldFrame(old, frame)]);
