--- a/src/core/clients/call_queue.ts
+++ b/src/core/clients/call_queue.ts
@@ -3,8 +3,9 @@
 import type { TokenBucket } from './token_bucket.js';
 
 /**
- * Priority of a call. Lower values are sent first. Priority 0 is for the leader election and lease, 1 for calls that
- * the leader needs to act, 2 mainly for users' requests, and higher values are for calls that can be deferred.
+ * Priority of a call. Lower values are sent first. Priority 0 is for the leader election and lease, and for the first
+ * read of the machine types. Priority 1 is for calls that the leader needs to act, 2 mainly for users' requests, and
+ * higher values are for calls that can be deferred.
  */
 export type CallPriority = 0 | 1 | 2 | 3 | 4;
 const PRIORITY_COUNT = 5;
--- a/src/core/machines/boot_time_estimator.ts
+++ b/src/core/machines/boot_time_estimator.ts
@@ -91,8 +91,8 @@
 }
 
 /**
- * Recent boot times of machines, by type and zone. Machines whose boot is overdue are replaced, and some machines never
- * come up.
+ * Recent boot times of machines, by type and zone. Overdue boots and boot timeouts are recorded too, because overdue
+ * machines are replaced and some machines never come up.
  */
 export class BootTimeEstimator {
   private readonly histories = new Map<string, BootHistory>();
--- a/src/core/machines/spot_interruption_rate.ts
+++ b/src/core/machines/spot_interruption_rate.ts
@@ -1,4 +1,5 @@
 /** Estimates how often spot machines are interrupted, and the delay that this causes for a task. */
+
 /** Time constant with which observations lose weight. */
 const DECAY_SECONDS = 150;
 /** Weight of the cautious initial estimate, as a number of observed interruptions. */
--- a/src/core/requests/job_cancellation.ts
+++ b/src/core/requests/job_cancellation.ts
@@ -93,7 +93,7 @@
       this.respondCancelled(record, continuation);
       return;
     }
-    // Another controller has changed the record meanwhile, or the outcome is unknown. The record is read again.
+    // If another controller has changed the record meanwhile, or the outcome is unknown, the record is read again.
     if (wasNotExecuted(result.error) || attempt >= MAX_ATTEMPTS) continuation.onUnavailable();
     else this.readAndCancel(record.spec.id, continuation, attempt + 1);
   }
--- a/src/core/requests/linearizable_reads.ts
+++ b/src/core/requests/linearizable_reads.ts
@@ -23,7 +23,7 @@
 }
 
 /**
- * Answers status queries with linearizable reads. A compare-and-swap without changes only compares versions. If it
+ * Handles status queries by linearizable reads. A compare-and-swap without changes only compares versions. If it
  * begins after the queries arrived, it is equivalent to a read of each record. A conflict confirms none of the records.
  * The records that it names are then read, and the other queries join the next batch.
  */
@@ -74,7 +74,10 @@
     );
   }
 
-  /** Returns as many jobs as one call can compare. Answers queries that need no confirmation at once. */
+  /**
+   * Takes as many cached, unfinished jobs as one call can compare. Finished jobs get their response immediately, and
+   * jobs that are no longer cached are read.
+   */
   private takeBatch(): Map<JobId, BatchedJob> {
     const limit = CONDITIONS_PER_CHANGE * this.context.settings.stateStore.maxChangesPerTransaction;
     const batch = new Map<JobId, BatchedJob>();
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -1,6 +1,7 @@
 /**
  * Domain types. Ids, versions and times are branded types, so that one cannot be used in place of another by mistake.
  */
+
 declare const brand: unique symbol;
 type Brand<T, B extends string> = T & { readonly [brand]: B };
 
@@ -29,7 +30,7 @@
 export type Attempt = Brand<bigint, 'Attempt'>;
 /** Number of a worker's lease. Tasks that ran under an earlier epoch have ended. */
 export type AgentEpoch = Brand<bigint, 'AgentEpoch'>;
-/** Number of a worker's heartbeat within an agent epoch. */
+/** Number of a worker's heartbeat, or of its response to pushed commands, within an agent epoch. */
 export type SequenceNumber = Brand<bigint, 'SequenceNumber'>;
 
 /** Milliseconds on this process's monotonic clock. */
--- a/src/io/peers/user_payloads.ts
+++ b/src/io/peers/user_payloads.ts
@@ -13,7 +13,7 @@
 const OPERATIONS = ['submit', 'query', 'cancel'] as const;
 const JOB_STATUSES: readonly JobStatus[] = ['queued', 'running', 'done', 'cancelled'];
 
-/** Bits of the byte that holds the boolean fields of a job. */
+/** Bits of the byte that holds a job's boolean fields and whether it has a deadline. */
 const SINGLE_ZONE_BIT = 1;
 const ZONE_SPREAD_BIT = 2;
 const TOLERATES_SPOT_BIT = 4;
--- a/src/io/workers/worker_codec.ts
+++ b/src/io/workers/worker_codec.ts
@@ -118,7 +118,8 @@
 
 /**
  * Decodes the response to pushed commands. Status 200 means that the worker executed them, and status 409 that it did
- * not. In both cases the body is the worker's heartbeat. Throws `WireError` if the heartbeat is malformed.
+ * not. In both cases the body is the worker's heartbeat. Any other status gives `invalidRequest`. Throws `WireError` if
+ * the heartbeat is malformed.
  */
 export function decodePushedCommandsResponse(status: number, body: unknown): CommandPushResult {
   if (status !== 200 && status !== 409) return { ok: false, error: { code: 'invalidRequest' } };
