--- a/src/core/autoscaling/guaranteed_capacity.ts
+++ b/src/core/autoscaling/guaranteed_capacity.ts
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Returns the guaranteed capacity that is neither available nor requested. Negative amounts are a surplus, and minus
-   * infinity means that nothing is guaranteed.
+   * Returns the guaranteed capacity that neither the usable machines, idle or not, nor pending requests provide.
+   * Negative amounts are a surplus, and minus infinity means that nothing is guaranteed.
    */
   deficit(): Capacity {
     const required = this.required();
--- a/src/core/autoscaling/scale_out_demand.ts
+++ b/src/core/autoscaling/scale_out_demand.ts
@@ -64,8 +64,8 @@
   }
 
   /**
-   * Returns the number of machines in pending requests, by type. It is taken before this round makes its own requests,
-   * so that a request for one pool does not cover the demand for another.
+   * Returns the number of machines in pending requests, by type. They are counted before this round makes its own
+   * requests, so that a request that it makes for one pool does not cover its demand for another.
    */
   private countPending(): Map<MachineTypeName, number> {
     const counts = new Map<MachineTypeName, number>();
@@ -220,7 +220,7 @@
 
   /**
    * Returns whether a new machine of the type could run a task of the job. On a type with GPUs, a job without GPUs is
-   * limited to the cores and memory that GPU work leaves, unless its placement penalties no longer count. A machine
+   * limited to the cores and memory that GPU work leaves, unless its placement penalties no longer apply. A machine
    * provisioned for a job beyond that limit would stay idle, be terminated and be provisioned again.
    */
   private canRun(job: PlanJob, type: MachineType): boolean {
--- a/src/core/health/graceful_evictions.ts
+++ b/src/core/health/graceful_evictions.ts
@@ -13,7 +13,7 @@
 
 /**
  * Moves work off machines that are about to be terminated, with a checkpoint if the job saves any. Tasks that should
- * finish in time keep running.
+ * finish in time keep running, except on stragglers.
  */
 export function evictFromLeavingMachines(cluster: Cluster, now: MonotonicTime): void {
   for (const machine of cluster.machines.values()) {
--- a/src/core/health/health_checks.ts
+++ b/src/core/health/health_checks.ts
@@ -19,7 +19,7 @@
 export class HealthChecks {
   private readonly stragglerChecks: StragglerChecks;
 
-  /** `scheduleRoundSoon` is called when capacity was freed or a machine was drained. */
+  /** `scheduleRoundSoon` is called when a worker's lease has expired or a straggler was drained. */
   constructor(
     private readonly cluster: Cluster,
     private readonly scheduleRoundSoon: () => void,
--- a/src/core/scheduler/apply.ts
+++ b/src/core/scheduler/apply.ts
@@ -1,6 +1,6 @@
 /**
  * Carries out the scheduler's decisions. This is also the last step (apply) of a planning round. No other module of the
- * scheduler changes jobs or machines.
+ * scheduler places or stops tasks or reserves machines.
  */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../machines/machine.js';
--- a/src/core/scheduler/candidates.ts
+++ b/src/core/scheduler/candidates.ts
@@ -10,8 +10,8 @@
  */
 const DELAY_RANKS_PER_SECOND = 2;
 /**
- * A cached image incurs a penalty for a job only if a task that uses the image needs a larger share of the machine, by
- * more than this margin.
+ * The penalty for cached images applies only if the largest task that uses one of them needs a larger share of the
+ * machine than the job's task, by more than this margin.
  */
 const CACHED_IMAGE_SHARE_MARGIN = 0.01;
 
--- a/src/core/scheduler/cluster_state.ts
+++ b/src/core/scheduler/cluster_state.ts
@@ -1,4 +1,4 @@
-/** Interfaces to the leader's state. Scheduling decisions only read it, and only `apply.ts` changes it. */
+/** Interfaces to the leader's state. Scheduling decisions read it, and `apply.ts` carries them out. */
 import type { RuntimeEstimator } from '../jobs/runtime_estimator.js';
 import type { BootTimeEstimator } from '../machines/boot_time_estimator.js';
 import type { MachineTypes } from '../machines/machine_type_catalog.js';
@@ -12,7 +12,10 @@
 import type { StepContext } from '../step_context.js';
 import type { Attempt, ImageName, Resources } from '../types.js';
 
-/** The state that scheduling decisions read and do not change. */
+/**
+ * The state that scheduling decisions read. They do not change it, except that `startableTaskCount` updates whether
+ * tasks of a job may be on unreconciled machines.
+ */
 export interface ClusterState {
   readonly context: Pick<StepContext, 'now' | 'settings' | 'tuning' | 'after' | 'log'>;
   readonly jobs: Pick<JobTable, 'active' | 'services' | 'hasPendingReplicas'>;
--- a/src/core/scheduler/fitness.ts
+++ b/src/core/scheduler/fitness.ts
@@ -37,8 +37,8 @@
 }
 
 /**
- * Returns the share of capacity in use over the next minute, 0 to 1 (Eq. (4)). Machines with GPUs count by their GPUs,
- * all others by their cores.
+ * Returns the mean utilization of the machines over the next minute, 0 to 1 (Eq. (4)). It is that of the GPUs for
+ * machines with GPUs, and that of the cores for all others.
  */
 function utilization(machines: readonly PlanMachine[]): number {
   let used = 0;
--- a/src/core/scheduler/machine_snapshot.ts
+++ b/src/core/scheduler/machine_snapshot.ts
@@ -9,7 +9,7 @@
 import { spareCapacity } from './spare_capacity.js';
 
 /**
- * A task that is expected to end within this many seconds after the start of a step frees its capacity in that step.
+ * A task that is expected to end at most this many seconds after the start of a step frees its capacity in that step.
  */
 const SAME_STEP_SECONDS = 0.01;
 
--- a/src/core/scheduler/migration.ts
+++ b/src/core/scheduler/migration.ts
@@ -42,7 +42,7 @@
   return job.placedCount === job.spec.taskCount;
 }
 
-/** Returns the seconds until the gang's last image pull ends, or 0 if a task is past pulling or is being stopped. */
+/** Returns the seconds until the gang's last image pull ends, or 0 if a task is not pulling or is being stopped. */
 function remainingPullSeconds({ context, placements }: ClusterState, job: Job): number {
   const { image, imageGb } = job.spec;
   let longest = 0;
--- a/src/core/scheduler/plan_input.ts
+++ b/src/core/scheduler/plan_input.ts
@@ -67,7 +67,7 @@
     return this.addedPlanJobs;
   }
 
-  /** Adds a job and returns its index, or null if no zone has, or could provision, a machine for it. */
+  /** Adds a job and returns its index, or null if no zone has a machine for it and none could be provisioned. */
   addJob(waiting: WaitingJob): number | null {
     const feasibleZones = this.feasibleZones(waiting.job);
     if (feasibleZones.length === 0) return null;
--- a/src/core/scheduler/plan_types.ts
+++ b/src/core/scheduler/plan_types.ts
@@ -25,8 +25,8 @@
   readonly spareCpus: number;
   readonly spareMemoryGb: number;
   /**
-   * Whether GPU work uses the machine or waits for machines like it. A machine with GPUs where this is false is about
-   * to be terminated.
+   * Whether GPU work uses the machine or waits for machines like it, or the machine is reserved. A machine with GPUs
+   * where this is false is about to be terminated.
    */
   readonly servesGpuWork: boolean;
   /** Returns the seconds until the image would be on the machine if a task needed it now, or 0 if it is there. */
@@ -78,7 +78,10 @@
    * provisioned. Sorted by name, never empty.
    */
   readonly feasibleZones: readonly ZoneName[];
-  /** The only zone that the job may use: the one that it requests, or where its single-zone tasks are. Null if any. */
+  /**
+   * The only zone that the job may use. It is the zone that the job requests or, for a single-zone job, the zone of its
+   * placed tasks. Null if there is no such restriction.
+   */
   readonly requiredZone: ZoneName | null;
   /** Weight of the job's wait in the fitness (u in the paper). */
   readonly priorityWeight: number;
--- a/src/core/scheduler/planner.ts
+++ b/src/core/scheduler/planner.ts
@@ -17,10 +17,10 @@
 const UNPLACED_WAIT_SECONDS = 600;
 /** Number of tasks deducted per second until a machine is first available, when zones are compared by free capacity. */
 const LATER_CAPACITY_DISCOUNT = 1e-3;
-/** Maximum iterations for one array are `TURNS_PER_CANDIDATE` for each of its candidates, plus `EXTRA_TURNS`. */
+/** Planning an array takes at most `TURNS_PER_CANDIDATE` turns for each of its candidates, plus `EXTRA_TURNS`. */
 const TURNS_PER_CANDIDATE = 2;
 const EXTRA_TURNS = 4;
-/** Number of planned tasks from which an array uses free capacity in all of its zones instead of one zone a round. */
+/** Number of planned tasks from which an array uses free capacity in all of its zones, not in one zone per round. */
 const LARGE_ARRAY_TASKS = 400;
 
 /** The decisions of the plan in progress. */
--- a/src/core/scheduler/policy.ts
+++ b/src/core/scheduler/policy.ts
@@ -22,7 +22,10 @@
    * tolerate them have no alternative to on-demand machines.
    */
   readonly onDemandSeconds: number;
-  /** For a machine that waiting gangs without an alternative need, for an array that tolerates spot machines. */
+  /**
+   * For an on-demand machine, for an array that tolerates spot machines, instead of `onDemandSeconds`. Applies if
+   * waiting gangs that do not tolerate spot machines need whole machines of that type.
+   */
   readonly reservedTypeSeconds: number;
   /** For a machine that has images of jobs with larger tasks, which would otherwise pull these images elsewhere. */
   readonly cachedImageSeconds: number;
--- a/src/core/scheduler/preemption.ts
+++ b/src/core/scheduler/preemption.ts
@@ -1,4 +1,4 @@
-/** Lets gangs of higher priority whose start would be delayed preempt arrays of lower priority. */
+/** Preempts array tasks of lower priority for gangs of higher priority that would otherwise start late. */
 import type { Job } from '../jobs/job.js';
 import type { ZoneName } from '../types.js';
 import { applyGangPreemption } from './apply.js';
--- a/src/core/scheduler/priority.ts
+++ b/src/core/scheduler/priority.ts
@@ -62,8 +62,8 @@
 }
 
 /**
- * Returns the slack in seconds until the objective can no longer be met. It is negative once the objective is missed,
- * and infinite if the objective does not apply to the job.
+ * Returns the slack, in seconds, after which the objective can no longer be met. It is negative if that is already the
+ * case, and infinite if the objective does not apply to the job.
  */
 function slackOf(objective: ServiceLevelObjective, spec: JobSpec, times: JobTimes): number {
   const { waitedSeconds, pullSeconds, runSeconds } = times;
--- a/src/core/scheduler/replica_placement.ts
+++ b/src/core/scheduler/replica_placement.ts
@@ -70,7 +70,7 @@
 /**
  * Returns a predicate that tells whether a replica may use a machine's cores, in case the machine has GPUs. A job
  * without GPUs may use only the cores and memory that GPU work can't use. Once a replica of the service has waited for
- * `AVOID_GPU_MACHINES_MS`, it may use any of them (scenario service-takes-gpu-cores.txt).
+ * `AVOID_GPU_MACHINES_MS`, the service may use them all (scenario service-takes-gpu-cores.txt).
  */
 export function gpuMachineCheck(cluster: ClusterState, job: Job): (machine: Machine) => boolean {
   const { replicaPendingSince, spec } = job;
--- a/src/core/scheduler/service_placement.ts
+++ b/src/core/scheduler/service_placement.ts
@@ -73,7 +73,7 @@
   return reservedMachineCount(cluster, job) < job.startableCount;
 }
 
-/** Returns the number of machines that were recently freed or found for the job and that it does not use yet. */
+/** Returns the number of machines that are reserved for the job after a preemption or for a replica move. */
 function reservedMachineCount(cluster: ClusterState, job: Job): number {
   const now = cluster.context.now.monotonic;
   let count = 0;
--- a/src/core/scheduler/waiting_time.ts
+++ b/src/core/scheduler/waiting_time.ts
@@ -1,4 +1,4 @@
-/** Computes how long jobs have waited, whether they are overdue, and how much placement penalties apply to them. */
+/** Computes how long jobs have waited, whether they are overdue, and the factor on their placement penalties. */
 import type { Job } from '../jobs/job.js';
 import type { ClusterState } from './cluster_state.js';
 
